--- a/src/process/control_timing.h
+++ b/src/process/control_timing.h
@@ -1,5 +1,5 @@
-// Timing of the control plane, in one place with its reasons. Every part takes it as a value, so
-// that tests can vary it; nodes of one data centre have to run the same figures.
+// Timing parameters of the control plane. Each component takes them by value, so that tests can
+// vary them. All nodes of one data centre must use the same values.
 #pragma once
 
 #include <cstddef>
@@ -9,64 +9,67 @@
 namespace arbutus {
 
 struct control_timing {
-  // One message a second to each peer: half of the traffic budget at 21 nodes.
+  // One message per second to each peer uses half of the traffic budget at 21 nodes.
   duration heartbeat_interval = 1s;
-  // Spreads the heartbeats; subtracted, so that the interval is never longer than stated.
+  // Spreads the heartbeats. It is subtracted, so the interval never exceeds heartbeat_interval.
   duration heartbeat_jitter = 100ms;
-  // Urgent news may bring a heartbeat forward, but a storm of news not more often than this.
+  // Urgent updates send a heartbeat early; this bounds the rate under many updates.
   duration heartbeat_min_gap = 50ms;
 
-  // A peer that missed two heartbeats is suspect, one that missed four is dead: it probes nothing
-  // and has no rank.
+  // A peer is suspect after two missed heartbeats and dead after four. A dead peer is assigned no
+  // probes and has no rank.
   duration peer_suspect_after = 2500ms;
   duration peer_dead_after = 4500ms;
-  // A peer that died twice within the half-life has to be heard for as long as this, doubled with
-  // each further death, before it counts as alive again.
+  // A peer that was marked dead twice within the half-life must be received from for this long,
+  // doubled with each further death up to the limit, before it counts as alive again.
   duration peer_damping = 2s;
   duration damping_limit = 30s;
   duration damping_half_life = 60s;
 
-  // A gap between own ticks longer than this means that this process was paused: what it has not
-  // heard meanwhile says nothing about the others.
+  // A longer gap between ticks means that this process was paused; messages missing from that
+  // time say nothing about the peers.
   duration own_pause = 1s;
 
-  // A node may repair without the table for so long after the sending of its newest message that a
-  // majority has answered...
+  // A node may repair without the table for this long after it sent the newest message that a
+  // majority has acknowledged.
   duration act_alone_for = 4s;
-  // ...and a majority that has not heard it for so long counts its permission as lapsed. Longer
-  // than act_alone_for by the drift of clocks and the time an order stays valid.
+  // Once a majority has not received from a node for this long, its right to act has expired.
+  // Exceeds act_alone_for by the clock drift and the validity of an order.
   duration lapse_after = 8s;
 
-  // Each target is probed so often by each of its probers, if the budget allows.
+  // Interval at which each prober of a target probes it, if the budget allows.
   duration probe_interval = 1s;
   double probes_per_second = 8.0;
-  // But never more seldom than this: with the heartbeat that carries it, an observation would get
-  // older than permission_time, and replicas that work would not be routed to. Two nodes before 19
-  // targets, or few survivors, need more than the budget; 21 nodes before 81 do not.
+  // Upper limit of the interval, also beyond the budget: otherwise an observation, with the
+  // heartbeat that carries it, gets older than permission_time, and working replicas are not routed
+  // to. Two nodes with 19 targets, or few surviving nodes, exceed the budget; 21 nodes with 81
+  // targets do not.
   duration longest_probe_interval = 1125ms;
-  // Beside that for suspects: the answer is urgent, but a dark fabric domain must not flood.
+  // Additional budget for suspect targets. Their state is needed soon, but an unreachable fabric
+  // domain must not cause a flood of probes.
   double urgent_probes_per_second = 4.0;
   std::size_t urgent_probe_burst = 4;
-  // A suspect is probed again after this.
+  // Interval between urgent probes of one suspect target.
   duration urgent_probe_interval = 300ms;
-  // A probe without a result is given up after this.
+  // A probe without a result is abandoned after this.
   duration probe_timeout = 2s;
-  // A target that one prober alone cannot reach is lost after this.
+  // A target that only one prober fails to reach is lost after this.
   duration suspicion = 2s;
-  // Without any observation for so long, nothing is known about a target.
+  // The condition of a target is unknown after this time without an observation.
   duration unknown_after = 4s;
-  // A lost target works again after so long without a failed probe, doubled when it flaps.
+  // A lost target counts as working after this long without a failed probe, doubled when it flaps.
   duration recovery = 1s;
 
+  // Intervals at which the designated readers and the other nodes read the configuration head.
   duration head_read_by_readers = 1s;
   duration head_read_by_others = 10s;
-  // The first read after a failed one follows within this.
+  // The first retry of a failed read follows within this.
   duration head_retry = 200ms;
   std::size_t head_readers = 2;
-  // A request for content, or a read of the head, without an answer is tried elsewhere after this.
+  // A request for content, or a read of the head, without a response is sent to another after this.
   duration fetch_timeout = 700ms;
 
-  // Clocks of two machines differ in rate by less than this share.
+  // Upper bound of the relative difference in rate between the clocks of two machines.
   double clock_drift = 0.001;
 };
 
--- a/src/process/duty.h
+++ b/src/process/duty.h
@@ -1,8 +1,8 @@
-// Which node keeps the replicas of a data centre.
+// Which node controls the replicas of a data centre.
 //
-// Its own nodes come first, in the order of their names, then those of other data centres: a data
-// centre whose nodes are all gone still has engines. Two nodes that both think it is their turn do
-// no harm, since every order names the state it was decided on; they only waste orders.
+// Its own nodes come first, ordered by name, then those of other data centres: a data centre whose
+// nodes have all failed still has engines. Two nodes that both consider themselves responsible are
+// harmless, since every order names the state it was decided on; they only waste orders.
 #pragma once
 
 #include <algorithm>
@@ -21,12 +21,12 @@
   data_centre_id data_centre;
 };
 
-// Of the nodes that live, the one that keeps `data_centre`; empty if none lives.
+// Of the live nodes, the one that controls `data_centre`; empty if there is none.
 [[nodiscard]] inline node_id keeper_of(const data_centre_id& data_centre,
                                        std::span<const duty_node> living) {
   const auto order = [&](const duty_node& n) {
     const bool away = n.data_centre != data_centre;
-    // Spread the orphaned data centres over the others' nodes.
+    // Distributes data centres without nodes over the nodes of the others.
     const std::uint64_t weight = away ? ~rendezvous_weight(data_centre.str(), n.id.str()) : 0;
     return std::tuple(away, weight, n.id);
   };
--- a/src/process/freshness.cpp
+++ b/src/process/freshness.cpp
@@ -1,4 +1,4 @@
-// Arithmetic of lower bounds: whatever is uncertain makes an observation older, never fresher.
+// Lower bounds of times: any uncertainty makes an observation older, never newer.
 #include "process/freshness.h"
 
 namespace arbutus {
@@ -15,8 +15,8 @@
   return static_cast<std::uint32_t>(incarnation & 0xffff);
 }
 
-// A sender that claims to have held the echo for longer than is possible has a broken clock; the
-// claim cannot lift the bound above `now`.
+// A sender with a broken clock may report a longer hold time than is possible; the result is still
+// at most `now`.
 time_point composed_after(time_point echoed_sent_at, duration held, time_point now, double drift) {
   const duration surely_held = scaled(std::max(held, duration::zero()), 1.0 - drift);
   return std::min(now, echoed_sent_at + surely_held);
--- a/src/process/gossip.cpp
+++ b/src/process/gossip.cpp
@@ -1,5 +1,5 @@
-// MessagePack arrays; the first element is the kind. Empty lists at the end of a heartbeat are left
-// out. A receiver ignores elements it does not know, so that the format can grow at its end.
+// Messages are MessagePack arrays; the first element is the kind. Empty lists at the end of a
+// heartbeat are omitted. A receiver ignores unknown elements, so that new ones can be appended.
 #include "process/gossip.h"
 
 #include <algorithm>
@@ -26,19 +26,19 @@
   summary,
 };
 
-// Steps in which times are sent: an age of up to a second is one byte, an echo's two.
+// Resolution of times on the wire: an age of up to a second takes one byte, a hold time two.
 constexpr duration age_step = 8ms;
 constexpr duration held_step = 4ms;
-// Above the largest content (an inventory at the size planned for has some 100 KB).
+// Exceeds the largest content; an inventory of the planned size has some 100 KB.
 constexpr std::size_t max_message = std::size_t{16} << 20;
-// Deepest: message, list, composition, members; one to spare.
+// The deepest nesting is message, list, composition, members (4); one level in reserve.
 constexpr std::size_t max_depth = 5;
 
 constexpr unsigned table_flag = 1;
 constexpr unsigned draining_flag = 2;
 constexpr unsigned informed_flag = 4;
 
-// ---- small values ----
+// ---- scalar values ----
 
 json packed(std::string_view bytes) {
   return json::binary({bytes.begin(), bytes.end()});
@@ -65,18 +65,18 @@
   return static_cast<T>(value);
 }
 
-// Rounded up: an observation may look older, never younger.
+// Rounded up: an observation may appear older, but never newer.
 std::uint64_t age_steps(duration age) {
   const auto shown = std::max(age, duration::zero()) + age_step - duration{1};
   return static_cast<std::uint64_t>(shown / age_step);
 }
 
-// Rounded down: the message may look older, never younger.
+// Rounded down: a message may appear older, but never newer.
 std::uint64_t held_steps(duration held) {
   return static_cast<std::uint64_t>(std::max(held, duration::zero()) / held_step);
 }
 
-// A time beyond a day is damage, and would overflow further on.
+// A time of more than a day is rejected as damaged; it would overflow in later arithmetic.
 duration steps(const json& j, duration step) {
   constexpr std::uint64_t day = 86'400'000;
   const std::uint64_t count = whole(j);
@@ -165,7 +165,7 @@
   return d;
 }
 
-// Flat lists: slot, age, and for the second kind the four bytes of load.
+// Flat lists without nesting: slot and age, and for `loads` also the four bytes of load.
 void encode_short(const std::vector<observation_delta>& deltas, json& same, json& loads) {
   for (const observation_delta& d : deltas) {
     if (d.report) {
@@ -248,7 +248,7 @@
   return out;
 }
 
-// The elements at `at` of `from`; none when the sender left the list out.
+// The elements of the list at index `at` of `from`; none when the sender omitted the list.
 template <class T, class Decode>
 std::vector<T> decode_list(const json& from, std::size_t at, Decode decode_one) {
   std::vector<T> out;
@@ -266,7 +266,7 @@
   return json::array({static_cast<unsigned>(k)});
 }
 
-// Places in the array of a heartbeat.
+// Indices in the array of a heartbeat.
 constexpr std::size_t first = 1 + stamp_size;
 enum heartbeat_field : std::size_t {
   config_version_field = first,
--- a/src/process/gossip.h
+++ b/src/process/gossip.h
@@ -1,9 +1,9 @@
-// What nodes tell each other: typed messages and their MessagePack form.
+// Messages between nodes and their MessagePack encoding.
 //
-// Traffic is dominated by heartbeats (one a second to each peer), so these are arrays of small
-// integers. A target is named once per change; from then on the sender's own small number for it
-// ("slot") stands for it, whatever configuration versions sender and receiver have. The sender of
-// a message is known from the link and not repeated in it.
+// Heartbeats (one per second to each peer) make up most of the traffic, so they are arrays of small
+// integers. A target is named once per change; after that, a small number chosen by the sender (its
+// "slot") identifies it, independent of the configuration versions of sender and receiver. The
+// sender of a message is known from the link and not part of the message.
 #pragma once
 
 #include <cstdint>
@@ -24,28 +24,28 @@
 
 namespace arbutus {
 
-// One target as its prober saw it. Exactly one of three forms:
-//   full: report is set; names the target and all else, and binds the slot;
-//   load: load is set; all else as in the last full of this slot;
-//   same: neither; load, too, as it was last.
+// A prober's observation of one target, in one of three forms:
+//   full: report is set; it contains all fields and binds the slot to the target;
+//   load: load is set; all other fields are as in the last full form of this slot;
+//   same: neither is set; the load is unchanged, too.
 struct observation_delta {
   std::uint32_t slot{};
-  duration age{};  // at sending, rounded up
+  duration age{};  // when sent, rounded up
   std::optional<engine_report> report;
   std::optional<target_load> load;
   auto operator<=>(const observation_delta&) const = default;
 };
 
-// A target that did not answer its prober, since `age` ago.
+// A target that does not respond to its prober.
 struct probe_failure {
   vm_id vm;
-  duration age{};               // of the newest failed probe's start
-  std::uint64_t incarnation{};  // that answered last; 0: none ever
-  std::uint32_t count{};        // failed probes in a row
+  duration age{};               // since the start of the newest failed probe
+  std::uint64_t incarnation{};  // that responded last; 0: none ever
+  std::uint32_t count{};        // consecutive failed probes
   auto operator<=>(const probe_failure&) const = default;
 };
 
-// Requests a second that this node admitted, for limits shared between nodes.
+// Requests per second that the sender admitted, for limits shared between nodes.
 struct workspace_usage {
   workspace_id workspace;
   double requests_per_second{};  // sent in steps of 0.01
@@ -56,12 +56,12 @@
   node_id from;  // from the link
   message_stamp stamp;
   std::uint64_t config_version{};
-  std::string config_hash;  // empty: as in the last heartbeat that had one
+  std::string config_hash;  // empty: as in the last heartbeat that contained one
   std::uint64_t assignment_version{};
   bool table_reachable = false;
   bool draining = false;
   bool informed = false;        // membership::informed
-  std::vector<node_id> silent;  // peers not heard for control_timing::lapse_after
+  std::vector<node_id> silent;  // peers not received from for control_timing::lapse_after
   std::vector<observation_delta> observations;
   std::vector<probe_failure> failures;
   std::vector<composition> activations;
@@ -70,18 +70,18 @@
   auto operator<=>(const heartbeat&) const = default;
 };
 
-// Asks for content by its hash; the answer may build on the content the asker has.
+// Requests content by its hash; the response may be a delta against content the requester has.
 struct config_request {
   std::string hash;
-  std::string have;  // hash of what the asker has; empty: nothing
+  std::string have;  // hash of the content that the requester has; empty: none
   auto operator<=>(const config_request&) const = default;
 };
 
-// Content, whole or as what to replace in the content `base`: an operator's change touches a few
-// bytes of an inventory of more than a hundred kilobytes.
+// Configuration content, complete or as a replacement within the content `base`: an operator's
+// change usually affects a few bytes of an inventory of more than 100 KB.
 struct config_content {
   config_head head;
-  std::string base;  // hash; empty: `middle` is the whole content
+  std::string base;  // hash; empty: `middle` is the complete content
   std::uint64_t prefix{};
   std::uint64_t suffix{};
   std::string middle;
@@ -94,21 +94,22 @@
   auto operator<=>(const assignment_push&) const = default;
 };
 
-// Urgent: a probe failed, or a connection was refused.
+// Sent immediately when a probe fails or a connection is refused.
 struct lost_notice {
   message_stamp stamp;
   probe_failure failure;
   auto operator<=>(const lost_notice&) const = default;
 };
 
-// Urgent: the target goes away.
+// Sent immediately when a target is leaving.
 struct leaving_notice {
   vm_id vm;
   std::uint64_t incarnation{};  // 0: known from the platform's list only
   auto operator<=>(const leaving_notice&) const = default;
 };
 
-// A data centre as one of its nodes sums it up for another data centre.
+// The free capacity of one model in a data centre, and the summary of a data centre that one of its
+// nodes sends to other data centres.
 struct model_summary {
   model_id model;
   std::uint32_t free_slots{};
--- a/src/process/membership.cpp
+++ b/src/process/membership.cpp
@@ -1,4 +1,5 @@
-// Hearing peers, own pauses, ranks and probers. The votes are in membership_votes.cpp.
+// Heartbeats of peers, pauses of this process, ranks and probers. The votes are in
+// membership_votes.cpp.
 #include "process/membership.h"
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 constexpr std::size_t remembered_incarnations = 4;
 constexpr std::size_t probers_per_target = 2;
 
-// A node may get a tenth more targets than its fair part before the next one takes them.
+// A node may get 10 % more targets than its fair share before they go to the next node.
 std::size_t target_limit(std::size_t targets, std::size_t nodes) {
   const double fair =
       static_cast<double>(targets * probers_per_target) / static_cast<double>(nodes);
@@ -66,8 +67,8 @@
   choice_.reset();
 }
 
-// A process that was stopped for a while finds every peer silent. That says nothing about them; if
-// it believed it, it would take all ranks and probes at once when it continues.
+// After a pause of this process, no message of any peer is recent. That does not mean that they
+// failed; otherwise this node would take over all ranks and probes when it continues.
 duration membership::tick(time_point now) {
   const duration gap = now - last_tick_;
   const bool paused = gap > timing_.own_pause;
@@ -91,7 +92,7 @@
   }
 }
 
-// Zero while it is not known whether this process itself was paused.
+// Zero while a pause of this process cannot be excluded, as the last tick is too long ago.
 duration membership::quiet_for(const peer& p, time_point now) const {
   if (now - last_tick_ > timing_.own_pause) {
     return duration::zero();
@@ -114,9 +115,9 @@
   return peers;
 }
 
-// Of two nodes the first by id leads; the other answers at once, so that its heartbeat carries the
-// acknowledgement of the leader's segment, which otherwise costs a packet of its own. It beats by
-// itself when the leader is late.
+// Of two nodes, the first by id sends first and the other responds immediately, so that its
+// heartbeat carries the TCP acknowledgement, which otherwise takes a packet of its own. The other
+// sends on its own when the first one is late.
 duration membership::interval_to(const node_id& id) {
   const duration jitter = random_.jitter(timing_.heartbeat_jitter);
   if (self_ < id) {
@@ -180,7 +181,7 @@
   }
 }
 
-// ---- hearing ----
+// ---- receiving ----
 
 std::optional<heard> membership::receive(const node_id& from, const message_stamp& stamp,
                                          time_point now) {
@@ -203,7 +204,7 @@
   p.last_sequence = stamp.sequence;
   p.received_at = now;
   accept_echo(p, stamp, result, now);
-  // A message that was stuck on the way does not show that its sender is alive now.
+  // A message that was delayed in transit does not show that its sender is alive now.
   p.heard_at = std::max(p.heard_at, result.composed.value_or(p.hears_us ? p.heard_at : now));
   if (p.dead && quiet_for(p, now) <= timing_.peer_dead_after) {
     p.dead = false;
@@ -245,16 +246,16 @@
   if (!result) {
     return result;
   }
-  peer_claims& claims = peers_.at(beat.from).claims;
-  claims.config_version = beat.config_version;
+  peer_claims& reported = peers_.at(beat.from).claims;
+  reported.config_version = beat.config_version;
   if (!beat.config_hash.empty()) {
-    claims.config_hash = beat.config_hash;
+    reported.config_hash = beat.config_hash;
   }
-  claims.assignment_version = beat.assignment_version;
-  claims.table_reachable = beat.table_reachable;
-  claims.draining = beat.draining;
-  claims.informed = beat.informed;
-  claims.silent = beat.silent;
+  reported.assignment_version = beat.assignment_version;
+  reported.table_reachable = beat.table_reachable;
+  reported.draining = beat.draining;
+  reported.informed = beat.informed;
+  reported.silent = beat.silent;
   answer(beat.from, now);
   learn_from_majority(own);
   return result;
@@ -274,8 +275,9 @@
   return found == peers_.end() ? nullptr : &found->second;
 }
 
-// How long a peer that keeps dying must be heard before it counts again. Each time it counts, ranks
-// and probers move; a node on a bad link would move them every few seconds.
+// How long messages of a peer that was repeatedly marked dead must arrive before it counts as alive
+// again. Ranks and probers change each time; a node with a bad link would change them every few
+// seconds.
 duration membership::damping(const peer& p, time_point now) const {
   const double age = to_seconds(now - p.deaths_at) / to_seconds(timing_.damping_half_life);
   const double deaths = p.deaths * std::exp2(-age);
@@ -351,8 +353,8 @@
   choice_.reset();
 }
 
-// Rendezvous hashing alone gives the unluckiest of 21 nodes nearly twice its part, more than its
-// probe budget; so a node that is full is passed over.
+// Rendezvous hashing alone gives the most loaded of 21 nodes nearly twice its fair share, which
+// exceeds its probe budget. Nodes at their limit are therefore skipped.
 void membership::choose_probers(time_point now) {
   std::vector<node_id> nodes = live(now);
   if (choice_ && choice_->live == nodes) {
@@ -374,7 +376,7 @@
       }
     };
     choose(false);
-    choose(true);  // all but one may be full
+    choose(true);  // all nodes but one may be at the limit
   }
   choice_->live = std::move(nodes);
 }
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -1,7 +1,8 @@
-// Which nodes of the data centre are alive, as this node sees it. Views may differ between nodes
-// for a while; whatever builds on them has to be harmless then: a rank only spares wasted writes,
-// a third prober only costs probes. What must not differ - whether a silent node may still act on
-// an old row - is decided by a majority's silence, see may_act_alone and acknowledged_by_all.
+// Which nodes of the data centre are alive, in this node's local view. Views may differ between
+// nodes for a while, so everything based on them must tolerate that: ranks only avoid wasted
+// writes, and a third prober only costs probes. Whether an unresponsive node may still act on an
+// old row must not differ; that is decided by a majority, see may_act_alone and
+// acknowledged_by_all.
 #pragma once
 
 #include <cstdint>
@@ -22,16 +23,16 @@
 
 enum class peer_state { unknown, alive, suspect, dead };
 
-// What followed from a received stamp.
+// Result of processing a received stamp.
 struct heard {
-  bool restarted = false;  // the peer's process is another one than before
-  // Lower bound of the moment the message was composed; empty while the peer has not echoed a
-  // message of this process: then nothing in the message can renew a permission.
+  bool restarted = false;  // the peer has a new process
+  // Lower bound of the time at which the message was composed. Empty until the peer has echoed a
+  // message of this process; until then, its messages cannot renew a permission.
   std::optional<time_point> composed;
   std::uint64_t echoed{};  // newest own sequence that the peer is known to have; 0: none
 };
 
-// What a peer last said of itself.
+// The state that a peer last reported about itself.
 struct peer_claims {
   std::uint64_t config_version{};
   std::string config_hash;
@@ -47,54 +48,55 @@
   membership(node_id self, std::uint64_t incarnation, std::uint64_t seed, time_point now,
              control_timing timing = {});
 
-  // Nodes of the own data centre; may contain self. Keeps what is known of those that stay.
+  // Sets the nodes of the own data centre, with or without self. Keeps the state of remaining ones.
   void set_nodes(const std::vector<node_id>& nodes, time_point now);
 
-  // To be called at least every quarter of a second. The length of an own pause that has just
-  // ended; zero: none. After a pause no peer is blamed for the silence meanwhile.
+  // To be called at least every 250 ms. Returns the length of a pause of this process that has just
+  // ended; zero: none. Messages missing during the pause do not count against the peers.
   duration tick(time_point now);
 
-  // Peers to which a heartbeat is due; each is returned once per interval. Ask after each received
-  // heartbeat, too: the answer to it is due at once.
+  // Peers to which a heartbeat is due; each is returned once per interval. To be called after each
+  // received heartbeat, too: the response to it is due immediately.
   [[nodiscard]] std::vector<node_id> due(time_point now);
-  // Makes a heartbeat due to every peer: news that must not wait.
+  // Makes a heartbeat to every peer due, to send an urgent update.
   void hurry(time_point now);
-  // Stamp for the next message to `peer`, which counts as sent now. Only for stamped messages that
-  // are about to be handed to the link.
+  // Stamp for the next message to `peer`, which is recorded as sent now. To be called only for
+  // messages that are passed to the link immediately.
   [[nodiscard]] message_stamp stamp_for(const node_id& peer, time_point now);
-  // Fills from, stamp and silent; the caller adds the rest.
+  // Sets `from`, `stamp`, `informed` and the list of unresponsive peers; the caller adds the rest.
   [[nodiscard]] heartbeat prepare(const node_id& peer, time_point now);
-  // Sets the configuration; its hash only until the peer is known to have it.
+  // Sets the configuration version, and its hash until the peer is known to have received it.
   void claim_config(heartbeat& beat, const node_id& peer, std::uint64_t version,
                     const std::string& hash);
 
-  // Empty: not a peer, or not newer than what was received before (duplicate, overtaken).
+  // Empty if `from` is not a peer or the message is not newer than those received before (duplicate
+  // or reordered).
   [[nodiscard]] std::optional<heard> receive(const node_id& from, const message_stamp& stamp,
                                              time_point now);
-  // receive() and what the heartbeat claims. An empty config_hash stands for the last one. `own`:
-  // the assignment version this node knows.
+  // As above, and stores the state that the heartbeat reports. An empty config_hash stands for the
+  // last one received. `own` is the assignment version that this node knows.
   [[nodiscard]] std::optional<heard> receive(const heartbeat& beat, std::uint64_t own,
                                              time_point now);
 
   [[nodiscard]] peer_state state(const node_id& peer, time_point now) const;
-  // Alive and suspect nodes, self included, in order of id.
+  // Alive and suspect nodes including self, ordered by id.
   [[nodiscard]] std::vector<node_id> live(time_point now) const;
-  // Null when not a peer or never heard.
+  // Null if it is not a peer or nothing was ever received from it.
   [[nodiscard]] const peer_claims* claims(const node_id& peer) const;
-  // The peer is heard but has not echoed any message of the last peer_dead_after: the link works in
-  // one direction only.
+  // Messages from the peer arrive, but it has not echoed any message sent within the last
+  // peer_dead_after: the link works in one direction only.
   [[nodiscard]] bool one_way(const node_id& peer, time_point now) const;
   // Newest own sequence that the peer is known to have; 0: none.
   [[nodiscard]] std::uint64_t echoed(const node_id& peer) const;
-  // The live nodes without self: to whom urgent news goes.
+  // The live nodes without self, which receive urgent updates.
   [[nodiscard]] std::vector<node_id> live_peers(time_point now) const;
 
-  // Position of `node` among the live nodes for `subject` by rendezvous hashing, from 0; the
-  // number of live nodes when it is not one of them.
+  // Position of `node` among the live nodes for `subject` by rendezvous hashing, from 0. If `node`
+  // is not live, the number of live nodes.
   [[nodiscard]] std::size_t rank_of(const node_id& node, std::string_view subject,
                                     time_point now) const;
-  // Two live nodes (one, if there is one only) that probe `vm`; bounded in number per node, so
-  // that none gets more than its fair part.
+  // The two live nodes (one, if there is only one) that probe `vm`. The number of targets per node
+  // is limited to little more than its fair share.
   void set_targets(const std::vector<vm_id>& vms);
   [[nodiscard]] std::vector<node_id> probers_of(const vm_id& vm, time_point now);
   [[nodiscard]] std::vector<vm_id> own_targets(time_point now);
@@ -102,25 +104,26 @@
   // ---- acting without the table ----
   //
   // A VM whose reservation was withdrawn must not be given to another replica while a node that
-  // cannot see the table might still activate it by the old row. Nodes vote with one voice each; of
-  // an even number the first by id has two, so that of two nodes one can go on alone.
+  // cannot reach the table might still activate it based on the old row. Each node has one vote;
+  // if their number is even, the first by id has two, so that one of two nodes can act without the
+  // other.
 
-  // This node has read the row from the table itself.
+  // To be called when this node has read the row from the table itself.
   void row_read();
-  // A process that has just started knows nothing of what its predecessor acknowledged. It has a
-  // vote once it has read the table, or has heard, since it started, informed nodes that are a
-  // majority without it and knows a row no older than theirs.
+  // A new process does not know what its previous process acknowledged. It gets a vote once it has
+  // read the table, or once informed nodes that form a majority without it have echoed a message of
+  // this process and it knows a row no older than theirs.
   [[nodiscard]] bool informed() const { return informed_; }
 
-  // Whether this node may activate a standby by the row `assignment_version` that it knows,
-  // although it cannot read the table: it and the informed nodes that have answered a message sent
-  // within act_alone_for are a majority, and nobody claims a newer row. Ask again directly before
-  // each order.
+  // Whether this node may activate a standby based on the row `assignment_version` that it knows,
+  // although it cannot read the table: it and the informed nodes that have echoed a message sent
+  // within act_alone_for form a majority, and no peer reports a newer row. To be checked directly
+  // before each order.
   [[nodiscard]] bool may_act_alone(std::uint64_t assignment_version, time_point now) const;
 
-  // Highest assignment version, at most `own` (this node's), that every node which may still act
-  // has acknowledged. A silent node counts until nodes that are a majority and know that version
-  // have each reported it silent for lapse_after.
+  // Highest assignment version, at most `own` (this node's), that every node that may still act has
+  // acknowledged. An unresponsive node is included until nodes that form a majority and know that
+  // version have each reported it unresponsive for lapse_after.
   [[nodiscard]] std::uint64_t acknowledged_by_all(std::uint64_t own, time_point now) const;
   // The nodes whose acknowledgement of `version` is needed, self included.
   [[nodiscard]] std::vector<node_id> counted(std::uint64_t version, time_point now) const;
@@ -128,25 +131,26 @@
  private:
   struct peer {
     time_point known_since;
-    std::uint64_t incarnation{};  // 0: never heard
+    std::uint64_t incarnation{};  // 0: nothing received yet
     std::uint64_t last_sequence{};
     std::vector<std::uint64_t> past_incarnations;  // at most 4
-    time_point heard_at;                           // lower bound of the newest message's composing
-    time_point received_at;  // when the newest message came; both: known_since before the first
-    time_point alive_since;  // start of the present spell of being heard
-    double deaths{};         // decayed number of spells that ended
+    // Both are known_since until the first message.
+    time_point heard_at;     // lower bound of the time at which the newest message was composed
+    time_point received_at;  // arrival of the newest message
+    time_point alive_since;  // when the peer was last marked as not dead
+    double deaths{};         // exponentially decayed number of times it was marked dead
     time_point deaths_at;
-    bool dead = true;       // until heard
+    bool dead = true;       // until the first message
     bool hears_us = false;  // has echoed a message of this process
     peer_claims claims;
     sent_log sent;
     std::uint64_t next_sequence = 1;
     time_point next_heartbeat;
     time_point last_heartbeat;
-    std::uint64_t hash_sequence{};  // first own message with the present config hash
+    std::uint64_t hash_sequence{};  // first own message with the current config hash
     std::string hash_told;
-    std::uint64_t echoed{};     // own sequence
-    time_point echoed_sent_at;  // when that was sent
+    std::uint64_t echoed{};     // newest own sequence that it echoed
+    time_point echoed_sent_at;  // when that message was sent
   };
   struct probe_choice {
     std::vector<node_id> live;
@@ -177,10 +181,10 @@
   rng random_;
   std::map<node_id, peer> peers_;  // without self
   time_point last_tick_;
-  time_point listening_since_;  // start, or end of the last own pause
+  time_point listening_since_;  // start of the process, or end of its last pause
   bool informed_ = false;
   std::vector<vm_id> targets_;
-  std::optional<probe_choice> choice_;  // for the live set it names
+  std::optional<probe_choice> choice_;  // valid for the live nodes stored in it
 };
 
 }  // namespace arbutus
--- a/src/process/membership_votes.cpp
+++ b/src/process/membership_votes.cpp
@@ -1,15 +1,15 @@
-// Who may act without the table, and whose acknowledgement is still awaited.
+// Which nodes may act without the table, and whose acknowledgement of a row is still required.
 //
-// What goes wrong without votes: node B is cut off from the table and from node A, but not from the
-// targets. A withdraws a standby, takes B for dead, and gives the VM to another replica; B
-// activates it by the old row. Two replicas own one VM.
+// Failure prevented by the votes: node B is cut off from the table and from node A, but not from
+// the targets. A withdraws a standby, considers B dead, and gives the VM to another replica; B
+// activates it based on the old row. Two replicas then own one VM.
 //
-// Why this prevents it: A stops waiting for B only when a majority reports B silent for
-// lapse_after, each in a message that also acknowledges the new row. B acts only while a majority
-// has answered messages it sent within act_alone_for, which is shorter, and knows no newer row. Any
-// two majorities share a node: before its report that node's answers to B have expired, after it
-// they name the newer row. A restarted node has forgotten what it acknowledged, and has no vote
-// until it has learnt it again.
+// With votes, A stops waiting for B only when a majority reports B unresponsive for lapse_after,
+// each in a message that also acknowledges the new row. B acts only while a majority has echoed
+// messages that B sent within act_alone_for, which is shorter, and reports no newer row. Any two
+// majorities have a node in common: before that node's report its echoes to B have expired, after
+// it they name the newer row. A restarted node no longer knows what it acknowledged, and has no
+// vote until it is informed again.
 #include <algorithm>
 
 #include "process/membership.h"
@@ -31,7 +31,8 @@
   return 2 * votes > votes_in_all();
 }
 
-// By receipt, not by composing: what counts is that this node has answered nothing of it meanwhile.
+// Based on the time of receipt, not of composition: since then, this node has echoed no message of
+// the peer.
 bool membership::silent(const peer& p, time_point now) const {
   if (now - last_tick_ > timing_.own_pause) {
     return false;
@@ -77,8 +78,8 @@
   return majority(votes);
 }
 
-// Only reports of nodes that know the row count: one that has died since may have answered `id`
-// between its report and a row it never saw.
+// Only reports of nodes that know the row are valid: another node, failed since, may have echoed
+// messages of `id` between its report and a row that it never received.
 bool membership::lapsed(const node_id& id, const peer& p, std::uint64_t version,
                         time_point now) const {
   if (!silent(p, now)) {
--- a/src/process/misdirections.h
+++ b/src/process/misdirections.h
@@ -1,9 +1,10 @@
-// Heads that have just said that a request is not for them.
+// Heads that recently rejected a request as misdirected.
 //
-// Another engine has their address, or they head no replica any more. The list says so only when
-// their row lapses. Goes wrong without it: for those seconds each caller is sent there, is not run,
-// and draws on the budget of repeated sends; one would see callers refused beside idle replicas.
-// Such a head becomes the last choice of this node, as it may be open again at any time.
+// Either another engine has their address, or they are no longer the head of a replica. The list
+// of targets shows that only when their row expires, seconds later. Without this, requests sent
+// there in the meantime are not run and use up the retry budget, so that callers are refused while
+// other replicas are idle. Such a head becomes the last choice of this node rather than excluded,
+// as it may accept requests again at any time.
 #pragma once
 
 #include <map>
@@ -31,7 +32,7 @@
     return result;
   }
 
-  // A replica forms within half a second; a row lapses after several.
+  // A replica forms within 0.5 s; a row expires after several seconds.
   static constexpr duration remembered = 1s;
 
  private:
--- a/src/process/node_beat.cpp
+++ b/src/process/node_beat.cpp
@@ -1,4 +1,4 @@
-// Beats as MessagePack.
+// MessagePack encoding of node heartbeats.
 #include "process/node_beat.h"
 
 #include <cmath>
@@ -49,7 +49,7 @@
   if (!part) {
     return nullptr;
   }
-  // Any bytes: as text they would have to be UTF-8.
+  // Arbitrary bytes, thus binary: text would have to be UTF-8.
   return {part->row, part->base, part->size, part->offset,
           json::binary({part->bytes.begin(), part->bytes.end()})};
 }
@@ -109,7 +109,7 @@
                      std::string(bytes.begin(), bytes.end())};
 }
 
-// Fields that nodes of an earlier release do not send; theirs are read as if they were empty.
+// Fields from this index on are not sent by nodes of an earlier release; they are left empty then.
 constexpr std::size_t first_later_field = 25;
 
 void read_later_fields(const json& document, node_beat& beat) {
@@ -196,7 +196,7 @@
     beat.targets = news_from_json(document.at(10));
     beat.configuration = news_from_json(document.at(11));
     beat.turned_away = document.at(12).get<bool>();
-    // Empty of a node that tells no address: it is known by its row.
+    // Empty if the node sent no address; it is then known from its row.
     beat.link = parse_endpoint(document.at(13).get<std::string>()).value_or(endpoint{});
     beat.strength = {document.at(14).get<std::uint32_t>(), document.at(15).get<std::uint32_t>()};
     beat.follows_records = document.at(16).get<bool>();
--- a/src/process/node_beat.h
+++ b/src/process/node_beat.h
@@ -1,10 +1,11 @@
-// What nodes on a hosted platform tell each other several times a second.
+// Heartbeats that nodes on a hosted platform exchange several times per second.
 //
-// One node of each data centre, its hub, follows the platform's store and keeps the replicas. The
-// others tell it that they live and what they have sent where; its answers carry what changed in
-// the store, the proof that the configuration is still the newest, and what all others have sent.
-// Hubs tell each other. So the number of messages grows with the nodes, not with their square, and
-// the questions to the store do not grow at all.
+// One node of each data centre, its hub, follows the platform's store and controls the replicas.
+// The other nodes report to it that they are alive and what load they have sent to which target.
+// The hub's heartbeats carry changes in the store, the proof that the configuration is still the
+// newest, and the load sent by all other nodes. Hubs exchange heartbeats with each other. The number
+// of messages thus grows linearly with the number of nodes, and the number of queries to the store
+// does not grow at all.
 #pragma once
 
 #include <cstdint>
@@ -26,53 +27,53 @@
 
 namespace arbutus {
 
-// A part of a followed table, behind the position that was asked for.
+// The part of a followed table behind the requested position.
 struct feed_news {
   std::vector<feed_row> rows;
-  bool whole = false;        // the whole table, not only what changed
-  std::uint64_t position{};  // of the sender, with these rows
-  std::uint64_t after{};     // position that was asked for: only who is there already may go on
-  duration age{};            // since the sender's newest question to the store was sent
-  // There are rows behind the position asked for, and they are left out: to be read at the store.
+  bool whole = false;        // the complete table instead of changes only
+  std::uint64_t position{};  // of the sender, including these rows
+  std::uint64_t after{};     // requested position; only a receiver at or beyond it may apply this
+  duration age{};            // since the sender's newest query to the store was sent
+  // There are rows behind the requested position, but they are omitted: to be read from the store.
   bool withheld = false;
 };
 
 struct node_beat {
   data_centre_id data_centre;
-  // Where and what the sender is, as in its row: who has not read that yet knows it by its beat.
-  // Goes wrong without it: a hub drops the beats of a node that has just joined until it reads the
-  // rows again, which takes seconds, and never while the store turns the hub away.
+  // Address and strength of the sender, as in its row in the store. Without this, a hub drops the
+  // heartbeats of a node that has just joined until it reads the rows again, which takes seconds
+  // and does not happen while the store refuses the hub.
   endpoint link;
   node_strength strength;
-  bool hub = false;          // follows the store and keeps the data centre
-  bool leaving = false;      // keeps no replicas from now on
-  bool turned_away = false;  // the store does not serve it: another has to be the hub
+  bool hub = false;          // follows the store and controls the data centre
+  bool leaving = false;      // does not control replicas any more
+  bool turned_away = false;  // the store does not serve the sender: another node must be the hub
   bool requests_seen = false;
-  // The sender's clock, and the newest such stamp that it has of the receiver. What the beat says
-  // was so after the receiver sent that stamp: a beat may be on its way for any time.
+  // The sender's clock, and the newest such stamp that it received from the receiver. The content
+  // of the heartbeat is newer than the sending of the echoed stamp; that bounds its age, as a
+  // message may be delayed without limit.
   std::int64_t stamp_us{};
   std::int64_t echo_us{};  // 0: none yet
-  // How far the sender is in the tables, for the hub to go on behind.
+  // Position of the sender in the tables, from which the hub continues.
   std::uint64_t targets_position{};
-  // Whether the sender follows the records of all targets, or what serves alone.
+  // Whether the sender follows the records of all targets, or only the serving replicas.
   bool follows_records = true;
-  std::string life;                    // of the sender's process: its positions below are of it
-  serving_follower::position serving;  // of the rows of what serves, for their hub to go on behind
+  std::string life;                    // incarnation of the sender, to which its positions belong
+  serving_follower::position serving;  // in the rows of serving replicas, as received from the hub
   std::uint64_t configuration_position{};
-  std::uint64_t configuration_row{};  // the newest row of it that the sender holds
+  std::uint64_t configuration_row{};  // newest row of the configuration that the sender holds
   config_progress configuration_progress;
   std::map<target_id, replica_load> loads;
   std::vector<target_id> lost;
-  // On requests that end their targets, and how far the sender is in what the receiver told of
-  // them.
+  // Updates about poison requests, and the sender's position in those of the receiver.
   crash_news crashes;
   crash_position crashes_heard;
-  // On limits of targets, and who may send to them.
+  // Send limits of targets, and grants to send to them.
   std::vector<limit_news> limits;
   grant_news grants;
-  // Of a hub, to a node of its data centre.
-  std::optional<feed_news> targets;  // records, or else:
-  std::optional<feed_news> served;   // what serves; positions are of the sender's life
+  // From a hub to a node of its data centre.
+  std::optional<feed_news> targets;  // records of targets; or instead of them:
+  std::optional<feed_news> served;   // serving replicas; positions are of the sender's incarnation
   std::optional<feed_news> configuration;
   std::optional<config_part> configuration_part;
 };
--- a/src/process/observation_deltas.cpp
+++ b/src/process/observation_deltas.cpp
@@ -1,9 +1,9 @@
-// What peers are told, and how their short forms are understood.
+// Encoding of observations for peers as deltas, and their decoding.
 //
-// A short form stands for "as in the last full one". It is used only after the peer has echoed a
-// message that was sent with this content or later, and messages overtaken on the way are not
-// accepted (membership::receive), so that both sides mean the same full one. A process of either
-// side that has restarted has no echo yet, and gets or sends full ones.
+// A short form refers to the last full form. It is used only after the peer has echoed a message
+// that was sent with this content or later, and reordered messages are not accepted
+// (membership::receive), so both sides refer to the same full form. After a restart of either side
+// there is no echo yet, and full forms are sent.
 #include "process/observations.h"
 
 namespace arbutus {
--- a/src/process/observation_probes.cpp
+++ b/src/process/observation_probes.cpp
@@ -1,4 +1,4 @@
-// When this node probes which target, within its budget.
+// Schedules the probes of this node within its budget.
 #include <algorithm>
 
 #include "process/observations.h"
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Ticks may come late; probes missed meanwhile may follow together, up to so many, or those of so
-// long.
+// Capacity of the token bucket: after a late tick, the missed probes are sent together, up to this
+// number or those of this time, whichever is larger.
 constexpr double most_tokens = 3.0;
 constexpr duration most_lateness = 250ms;
 
@@ -24,7 +24,7 @@
   own_ = std::move(kept);
   std::size_t position = 0;
   for (const vm_id& vm : vms) {
-    // Spread over the interval, so that probes do not come in bursts.
+    // Spread over the interval to avoid bursts of probes.
     const auto share = timing_.probe_interval * static_cast<duration::rep>(position++) /
                        static_cast<duration::rep>(vms.size());
     if (!own_.contains(vm) && targets_.contains(vm)) {
@@ -48,7 +48,7 @@
   return slot;
 }
 
-// Probes a second that this node may send.
+// Probes per second that this node may send.
 double observation_table::probe_rate() const {
   const double needed =
       static_cast<double>(own_.size()) / to_seconds(timing_.longest_probe_interval);
@@ -70,8 +70,8 @@
   return found != in_flight_.end() && now - found->second < timing_.probe_timeout;
 }
 
-// Suspects among the own targets, and any target that this node's own connections failed to: no
-// prober would notice that this link works again.
+// Suspect targets assigned to this node, and all targets to which its own connections failed: the
+// assigned probers would not notice that this node's link works again.
 std::vector<vm_id> observation_table::urgent_probes(time_point now) {
   std::vector<vm_id> chosen;
   for (auto& [vm, t] : targets_) {
@@ -105,7 +105,7 @@
       break;
     }
     tokens_ -= 1.0;
-    // Keeps its place in the interval unless it is late anyway.
+    // Keeps its phase in the interval unless it is more than half an interval late.
     own_.at(vm).probe_due =
         std::max(due, now - timing_.probe_interval / 2) + timing_.probe_interval;
     chosen.push_back(vm);
@@ -133,7 +133,7 @@
     return false;
   }
   const auto* report = std::get_if<engine_report>(&result.result);
-  // Another engine answers at this address: as bad as none.
+  // A response from another engine at this address counts as a failure.
   if (report != nullptr && report->vm == result.vm) {
     own_success(*report, result.sent_at, now);
     return false;
--- a/src/process/observations.cpp
+++ b/src/process/observations.cpp
@@ -1,5 +1,5 @@
-// Merging of observations and what follows from them; probing and telling peers are in
-// observation_probes.cpp and observation_deltas.cpp.
+// Merges observations and derives the conditions of targets. Probing is in observation_probes.cpp,
+// the exchange with peers in observation_deltas.cpp.
 #include "process/observations.h"
 
 #include <algorithm>
@@ -11,9 +11,10 @@
 namespace {
 
 constexpr std::size_t remembered_incarnations = 4;
-// An accusation is refuted when another node reached the target so soon after.
+// A peer's failure report is refuted when another node reached the target within this time after.
 constexpr duration refuted_within = 2s;
-// A node with so many refuted accusations (decayed) is taken to have a bad link of its own.
+// From this number of refuted reports (exponentially decayed) on, a node is assumed to have a bad
+// link of its own.
 constexpr double refuted_limit = 3.0;
 // Below this share of its model's median rate a target is a straggler.
 constexpr double straggler_share = 0.5;
@@ -78,9 +79,10 @@
   settle(t, now);
 }
 
-// Shortens the failures that `by` has seen a success within, and drops those it has seen the end
-// of. A node whose own link is bad would otherwise make each of its targets suspect everywhere,
-// again and again, and lost by its persistence.
+// Applies a success that `by` observed at `seen_at` to the recorded failures: runs of failures that
+// began earlier start anew from it, and other nodes' runs that ended earlier are dropped.
+// Otherwise a node with a bad link would repeatedly make each of its targets suspect at all nodes,
+// and lost by repeated failures.
 void observation_table::refute(target& t, const node_id& by, time_point seen_at, time_point now) {
   for (auto& [accuser_id, f] : t.failures) {
     if (f.first >= seen_at) {
@@ -128,7 +130,7 @@
     return false;
   }
   target& t = found->second;
-  // Further errors of requests in flight say the same thing again.
+  // Further errors of requests in flight add no information.
   if (own_link_fails(t)) {
     return false;
   }
@@ -155,7 +157,7 @@
   merge(from, notice.failure, h, now);
 }
 
-// Failures without a bound on their age are ignored, as successes are: the probers will repeat it.
+// Failures without a bound on their age are ignored, as successes are; the probers report again.
 void observation_table::merge(const node_id& from, const probe_failure& failure, const heard& h,
                               time_point now) {
   const auto found = targets_.find(failure.vm);
@@ -173,7 +175,7 @@
   add_failure(from, t, started, failure.count, now);
 }
 
-// ---- going away ----
+// ---- leaving ----
 
 bool observation_table::mark_leaving(const vm_id& vm, std::uint64_t incarnation) {
   const auto found = targets_.find(vm);
@@ -211,8 +213,8 @@
 
 // ---- conditions ----
 
-// What was known before an own pause is old, and probes that ended in it failed for this node's
-// own reasons; believing them, it would take every replica out of service.
+// State from before a pause of this process is outdated, and probes that ended during the pause
+// failed because of it. Using them would take every replica out of service.
 void observation_table::resumed(time_point now) {
   resumed_at_ = now;
   in_flight_.clear();
@@ -223,12 +225,12 @@
   }
 }
 
-// Not ended by a later success.
+// Whether no later success has ended this run of failures.
 bool observation_table::open(const target& t, const failing& f) const {
   return !t.newest || f.newest >= t.newest->at;
 }
 
-// Others may reach a target that this node cannot.
+// Whether this node's newest attempt to reach the target failed; other nodes may still reach it.
 bool observation_table::own_link_fails(const target& t) const {
   const auto own = t.failures.find(self_);
   if (own == t.failures.end()) {
@@ -258,7 +260,7 @@
 bool observation_table::gone(const target& t) const {
   std::size_t accusers = 0;
   for (const auto& [by, f] : t.failures) {
-    // Errors of connections alone (no failed probe) may come from load; a probe has to confirm.
+    // Connection errors alone (no failed probe) may be caused by load; a probe has to confirm them.
     if (!open(t, f) || f.count == 0) {
       continue;
     }
@@ -271,7 +273,7 @@
   return false;
 }
 
-// Doubles with each loss, so that a flapping target does not move the assignment each time.
+// Doubles with each loss, so that a flapping target does not change the assignment each time.
 duration observation_table::recovery_time(const target& t, time_point now) const {
   const double losses = decayed(t.losses, now - t.losses_at, timing_.damping_half_life);
   const double seconds =
@@ -346,8 +348,8 @@
   return changes;
 }
 
-// At least three targets are compared, and at most a quarter of them (one of three) are called
-// slow: under load that slows all of them, some replica has to go on answering.
+// At least three targets are compared, and at most a quarter of them (one of three) count as slow:
+// under load that slows all of them, some replicas have to remain in use.
 std::set<vm_id> observation_table::stragglers(time_point now) const {
   std::map<model_id, std::vector<std::pair<double, vm_id>>> rates;
   for (const auto& [vm, model] : models_) {
--- a/src/process/observations.h
+++ b/src/process/observations.h
@@ -1,5 +1,6 @@
-// What this node knows of each target VM of its data centre: its own probes, its peers' and the
-// errors of its own connections, merged so that an old message never replaces newer knowledge.
+// Observations of each target VM of the data centre: results of this node's own probes, those of
+// its peers, and errors of its own connections, merged so that an old message never replaces a
+// newer observation.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +20,11 @@
 namespace arbutus {
 
 enum class target_condition {
-  unknown,  // nothing recent; after an own pause, until probed again
+  unknown,  // no recent observation; after a pause of this process, until probed again
   working,
-  suspect,  // a probe or connection failed, or it recovers: no new work
-  lost,     // independent probers, or one for long enough, found it gone
-  leaving,  // works but goes away: no new work
+  suspect,  // a probe or connection failed, or it is recovering: gets no new work
+  lost,     // two probers, or one for long enough, could not reach it
+  leaving,  // works but is about to be removed: gets no new work
 };
 
 struct condition_change {
@@ -37,71 +38,72 @@
  public:
   explicit observation_table(node_id self, control_timing timing = {});
 
-  // All targets of the data centre; keeps what is known of those that stay.
+  // Sets all targets of the data centre; keeps the state of those that remain.
   void set_targets(const std::vector<vm_id>& vms);
-  // Which of them this node probes (membership::own_targets).
+  // Sets the targets that this node probes (membership::own_targets).
   void set_own_targets(const std::vector<vm_id>& vms, time_point now);
-  // Which model a target works for, to compare it with the others of that model.
+  // Sets the model of each target, for the comparison with other targets of that model.
   void set_models(const std::map<vm_id, model_id>& models);
 
-  // Targets to probe now: suspects first, then whichever waits longest, spread evenly. Each counts
+  // Targets to probe now: suspects first, then in the order of their due times. Each probe counts
   // as started at `now`.
   [[nodiscard]] std::vector<vm_id> next_probes(time_point now);
-  // True if it is a failure that the peers should hear of at once: send failure_of in a
+  // True if it is a failure that the peers should be notified of immediately: send failure_of in a
   // lost_notice to membership::live_peers.
   bool own_probe(const probe_result& result, time_point now);
-  // The request path saw its connection break or be refused. True as above.
+  // A connection of the request path broke or was refused. True as above.
   bool own_error(const vm_id& vm, time_point now);
-  // Newest own failure of this target, if no observation is newer.
+  // Newest own failure for this target, if no observation is newer.
   [[nodiscard]] std::optional<probe_failure> failure_of(const vm_id& vm, time_point now) const;
 
-  // Observations and failures of a heartbeat; `h` is what membership made of its stamp.
+  // Merges observations and failures of a heartbeat; `h` is the result of membership::receive.
   void merge(const heartbeat& beat, const heard& h, time_point now);
   void merge(const node_id& from, const lost_notice& notice, const heard& h, time_point now);
-  // Goes away, by the platform's list or a leaving_notice. True if that is news to pass on.
+  // The target is leaving, by the platform's list (`incarnation` 0) or a leaving_notice. True if
+  // that was not known and should be passed on.
   bool mark_leaving(const vm_id& vm, std::uint64_t incarnation);
-  // The platform's list has it, not leaving.
+  // The platform's list contains the target as not leaving.
   void clear_leaving(const vm_id& vm);
 
-  // This process was paused (membership::tick): nothing that is known is recent, and nobody is to
-  // blame.
+  // This process was paused (membership::tick): no observation is recent, and failures during the
+  // pause do not count.
   void resumed(time_point now);
 
-  // Adds to `beat`, whose stamp is made, what this node observed itself and `peer` has not got yet.
-  // `echoed`: newest own sequence that the peer is known to have (membership::echoed).
+  // Adds this node's own observations that `peer` does not have yet to `beat`, whose stamp must be
+  // set. `echoed`: newest own sequence that the peer is known to have (membership::echoed).
   void take_deltas(heartbeat& beat, const node_id& peer, std::uint64_t echoed, time_point now);
 
-  // The peer is no longer a node of this data centre, or its process is another one (heard::
-  // restarted): the new one may echo messages whose short forms it could not understand.
+  // To be called when the peer has left the data centre or has a new process (heard::restarted). A
+  // new process could echo messages whose short forms it was not able to decode.
   void forget_peer(const node_id& peer);
 
   [[nodiscard]] target_condition condition(const vm_id& vm, time_point now) const;
-  // Newest observation; null if there is none. For permission, compare its `at` with the clock.
+  // Newest observation, of any age; null if there is none.
   [[nodiscard]] const observation* latest(const vm_id& vm) const;
-  // Slow against the median of their model; never more than a quarter of them.
+  // Targets that are slow compared to the median of their model; at most a quarter of them.
   [[nodiscard]] std::set<vm_id> stragglers(time_point now) const;
   // Transitions since the last call.
   [[nodiscard]] std::vector<condition_change> take_changes(time_point now);
 
  private:
-  struct failing {      // failures of one node without a success of any since `first`
-    time_point first;   // start of the first probe, or the newest success
+  struct failing {      // consecutive failures seen by one node, without a success since `first`
+    time_point first;   // start of the first probe, or time of the newest success within the run
     time_point newest;  // start of the newest probe
     std::uint32_t count{};
   };
   struct target {
     std::optional<observation> newest;
-    std::vector<std::uint64_t> past_incarnations;  // at most 4; their messages are old
+    std::vector<std::uint64_t> past_incarnations;  // at most 4; messages about them are ignored
     std::map<node_id, failing> failures;
     std::optional<time_point> own_success;  // start of the newest own probe that succeeded
     bool listed_leaving = false;
-    std::optional<std::uint64_t> leaving_incarnation;  // a notice; 0: any
-    // Hysteresis: set when lost; the spell of successes since.
+    std::optional<std::uint64_t> leaving_incarnation;  // from a leaving_notice
+    // Hysteresis: set when lost, cleared after recovery_time of successes.
     bool lost = false;
     std::optional<time_point> recovering_since;
-    double losses{};  // decayed
+    double losses{};  // exponentially decayed count
     time_point losses_at;
-    std::optional<time_point> urgent_probe_at;  // newest own probe out of turn
+    std::optional<time_point> urgent_probe_at;  // newest urgent probe by this node
     target_condition reported = target_condition::unknown;
   };
   struct own_target {
@@ -109,19 +111,19 @@
     std::optional<engine_report> report;  // of the newest success, without load
     target_load load_now;
     time_point at;
-    std::uint64_t content{};  // rises when anything but the load or the moment changes
-    std::uint64_t load{};     // rises when the load changes
+    std::uint64_t content{};  // version of the report without load
+    std::uint64_t load{};     // version of the load
     time_point probe_due;
   };
-  struct told {  // what a peer was told of one of the own targets
+  struct told {  // what was sent to a peer about one of the own targets
     std::uint64_t content{};
     std::uint64_t content_sequence{};  // first message with this content
     std::uint64_t load{};
     std::uint64_t load_sequence{};
     time_point at;
   };
-  using known_slots = std::map<std::uint32_t, engine_report>;  // fulls received from a peer
-  struct accuser {  // a peer whose failures others refuted may have a bad link of its own
+  using known_slots = std::map<std::uint32_t, engine_report>;  // full forms received from a peer
+  struct accuser {  // a peer whose failure reports were refuted and who may have a bad link
     double refuted{};
     time_point at;
   };
@@ -129,8 +131,8 @@
   void accept(const node_id& by, const observation& seen, time_point now);
   void merge(const node_id& from, const probe_failure& failure, const heard& h, time_point now);
   void refute(target& t, const node_id& by, time_point seen_at, time_point now);
-  // `probes`: failed probes that this failure adds (own: one, or none for a connection's error) or
-  // stands for (told by a peer: all in a row).
+  // `probes`: for an own failure, the number of failed probes that it adds (one, or none for a
+  // connection error); for a peer's failure, its number of consecutive failed probes.
   void add_failure(const node_id& by, target& t, time_point started, std::uint32_t probes,
                    time_point now);
   void own_success(const engine_report& report, time_point sent_at, time_point now);
@@ -165,7 +167,7 @@
   std::map<node_id, known_slots> bases_;
   std::map<node_id, accuser> accusers_;
   std::optional<time_point> resumed_at_;
-  // Token buckets of probes.
+  // Token buckets for regular and urgent probes.
   double tokens_ = 1.0;
   double urgent_tokens_ = 0.0;
   std::optional<time_point> refilled_at_;
--- a/src/process/peer_table.cpp
+++ b/src/process/peer_table.cpp
@@ -1,4 +1,4 @@
-// Peers and hubs.
+// Liveness of peers, election of the hub, and recipients of heartbeats.
 #include "process/peer_table.h"
 
 #include <algorithm>
@@ -48,7 +48,7 @@
   for (const auto& entry : peers_) {
     order_[entry.second.data_centre].push_back(&entry);
   }
-  // Stable: among equals the order of the names stays.
+  // Stable sort: equals stay ordered by name.
   for (auto& [data_centre, peers] : order_) {
     std::stable_sort(peers.begin(), peers.end(), [](const auto* a, const auto* b) {
       return a->second.strength > b->second.strength;
@@ -74,7 +74,7 @@
 void peer_table::heard(time_point now, const node_id& id, const peer_word& word) {
   const auto found = peers_.find(id);
   if (found == peers_.end()) {
-    return;  // its row will be read soon
+    return;  // not known yet; its row will be read soon
   }
   peer& p = found->second;
   p.heard_at = now;
@@ -136,7 +136,7 @@
   return found == peers_.end() ? 0 : found->second.word.stamp_us;
 }
 
-// Living, or not yet proved otherwise.
+// Alive, or new and not yet known to be unresponsive.
 bool peer_table::presumed(time_point now, const peer& p) const {
   if (p.word.leaving) {
     return false;
@@ -182,7 +182,7 @@
 
 node_id peer_table::hub_of(time_point now, const data_centre_id& data_centre) const {
   const node_id served = first_of(now, data_centre, true);
-  // With the store away from all of them the first one keeps the replicas.
+  // If the store serves none of them, the first live node controls the replicas.
   return served.empty() ? first_of(now, data_centre, false) : served;
 }
 
@@ -219,15 +219,16 @@
         return;
       }
     } else if (presumed(now, p)) {
-      // Turned away by the store: the first ones keep the data centre where all are. Goes wrong
-      // when each is told: while the store is away, all nodes of a data centre tell each other.
+      // Refused by the store; if all are, the first ones control the data centre. Only those get
+      // heartbeats: otherwise, while the store is unavailable, all nodes of a data centre would
+      // send to each other.
       if (living < candidates) {
         result.push_back(id);
       }
       ++living;
     } else if (silent < most_silent) {
-      // Goes wrong without them: a hub that returns is not heard, and there are two from then on.
-      // Telling only now and then would open a link each time and close it before it is up.
+      // Without these, a hub that returns goes unnoticed, and there are two from then on. Sending
+      // only now and then would open a link each time and close it before it is established.
       result.push_back(id);
       ++silent;
     }
@@ -277,7 +278,7 @@
   if (!is_candidate(now)) {
     return result;
   }
-  // Whoever told this node gets an answer, as long as it has reason to ask.
+  // Peers that send heartbeats to this node get responses as long as it is a candidate.
   for (const auto& [id, p] : peers_) {
     if (lives(now, p) && std::find(result.begin(), result.end(), id) == result.end()) {
       result.push_back(id);
