--- a/src/process/duty.h
+++ b/src/process/duty.h
@@ -23,25 +23,26 @@
 
 // Of the live nodes, the one that controls `data_centre`; empty if there is none.
 [[nodiscard]] inline node_id keeper_of(const data_centre_id& data_centre,
-                                       std::span<const duty_node> living) {
+                                       std::span<const duty_node> live) {
   const auto order = [&](const duty_node& n) {
-    const bool away = n.data_centre != data_centre;
+    const bool in_other_data_centre = n.data_centre != data_centre;
     // Distributes data centres without nodes over the nodes of the others.
-    const std::uint64_t weight = away ? ~rendezvous_weight(data_centre.str(), n.id.str()) : 0;
-    return std::tuple(away, weight, n.id);
+    const std::uint64_t weight =
+        in_other_data_centre ? ~rendezvous_weight(data_centre.str(), n.id.str()) : 0;
+    return std::tuple(in_other_data_centre, weight, n.id);
   };
   const auto first =
-      std::min_element(living.begin(), living.end(),
+      std::min_element(live.begin(), live.end(),
                        [&](const duty_node& a, const duty_node& b) { return order(a) < order(b); });
-  return first == living.end() ? node_id{} : first->id;
+  return first == live.end() ? node_id{} : first->id;
 }
 
 [[nodiscard]] inline std::set<data_centre_id> duties_of(const node_id& self,
                                                         std::span<const data_centre_id> all,
-                                                        std::span<const duty_node> living) {
+                                                        std::span<const duty_node> live) {
   std::set<data_centre_id> result;
   for (const data_centre_id& data_centre : all) {
-    if (keeper_of(data_centre, living) == self) {
+    if (keeper_of(data_centre, live) == self) {
       result.insert(data_centre);
     }
   }
--- a/src/process/freshness.cpp
+++ b/src/process/freshness.cpp
@@ -18,13 +18,13 @@
 // A sender with a broken clock may report a longer hold time than is possible; the result is still
 // at most `now`.
 time_point composed_after(time_point echoed_sent_at, duration held, time_point now, double drift) {
-  const duration surely_held = scaled(std::max(held, duration::zero()), 1.0 - drift);
-  return std::min(now, echoed_sent_at + surely_held);
+  const duration min_held = scaled(std::max(held, duration::zero()), 1.0 - drift);
+  return std::min(now, echoed_sent_at + min_held);
 }
 
 time_point observed_after(time_point composed, duration age, time_point now, double drift) {
-  const duration at_most = scaled(std::max(age, duration::zero()), 1.0 + drift);
-  return std::min(composed, now) - at_most;
+  const duration max_age = scaled(std::max(age, duration::zero()), 1.0 + drift);
+  return std::min(composed, now) - max_age;
 }
 
 void sent_log::sent(std::uint64_t sequence, time_point at) {
--- a/src/process/gossip.cpp
+++ b/src/process/gossip.cpp
@@ -40,16 +40,16 @@
 
 // ---- scalar values ----
 
-json packed(std::string_view bytes) {
+json to_binary(std::string_view bytes) {
   return json::binary({bytes.begin(), bytes.end()});
 }
 
-std::string unpacked(const json& j) {
+std::string from_binary(const json& j) {
   const auto& bytes = j.get_binary();
   return {bytes.begin(), bytes.end()};
 }
 
-std::uint64_t whole(const json& j) {
+std::uint64_t read_unsigned(const json& j) {
   if (!j.is_number_unsigned()) {
     throw std::invalid_argument("not an unsigned number");
   }
@@ -57,8 +57,8 @@
 }
 
 template <class T>
-T whole_as(const json& j) {
-  const std::uint64_t value = whole(j);
+T read_unsigned_as(const json& j) {
+  const std::uint64_t value = read_unsigned(j);
   if (value > std::numeric_limits<T>::max()) {
     throw std::out_of_range("number");
   }
@@ -67,8 +67,8 @@
 
 // Rounded up: an observation may appear older, but never newer.
 std::uint64_t age_steps(duration age) {
-  const auto shown = std::max(age, duration::zero()) + age_step - duration{1};
-  return static_cast<std::uint64_t>(shown / age_step);
+  const auto rounded = std::max(age, duration::zero()) + age_step - duration{1};
+  return static_cast<std::uint64_t>(rounded / age_step);
 }
 
 // Rounded down: a message may appear older, but never newer.
@@ -79,7 +79,7 @@
 // A time of more than a day is rejected as damaged; it would overflow in later arithmetic.
 duration steps(const json& j, duration step) {
   constexpr std::uint64_t day = 86'400'000;
-  const std::uint64_t count = whole(j);
+  const std::uint64_t count = read_unsigned(j);
   if (count > day) {
     throw std::out_of_range("time");
   }
@@ -101,11 +101,11 @@
 
 message_stamp stamp_at(const json& list, std::size_t at) {
   message_stamp s;
-  s.incarnation = whole(list.at(at));
-  s.sequence = whole(list.at(at + 1));
-  s.echo_of = whole(list.at(at + 2));
+  s.incarnation = read_unsigned(list.at(at));
+  s.sequence = read_unsigned(list.at(at + 1));
+  s.echo_of = read_unsigned(list.at(at + 2));
   s.echo_held = steps(list.at(at + 3), held_step);
-  s.echo_tag = whole_as<std::uint32_t>(list.at(at + 4));
+  s.echo_tag = read_unsigned_as<std::uint32_t>(list.at(at + 4));
   return s;
 }
 
@@ -116,7 +116,8 @@
 }
 
 generation decode_generation(const json& j) {
-  return {whole(j.at(0)), whole_as<std::uint32_t>(j.at(1)), whole_as<lost_mask>(j.at(2))};
+  return {read_unsigned(j.at(0)), read_unsigned_as<std::uint32_t>(j.at(1)),
+          read_unsigned_as<lost_mask>(j.at(2))};
 }
 
 json encode_full(const observation_delta& d) {
@@ -139,27 +140,29 @@
 }
 
 target_load load_at(const json& list, std::size_t at) {
-  return {whole_as<std::uint8_t>(list.at(at)), whole_as<std::uint8_t>(list.at(at + 1)),
-          whole_as<std::uint8_t>(list.at(at + 2)), whole_as<std::uint8_t>(list.at(at + 3))};
+  return {read_unsigned_as<std::uint8_t>(list.at(at)),
+          read_unsigned_as<std::uint8_t>(list.at(at + 1)),
+          read_unsigned_as<std::uint8_t>(list.at(at + 2)),
+          read_unsigned_as<std::uint8_t>(list.at(at + 3))};
 }
 
 observation_delta decode_full(const json& j) {
   observation_delta d;
-  d.slot = whole_as<std::uint32_t>(j.at(0));
+  d.slot = read_unsigned_as<std::uint32_t>(j.at(0));
   d.age = steps(j.at(1), age_step);
   engine_report r;
   r.vm = vm_id{j.at(2).get<std::string>()};
-  r.incarnation = whole(j.at(3));
+  r.incarnation = read_unsigned(j.at(3));
   r.replica = replica_id{j.at(4).get<std::string>()};
   r.gen = decode_generation(j.at(5));
   r.model_version = j.at(6).get<std::string>();
-  const std::uint64_t state = whole(j.at(7));
+  const std::uint64_t state = read_unsigned(j.at(7));
   if (state > static_cast<unsigned>(engine_state::failed)) {
     throw std::out_of_range("engine state");
   }
   r.state = static_cast<engine_state>(state);
-  r.leaving = whole(j.at(8)) != 0;
-  r.slots = whole_as<std::uint32_t>(j.at(9));
+  r.leaving = read_unsigned(j.at(8)) != 0;
+  r.slots = read_unsigned_as<std::uint32_t>(j.at(9));
   apply(load_at(j, 10), r);
   d.report = std::move(r);
   return d;
@@ -186,7 +189,7 @@
 void decode_same(const json& list, std::vector<observation_delta>& out) {
   for (std::size_t i = 0; i < list.size(); i += 2) {
     observation_delta d;
-    d.slot = whole_as<std::uint32_t>(list.at(i));
+    d.slot = read_unsigned_as<std::uint32_t>(list.at(i));
     d.age = steps(list.at(i + 1), age_step);
     out.push_back(std::move(d));
   }
@@ -195,7 +198,7 @@
 void decode_loads(const json& list, std::vector<observation_delta>& out) {
   for (std::size_t i = 0; i < list.size(); i += 6) {
     observation_delta d;
-    d.slot = whole_as<std::uint32_t>(list.at(i));
+    d.slot = read_unsigned_as<std::uint32_t>(list.at(i));
     d.age = steps(list.at(i + 1), age_step);
     d.load = load_at(list, i + 2);
     out.push_back(std::move(d));
@@ -207,8 +210,8 @@
 }
 
 probe_failure decode_failure(const json& j) {
-  return {vm_id{j.at(0).get<std::string>()}, steps(j.at(1), age_step), whole(j.at(2)),
-          whole_as<std::uint32_t>(j.at(3))};
+  return {vm_id{j.at(0).get<std::string>()}, steps(j.at(1), age_step), read_unsigned(j.at(2)),
+          read_unsigned_as<std::uint32_t>(j.at(3))};
 }
 
 json encode_composition(const composition& c) {
@@ -235,7 +238,7 @@
 }
 
 model_summary decode_model(const json& j) {
-  return {model_id{j.at(0).get<std::string>()}, whole_as<std::uint32_t>(j.at(1)),
+  return {model_id{j.at(0).get<std::string>()}, read_unsigned_as<std::uint32_t>(j.at(1)),
           steps(j.at(2), 1ms)};
 }
 
@@ -277,7 +280,7 @@
   fulls_field,
   hash_field,
   failures_field,
-  silent_field,
+  unresponsive_field,
   activations_field,
   usage_field,
   in_use_field,
@@ -328,9 +331,9 @@
   heartbeat h;
   h.from = from;
   h.stamp = stamp_at(j, 1);
-  h.config_version = whole(j.at(config_version_field));
-  h.assignment_version = whole(j.at(assignment_version_field));
-  const std::uint64_t flags = whole(j.at(flags_field));
+  h.config_version = read_unsigned(j.at(config_version_field));
+  h.assignment_version = read_unsigned(j.at(assignment_version_field));
+  const std::uint64_t flags = read_unsigned(j.at(flags_field));
   h.table_reachable = (flags & table_flag) != 0;
   h.draining = (flags & draining_flag) != 0;
   h.informed = (flags & informed_flag) != 0;
@@ -345,12 +348,12 @@
     h.config_hash = j.at(hash_field).get<std::string>();
   }
   h.failures = decode_list<probe_failure>(j, failures_field, decode_failure);
-  h.silent = decode_list<node_id>(j, silent_field,
+  h.silent = decode_list<node_id>(j, unresponsive_field,
                                   [](const json& n) { return node_id{n.get<std::string>()}; });
   h.activations = decode_list<composition>(j, activations_field, decode_composition);
   h.usage = decode_list<workspace_usage>(j, usage_field, [](const json& u) {
     return workspace_usage{workspace_id{u.at(0).get<std::string>()},
-                           static_cast<double>(whole(u.at(1))) / 100.0};
+                           static_cast<double>(read_unsigned(u.at(1))) / 100.0};
   });
   h.in_use = decode_list<replica_id>(
       j, in_use_field, [](const json& r) { return replica_id{r.get<std::string>()}; });
@@ -376,26 +379,26 @@
   j.push_back(c.base);
   j.push_back(c.prefix);
   j.push_back(c.suffix);
-  j.push_back(packed(c.middle));
+  j.push_back(to_binary(c.middle));
   return j;
 }
 
 config_content config_content_from(const json& j) {
   config_content c;
-  c.head.version = whole(j.at(1));
+  c.head.version = read_unsigned(j.at(1));
   c.head.hash = j.at(2).get<std::string>();
   c.head.proposals = decode_list<proposal_id>(
       j, 3, [](const json& p) { return proposal_id{p.get<std::string>()}; });
   c.base = j.at(4).get<std::string>();
-  c.prefix = whole(j.at(5));
-  c.suffix = whole(j.at(6));
-  c.middle = unpacked(j.at(7));
+  c.prefix = read_unsigned(j.at(5));
+  c.suffix = read_unsigned(j.at(6));
+  c.middle = from_binary(j.at(7));
   return c;
 }
 
 json to_json(const assignment_push& p) {
   json j = start(kind::assignment_push);
-  j.push_back(packed(p.bytes));
+  j.push_back(to_binary(p.bytes));
   return j;
 }
 
@@ -418,7 +421,7 @@
 }
 
 leaving_notice leaving_notice_from(const json& j) {
-  return {vm_id{j.at(1).get<std::string>()}, whole(j.at(2))};
+  return {vm_id{j.at(1).get<std::string>()}, read_unsigned(j.at(2))};
 }
 
 json to_json(const summary& s) {
@@ -435,14 +438,14 @@
   summary s;
   s.stamp = stamp_at(j, 1);
   s.data_centre = data_centre_id{j.at(first).get<std::string>()};
-  s.config_version = whole(j.at(first + 1));
+  s.config_version = read_unsigned(j.at(first + 1));
   s.config_hash = j.at(first + 2).get<std::string>();
   s.models = decode_list<model_summary>(j, first + 3, decode_model);
   return s;
 }
 
 gossip_message message_from(const json& j, const node_id& from) {
-  const auto k = static_cast<kind>(whole_as<std::uint8_t>(j.at(0)));
+  const auto k = static_cast<kind>(read_unsigned_as<std::uint8_t>(j.at(0)));
   switch (k) {
     case kind::heartbeat:
       return heartbeat_from(j, from);
@@ -451,7 +454,7 @@
     case kind::config_content:
       return config_content_from(j);
     case kind::assignment_push:
-      return assignment_push{unpacked(j.at(1))};
+      return assignment_push{from_binary(j.at(1))};
     case kind::lost_notice:
       return lost_notice_from(j);
     case kind::leaving_notice:
--- a/src/process/membership.cpp
+++ b/src/process/membership.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t remembered_incarnations = 4;
+constexpr std::size_t max_past_incarnations = 4;
 constexpr std::size_t probers_per_target = 2;
 
 // A node may get 10 % more targets than its fair share before they go to the next node.
@@ -60,7 +60,7 @@
       continue;
     }
     peer& p = kept[node];
-    p.known_since = p.heard_at = p.received_at = now;
+    p.known_since = p.composed_at = p.received_at = now;
     p.next_heartbeat = now;
   }
   peers_ = std::move(kept);
@@ -97,7 +97,7 @@
   if (now - last_tick_ > timing_.own_pause) {
     return duration::zero();
   }
-  return now - std::max(p.heard_at, listening_since_);
+  return now - std::max(p.composed_at, listening_since_);
 }
 
 // ---- sending ----
@@ -152,21 +152,21 @@
 }
 
 heartbeat membership::prepare(const node_id& to, time_point now) {
-  heartbeat beat;
-  beat.from = self_;
-  beat.stamp = stamp_for(to, now);
-  beat.informed = informed_;
+  heartbeat message;
+  message.from = self_;
+  message.stamp = stamp_for(to, now);
+  message.informed = informed_;
   for (const auto& [id, p] : peers_) {
     if (silent(p, now)) {
-      beat.silent.push_back(id);
+      message.silent.push_back(id);
     }
   }
-  return beat;
+  return message;
 }
 
-void membership::claim_config(heartbeat& beat, const node_id& to, std::uint64_t version,
+void membership::claim_config(heartbeat& message, const node_id& to, std::uint64_t version,
                               const std::string& hash) {
-  beat.config_version = version;
+  message.config_version = version;
   const auto found = peers_.find(to);
   if (found == peers_.end()) {
     return;
@@ -174,10 +174,10 @@
   peer& p = found->second;
   if (p.hash_told != hash) {
     p.hash_told = hash;
-    p.hash_sequence = beat.stamp.sequence;
+    p.hash_sequence = message.stamp.sequence;
   }
   if (p.echoed < p.hash_sequence) {
-    beat.config_hash = hash;
+    message.config_hash = hash;
   }
 }
 
@@ -205,7 +205,8 @@
   p.received_at = now;
   accept_echo(p, stamp, result, now);
   // A message that was delayed in transit does not show that its sender is alive now.
-  p.heard_at = std::max(p.heard_at, result.composed.value_or(p.hears_us ? p.heard_at : now));
+  p.composed_at =
+      std::max(p.composed_at, result.composed.value_or(p.hears_us ? p.composed_at : now));
   if (p.dead && quiet_for(p, now) <= timing_.peer_dead_after) {
     p.dead = false;
     p.alive_since = now;
@@ -219,14 +220,14 @@
   if (result.restarted) {
     p.past_incarnations.push_back(p.incarnation);
   }
-  if (p.past_incarnations.size() > remembered_incarnations) {
+  if (p.past_incarnations.size() > max_past_incarnations) {
     p.past_incarnations.erase(p.past_incarnations.begin());
   }
   p.incarnation = stamp.incarnation;
   p.claims = {};
   p.echoed = 0;
   p.hears_us = false;
-  p.heard_at = now;
+  p.composed_at = now;
 }
 
 void membership::accept_echo(peer& p, const message_stamp& stamp, heard& result, time_point now) {
@@ -241,27 +242,28 @@
   result.echoed = p.echoed;
 }
 
-std::optional<heard> membership::receive(const heartbeat& beat, std::uint64_t own, time_point now) {
-  std::optional<heard> result = receive(beat.from, beat.stamp, now);
+std::optional<heard> membership::receive(const heartbeat& message, std::uint64_t own,
+                                         time_point now) {
+  std::optional<heard> result = receive(message.from, message.stamp, now);
   if (!result) {
     return result;
   }
-  peer_claims& reported = peers_.at(beat.from).claims;
-  reported.config_version = beat.config_version;
-  if (!beat.config_hash.empty()) {
-    reported.config_hash = beat.config_hash;
-  }
-  reported.assignment_version = beat.assignment_version;
-  reported.table_reachable = beat.table_reachable;
-  reported.draining = beat.draining;
-  reported.informed = beat.informed;
-  reported.silent = beat.silent;
-  answer(beat.from, now);
+  peer_claims& reported = peers_.at(message.from).claims;
+  reported.config_version = message.config_version;
+  if (!message.config_hash.empty()) {
+    reported.config_hash = message.config_hash;
+  }
+  reported.assignment_version = message.assignment_version;
+  reported.table_reachable = message.table_reachable;
+  reported.draining = message.draining;
+  reported.informed = message.informed;
+  reported.silent = message.silent;
+  schedule_response(message.from, now);
   learn_from_majority(own);
   return result;
 }
 
-void membership::answer(const node_id& from, time_point now) {
+void membership::schedule_response(const node_id& from, time_point now) {
   peer& p = peers_.at(from);
   if (from < self_ && now - p.last_heartbeat >= timing_.heartbeat_interval / 2) {
     p.next_heartbeat = std::min(p.next_heartbeat, now);
@@ -296,11 +298,11 @@
   if (p == nullptr || p->incarnation == 0) {
     return peer_state::unknown;
   }
-  const duration quiet = quiet_for(*p, now);
-  if (p->dead || quiet > timing_.peer_dead_after || now - p->alive_since < damping(*p, now)) {
+  const duration elapsed = quiet_for(*p, now);
+  if (p->dead || elapsed > timing_.peer_dead_after || now - p->alive_since < damping(*p, now)) {
     return peer_state::dead;
   }
-  return quiet > timing_.peer_suspect_after ? peer_state::suspect : peer_state::alive;
+  return elapsed > timing_.peer_suspect_after ? peer_state::suspect : peer_state::alive;
 }
 
 std::vector<node_id> membership::live_peers(time_point now) const {
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -66,7 +66,7 @@
   // Sets `from`, `stamp`, `informed` and the list of unresponsive peers; the caller adds the rest.
   [[nodiscard]] heartbeat prepare(const node_id& peer, time_point now);
   // Sets the configuration version, and its hash until the peer is known to have received it.
-  void claim_config(heartbeat& beat, const node_id& peer, std::uint64_t version,
+  void claim_config(heartbeat& message, const node_id& peer, std::uint64_t version,
                     const std::string& hash);
 
   // Empty if `from` is not a peer or the message is not newer than those received before (duplicate
@@ -75,7 +75,7 @@
                                              time_point now);
   // As above, and stores the state that the heartbeat reports. An empty config_hash stands for the
   // last one received. `own` is the assignment version that this node knows.
-  [[nodiscard]] std::optional<heard> receive(const heartbeat& beat, std::uint64_t own,
+  [[nodiscard]] std::optional<heard> receive(const heartbeat& message, std::uint64_t own,
                                              time_point now);
 
   [[nodiscard]] peer_state state(const node_id& peer, time_point now) const;
@@ -135,7 +135,7 @@
     std::uint64_t last_sequence{};
     std::vector<std::uint64_t> past_incarnations;  // at most 4
     // Both are known_since until the first message.
-    time_point heard_at;     // lower bound of the time at which the newest message was composed
+    time_point composed_at;  // lower bound of the time at which the newest message was composed
     time_point received_at;  // arrival of the newest message
     time_point alive_since;  // when the peer was last marked as not dead
     double deaths{};         // exponentially decayed number of times it was marked dead
@@ -161,8 +161,8 @@
   [[nodiscard]] bool silent(const peer& p, time_point now) const;
   [[nodiscard]] std::size_t vote(const node_id& id) const;
   [[nodiscard]] bool majority(std::size_t votes) const;
-  [[nodiscard]] bool lapsed(const node_id& id, const peer& p, std::uint64_t version,
-                            time_point now) const;
+  [[nodiscard]] bool has_expired(const node_id& id, const peer& p, std::uint64_t version,
+                                 time_point now) const;
   [[nodiscard]] bool acknowledged(std::uint64_t version, time_point now) const;
   [[nodiscard]] duration quiet_for(const peer& p, time_point now) const;
   [[nodiscard]] duration damping(const peer& p, time_point now) const;
@@ -170,7 +170,7 @@
   void accept_process(peer& p, const message_stamp& stamp, heard& result, time_point now);
   void accept_echo(peer& p, const message_stamp& stamp, heard& result, time_point now);
   [[nodiscard]] duration interval_to(const node_id& id);
-  void answer(const node_id& from, time_point now);
+  void schedule_response(const node_id& from, time_point now);
   void learn_from_majority(std::uint64_t own);
   void bury_silent_peers(time_point now);
   void choose_probers(time_point now);
--- a/src/process/membership_votes.cpp
+++ b/src/process/membership_votes.cpp
@@ -80,8 +80,8 @@
 
 // Only reports of nodes that know the row are valid: another node, failed since, may have echoed
 // messages of `id` between its report and a row that it never received.
-bool membership::lapsed(const node_id& id, const peer& p, std::uint64_t version,
-                        time_point now) const {
+bool membership::has_expired(const node_id& id, const peer& p, std::uint64_t version,
+                             time_point now) const {
   if (!silent(p, now)) {
     return false;
   }
@@ -98,7 +98,7 @@
 std::vector<node_id> membership::counted(std::uint64_t version, time_point now) const {
   std::vector<node_id> nodes{self_};
   for (const auto& [id, p] : peers_) {
-    if (!lapsed(id, p, version, now)) {
+    if (!has_expired(id, p, version, now)) {
       nodes.push_back(id);
     }
   }
@@ -109,7 +109,7 @@
 bool membership::acknowledged(std::uint64_t version, time_point now) const {
   return std::ranges::all_of(peers_, [&](const auto& entry) {
     const auto& [id, p] = entry;
-    return p.claims.assignment_version >= version || lapsed(id, p, version, now);
+    return p.claims.assignment_version >= version || has_expired(id, p, version, now);
   });
 }
 
--- a/src/process/node_beat.h
+++ b/src/process/node_beat.h
@@ -3,9 +3,9 @@
 // One node of each data centre, its hub, follows the platform's store and controls the replicas.
 // The other nodes report to it that they are alive and what load they have sent to which target.
 // The hub's heartbeats carry changes in the store, the proof that the configuration is still the
-// newest, and the load sent by all other nodes. Hubs exchange heartbeats with each other. The number
-// of messages thus grows linearly with the number of nodes, and the number of queries to the store
-// does not grow at all.
+// newest, and the load sent by all other nodes. Hubs exchange heartbeats with each other. The
+// number of messages thus grows linearly with the number of nodes, and the number of queries to the
+// store does not grow at all.
 #pragma once
 
 #include <cstdint>
@@ -78,7 +78,7 @@
   std::optional<config_part> configuration_part;
 };
 
-[[nodiscard]] std::string encode(const node_beat& beat);
+[[nodiscard]] std::string encode(const node_beat& message);
 // Empty when the bytes are damaged.
 [[nodiscard]] std::optional<node_beat> decode_node_beat(std::string_view bytes);
 
--- a/src/process/observation_deltas.cpp
+++ b/src/process/observation_deltas.cpp
@@ -9,7 +9,7 @@
 namespace arbutus {
 
 void observation_table::forget_peer(const node_id& peer) {
-  told_.erase(peer);
+  sent_states_.erase(peer);
   bases_.erase(peer);
 }
 
@@ -20,14 +20,14 @@
   }
   const target& t = found->second;
   const auto own = t.failures.find(self_);
-  if (own == t.failures.end() || !own_link_fails(t) || !open(t, own->second)) {
+  if (own == t.failures.end() || !own_link_fails(t) || !is_unresolved(t, own->second)) {
     return std::nullopt;
   }
   const std::uint64_t incarnation = t.newest ? t.newest->report.incarnation : 0;
   return probe_failure{vm, now - own->second.newest, incarnation, own->second.count};
 }
 
-std::optional<observation_delta> observation_table::delta(const own_target& own, told& peer,
+std::optional<observation_delta> observation_table::delta(const own_target& own, sent_state& peer,
                                                           std::uint64_t sequence,
                                                           std::uint64_t echoed,
                                                           time_point now) const {
@@ -61,19 +61,19 @@
   return d;
 }
 
-void observation_table::take_deltas(heartbeat& beat, const node_id& peer, std::uint64_t echoed,
+void observation_table::take_deltas(heartbeat& message, const node_id& peer, std::uint64_t echoed,
                                     time_point now) {
-  std::map<vm_id, told>& known = told_[peer];
+  std::map<vm_id, sent_state>& known = sent_states_[peer];
   std::erase_if(known, [this](const auto& entry) { return !own_.contains(entry.first); });
   for (const auto& [vm, own] : own_) {
-    if (auto d = delta(own, known[vm], beat.stamp.sequence, echoed, now)) {
-      beat.observations.push_back(std::move(*d));
+    if (auto d = delta(own, known[vm], message.stamp.sequence, echoed, now)) {
+      message.observations.push_back(std::move(*d));
     }
   }
   for (const auto& [vm, t] : targets_) {
     if (t.failures.contains(self_)) {
       if (auto failure = failure_of(vm, now)) {
-        beat.failures.push_back(std::move(*failure));
+        message.failures.push_back(std::move(*failure));
       }
     }
   }
--- a/src/process/observation_probes.cpp
+++ b/src/process/observation_probes.cpp
@@ -9,7 +9,7 @@
 
 // Capacity of the token bucket: after a late tick, the missed probes are sent together, up to this
 // number or those of this time, whichever is larger.
-constexpr double most_tokens = 3.0;
+constexpr double max_burst_tokens = 3.0;
 constexpr duration most_lateness = 250ms;
 
 }  // namespace
@@ -59,8 +59,8 @@
   const double elapsed = refilled_at_ ? to_seconds(now - *refilled_at_) : 0.0;
   refilled_at_ = now;
   const double rate = probe_rate();
-  const double most = std::max(most_tokens, rate * to_seconds(most_lateness));
-  tokens_ = std::min(tokens_ + elapsed * rate, most);
+  const double capacity = std::max(max_burst_tokens, rate * to_seconds(most_lateness));
+  tokens_ = std::min(tokens_ + elapsed * rate, capacity);
   urgent_tokens_ = std::min(urgent_tokens_ + elapsed * timing_.urgent_probes_per_second,
                             static_cast<double>(timing_.urgent_probe_burst));
 }
@@ -78,10 +78,10 @@
     if (urgent_tokens_ < 1.0) {
       break;
     }
-    const bool concerned = own_link_fails(t) || (own_.contains(vm) && doubted(t, now));
-    const bool again =
+    const bool relevant = own_link_fails(t) || (own_.contains(vm) && is_doubted(t, now));
+    const bool due_again =
         !t.urgent_probe_at || now - *t.urgent_probe_at >= timing_.urgent_probe_interval;
-    if (!concerned || !again || t.lost || in_flight(vm, now)) {
+    if (!relevant || !due_again || t.lost || in_flight(vm, now)) {
       continue;
     }
     t.urgent_probe_at = now;
--- a/src/process/observations.cpp
+++ b/src/process/observations.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr std::size_t remembered_incarnations = 4;
+constexpr std::size_t max_past_incarnations = 4;
 // A peer's failure report is refuted when another node reached the target within this time after.
-constexpr duration refuted_within = 2s;
+constexpr duration refutation_window = 2s;
 // From this number of refuted reports (exponentially decayed) on, a node is assumed to have a bad
 // link of its own.
-constexpr double refuted_limit = 3.0;
+constexpr double max_refuted = 3.0;
 // Below this share of its model's median rate a target is a straggler.
 constexpr double straggler_share = 0.5;
 constexpr std::size_t smallest_compared = 3;
@@ -70,13 +70,13 @@
   }
   if (t.newest && t.newest->report.incarnation != incarnation) {
     t.past_incarnations.push_back(t.newest->report.incarnation);
-    if (t.past_incarnations.size() > remembered_incarnations) {
+    if (t.past_incarnations.size() > max_past_incarnations) {
       t.past_incarnations.erase(t.past_incarnations.begin());
     }
   }
   t.newest = seen;
   refute(t, by, seen.at, now);
-  settle(t, now);
+  update_lost(t, now);
 }
 
 // Applies a success that `by` observed at `seen_at` to the recorded failures: runs of failures that
@@ -84,14 +84,14 @@
 // Otherwise a node with a bad link would repeatedly make each of its targets suspect at all nodes,
 // and lost by repeated failures.
 void observation_table::refute(target& t, const node_id& by, time_point seen_at, time_point now) {
-  for (auto& [accuser_id, f] : t.failures) {
+  for (auto& [reporter_id, f] : t.failures) {
     if (f.first >= seen_at) {
       continue;
     }
     f.first = seen_at;
-    const bool foreign = accuser_id != self_ && accuser_id != by;
-    if (foreign && !t.lost && seen_at - f.newest < refuted_within) {
-      accuser& a = accusers_[accuser_id];
+    const bool other_node = reporter_id != self_ && reporter_id != by;
+    if (other_node && !t.lost && seen_at - f.newest < refutation_window) {
+      accuser& a = accusers_[reporter_id];
       a.refuted = decayed(a.refuted, now - a.at, timing_.damping_half_life) + 1.0;
       a.at = now;
     }
@@ -109,7 +109,7 @@
     return;
   }
   const auto [it, inserted] = t.failures.try_emplace(by);
-  failing& f = it->second;
+  failure_run& f = it->second;
   if (!inserted && started <= f.newest) {
     return;
   }
@@ -121,7 +121,7 @@
   }
   f.newest = started;
   f.count = by == self_ ? f.count + probes : std::max(f.count, probes);
-  settle(t, now);
+  update_lost(t, now);
 }
 
 bool observation_table::own_error(const vm_id& vm, time_point now) {
@@ -138,17 +138,17 @@
   return true;
 }
 
-void observation_table::merge(const heartbeat& beat, const heard& h, time_point now) {
-  known_slots& slots = bases_[beat.from];
-  for (const observation_delta& d : beat.observations) {
+void observation_table::merge(const heartbeat& message, const heard& h, time_point now) {
+  known_slots& slots = bases_[message.from];
+  for (const observation_delta& d : message.observations) {
     std::optional<engine_report> report = restore(slots, d);
     if (report && h.composed) {
       const time_point at = observed_after(*h.composed, d.age, now, timing_.clock_drift);
-      accept(beat.from, {std::move(*report), at}, now);
+      accept(message.from, {std::move(*report), at}, now);
     }
   }
-  for (const probe_failure& failure : beat.failures) {
-    merge(beat.from, failure, h, now);
+  for (const probe_failure& failure : message.failures) {
+    merge(message.from, failure, h, now);
   }
 }
 
@@ -183,7 +183,7 @@
     return false;
   }
   target& t = found->second;
-  if (std::ranges::count(t.past_incarnations, incarnation) != 0 || leaves(t)) {
+  if (std::ranges::count(t.past_incarnations, incarnation) != 0 || is_leaving(t)) {
     return false;
   }
   if (incarnation == 0) {
@@ -201,7 +201,7 @@
   }
 }
 
-bool observation_table::leaves(const target& t) const {
+bool observation_table::is_leaving(const target& t) const {
   if (t.listed_leaving) {
     return true;
   }
@@ -226,7 +226,7 @@
 }
 
 // Whether no later success has ended this run of failures.
-bool observation_table::open(const target& t, const failing& f) const {
+bool observation_table::is_unresolved(const target& t, const failure_run& f) const {
   return !t.newest || f.newest >= t.newest->at;
 }
 
@@ -245,28 +245,28 @@
     return true;
   }
   const accuser& a = found->second;
-  return decayed(a.refuted, now - a.at, timing_.damping_half_life) < refuted_limit;
+  return decayed(a.refuted, now - a.at, timing_.damping_half_life) < max_refuted;
 }
 
-bool observation_table::doubted(const target& t, time_point now) const {
+bool observation_table::is_doubted(const target& t, time_point now) const {
   if (own_link_fails(t)) {
     return true;
   }
   return std::ranges::any_of(t.failures, [&](const auto& entry) {
-    return entry.first != self_ && open(t, entry.second) && credible(entry.first, now);
+    return entry.first != self_ && is_unresolved(t, entry.second) && credible(entry.first, now);
   });
 }
 
-bool observation_table::gone(const target& t) const {
-  std::size_t accusers = 0;
+bool observation_table::is_lost(const target& t) const {
+  std::size_t reporters = 0;
   for (const auto& [by, f] : t.failures) {
     // Connection errors alone (no failed probe) may be caused by load; a probe has to confirm them.
-    if (!open(t, f) || f.count == 0) {
+    if (!is_unresolved(t, f) || f.count == 0) {
       continue;
     }
-    ++accusers;
+    ++reporters;
     const bool persistent = f.count >= 2 && f.newest - f.first >= timing_.suspicion;
-    if (accusers >= 2 || persistent) {
+    if (reporters >= 2 || persistent) {
       return true;
     }
   }
@@ -281,8 +281,8 @@
   return std::min(from_seconds(seconds), timing_.damping_limit);
 }
 
-void observation_table::settle(target& t, time_point now) {
-  if (gone(t)) {
+void observation_table::update_lost(target& t, time_point now) {
+  if (is_lost(t)) {
     if (!t.lost) {
       t.losses = decayed(t.losses, now - t.losses_at, timing_.damping_half_life) + 1.0;
       t.losses_at = now;
@@ -294,8 +294,8 @@
   if (!t.lost || !t.newest) {
     return;
   }
-  const bool failing_now =
-      std::ranges::any_of(t.failures, [&](const auto& entry) { return open(t, entry.second); });
+  const bool failing_now = std::ranges::any_of(
+      t.failures, [&](const auto& entry) { return is_unresolved(t, entry.second); });
   if (failing_now) {
     t.recovering_since.reset();
     return;
@@ -309,23 +309,23 @@
   }
 }
 
-target_condition observation_table::judge(const target& t, time_point now) const {
+target_condition observation_table::evaluate(const target& t, time_point now) const {
   if (t.lost) {
     return t.recovering_since ? target_condition::suspect : target_condition::lost;
   }
-  if (doubted(t, now)) {
+  if (is_doubted(t, now)) {
     return target_condition::suspect;
   }
   const bool recent = t.newest && now - t.newest->at <= timing_.unknown_after;
   if (!recent || (resumed_at_ && t.newest->at < *resumed_at_)) {
     return target_condition::unknown;
   }
-  return leaves(t) ? target_condition::leaving : target_condition::working;
+  return is_leaving(t) ? target_condition::leaving : target_condition::working;
 }
 
 target_condition observation_table::condition(const vm_id& vm, time_point now) const {
   const auto found = targets_.find(vm);
-  return found == targets_.end() ? target_condition::unknown : judge(found->second, now);
+  return found == targets_.end() ? target_condition::unknown : evaluate(found->second, now);
 }
 
 const observation* observation_table::latest(const vm_id& vm) const {
@@ -339,7 +339,7 @@
 std::vector<condition_change> observation_table::take_changes(time_point now) {
   std::vector<condition_change> changes;
   for (auto& [vm, t] : targets_) {
-    const target_condition present = judge(t, now);
+    const target_condition present = evaluate(t, now);
     if (present != t.reported) {
       changes.push_back({vm, t.reported, present});
       t.reported = present;
@@ -368,8 +368,8 @@
     std::vector<double> values;
     std::ranges::transform(list, std::back_inserter(values), [](const auto& p) { return p.first; });
     const double limit = straggler_share * median(std::move(values));
-    const std::size_t most = std::max<std::size_t>(1, list.size() / 4);
-    for (std::size_t i = 0; i < most && list[i].first < limit; ++i) {
+    const std::size_t max_stragglers = std::max<std::size_t>(1, list.size() / 4);
+    for (std::size_t i = 0; i < max_stragglers && list[i].first < limit; ++i) {
       slow.insert(list[i].second);
     }
   }
--- a/src/process/observations.h
+++ b/src/process/observations.h
@@ -57,7 +57,7 @@
   [[nodiscard]] std::optional<probe_failure> failure_of(const vm_id& vm, time_point now) const;
 
   // Merges observations and failures of a heartbeat; `h` is the result of membership::receive.
-  void merge(const heartbeat& beat, const heard& h, time_point now);
+  void merge(const heartbeat& message, const heard& h, time_point now);
   void merge(const node_id& from, const lost_notice& notice, const heard& h, time_point now);
   // The target is leaving, by the platform's list (`incarnation` 0) or a leaving_notice. True if
   // that was not known and should be passed on.
@@ -71,7 +71,7 @@
 
   // Adds this node's own observations that `peer` does not have yet to `beat`, whose stamp must be
   // set. `echoed`: newest own sequence that the peer is known to have (membership::echoed).
-  void take_deltas(heartbeat& beat, const node_id& peer, std::uint64_t echoed, time_point now);
+  void take_deltas(heartbeat& message, const node_id& peer, std::uint64_t echoed, time_point now);
 
   // To be called when the peer has left the data centre or has a new process (heard::restarted). A
   // new process could echo messages whose short forms it was not able to decode.
@@ -86,7 +86,7 @@
   [[nodiscard]] std::vector<condition_change> take_changes(time_point now);
 
  private:
-  struct failing {      // consecutive failures seen by one node, without a success since `first`
+  struct failure_run {  // consecutive failures seen by one node, without a success since `first`
     time_point first;   // start of the first probe, or time of the newest success within the run
     time_point newest;  // start of the newest probe
     std::uint32_t count{};
@@ -94,7 +94,7 @@
   struct target {
     std::optional<observation> newest;
     std::vector<std::uint64_t> past_incarnations;  // at most 4; messages about them are ignored
-    std::map<node_id, failing> failures;
+    std::map<node_id, failure_run> failures;
     std::optional<time_point> own_success;  // start of the newest own probe that succeeded
     bool listed_leaving = false;
     std::optional<std::uint64_t> leaving_incarnation;  // from a leaving_notice
@@ -115,7 +115,7 @@
     std::uint64_t load{};     // version of the load
     time_point probe_due;
   };
-  struct told {  // what was sent to a peer about one of the own targets
+  struct sent_state {  // what was sent to a peer about one of the own targets
     std::uint64_t content{};
     std::uint64_t content_sequence{};  // first message with this content
     std::uint64_t load{};
@@ -136,24 +136,24 @@
   void add_failure(const node_id& by, target& t, time_point started, std::uint32_t probes,
                    time_point now);
   void own_success(const engine_report& report, time_point sent_at, time_point now);
-  void settle(target& t, time_point now);
+  void update_lost(target& t, time_point now);
   [[nodiscard]] double probe_rate() const;
   void refill(time_point now);
   [[nodiscard]] std::vector<vm_id> urgent_probes(time_point now);
   [[nodiscard]] std::vector<vm_id> due_probes(time_point now);
   [[nodiscard]] bool in_flight(const vm_id& vm, time_point now) const;
-  [[nodiscard]] std::optional<observation_delta> delta(const own_target& own, told& peer,
+  [[nodiscard]] std::optional<observation_delta> delta(const own_target& own, sent_state& peer,
                                                        std::uint64_t sequence, std::uint64_t echoed,
                                                        time_point now) const;
   [[nodiscard]] std::optional<engine_report> restore(known_slots& slots,
                                                      const observation_delta& d) const;
   [[nodiscard]] bool credible(const node_id& by, time_point now) const;
   [[nodiscard]] bool own_link_fails(const target& t) const;
-  [[nodiscard]] bool open(const target& t, const failing& f) const;
-  [[nodiscard]] bool doubted(const target& t, time_point now) const;
-  [[nodiscard]] bool gone(const target& t) const;
-  [[nodiscard]] bool leaves(const target& t) const;
-  [[nodiscard]] target_condition judge(const target& t, time_point now) const;
+  [[nodiscard]] bool is_unresolved(const target& t, const failure_run& f) const;
+  [[nodiscard]] bool is_doubted(const target& t, time_point now) const;
+  [[nodiscard]] bool is_lost(const target& t) const;
+  [[nodiscard]] bool is_leaving(const target& t) const;
+  [[nodiscard]] target_condition evaluate(const target& t, time_point now) const;
   [[nodiscard]] duration recovery_time(const target& t, time_point now) const;
   [[nodiscard]] std::uint32_t free_slot() const;
 
@@ -163,7 +163,7 @@
   std::map<vm_id, own_target> own_;
   std::map<vm_id, time_point> in_flight_;  // own probes without a result
   std::map<vm_id, model_id> models_;
-  std::map<node_id, std::map<vm_id, told>> told_;
+  std::map<node_id, std::map<vm_id, sent_state>> sent_states_;
   std::map<node_id, known_slots> bases_;
   std::map<node_id, accuser> accusers_;
   std::optional<time_point> resumed_at_;
--- a/src/process/peer_table.cpp
+++ b/src/process/peer_table.cpp
@@ -9,12 +9,12 @@
 
 void peer_table::set_known(const std::vector<node_record>& nodes) {
   std::vector<node_record> records;
-  std::set<node_id> named;
+  std::set<node_id> listed;
   for (const node_record& n : nodes) {
     if (n.id == self_) {
       continue;
     }
-    named.insert(n.id);
+    listed.insert(n.id);
     records.push_back(n);
     peer& p = peers_[n.id];
     p.data_centre = n.data_centre;
@@ -22,10 +22,10 @@
     p.in_rows = true;
   }
   std::erase_if(peers_, [&](const auto& entry) {
-    return entry.second.in_rows && !named.contains(entry.first);
+    return entry.second.in_rows && !listed.contains(entry.first);
   });
   for (const node_record& n : records_) {
-    if (peers_.contains(n.id) && !named.contains(n.id)) {
+    if (peers_.contains(n.id) && !listed.contains(n.id)) {
       records.push_back(n);
     }
   }
@@ -33,13 +33,13 @@
   sort_peers();
 }
 
-void peer_table::learn(const node_record& told) {
-  if (told.id == self_ || peers_.contains(told.id)) {
+void peer_table::learn(const node_record& record) {
+  if (record.id == self_ || peers_.contains(record.id)) {
     return;
   }
-  peers_[told.id].data_centre = told.data_centre;
-  peers_[told.id].strength = told.strength;
-  records_.push_back(told);
+  peers_[record.id].data_centre = record.data_centre;
+  peers_[record.id].strength = record.strength;
+  records_.push_back(record);
   sort_peers();
 }
 
@@ -56,7 +56,7 @@
   }
 }
 
-bool peer_table::before(const node_id& id, const peer& p) const {
+bool peer_table::precedes(const node_id& id, const peer& p) const {
   return strength_ != p.strength ? strength_ > p.strength : self_ < id;
 }
 
@@ -77,14 +77,14 @@
     return;  // not known yet; its row will be read soon
   }
   peer& p = found->second;
-  p.heard_at = now;
+  p.last_received_at = now;
   const std::int64_t newest = std::max(p.word.stamp_us, word.stamp_us);
   p.word = word;
   p.word.stamp_us = newest;
 }
 
 bool peer_table::lives(time_point now, const peer& p) {
-  return p.heard_at != time_point{} && now - p.heard_at < alive_for;
+  return p.last_received_at != time_point{} && now - p.last_received_at < alive_for;
 }
 
 bool peer_table::lives(time_point now, const node_id& id) const {
@@ -105,7 +105,7 @@
 bool peer_table::any_in(const data_centre_id& data_centre) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     return entry.second.data_centre == data_centre && !entry.second.word.leaving &&
-           entry.second.heard_at != time_point{};
+           entry.second.last_received_at != time_point{};
   });
 }
 
@@ -141,8 +141,8 @@
   if (p.word.leaving) {
     return false;
   }
-  if (p.heard_at != time_point{}) {
-    return now - p.heard_at < alive_for;
+  if (p.last_received_at != time_point{}) {
+    return now - p.last_received_at < alive_for;
   }
   return p.first_told == time_point{} || now - p.first_told < benefit_of_doubt;
 }
@@ -160,7 +160,7 @@
   }
   return std::none_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const peer& p = entry.second;
-    return p.data_centre == data_centre_ && !before(entry.first, p) && presumed(now, p);
+    return p.data_centre == data_centre_ && !precedes(entry.first, p) && presumed(now, p);
   });
 }
 
@@ -174,7 +174,7 @@
   for (const auto* entry : found->second) {
     const auto& [id, p] = *entry;
     if (must_be_served ? may_be_hub(now, p) : presumed(now, p)) {
-      return self_may && before(id, p) ? self_ : id;
+      return self_may && precedes(id, p) ? self_ : id;
     }
   }
   return self_may ? self_ : node_id{};
@@ -205,8 +205,8 @@
 void peer_table::add_candidates(time_point now, const data_centre_id& data_centre,
                                 std::vector<node_id>& result) const {
   std::size_t served = 0;
-  std::size_t living = 0;
-  std::size_t silent = 0;
+  std::size_t refused = 0;
+  std::size_t unresponsive = 0;
   const auto in_order = order_.find(data_centre);
   if (in_order == order_.end()) {
     return;
@@ -222,15 +222,15 @@
       // Refused by the store; if all are, the first ones control the data centre. Only those get
       // heartbeats: otherwise, while the store is unavailable, all nodes of a data centre would
       // send to each other.
-      if (living < candidates) {
+      if (refused < candidates) {
         result.push_back(id);
       }
-      ++living;
-    } else if (silent < most_silent) {
+      ++refused;
+    } else if (unresponsive < most_silent) {
       // Without these, a hub that returns goes unnoticed, and there are two from then on. Sending
       // only now and then would open a link each time and close it before it is established.
       result.push_back(id);
-      ++silent;
+      ++unresponsive;
     }
   }
 }
@@ -245,7 +245,7 @@
     }
     const bool serves = may_be_hub(now, p);
     any_served = any_served || serves;
-    if (!before(id, p)) {
+    if (!precedes(id, p)) {
       served_before += serves ? 1 : 0;
       living_before += presumed(now, p) ? 1 : 0;
     }
@@ -256,7 +256,7 @@
 bool peer_table::is_candidate(time_point now) const {
   const auto ahead = std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const auto& [id, p] = entry;
-    return p.data_centre == data_centre_ && !before(id, p) && may_be_hub(now, p);
+    return p.data_centre == data_centre_ && !precedes(id, p) && may_be_hub(now, p);
   });
   return static_cast<std::size_t>(ahead) < candidates;
 }
--- a/src/process/peer_table.h
+++ b/src/process/peer_table.h
@@ -1,5 +1,5 @@
-// Peers of a hosted node: which exist, which are alive, which are sent heartbeats, and which node is
-// the hub of a data centre. Reads no clock; callers pass the time.
+// Peers of a hosted node: which exist, which are alive, which are sent heartbeats, and which node
+// is the hub of a data centre. Reads no clock; callers pass the time.
 //
 // The hub of a data centre is its first live node that the store serves, ordered by strength and
 // then by name. Name alone is not sufficient: of 59 nodes of which 3 have half a core, a node with
@@ -112,7 +112,7 @@
     node_strength strength;
     bool in_rows = false;
     time_point first_told{};  // first heartbeat sent to it; zero: none
-    time_point heard_at{};
+    time_point last_received_at{};
     peer_word word;
   };
 
@@ -126,7 +126,7 @@
   [[nodiscard]] bool is_served(time_point now) const;
   void sort_peers();
   // Whether this node comes before the peer in the order of hubs.
-  [[nodiscard]] bool before(const node_id& id, const peer& p) const;
+  [[nodiscard]] bool precedes(const node_id& id, const peer& p) const;
   // The first node in the order of hubs, among those that the store serves or among all live ones.
   [[nodiscard]] node_id first_of(time_point now, const data_centre_id& data_centre,
                                  bool must_be_served) const;
--- a/src/process/permission.cpp
+++ b/src/process/permission.cpp
@@ -1,4 +1,4 @@
-// The rules of permission, each with its reason in words an operator can read in `status`.
+// Rules of permission. The reason of a refusal is shown to operators in `status`.
 #include "process/permission.h"
 
 #include <algorithm>
@@ -58,7 +58,7 @@
 
 void steadiness::observe(const observation& seen) {
   const engine_report& r = seen.report;
-  spell& s = spells_[r.vm];
+  ready_run& s = runs_[r.vm];
   const bool same = s.incarnation == r.incarnation && s.replica == r.replica && s.gen == r.gen &&
                     s.state == r.state;
   if (!same) {
@@ -67,19 +67,19 @@
 }
 
 std::optional<time_point> steadiness::ready_since(const vm_id& vm) const {
-  const auto found = spells_.find(vm);
-  if (found == spells_.end() || found->second.state != engine_state::ready) {
+  const auto found = runs_.find(vm);
+  if (found == runs_.end() || found->second.state != engine_state::ready) {
     return std::nullopt;
   }
   return found->second.since;
 }
 
 permit permission_for(time_point now, const composition& in_force, const steadiness& steady,
-                      const std::function<member_evidence(const vm_id&)>& evidence) {
+                      const std::function<member_evidence(const vm_id&)>& lookup_member) {
   permit result;
   result.valid_until = time_point::max();
   for (const vm_id& vm : in_force.members) {
-    const member_evidence e = evidence(vm);
+    const member_evidence e = lookup_member(vm);
     if (const char* reason = refusal_by_condition(e.state)) {
       return deny(vm, reason);
     }
--- a/src/process/permission.h
+++ b/src/process/permission.h
@@ -1,5 +1,6 @@
-// Who may be routed to. Permission rests on evidence about each member and lapses by itself: a
-// node that was paused or cut off finds its evidence old and stops, with nobody telling it to.
+// Which replicas may be routed to. Permission is based on recent observations of each member and
+// expires on its own: a node that was paused or cut off has only old observations and stops routing
+// without being notified.
 #pragma once
 
 #include <cstdint>
@@ -16,40 +17,40 @@
 
 namespace arbutus {
 
-// How old the newest observation of each member may be. Under the 2.5 s within which a lost member
-// has to end routing; over the 2 s that an observation is old at worst when both its prober's
-// interval and the heartbeat that carries it were just missed.
+// Maximum age of the newest observation of each member. Less than the 2.5 s within which routing to
+// a replica with a lost member must end; more than the 2 s that an observation is old in the worst
+// case, when both the probe interval and the heartbeat that carries it were just missed.
 inline constexpr duration permission_time = 2400ms;
-// A target that ignores fencing tokens has to report the right generation for so long before its
-// replica serves: longer than an order that was overtaken stays valid on its way.
+// A target that does not check fencing tokens must report the right generation for this long before
+// its replica serves. Exceeds the time for which a delayed older order stays valid in transit.
 inline constexpr duration settle_time = 2500ms;
 
-// What is known of one member.
+// The newest observation and the condition of one member.
 struct member_evidence {
-  const observation* seen = nullptr;  // newest, own or a trusted peer's; null: none
+  const observation* seen = nullptr;  // newest, by this node or a trusted peer; null: none
   target_condition state = target_condition::unknown;
   bool checks_tokens = true;
 };
 
-// Since when a VM has reported the same process, replica, generation and ready state, without a
-// differing report in between.
+// Tracks since when a VM has reported the same incarnation, replica, generation and state without
+// a differing report in between.
 class steadiness {
  public:
-  // To be called with every newest observation.
+  // To be called for each new newest observation.
   void observe(const observation& seen);
-  void forget(const vm_id& vm) { spells_.erase(vm); }
+  void forget(const vm_id& vm) { runs_.erase(vm); }
   // Empty when the VM was not ready when last seen.
   [[nodiscard]] std::optional<time_point> ready_since(const vm_id& vm) const;
 
  private:
-  struct spell {
+  struct ready_run {
     std::uint64_t incarnation{};
     replica_id replica;
     generation gen;
     engine_state state = engine_state::idle;
     time_point since;
   };
-  std::map<vm_id, spell> spells_;
+  std::map<vm_id, ready_run> runs_;
 };
 
 struct permit {
@@ -60,8 +61,8 @@
 };
 
 // Whether requests may be sent to this composition at `now`.
-[[nodiscard]] permit permission_for(time_point now, const composition& in_force,
-                                    const steadiness& steady,
-                                    const std::function<member_evidence(const vm_id&)>& evidence);
+[[nodiscard]] permit permission_for(
+    time_point now, const composition& in_force, const steadiness& steady,
+    const std::function<member_evidence(const vm_id&)>& lookup_member);
 
 }  // namespace arbutus
--- a/src/process/rank.cpp
+++ b/src/process/rank.cpp
@@ -1,4 +1,4 @@
-// Rendezvous rank.
+// Rank by rendezvous hashing, and the delay that follows from it.
 #include "process/rank.h"
 
 #include "base/hash.h"
@@ -8,13 +8,13 @@
 std::size_t rank_of(std::string_view subject, const node_id& self,
                     const std::vector<node_id>& live) {
   const auto own = rendezvous_weight(subject, self.str());
-  std::size_t before = 0;
+  std::size_t preceding = 0;
   for (const node_id& node : live) {
     const auto weight = rendezvous_weight(subject, node.str());
-    const bool goes_first = weight > own || (weight == own && node < self);
-    before += node != self && goes_first ? 1 : 0;
+    const bool precedes = weight > own || (weight == own && node < self);
+    preceding += node != self && precedes ? 1 : 0;
   }
-  return before;
+  return preceding;
 }
 
 duration rank_wait(std::size_t rank, duration rank_delay) {
--- a/src/process/rank.h
+++ b/src/process/rank.h
@@ -1,5 +1,5 @@
-// Who acts first when any node may act: a rank by rendezvous hashing over the live nodes, and a
-// backoff for those who lost a race.
+// Order in which nodes act when any of them may: a rank by rendezvous hashing over the live nodes,
+// and a backoff for those that lost a race.
 #pragma once
 
 #include <algorithm>
@@ -13,34 +13,35 @@
 
 namespace arbutus {
 
-// Number of nodes in `live` that go before `self` for this subject. Nodes that disagree on who
-// lives may compute the same rank; the safety of what they do must not rest on it.
+// Number of nodes in `live` that come before `self` for this subject. Nodes with different views of
+// the live nodes may compute the same rank, so safety must not depend on it.
 [[nodiscard]] std::size_t rank_of(std::string_view subject, const node_id& self,
                                   const std::vector<node_id>& live);
 
-// Beyond this rank the delays stop growing, so that a large data centre whose first nodes are all
-// cut off does not wait for minutes.
+// Delays do not grow beyond this rank, so that a large data centre whose first nodes are all cut
+// off does not wait for minutes.
 inline constexpr std::size_t max_rank = 4;
 
-// How long a node of this rank waits before it acts on a need that still stands.
+// How long a node of this rank waits before it acts, if action is still needed then.
 [[nodiscard]] duration rank_wait(std::size_t rank, duration rank_delay);
 
-// Exponential with full jitter above the half: nodes that collided once do not collide again.
+// Exponential backoff with a random pause between half and the whole of the current limit, so that
+// nodes that collided once are unlikely to collide again.
 class backoff {
  public:
-  constexpr backoff(duration first, duration most) : first_(first), most_(most), next_(first) {}
+  constexpr backoff(duration first, duration limit) : first_(first), limit_(limit), next_(first) {}
 
   // The pause before the next attempt.
   constexpr duration fail(rng& random) {
     const duration pause = next_ / 2 + random.jitter(next_ / 2);
-    next_ = std::min(next_ * 2, most_);
+    next_ = std::min(next_ * 2, limit_);
     return pause;
   }
   constexpr void succeed() { next_ = first_; }
 
  private:
   duration first_;
-  duration most_;
+  duration limit_;
   duration next_;
 };
 
--- a/src/process/record_duty.h
+++ b/src/process/record_duty.h
@@ -1,7 +1,7 @@
-// Whether a node follows the record of every target, or only what serves (serving_feed).
+// Whether a node follows the records of all targets, or only the serving replicas (serving_feed).
 //
-// The hub keeps replicas and needs the records; the next in line needs them to take over while the
-// store is away. All others need only what they send to.
+// The hub controls replicas and needs the records; the next in line needs them to take over while
+// the store is unavailable. All others need only the replicas that they send requests to.
 #pragma once
 
 #include "base/units.h"
@@ -10,7 +10,7 @@
 
 class record_duty {
  public:
-  // `is_heir`: the hub or the next in line, as far as this node sees.
+  // `is_heir`: whether this node is the hub or the next in line, in its local view.
   void update(time_point now, bool is_hub, bool is_heir) {
     if (!decided_ || is_hub) {
       follows_ = is_hub || is_heir;
@@ -35,15 +35,16 @@
   [[nodiscard]] bool decided() const { return decided_; }
   [[nodiscard]] bool follows_records() const { return follows_; }
 
-  // The order of hubs changes for a moment when a beat is late or the store turns a node away; all
-  // records are some hundred KB. A node that has them may be needed again soon.
+  // Delays against short changes of the order of hubs, which occur when a heartbeat is late or the
+  // store refuses a node: fetching all records takes some hundred KB. Leaving takes longer, as a
+  // node that has the records may be needed again soon.
   static constexpr duration take_after = 1s;
   static constexpr duration leave_after = 5s;
 
  private:
   bool decided_ = false;
   bool follows_ = false;
-  time_point differs_since_{};  // the duty differs from what is followed
+  time_point differs_since_{};  // since when is_heir differs from follows_; zero: it does not
 };
 
 }  // namespace arbutus
--- a/src/process/report.h
+++ b/src/process/report.h
@@ -1,5 +1,5 @@
-// What a target says of itself, and when it was seen. The truth about whether a VM works is the
-// target's; nodes only hold observations of it that age.
+// The state that a target reports about itself, and the time of that report. The target is the
+// authority on its own state; nodes only have observations of it, which age.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,15 @@
 
 enum class engine_state { idle, loading, ready, draining, failed };
 
-// The answer of a target VM to a probe.
+// The response of a target VM to a probe.
 struct engine_report {
   vm_id vm;
   std::uint64_t incarnation{};  // differs after every start of the engine process
   replica_id replica;           // empty: none
-  generation gen;               // of the order it obeys
+  generation gen;               // of the order in force at the target
   std::string model_version;
   engine_state state = engine_state::idle;
-  bool leaving = false;  // the platform or the target says the VM is going away
+  bool leaving = false;  // the platform or the target reports that the VM will be removed
   std::uint32_t running{};
   std::uint32_t queued{};
   std::uint32_t slots{};
@@ -30,7 +30,7 @@
   auto operator<=>(const engine_report&) const = default;
 };
 
-// `at` is a lower bound, in this node's time, of the moment the target gave the report.
+// `at` is a lower bound, by this node's clock, of the time at which the target made the report.
 struct observation {
   engine_report report;
   time_point at;
--- a/src/process/routes.h
+++ b/src/process/routes.h
@@ -1,7 +1,7 @@
-// What the coordination core publishes to the request path: an immutable snapshot of who may be
-// routed to. Permission lapses by itself: each route carries the moment until which the newest
-// observations allow it, and the request path compares that with its own clock directly before
-// it sends, so that a node that was paused or cut off stops by itself.
+// The routing snapshot that the coordination core publishes to the request path. It is immutable.
+// Permission expires on its own: each route carries the time until which the newest observations
+// permit it, and the request path compares that with the clock directly before it sends, so that
+// a node that was paused or cut off stops routing without being notified.
 #pragma once
 
 #include <cstdint>
@@ -20,13 +20,13 @@
   model_id model;
   std::string model_version;
   generation gen;
-  vm_id head;  // the member that answers requests
+  vm_id head;  // the member that receives requests
   endpoint address;
   std::vector<vm_id> members;
   time_point valid_until;  // permission; never routed to at or after this
   bool crosses_fabric_domains = false;
-  bool draining = false;  // nothing new
-  // Load as last reported by the head, which lags.
+  bool draining = false;  // gets no new requests
+  // Load as last reported by the head; lags behind the actual load.
   std::uint32_t running{};
   std::uint32_t queued{};
   std::uint32_t slots{};
@@ -36,14 +36,14 @@
   time_point serving_since;  // for slow start
 };
 
-// Another data centre as its nodes sum it up, per model.
+// Free capacity for one model in another data centre, from the summaries of its nodes.
 struct remote_capacity {
   data_centre_id data_centre;
   model_id model;
   std::uint32_t free_slots{};
   duration queueing_delay{};
   time_point at;
-  std::vector<endpoint> entry;  // callers' endpoints of its nodes
+  std::vector<endpoint> entry;  // endpoints of its nodes for callers
 };
 
 struct routing_snapshot {
--- a/src/process/status_view.h
+++ b/src/process/status_view.h
@@ -1,4 +1,4 @@
-// What `status` shows: one node's view of its data centre, in words an operator can act on.
+// Content of `status`: one node's view of its data centre, for operators.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
   bool live = false;
   bool leaving = false;
   std::uint64_t config_version{};
-  time_point config_since;  // when this node learnt of that version
+  time_point config_since;  // when the node with this view first knew of that version
   std::uint64_t assignment_version{};
 };
 
@@ -27,7 +27,7 @@
   vm_id id;
   std::string condition;  // alive, suspect, lost, leaving, unknown
   time_point since;
-  replica_id reported_replica;  // as the target says
+  replica_id reported_replica;  // by the target
   generation reported_gen;
   engine_state reported_state = engine_state::idle;
 };
@@ -37,13 +37,13 @@
   model_id model;
   replica_phase phase = replica_phase::active;
   generation gen;
-  std::vector<vm_id> members;   // as in force, repairs included
-  std::vector<vm_id> standbys;  // as reserved in the row
+  std::vector<vm_id> members;   // currently in force, including repairs
+  std::vector<vm_id> standbys;  // reserved in the row
   bool serving = false;
   std::string why_not;  // empty when serving
 };
 
-// A powered VM that works for no serving replica.
+// A running VM that belongs to no serving replica.
 struct stranded_vm {
   vm_id id;
   std::string reason;
@@ -51,8 +51,8 @@
 
 struct drain_status {
   replica_id id;
-  std::vector<node_id> waiting_for;  // nodes that have not acknowledged or still run requests
-  std::uint32_t running{};           // as the engine reports
+  std::vector<node_id> waiting_for;  // nodes that have not acknowledged or still have requests
+  std::uint32_t running{};           // requests, as reported by the engine
 };
 
 // Counted since the start of this process.
@@ -61,8 +61,8 @@
   std::uint64_t writes_won{};
   std::uint64_t writes_lost{};
   std::uint64_t writes_unknown{};
-  std::uint64_t restored_copies{};  // the table showed an older row than was known
-  std::uint64_t activations{};      // started here
+  std::uint64_t restored_copies{};  // reads that returned an older row than was known
+  std::uint64_t activations{};      // started by this node
   std::uint64_t orders_sent{};
   std::uint64_t orders_refused{};
   std::uint64_t orders_unknown{};
@@ -72,7 +72,7 @@
 struct status_view {
   node_id self;
   bool table_reachable = true;
-  time_point table_since;  // since when it is, or is not
+  time_point table_since;  // since when it is or is not reachable
   std::uint64_t assignment_version{};
   std::uint64_t config_version{};
   std::vector<node_status> nodes;
@@ -80,7 +80,7 @@
   std::vector<replica_status> replicas;
   std::vector<stranded_vm> stranded;
   std::vector<drain_status> drains;
-  std::vector<std::string> unmet;  // what the planner could not satisfy, and why
+  std::vector<std::string> unmet;  // requirements that the planner could not satisfy, with reasons
   coordination_counters counters;
 };
 
--- a/src/process/summaries.cpp
+++ b/src/process/summaries.cpp
@@ -1,4 +1,4 @@
-// Pairing with other data centres, and what they said.
+// Pairing of nodes with those of other data centres, and storage of received summaries.
 #include "process/summaries.h"
 
 #include <algorithm>
@@ -32,7 +32,8 @@
     if (dc.id == own_) {
       continue;
     }
-    // Sender i serves the receivers that are i modulo the number of senders, shifted by the round.
+    // Sender i sends to the receivers whose position is i modulo the number of senders, shifted by
+    // the round.
     const auto theirs = assets.nodes_of(dc.id);
     const std::size_t lanes = std::max(own.size(), theirs.size());
     for (std::size_t lane = index; lane < lanes; lane += own.size()) {
--- a/src/process/summaries.h
+++ b/src/process/summaries.h
@@ -1,6 +1,6 @@
-// What data centres tell each other: per model, how much room there is. Nodes of one data centre
-// are paired with nodes of the others by position, one further in each round, so that a dead pair
-// costs one round and no node sends to all.
+// Exchange of free capacity per model between data centres. Nodes of one data centre are paired
+// with nodes of the others by position, shifted by one in each round, so that a failed pair costs
+// one round and no node sends to all others.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,14 @@
 
 namespace arbutus {
 
-// Slower than heartbeats inside a data centre...
+// Lower limit of the interval. Longer than that of the heartbeats within a data centre.
 inline constexpr duration summary_interval = 2s;
-// ...and a node sends no more than one sum in so long: each costs a segment, its acknowledgement
-// and the same at the receiver, and with 15 other data centres one each in 2 s was over half of the
-// traffic budget.
+// Minimum time per summary that a node sends. Each summary takes a segment and its acknowledgement,
+// and the same at the receiver; with 15 other data centres, one to each per 2 s takes over half of
+// the traffic budget.
 inline constexpr duration summary_spacing = 500ms;
-// Older sums are not passed to the request path; at long intervals two in a row may be lost.
+// Older summaries are not passed to the request path. At long intervals the lifetime is a number of
+// intervals instead, so that two summaries in a row may be lost.
 inline constexpr duration summary_lifetime = 10s;
 inline constexpr int summary_lifetime_intervals = 3;
 
@@ -33,7 +34,7 @@
  public:
   summary_board(node_id self, data_centre_id own) : self_(std::move(self)), own_(std::move(own)) {}
 
-  // Nodes of other data centres to which a sum is due now.
+  // Nodes of other data centres to which a summary is due now.
   [[nodiscard]] std::vector<node_id> due(time_point now, const inventory& assets);
   void heard(time_point now, const summary& s);
   [[nodiscard]] std::vector<remote_capacity> elsewhere(time_point now,
--- a/src/process/suspicions.h
+++ b/src/process/suspicions.h
@@ -1,10 +1,11 @@
-// Targets that peers take for lost.
+// Targets that peers report as lost.
 //
-// A peer's word is no proof: a node whose link is choked loses every target within half a second,
-// and all others would move their streams away from replicas that work. Nor does each node ask for
-// itself: with a data centre cut off, 80 nodes asked 74 engines each, some thousand questions a
-// second. So a word makes a replica the last choice for new requests, and together with the silence
-// of a node's own streams it is enough to move them. Only the keeper of a data centre asks.
+// Such a report is no proof: a node whose link is saturated loses every target within 0.5 s, and
+// all other nodes would move their streams away from working replicas. Nodes do not verify each
+// report themselves either: when a data centre is cut off, 80 nodes that query 74 engines each
+// send some thousand queries per second. A report therefore makes a replica the last choice for new
+// requests; together with a stall of the node's own streams it is sufficient to move them. Only the
+// node that controls the replicas of a data centre queries the targets.
 #pragma once
 
 #include <algorithm>
@@ -19,38 +20,39 @@
 
 class suspicions {
  public:
-  // A peer's newest word, which replaces its last one.
+  // Stores the newest report of a peer, which replaces its previous one.
   void told(time_point now, const node_id& peer, bool hub, const std::vector<target_id>& lost) {
     if (lost.empty()) {
-      words_.erase(peer);
+      reports_.erase(peer);
       return;
     }
-    words_[peer] = {now, hub, {lost.begin(), lost.end()}};
+    reports_[peer] = {now, hub, {lost.begin(), lost.end()}};
   }
 
   [[nodiscard]] bool contains(time_point now, const target_id& id) const {
-    return std::any_of(words_.begin(), words_.end(), [&](const auto& entry) {
+    return std::any_of(reports_.begin(), reports_.end(), [&](const auto& entry) {
       return is_fresh(now, entry.second) && entry.second.lost.contains(id);
     });
   }
 
   [[nodiscard]] bool contains_any(time_point now, const std::vector<target_id>& ids) const {
-    return !words_.empty() && std::any_of(ids.begin(), ids.end(),
-                                          [&](const target_id& id) { return contains(now, id); });
+    return !reports_.empty() && std::any_of(ids.begin(), ids.end(),
+                                            [&](const target_id& id) { return contains(now, id); });
   }
 
-  // What other hubs said: to be passed on within the data centre, and no further.
+  // Targets reported by other hubs; to be passed on within the data centre only.
   [[nodiscard]] std::set<target_id> of_hubs(time_point now) const {
     std::set<target_id> result;
-    for (const auto& [peer, word] : words_) {
-      if (word.hub && is_fresh(now, word)) {
-        result.insert(word.lost.begin(), word.lost.end());
+    for (const auto& [peer, report] : reports_) {
+      if (report.hub && is_fresh(now, report)) {
+        result.insert(report.lost.begin(), report.lost.end());
       }
     }
     return result;
   }
 
-  // Three beats: one may be late, and a peer that ended takes nothing back.
+  // Three heartbeat intervals: one heartbeat may be late, and a peer that has ended does not revoke
+  // its report.
   static constexpr duration remembered = 600ms;
 
  private:
@@ -64,7 +66,7 @@
     return now - w.at < remembered;
   }
 
-  std::map<node_id, told_word> words_;
+  std::map<node_id, told_word> reports_;
 };
 
 }  // namespace arbutus
--- a/tests/core/coordination_fixture.h
+++ b/tests/core/coordination_fixture.h
@@ -1,4 +1,5 @@
-// What the coordination tests share: a world at rest, and how to wait for what follows.
+// Fixture of the coordination tests: a simulated cluster in a stable state, and helpers that wait
+// for expected events.
 #pragma once
 
 #include <gmock/gmock.h>
@@ -13,10 +14,10 @@
 
 using ::testing::IsEmpty;
 
-// Long enough for the nodes to agree, order, load and be observed.
+// Long enough for the nodes to agree, send orders, load models and observe the result.
 inline constexpr duration patience = 30s;
 
-// A world whose replicas all serve and whose row is at rest.
+// Runs a simulation in which all replicas serve and the row does not change.
 class coordination : public ::testing::Test {
  protected:
   void bring_up(world_options o = {}) {
@@ -44,7 +45,7 @@
   [[nodiscard]] duration time_to_no_route(const replica_id& id) {
     return time_until([&] { return !world_->routed_anywhere(id); });
   }
-  // Loses a route, then has all again.
+  // Waits until a route is lost and then until all replicas serve again.
   [[nodiscard]] bool recovers(duration d = patience) {
     return world_->run_until([&] { return !all_serve(); }, 5s) && serve_within(d);
   }
@@ -58,7 +59,7 @@
 
   std::optional<fake_world> world_;
   std::size_t replicas_{};
-  assignment row_;  // at rest
+  assignment row_;  // after startup
 };
 
 }  // namespace arbutus::testing
--- a/tests/core/coordination_measures_test.cpp
+++ b/tests/core/coordination_measures_test.cpp
@@ -1,4 +1,5 @@
-// Measures on the fakes, over many seeds: printed, and held against the figures to be reached.
+// Repair times and wasted writes in the simulation over many seeds: printed and compared with the
+// required limits.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -35,8 +36,8 @@
   return o;
 }
 
-// A world at rest, at a moment that differs from seed to seed.
-std::unique_ptr<fake_world> at_rest(std::uint64_t seed) {
+// A simulated cluster in a stable state, at a time that depends on the seed.
+std::unique_ptr<fake_world> settled_cluster(std::uint64_t seed) {
   auto w = std::make_unique<fake_world>(sizes(seed));
   EXPECT_TRUE(w->run_until([&] { return w->all_serve(2); }, patience));
   w->run_for(3s + rng{seed}.jitter(2s));
@@ -50,7 +51,7 @@
 };
 
 repair measure_repair(std::uint64_t seed, bool table_up) {
-  const auto w = at_rest(seed);
+  const auto w = settled_cluster(seed);
   w->table.up = table_up;
   w->run_for(5s);
   const replica_plan victim = w->row_in_table().replicas.at(seed % 2);
@@ -98,7 +99,7 @@
 TEST(coordination_measures, leaving_target) {
   sample own_report;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    const auto w = at_rest(seed);
+    const auto w = settled_cluster(seed);
     const replica_plan r = w->row_in_table().replicas.front();
     const time_point start = w->now();
     w->set_leaving(r.members.at(seed % r.members.size()));
--- a/tests/core/fake_data_centre.h
+++ b/tests/core/fake_data_centre.h
@@ -1,5 +1,5 @@
-// Several nodes of one data centre in one process, on virtual time: membership and observations of
-// each, a network that delays, drops, repeats and cuts, and targets that die and restart.
+// Simulates several nodes of one data centre in virtual time: membership and observations of each
+// node, a network that delays, drops, repeats and cuts messages, and targets that fail and restart.
 #pragma once
 
 #include <deque>
@@ -19,7 +19,7 @@
 struct fake_target {
   bool up = true;
   engine_report report;
-  // Contents over time: what it said from then on.
+  // Reports over time, each valid from its time on.
   std::vector<std::pair<time_point, engine_report>> history;
 };
 
@@ -29,7 +29,7 @@
   std::unique_ptr<observation_table> seen;
   bool up = true;
   bool paused = false;
-  std::uint64_t row = 0;  // assignment version it knows
+  std::uint64_t row = 0;  // assignment version that the node knows
   bool sees_table = true;
   std::size_t probes = 0;
   std::vector<condition_change> changes;
@@ -56,7 +56,7 @@
     }
   }
 
-  // Starts a new process of this node.
+  // Starts a new process of the node.
   void start(const node_id& id) {
     fake_node& n = nodes_[id];
     n.id = id;
@@ -113,7 +113,7 @@
   control_timing timing;
   duration step = 20ms;
   duration delay = 1ms;
-  duration jitter{};  // of the delay: messages overtake each other
+  duration jitter{};  // of the delay; reorders messages
   double drop = 0.0;
   double repeat = 0.0;
   duration probe_timeout = 500ms;
@@ -127,7 +127,7 @@
     node_id to;
     std::string bytes;
   };
-  struct answer {
+  struct probe_response {
     time_point at;
     node_id to;
     probe_result result;
@@ -153,18 +153,18 @@
       probe(n.id, vm);
     }
     for (const node_id& peer : n.peers->due(now)) {
-      heartbeat beat = n.peers->prepare(peer, now);
-      beat.assignment_version = n.row;
-      beat.table_reachable = n.sees_table;
-      n.seen->take_deltas(beat, peer, n.peers->echoed(peer), now);
-      send(n.id, peer, beat);
+      heartbeat heartbeat_message = n.peers->prepare(peer, now);
+      heartbeat_message.assignment_version = n.row;
+      heartbeat_message.table_reachable = n.sees_table;
+      n.seen->take_deltas(heartbeat_message, peer, n.peers->echoed(peer), now);
+      send(n.id, peer, heartbeat_message);
     }
     for (const condition_change& change : n.seen->take_changes(now)) {
       n.changes.push_back(change);
     }
   }
 
-  // From the table, or pushed by a peer that claims a newer one.
+  // Takes the row from the table, or at random times from a peer that reports a newer one.
   void read_row(fake_node& n) {
     if (n.sees_table) {
       n.row = table_row;
@@ -181,9 +181,9 @@
   void probe(const node_id& from, const vm_id& vm) {
     const bool reached = targets_.at(vm).up && !cut_targets_.contains({from, vm});
     if (reached) {
-      answers_.push_back({now + 2 * delay, from, {vm, now, targets_.at(vm).report}});
+      responses_.push_back({now + 2 * delay, from, {vm, now, targets_.at(vm).report}});
     } else {
-      answers_.push_back({now + probe_timeout, from, {vm, now, unknown{"timeout"}}});
+      responses_.push_back({now + probe_timeout, from, {vm, now, unknown{"timeout"}}});
     }
   }
 
@@ -196,36 +196,36 @@
     }
     const std::size_t copies = random_.unit() < repeat ? 2 : 1;
     for (std::size_t i = 0; i < copies; ++i) {
-      wire_.push_back({now + delay + random_.jitter(jitter), from, to, encoded});
+      in_transit_.push_back({now + delay + random_.jitter(jitter), from, to, encoded});
     }
   }
 
-  // What is due to a node that is stopped stays in its buffers.
+  // Messages and probe results for a paused node stay in its buffers.
   void deliver() {
-    std::deque<message> wire;
-    wire.swap(wire_);
-    for (message& m : wire) {
+    std::deque<message> in_transit;
+    in_transit.swap(in_transit_);
+    for (message& m : in_transit) {
       if (m.at <= now && !nodes_.at(m.to).paused) {
         receive(m);
       } else {
-        wire_.push_back(std::move(m));
+        in_transit_.push_back(std::move(m));
       }
     }
-    std::deque<answer> answers;
-    answers.swap(answers_);
-    for (answer& a : answers) {
+    std::deque<probe_response> responses;
+    responses.swap(responses_);
+    for (probe_response& a : responses) {
       if (a.at <= now && !nodes_.at(a.to).paused) {
-        answered(a);
+        on_probe_response(a);
       } else {
         if (nodes_.at(a.to).paused) {
           a.result.result = unknown{"timed out when it continues"};
         }
-        answers_.push_back(std::move(a));
+        responses_.push_back(std::move(a));
       }
     }
   }
 
-  void answered(const answer& a) {
+  void on_probe_response(const probe_response& a) {
     fake_node& n = nodes_.at(a.to);
     if (!n.up || !n.seen->own_probe(a.result, now)) {
       return;
@@ -246,9 +246,9 @@
     }
     const auto decoded = decode_gossip(m.from, m.bytes);
     const auto* content = std::get_if<gossip_message>(&decoded);
-    if (const auto* beat = std::get_if<heartbeat>(content)) {
-      if (const auto h = n.peers->receive(*beat, n.row, now)) {
-        n.seen->merge(*beat, *h, now);
+    if (const auto* heartbeat_message = std::get_if<heartbeat>(content)) {
+      if (const auto h = n.peers->receive(*heartbeat_message, n.row, now)) {
+        n.seen->merge(*heartbeat_message, *h, now);
       }
     } else if (const auto* notice = std::get_if<lost_notice>(content)) {
       if (const auto h = n.peers->receive(m.from, notice->stamp, now)) {
@@ -265,8 +265,8 @@
   std::map<vm_id, fake_target> targets_;
   std::set<std::pair<node_id, node_id>> cut_;
   std::set<std::pair<node_id, vm_id>> cut_targets_;
-  std::deque<message> wire_;
-  std::deque<answer> answers_;
+  std::deque<message> in_transit_;
+  std::deque<probe_response> responses_;
 };
 
 }  // namespace arbutus::test
--- a/tests/core/gossip_test.cpp
+++ b/tests/core/gossip_test.cpp
@@ -1,4 +1,5 @@
-// The wire form of gossip: nothing is lost or made fresher, damage is refused, and it stays small.
+// Encoding of gossip messages: nothing is lost or made newer, damaged messages are refused, and
+// heartbeats stay small.
 #include "process/gossip.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +23,7 @@
   return r;
 }
 
-heartbeat quiet() {
+heartbeat idle_heartbeat() {
   heartbeat h;
   h.from = node_id{"hall-a-1"};
   h.stamp = {0x7a3b19c2, 86'400, 86'399, 412ms, 0x19c2};
@@ -33,8 +34,8 @@
   return h;
 }
 
-heartbeat everything() {
-  heartbeat h = quiet();
+heartbeat full_heartbeat() {
+  heartbeat h = idle_heartbeat();
   h.config_hash = "00112233445566778899aabbccddeeff";
   h.draining = true;
   h.silent = {node_id{"hall-a-2"}};
@@ -50,15 +51,18 @@
 
 std::vector<gossip_message> one_of_each() {
   const config_head head{9, "beef", {proposal_id{"p9"}, proposal_id{"p8"}}};
-  return {
-      quiet(),
-      everything(),
-      config_request{"beef", "cafe"},
-      config_content{head, "cafe", 100, 20, std::string("\x00\xff\x80 bytes", 10)},
-      assignment_push{std::string("\xff\x00row", 5)},
-      lost_notice{quiet().stamp, {vm_id{"vm9"}, 400ms, 77, 2}},
-      leaving_notice{vm_id{"vm1"}, 5},
-      summary{quiet().stamp, data_centre_id{"hall-b"}, 7, "beef", {{model_id{"m"}, 40, 120ms}}}};
+  return {idle_heartbeat(),
+          full_heartbeat(),
+          config_request{"beef", "cafe"},
+          config_content{head, "cafe", 100, 20, std::string("\x00\xff\x80 bytes", 10)},
+          assignment_push{std::string("\xff\x00row", 5)},
+          lost_notice{idle_heartbeat().stamp, {vm_id{"vm9"}, 400ms, 77, 2}},
+          leaving_notice{vm_id{"vm1"}, 5},
+          summary{idle_heartbeat().stamp,
+                  data_centre_id{"hall-b"},
+                  7,
+                  "beef",
+                  {{model_id{"m"}, 40, 120ms}}}};
 }
 
 gossip_message decoded(const std::string& bytes) {
@@ -74,7 +78,7 @@
 }
 
 TEST(Gossip, RoundingNeverMakesAnythingFresher) {
-  heartbeat h = quiet();
+  heartbeat h = idle_heartbeat();
   h.stamp.echo_held = 411'999us;
   h.observations.push_back({1, 801'001us, std::nullopt, std::nullopt});
   h.observations.push_back({2, -5s, std::nullopt, std::nullopt});
@@ -98,18 +102,18 @@
   EXPECT_EQ(quantise(shown), quantise(r));
 }
 
-// Traffic for control is bounded, and heartbeats are nearly all of it.
+// Control traffic is limited, and heartbeats are nearly all of it.
 TEST(Gossip, HeartbeatsAreSmall) {
-  EXPECT_LT(encode(gossip_message{quiet()}).size(), 40U);
-  heartbeat busy = quiet();
+  EXPECT_LT(encode(gossip_message{idle_heartbeat()}).size(), 40U);
+  heartbeat busy = idle_heartbeat();
   for (std::uint32_t slot = 0; slot < 8; ++slot) {
     busy.observations.push_back({slot, 120ms * slot, std::nullopt, target_load{7, 130, 55, 71}});
   }
   EXPECT_LT(encode(gossip_message{busy}).size(), 110U);
 }
 
-// Symptom: a node ends, or takes nonsense for state. Sequence: bytes arrive cut short or changed.
-// Cause: the decoder believes lengths, types or enumerators.
+// Guards against a crash or invalid state after truncated or altered bytes, if the decoder does not
+// check lengths, types or enumerators.
 TEST(Gossip, DamageIsRefusedNotThrown) {
   rng random(7);
   for (const gossip_message& m : one_of_each()) {
@@ -128,8 +132,8 @@
   }
 }
 
-// Symptom: a node ends without a message. Sequence: a peer sends a megabyte of array heads. Cause:
-// the library's reader recurses for each, beyond the stack.
+// Guards against a stack overflow: the library's reader recurses for each nested array, and a peer
+// may send a megabyte of array headers.
 TEST(Gossip, DeepNestingIsRefused) {
   EXPECT_FALSE(is_ok(decode_gossip(node_id{"x"}, std::string(1 << 20, '\x91'))));
   std::string maps;
--- a/tests/core/hub_order_test.cpp
+++ b/tests/core/hub_order_test.cpp
@@ -1,4 +1,4 @@
-// Which node is the hub of a data centre: the strongest that lives and is served.
+// Election of the hub of a data centre: the strongest live node that the store serves.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -27,9 +27,8 @@
 }
 
 TEST(HubOrder, TheStrongestIsTheHubWhateverItsName) {
-  // Symptom: proofs and loads reach the nodes of a large data centre late, and repairs take
-  // seconds. Sequence: the node with the lowest name has an eighth of a core; it keeps 219 engines
-  // and feeds 58 nodes. Cause: the hub is chosen by name alone.
+  // Guards against a hub chosen by name alone: with an eighth of a core, it controls 219 engines
+  // and sends updates to 58 nodes, proofs and loads arrive late, and repairs take seconds.
   EXPECT_EQ(table_of("a1", weak).hub_of(start, here), node_id{"a8"});
   EXPECT_TRUE(table_of("a8", strong).is_hub(start));
   EXPECT_FALSE(table_of("a9", strong).is_hub(start));
@@ -54,15 +53,15 @@
   peer_table second = table_of("a9", strong);
   second.heard(start, node_id{"a8"}, {.turned_away = true, .stamp_us = 1});
   EXPECT_TRUE(second.is_hub(start));
-  // Served again: the first one takes the duty back, and the second one leaves it.
+  // Once the store serves the first node again, it becomes the hub and the second one stops.
   second.heard(start + 1s, node_id{"a8"}, {.hub = true, .stamp_us = 2});
   EXPECT_FALSE(second.is_hub(start + 1s));
 }
 
 TEST(HubOrder, WhileTheStoreIsAwayNodesTellTheFirstOnesAlone) {
-  // Symptom: links between all nodes of a data centre fill up while the store is away, and proofs
-  // are late after it. Sequence: the store turns every node away; each looks for two that are
-  // served, finds none, and tells all. Cause: who is turned away was told like a silent hub.
+  // Guards against heartbeats between all nodes of a data centre while the store refuses every
+  // node, which saturates the links and delays proofs afterwards. It occurs if a node that finds no
+  // two served candidates sends to all refused nodes as it does to an unresponsive hub.
   std::vector<node_record> many;
   for (int i = 100; i < 200; ++i) {
     many.push_back({node_id{"n" + std::to_string(i)}, here, {}, {}, weak});
@@ -76,25 +75,25 @@
   for (const node_record& n : many) {
     peers.told(start, n.id);
   }
-  // The others were told when they were thought to be next, and nobody has heard of them.
+  // The other nodes were sent heartbeats when they were assumed to be next, and respond now.
   for (const node_record& n : many) {
     if (n.id.str() > "n102") {
       peers.heard(start + 1s, n.id, {.turned_away = true, .stamp_us = 1});
     }
   }
   EXPECT_FALSE(peers.is_heir(start + 1s));
-  // Whoever told this node is answered; of its own accord it tells the first ones alone.
-  peer_table quiet(node_id{"n150"}, here, weak);
-  quiet.set_known(many);
-  quiet.set_turned_away(start, true);
+  // Without heartbeats from others, a node sends to the first candidates only.
+  peer_table idle(node_id{"n150"}, here, weak);
+  idle.set_known(many);
+  idle.set_turned_away(start, true);
   for (const char* name : {"n100", "n101"}) {
-    quiet.heard(start, node_id{name}, {.turned_away = true, .stamp_us = 1});
+    idle.heard(start, node_id{name}, {.turned_away = true, .stamp_us = 1});
   }
-  const auto told = quiet.to_tell(start + 100ms);
-  ASSERT_GE(told.size(), 2U);
-  EXPECT_EQ(told[0], node_id{"n100"});
-  EXPECT_EQ(told[1], node_id{"n101"});
-  EXPECT_LE(told.size(), 2 * peer_table::candidates);
+  const auto sent_to = idle.to_tell(start + 100ms);
+  ASSERT_GE(sent_to.size(), 2U);
+  EXPECT_EQ(sent_to[0], node_id{"n100"});
+  EXPECT_EQ(sent_to[1], node_id{"n101"});
+  EXPECT_LE(sent_to.size(), 2 * peer_table::candidates);
 }
 
 TEST(HubOrder, OfADarkDataCentreAFewAreTold) {
@@ -115,7 +114,7 @@
   EXPECT_TRUE(table_of("a8", strong).is_heir(start));
   EXPECT_TRUE(table_of("a9", strong).is_heir(start));
   EXPECT_FALSE(table_of("a1", weak).is_heir(start));
-  // With the store away from all, those that live first.
+  // If the store serves none of them, the first live nodes.
   peer_table second = table_of("a9", strong);
   second.set_turned_away(start, true);
   for (const char* name : {"a1", "a2", "a8"}) {
@@ -131,17 +130,17 @@
 }
 
 TEST(HubOrder, ANodeThatJoinsIsKnownByItsBeat) {
-  // Symptom: a node that has just joined refuses its callers for seconds. Sequence: it reads the
-  // rows and tells its hub; the hub read them before and drops the beats; the store turns the hub
-  // away, so that it reads no rows. Cause: a peer was known by its row alone.
+  // Guards against a joining node that refuses its callers for seconds: if peers are known by their
+  // rows alone, a hub that read the rows before drops its heartbeats, and reads no new rows while
+  // the store refuses it.
   peer_table hub = table_of("a8", strong);
   const node_record joined{node_id{"a7"}, here, {"10.0.0.7", 7000}, {}, weak};
   hub.learn(joined);
   hub.heard(start, joined.id, {.stamp_us = 1});
   EXPECT_TRUE(hub.lives(start, joined.id));
-  const auto told = hub.to_tell(start);
-  EXPECT_EQ(std::count(told.begin(), told.end(), joined.id), 1);
-  // Rows that do not hold it yet do not end it; once they did, its removal does.
+  const auto sent_to = hub.to_tell(start);
+  EXPECT_EQ(std::count(sent_to.begin(), sent_to.end(), joined.id), 1);
+  // Rows that do not contain it yet do not remove it; after they contained it, its removal does.
   hub.set_known(nodes());
   EXPECT_TRUE(hub.lives(start, joined.id));
   EXPECT_EQ(std::count(hub.records().begin(), hub.records().end(), joined), 1);
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -1,4 +1,4 @@
-// Who is alive, how old a message may be, and who may act without the table.
+// Liveness of peers, bounds on the age of messages, and votes on acting without the table.
 #include "process/membership.h"
 
 #include <gtest/gtest.h>
@@ -23,25 +23,25 @@
 
 // ---- freshness ----
 
-// Symptom: a dead target is routed to. Sequence: a peer's heartbeat, "seen 200 ms ago", lies in a
-// buffer for 30 s and is then delivered. Cause: its age counted from its arrival.
+// Guards against routing to a dead target after a heartbeat with a 200 ms old observation was
+// delayed in a buffer for 30 s: its age must not be calculated from its arrival.
 TEST(Freshness, AMessageStuckFor30SecondsRenewsNothing) {
   membership here = make(a, 1);
   membership there = make(b, 2);
   ASSERT_TRUE(there.receive(here.prepare(b, start), 0, start + 1ms));
-  const heartbeat stuck = there.prepare(a, start + 500ms);
+  const heartbeat delayed = there.prepare(a, start + 500ms);
   const time_point late = start + 30s;
   here.tick(late);
-  const auto h = here.receive(stuck, 0, late);
+  const auto h = here.receive(delayed, 0, late);
   ASSERT_TRUE(h && h->composed);
   EXPECT_LE(*h->composed, start + 500ms);
   EXPECT_GE(*h->composed, start + 498ms);
   EXPECT_LE(observed_after(*h->composed, 200ms, late, 0.001), start + 300ms);
 }
 
-// Symptom: a new process takes an old observation for fresh. Sequence: node a restarts; an answer
-// to its predecessor arrives, and its number happens to be one that the new process has sent.
-// Cause: numbers start again with each process.
+// Guards against old observations that appear new after a restart: an echo of a message of the
+// previous process may have a sequence that the new process has sent, too, as sequences start again
+// with each process.
 TEST(Freshness, AnAnswerToThePredecessorIsNone) {
   membership before = make(a, 1);
   membership there = make(b, 2);
@@ -64,7 +64,7 @@
   EXPECT_EQ(log.sent_at(5), start);
 }
 
-// ---- hearing ----
+// ---- receiving ----
 
 TEST(Membership, RepeatedOvertakenAndOldProcessesAreIgnored) {
   membership here = make(a, 1);
@@ -79,8 +79,8 @@
   ASSERT_TRUE(restarted);
   EXPECT_TRUE(restarted->restarted);
   EXPECT_FALSE(here.receive(there.prepare(a, start + 2s), 0, start + 3s));
-  membership stranger(node_id{"c"}, 9, 1, start);
-  EXPECT_FALSE(here.receive(stranger.prepare(a, start), 0, start + 3s));
+  membership unknown_peer(node_id{"c"}, 9, 1, start);
+  EXPECT_FALSE(here.receive(unknown_peer.prepare(a, start), 0, start + 3s));
 }
 
 TEST(Membership, ASilentPeerIsSuspectThenDeadAndARestartIsSeen) {
@@ -97,8 +97,8 @@
   EXPECT_EQ(dc.node(0).peers->state(dc.ids()[3], dc.now), peer_state::alive);
 }
 
-// Symptom: after a pause one node takes all ranks and probes. Sequence: a process is stopped for
-// 20 s and continues. Cause: it blames its peers for the silence.
+// Guards against a node that takes over all ranks and probes after its process was paused for 20 s,
+// because it marks its peers as dead for messages missing during its own pause.
 TEST(Membership, AnOwnPauseBuriesNobody) {
   fake_data_centre dc(4, 0, 2);
   dc.run_for(3s);
@@ -113,20 +113,20 @@
   EXPECT_EQ(dc.node(1).peers->live(dc.now).size(), 4U);
 }
 
-// Symptom: a dead node gets ranks and targets again. Sequence: its last messages, stuck on the way,
-// arrive after its death. Cause: the arrival of a message was taken for a sign of life.
+// Guards against a dead node that gets ranks and targets again when its last messages arrive late:
+// the arrival of a message does not show that its sender is alive.
 TEST(Membership, AStuckMessageIsNoSignOfLife) {
   membership here = make(a, 1);
   membership there = make(b, 2);
   ASSERT_TRUE(there.receive(here.prepare(b, start), 0, start));
   ASSERT_TRUE(here.receive(there.prepare(a, start + 1s), 0, start + 1s));
-  const heartbeat stuck = there.prepare(a, start + 2s);
+  const heartbeat delayed = there.prepare(a, start + 2s);
   time_point now = start + 1s;
   for (; now < start + 20s; now += 500ms) {
     here.tick(now);
   }
   ASSERT_EQ(here.state(b, now), peer_state::dead);
-  ASSERT_TRUE(here.receive(stuck, 0, now));
+  ASSERT_TRUE(here.receive(delayed, 0, now));
   EXPECT_EQ(here.state(b, now), peer_state::dead);
 }
 
@@ -147,8 +147,8 @@
   EXPECT_GT(waits[3], waits[2]);
 }
 
-// Symptom: a node acts on the belief that its peers know its news. Sequence: packets pass from the
-// peer to it, but not back. Cause: hearing a peer was taken for being heard.
+// Guards against a node that wrongly assumes that its updates reach a peer, when packets pass from
+// the peer to it but not back.
 TEST(Membership, AOneWayLinkIsNoticed) {
   fake_data_centre dc(3, 0, 4);
   dc.run_for(3s);
@@ -170,7 +170,7 @@
   EXPECT_EQ(here.due(start).size(), 1U);
   EXPECT_TRUE(here.due(start + 10ms).empty());
   here.hurry(start + 10ms);
-  EXPECT_TRUE(here.due(start + 20ms).empty()) << "a storm of news";
+  EXPECT_TRUE(here.due(start + 20ms).empty()) << "rate limit of urgent heartbeats";
   EXPECT_EQ(here.due(start + 50ms).size(), 1U);
 }
 
@@ -178,16 +178,16 @@
   membership here = make(a, 1);
   membership there = make(b, 2);
   for (int i = 0; i < 3; ++i) {
-    heartbeat beat = here.prepare(b, start + i * 1s);
-    here.claim_config(beat, b, 7, "beef");
-    EXPECT_EQ(beat.config_hash, "beef");
-    ASSERT_TRUE(there.receive(beat, 0, start + i * 1s));
+    heartbeat message = here.prepare(b, start + i * 1s);
+    here.claim_config(message, b, 7, "beef");
+    EXPECT_EQ(message.config_hash, "beef");
+    ASSERT_TRUE(there.receive(message, 0, start + i * 1s));
   }
   ASSERT_TRUE(here.receive(there.prepare(a, start + 3s), 0, start + 3s));
-  heartbeat beat = here.prepare(b, start + 4s);
-  here.claim_config(beat, b, 7, "beef");
-  EXPECT_TRUE(beat.config_hash.empty());
-  ASSERT_TRUE(there.receive(beat, 0, start + 4s));
+  heartbeat message = here.prepare(b, start + 4s);
+  here.claim_config(message, b, 7, "beef");
+  EXPECT_TRUE(message.config_hash.empty());
+  ASSERT_TRUE(there.receive(message, 0, start + 4s));
   EXPECT_EQ(there.claims(a)->config_hash, "beef");
 }
 
@@ -248,7 +248,7 @@
   EXPECT_EQ(dc.node(0).peers->counted(2, dc.now).size(), 1U);
 }
 
-// A crashed node must not block the others for ever, nor stop their repairs without the table.
+// A failed node must not block the others forever or prevent their repairs without the table.
 TEST(Votes, AMinorityThatIsGoneBlocksNothing) {
   fake_data_centre dc(5, 0, 9);
   dc.run_for(12s);
@@ -263,8 +263,8 @@
   EXPECT_TRUE(dc.node(0).peers->may_act_alone(2, dc.now));
 }
 
-// Symptom: a replaced node votes by what it never knew. Sequence: a node restarts while the table
-// is away. Cause: it has forgotten which row its predecessor acknowledged.
+// Guards against a node that restarts while the table is unavailable and votes although it no
+// longer knows which row its previous process acknowledged.
 TEST(Votes, ARestartedNodeHasNoVoteUntilAMajorityInformedIt) {
   fake_data_centre dc(3, 0, 10);
   dc.run_for(3s);
@@ -282,9 +282,9 @@
   EXPECT_TRUE(dc.node(2).peers->may_act_alone(1, dc.now));
 }
 
-// Symptom: one VM in two replicas. Sequence: B hears only C, and A only C; a row replaces the old
-// one, C acknowledges it, and in that moment B loses C. Cause: A took B, silent to itself alone,
-// for gone, while C's answers still gave B leave to act.
+// Guards against one VM in two replicas: A and B both reach only C; a new row replaces the old one,
+// C acknowledges it, and then B loses C. A must not consider B failed on its own view alone while
+// C's echoes still permit B to act.
 TEST(Votes, OneNodesSilenceIsNotEnough) {
   fake_data_centre dc(3, 0, 11);
   dc.run_for(12s);
@@ -301,9 +301,9 @@
   EXPECT_EQ(dc.node(0).peers->acknowledged_by_all(2, dc.now), 2U);
 }
 
-// Symptom: as above. Sequence: B and C lose each other and say so to A; then both lose A and the
-// table, and find each other again. Cause: what they had said of each other counted for a row that
-// neither of them has seen.
+// Guards against the same failure: B and C lose each other and report that to A; then both lose A
+// and the table, and reach each other again. Their earlier reports must not be used for a row that
+// neither of them knows.
 TEST(Votes, AReportFromBeforeTheRowDoesNotCountForIt) {
   fake_data_centre dc(3, 0, 12);
   dc.run_for(12s);
@@ -319,8 +319,9 @@
   EXPECT_EQ(dc.node(0).peers->acknowledged_by_all(2, dc.now), 1U);
 }
 
-// Symptom: as above. Sequence: A and C replace a row while B is silent; C restarts, meets only B
-// and learns the old row from it. Cause: C's answers counted although it has forgotten the new row.
+// Guards against the same failure: A and C replace a row while B is unreachable; C restarts,
+// reaches only B and gets the old row from it. C's echoes must not permit B to act, as C no longer
+// knows the new row.
 TEST(Votes, TheAnswersOfANodeThatHasForgottenDoNotCount) {
   fake_data_centre dc(3, 0, 13);
   dc.run_for(12s);
@@ -333,7 +334,7 @@
   dc.cut_both(dc.ids()[2], dc.ids()[0]);
   dc.mend(dc.ids()[1], dc.ids()[2]);
   dc.node(2).up = false;
-  dc.run_for(100ms);  // nothing is under way to it any more
+  dc.run_for(100ms);  // until no message to it is in transit
   dc.start(dc.ids()[2]);
   dc.node(2).sees_table = false;
   dc.run_for(6s);
@@ -351,7 +352,7 @@
   EXPECT_TRUE(dc.node(1).peers->may_act_alone(2, dc.now));
 }
 
-void disturb(fake_data_centre& dc, rng& random) {
+void inject_fault(fake_data_centre& dc, rng& random) {
   const auto pick = [&] { return random.below(dc.ids().size()); };
   fake_node& n = dc.node(pick());
   switch (random.below(8)) {
@@ -384,7 +385,7 @@
 }
 
 struct vote_counts {
-  std::uint64_t replaced = 0;  // rows up to this one are taken to be
+  std::uint64_t replaced = 0;  // rows older than this one are considered replaced everywhere
   std::size_t acted = 0;
 };
 
@@ -404,11 +405,11 @@
   }
 }
 
-// Symptom: one VM in two replicas. Sequence: any mix of one-way and two-way cuts, pauses, restarts,
-// lost, repeated and late messages, and a table that only some can see. Cause: a node acts by a
-// row that another one takes to be replaced everywhere.
+// Guards against one VM in two replicas, which occurs if a node acts on a row that another node
+// considers replaced everywhere. Combines one-way and two-way cuts, pauses, restarts, lost,
+// repeated and late messages, and a table that only some nodes can reach.
 TEST(Votes, NobodyActsByARowThatIsTakenToBeReplacedEverywhere) {
-  std::uint64_t concluded = 0;
+  std::uint64_t max_replaced = 0;
   std::size_t acted = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -422,15 +423,15 @@
     for (int i = 0; i < 1000; ++i) {
       dc.run_for(random.jitter(400ms));
       if (random.below(20) == 0) {
-        disturb(dc, random);
+        inject_fault(dc, random);
       }
       ASSERT_NO_FATAL_FAILURE(check_votes(dc, counts));
     }
-    concluded = std::max(concluded, counts.replaced);
+    max_replaced = std::max(max_replaced, counts.replaced);
     acted += counts.acted;
   }
-  EXPECT_GT(concluded, 2U) << "the property would hold for a node that never concludes";
-  EXPECT_GT(acted, 1000U) << "nor acts";
+  EXPECT_GT(max_replaced, 2U) << "some rows must have been considered replaced";
+  EXPECT_GT(acted, 1000U) << "some nodes must have been permitted to act";
 }
 
 }  // namespace
--- a/tests/core/observations_test.cpp
+++ b/tests/core/observations_test.cpp
@@ -1,4 +1,4 @@
-// What nodes come to know of targets, how soon, and what they must not believe.
+// Observations of targets: how soon nodes notice changes, and which messages they must ignore.
 #include "process/observations.h"
 
 #include <gtest/gtest.h>
@@ -36,50 +36,50 @@
   return t;
 }
 
-heartbeat saying(const engine_report& r, duration age) {
-  heartbeat beat;
-  beat.from = peer;
-  beat.observations.push_back({1, age, r, std::nullopt});
-  return beat;
+heartbeat heartbeat_with_report(const engine_report& r, duration age) {
+  heartbeat message;
+  message.from = peer;
+  message.observations.push_back({1, age, r, std::nullopt});
+  return message;
 }
 
-heartbeat failing(const node_id& from, duration age, std::uint32_t count = 1) {
-  heartbeat beat;
-  beat.from = from;
-  beat.failures.push_back({vm, age, 5, count});
-  return beat;
+heartbeat heartbeat_with_failure(const node_id& from, duration age, std::uint32_t count = 1) {
+  heartbeat message;
+  message.from = from;
+  message.failures.push_back({vm, age, 5, count});
+  return message;
 }
 
 heard composed(time_point at) {
   return {false, at, 1};
 }
 
-bool fails(observation_table& t, time_point sent_at) {
+bool fail_probe(observation_table& t, time_point sent_at) {
   return t.own_probe({vm, sent_at, unknown{"timeout"}}, sent_at + 500ms);
 }
 
 // ---- order ----
 
-// Symptom: a role that was taken back seems to stand. Sequence: an older report overtakes, or comes
-// late through a peer. Cause: the last message to arrive counted as the newest.
+// Guards against an outdated role that appears current, if an older report is reordered or arrives
+// late through a peer and the last message to arrive is used as the newest.
 TEST(Observations, AnOldMessageNeverReplacesNewerKnowledge) {
   observation_table t = make();
   t.own_probe({vm, start + 2s, report(6)}, start + 2s);
-  t.merge(saying(report(6), 500ms), composed(start + 1s), start + 3s);
+  t.merge(heartbeat_with_report(report(6), 500ms), composed(start + 1s), start + 3s);
   EXPECT_EQ(t.latest(vm)->at, start + 2s);
   EXPECT_FALSE(t.own_probe({vm, start + 1s, report(6)}, start + 4s));
   EXPECT_EQ(t.latest(vm)->at, start + 2s);
 }
 
-// Symptom: a request goes to an engine that has forgotten its role. Sequence: the engine restarts;
-// a peer's late message still has the former process. Cause: reports of both took turns.
+// Guards against requests to a restarted engine that has lost its role, if late messages of peers
+// with reports of its previous process replace those of the new one.
 TEST(Observations, ARestartedEngineNeverFallsBackToItsFormerProcess) {
   observation_table t = make();
   t.own_probe({vm, start, report(6)}, start);
   t.own_probe({vm, start + 1s, report(3)}, start + 1s);
-  t.merge(saying(report(6), 0ms), composed(start + 2s), start + 2s);
+  t.merge(heartbeat_with_report(report(6), 0ms), composed(start + 2s), start + 2s);
   EXPECT_EQ(t.latest(vm)->report.incarnation, 3U);
-  t.merge(failing(peer, 0ms), composed(start + 3s), start + 3s);
+  t.merge(heartbeat_with_failure(peer, 0ms), composed(start + 3s), start + 3s);
   EXPECT_EQ(t.condition(vm, start + 3s), suspect);
 }
 
@@ -87,17 +87,17 @@
   observation_table t = make();
   t.own_probe({vm, start, report(5)}, start);
   t.own_probe({vm, start + 1s, report(9)}, start + 1s);
-  t.merge(failing(peer, 0ms), composed(start + 2s), start + 2s);
+  t.merge(heartbeat_with_failure(peer, 0ms), composed(start + 2s), start + 2s);
   EXPECT_EQ(t.condition(vm, start + 2s), working);
 }
 
-// Symptom: a dead target is routed to. Sequence: a peer is stopped for 30 s between composing and
-// sending. Cause: no bound on the age of what it says, or none without an echo.
+// Guards against routing to a dead target, if a peer is paused for 30 s between composing and
+// sending a message and its age is not bounded, also where there is no echo.
 TEST(Observations, WithoutABoundOnItsAgeAMessageRenewsNothing) {
   observation_table t = make();
-  t.merge(saying(report(), 100ms), {false, std::nullopt, 0}, start);
+  t.merge(heartbeat_with_report(report(), 100ms), {false, std::nullopt, 0}, start);
   EXPECT_EQ(t.latest(vm), nullptr);
-  t.merge(saying(report(), 100ms), composed(start), start + 30s);
+  t.merge(heartbeat_with_report(report(), 100ms), composed(start), start + 30s);
   ASSERT_NE(t.latest(vm), nullptr);
   EXPECT_LE(t.latest(vm)->at, start - 100ms);
   EXPECT_EQ(t.condition(vm, start + 30s), target_condition::unknown);
@@ -109,19 +109,19 @@
   observation_table t = make();
   t.own_probe({vm, start, report()}, start);
   EXPECT_EQ(t.condition(vm, start), working);
-  EXPECT_TRUE(fails(t, start + 1s)) << "peers should hear of it";
+  EXPECT_TRUE(fail_probe(t, start + 1s)) << "peers should be notified";
   EXPECT_EQ(t.condition(vm, start + 2s), suspect);
-  t.merge(failing(peer, 0ms), composed(start + 1200ms), start + 2s);
+  t.merge(heartbeat_with_failure(peer, 0ms), composed(start + 1200ms), start + 2s);
   EXPECT_EQ(t.condition(vm, start + 2s), lost);
 }
 
 TEST(Observations, OneProberAloneNeedsTheSuspicionTime) {
   observation_table t = make();
   t.own_probe({vm, start, report()}, start);
-  fails(t, start + 1s);
-  fails(t, start + 2s);
+  fail_probe(t, start + 1s);
+  fail_probe(t, start + 2s);
   EXPECT_EQ(t.condition(vm, start + 2500ms), suspect);
-  fails(t, start + 3s);
+  fail_probe(t, start + 3s);
   EXPECT_EQ(t.condition(vm, start + 3500ms), lost);
 }
 
@@ -131,48 +131,48 @@
   (void)t.next_probes(start);
   t.own_probe({vm, start, report()}, start);
   EXPECT_TRUE(t.own_error(vm, start + 300ms));
-  EXPECT_FALSE(t.own_error(vm, start + 310ms)) << "told once";
+  EXPECT_FALSE(t.own_error(vm, start + 310ms)) << "reported only once";
   EXPECT_EQ(t.condition(vm, start + 310ms), suspect);
   EXPECT_EQ(t.next_probes(start + 600ms).size(), 1U);
-  // Connections alone, also those of a second node, do not make it lost.
-  t.merge(failing(peer, 0ms, 0), composed(start + 400ms), start + 600ms);
+  // Connection errors alone, even those of a second node, do not make it lost.
+  t.merge(heartbeat_with_failure(peer, 0ms, 0), composed(start + 400ms), start + 600ms);
   EXPECT_EQ(t.condition(vm, start + 610ms), suspect);
   t.own_probe({vm, start + 600ms, report()}, start + 610ms);
   EXPECT_EQ(t.condition(vm, start + 610ms), working);
 }
 
-// Symptom: with the table down, a dead member is not replaced; the one standby stands in for the
-// replica's head, which works. Sequence: a member dies; the head cuts the requests of both nodes;
-// each tells the other. Cause: an error of a connection was told and counted as a failed probe, so
-// that two nodes with one cut request each made the head lost.
+// Guards against using the only standby for a working head instead of a failed member while the
+// table is unavailable: when a member fails, the head cuts the requests of two nodes, and each
+// reports its connection error to the other. If these were treated as failed probes, the head would
+// be lost.
 TEST(Observations, CutRequestsOfTwoNodesDoNotMakeATargetLost) {
   observation_table t = make();
   t.own_probe({vm, start, report()}, start);
   observation_table other(peer);
   other.set_targets({vm});
-  other.merge(saying(report(), 0ms), composed(start), start);
+  other.merge(heartbeat_with_report(report(), 0ms), composed(start), start);
   ASSERT_TRUE(other.own_error(vm, start + 300ms));
   ASSERT_TRUE(t.own_error(vm, start + 300ms));
   const auto told = other.failure_of(vm, start + 310ms);
   ASSERT_TRUE(told);
-  heartbeat beat;
-  beat.from = peer;
-  beat.failures.push_back(*told);
-  t.merge(beat, composed(start + 310ms), start + 320ms);
+  heartbeat message;
+  message.from = peer;
+  message.failures.push_back(*told);
+  t.merge(message, composed(start + 310ms), start + 320ms);
   EXPECT_EQ(t.condition(vm, start + 330ms), suspect);
   t.own_probe({vm, start + 400ms, report()}, start + 410ms);
   EXPECT_EQ(t.condition(vm, start + 410ms), working);
 }
 
-// Symptom: after one failed connection a node never uses a target again. Sequence: it is not one of
-// the target's probers, and no error follows since nothing is sent. Cause: nobody tried its link.
+// Guards against a node that never uses a target again after one failed connection: if it is not
+// one of the target's probers, it has to probe the target to notice that its link works again.
 TEST(Observations, ATargetThatOthersProbeIsProbedAfterAnOwnError) {
   observation_table t(self);
   t.set_targets({vm});
-  t.merge(saying(report(), 0ms), composed(start), start);
+  t.merge(heartbeat_with_report(report(), 0ms), composed(start), start);
   t.own_error(vm, start + 1s);
-  t.merge(saying(report(), 0ms), composed(start + 2s), start + 2s);
-  EXPECT_EQ(t.condition(vm, start + 2s), suspect) << "by its own link";
+  t.merge(heartbeat_with_report(report(), 0ms), composed(start + 2s), start + 2s);
+  EXPECT_EQ(t.condition(vm, start + 2s), suspect) << "this node's own link failed";
   (void)t.next_probes(start + 2s);
   ASSERT_EQ(t.next_probes(start + 3s).size() + t.next_probes(start + 4s).size(), 1U);
   t.own_probe({vm, start + 3s, report()}, start + 3s);
@@ -198,20 +198,21 @@
   EXPECT_LE(probes, 8U);
 }
 
-// Symptom: a target that works is lost and recovers in turn. Sequence: a node with a bad link
-// reports failures, the other prober successes, which by the phase of its heartbeats are always
-// somewhat older. Cause: the failures seemed to follow each other without a success between.
+// Guards against a working target that is repeatedly lost and recovers: a node with a bad link
+// reports failures, the other prober successes, which due to the phase of its heartbeats are always
+// somewhat older. The failures must not be treated as consecutive.
 TEST(Observations, FailuresWithSuccessesBetweenDoNotPersist) {
   observation_table t = make();
   for (int i = 0; i < 10; ++i) {
     const time_point now = start + i * 1s;
-    heartbeat beat = saying(report(), 900ms);
-    beat.from = node_id{"c"};
-    t.merge(failing(peer, 500ms, static_cast<std::uint32_t>(i + 1)), composed(now), now);
-    t.merge(beat, composed(now + 300ms), now + 300ms);
+    heartbeat message = heartbeat_with_report(report(), 900ms);
+    message.from = node_id{"c"};
+    t.merge(heartbeat_with_failure(peer, 500ms, static_cast<std::uint32_t>(i + 1)), composed(now),
+            now);
+    t.merge(message, composed(now + 300ms), now + 300ms);
     EXPECT_NE(t.condition(vm, now), lost) << i;
   }
-  EXPECT_EQ(t.condition(vm, start + 9s), working) << "the accuser is refuted";
+  EXPECT_EQ(t.condition(vm, start + 9s), working) << "the peer's failure reports are refuted";
 }
 
 TEST(Observations, AnotherEngineAtTheAddressIsAFailure) {
@@ -226,7 +227,7 @@
   observation_table t = make();
   t.own_probe({vm, start, report()}, start);
   EXPECT_TRUE(t.mark_leaving(vm, 5));
-  EXPECT_FALSE(t.mark_leaving(vm, 5)) << "no news, or notices go round for ever";
+  EXPECT_FALSE(t.mark_leaving(vm, 5)) << "not new; otherwise notices would circulate forever";
   t.own_probe({vm, start + 1s, report()}, start + 1s);
   EXPECT_EQ(t.condition(vm, start + 1s), leaving);
   t.own_probe({vm, start + 2s, report(6)}, start + 2s);
@@ -245,8 +246,8 @@
   time_point now = start;
   for (int flap = 0; flap < 4; ++flap) {
     t.own_probe({vm, now, report()}, now);
-    fails(t, now + 1s);
-    fails(t, now + 3500ms);
+    fail_probe(t, now + 1s);
+    fail_probe(t, now + 3500ms);
     now += 4s;
     ASSERT_EQ(t.condition(vm, now), lost);
     const time_point back = now;
@@ -262,8 +263,8 @@
   EXPECT_LT(waits[3], 15s);
 }
 
-// Symptom: all replicas go dark at once. Sequence: a node is stopped for 20 s; all its probes have
-// timed out and all observations are old. Cause: it takes its own pause for the targets' death.
+// Guards against losing all replicas simultaneously after a node was paused for 20 s: all its
+// probes have timed out and all observations are old, but the targets have not failed.
 TEST(Observations, AfterAnOwnPauseNothingIsLostOnlyUnknown) {
   fake_data_centre dc(3, 12, 1);
   dc.run_for(4s);
@@ -285,7 +286,8 @@
   observation_table t = make();
   t.own_probe({vm, start, report()}, start);
   t.resumed(start + 2s);
-  EXPECT_EQ(t.condition(vm, start + 2s), target_condition::unknown) << "recent, but from before";
+  EXPECT_EQ(t.condition(vm, start + 2s), target_condition::unknown)
+      << "recent, but from before the pause";
   EXPECT_FALSE(t.own_probe({vm, start + 100ms, unknown{"timeout"}}, start + 2s));
   EXPECT_EQ(t.condition(vm, start + 2s), target_condition::unknown);
   t.own_probe({vm, start + 2s, report()}, start + 2s);
@@ -322,9 +324,9 @@
   EXPECT_TRUE(t.stragglers(start + 2s).empty());
 }
 
-// ---- nodes together ----
+// ---- several nodes ----
 
-// All nodes stop routing to a dead target within the time allowed, whoever noticed.
+// All nodes notice a dead target within the time limit, whichever node probes it.
 TEST(Observations, ADeadTargetIsKnownEverywhereInTime) {
   duration worst{};
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -347,8 +349,8 @@
   RecordProperty("worst_ms", static_cast<int>(to_milliseconds(worst)));
 }
 
-// Symptom: targets become suspect everywhere again and again, though they work. Sequence: one
-// node's own link to them is bad. Cause: the word of one node counted as much as that of many.
+// Guards against working targets that repeatedly become suspect at all nodes because one node has a
+// bad link to them: its refuted reports must be ignored.
 TEST(Observations, ANodeWithABadLinkIsNotBelievedForLong) {
   fake_data_centre dc(6, 12, 3);
   dc.run_for(4s);
@@ -382,7 +384,7 @@
     total += dc.node(i).probes;
   }
   EXPECT_GE(total, 20 * 81 * 3 / 2U);
-  // A dark fabric domain, a third of the targets, does not raise it much.
+  // An unreachable fabric domain, a third of the targets, does not raise the rate much.
   for (std::size_t i = 0; i < 27; ++i) {
     dc.target(dc.vm(i)).up = false;
   }
@@ -395,9 +397,9 @@
   }
 }
 
-// Symptom: replicas that work are not routed to now and then, with few nodes before many targets,
-// or for good after most nodes are gone. Sequence: a node has more targets than its budget of
-// probes reaches in time. Cause: permission lapses between two probes of a member.
+// Guards against working replicas that are not routed to, occasionally with few nodes for many
+// targets, or permanently after most nodes have failed: if a node has more targets than its probe
+// budget covers in time, permission expires between two probes of a member.
 TEST(Observations, FewNodesStillSeeEachTargetWithinThePermissionTime) {
   for (const auto& [nodes, targets] : {std::pair{2, 19}, {6, 81}, {1, 81}}) {
     fake_data_centre dc(static_cast<std::size_t>(nodes), static_cast<std::size_t>(targets), 4);
@@ -437,8 +439,8 @@
   dc.say(id);
 }
 
-// What the target said at some moment not before `at`, the load aside.
-bool was_said(const test::fake_target& t, const observation& seen, time_point now) {
+// Whether the target gave this report, ignoring the load, at some time not before `seen.at`.
+bool was_reported(const test::fake_target& t, const observation& seen, time_point now) {
   const auto fixed = [](engine_report r) {
     apply(target_load{}, r);
     return r;
@@ -452,9 +454,9 @@
   return false;
 }
 
-// Symptom: a node believes a role at a moment when the target had another. Sequence: any mix of
-// lost, repeated, overtaking and late messages, restarts and pauses of nodes. Cause: a short form
-// understood by the wrong full one, or an age that is too young.
+// Guards against an observation with a role that the target did not have at that time, caused by a
+// short form decoded with the wrong full form or by an age that is too low. Combines lost,
+// repeated, reordered and late messages with restarts and pauses of nodes.
 TEST(Observations, WhatIsBelievedWasSaidNotBeforeItsMoment) {
   std::size_t checked = 0;
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -478,7 +480,7 @@
           const observation* seen = dc.node(k).seen->latest(id);
           if (seen != nullptr) {
             ++checked;
-            ASSERT_TRUE(was_said(dc.target(id), *seen, dc.now)) << id << " at node " << k;
+            ASSERT_TRUE(was_reported(dc.target(id), *seen, dc.now)) << id << " at node " << k;
           }
         }
       }
@@ -487,7 +489,7 @@
   EXPECT_GT(checked, 10'000U);
 }
 
-// In quiet times nearly all is sent in the short form.
+// Without changes, nearly all observations are sent in short form.
 TEST(Observations, QuietHeartbeatsAreShort) {
   fake_data_centre dc(21, 81, 5);
   dc.run_for(5s);
--- a/tests/core/permission_test.cpp
+++ b/tests/core/permission_test.cpp
@@ -1,4 +1,4 @@
-// The evidence that a route needs: each test takes one piece of it away.
+// Conditions for permission to route to a replica; each test violates one of them.
 #include "process/permission.h"
 
 #include <gmock/gmock.h>
@@ -27,35 +27,35 @@
   }
   void observe() {
     for (const auto& [vm, o] : seen_) {
-      steady_.observe(o);
+      readiness_.observe(o);
     }
   }
-  [[nodiscard]] permit ask(time_point now) const {
-    return permission_for(now, target_, steady_, [this](const vm_id& vm) {
+  [[nodiscard]] permit evaluate(time_point now) const {
+    return permission_for(now, target_, readiness_, [this](const vm_id& vm) {
       return member_evidence{&seen_.at(vm), conditions_.at(vm), checks_tokens_};
     });
   }
-  [[nodiscard]] bool granted() const { return ask(now_).granted; }
+  [[nodiscard]] bool granted() const { return evaluate(now_).granted; }
   engine_report& b() { return seen_.at(vm_id{"b"}).report; }
 
   composition target_{replica_id{"r"}, {4, 0, 0}, {vm_id{"a"}, vm_id{"b"}}};
   std::map<vm_id, observation> seen_;
   std::map<vm_id, target_condition> conditions_;
-  steadiness steady_;
+  steadiness readiness_;
   bool checks_tokens_ = true;
   time_point now_{10100ms};
 };
 
 TEST_F(permitting, whole_replica_is_granted_until_its_oldest_observation_lapses) {
   seen_.at(vm_id{"b"}).at = time_point{9900ms};
-  const permit p = ask(now_);
+  const permit p = evaluate(now_);
   EXPECT_TRUE(p.granted);
   EXPECT_EQ(p.valid_until, time_point{9900ms} + permission_time);
 }
 
 TEST_F(permitting, observations_age) {
-  EXPECT_TRUE(ask(time_point{10s} + permission_time - 1ms).granted);
-  EXPECT_FALSE(ask(time_point{10s} + permission_time).granted);
+  EXPECT_TRUE(evaluate(time_point{10s} + permission_time - 1ms).granted);
+  EXPECT_FALSE(evaluate(time_point{10s} + permission_time).granted);
 }
 
 TEST_F(permitting, each_member_must_report_this_replica) {
@@ -89,20 +89,18 @@
   EXPECT_FALSE(granted());
 }
 
-// Symptom: a replica is routed to although one of its processes is new and knows nothing.
-// Sequence: the process restarts and is ready again; its readiness counts from then on.
-// Cause: "ready" alone does not tell two processes apart.
+// Guards against routing to a replica with a restarted member as if it had been ready all along:
+// "ready" alone does not distinguish the new process from the previous one.
 TEST_F(permitting, another_process_starts_a_new_spell) {
-  const time_point before = ask(now_).serving_since;
+  const time_point before = evaluate(now_).serving_since;
   b().incarnation = 6;
   seen_.at(vm_id{"b"}).at = time_point{11s};
   observe();
-  EXPECT_GT(ask(time_point{11s}).serving_since, before);
+  EXPECT_GT(evaluate(time_point{11s}).serving_since, before);
 }
 
-// Symptom: a target that ignores tokens serves for a replica that it is about to leave.
-// Sequence: it obeys an order that was overtaken on its way, after the newer one.
-// Cause: nothing in the target compares the two.
+// Guards against routing to a replica that a member is about to leave: a target that does not check
+// fencing tokens does not compare orders, so it executes an older, delayed order after a newer one.
 TEST_F(permitting, targets_that_ignore_tokens_have_to_settle) {
   checks_tokens_ = false;
   EXPECT_FALSE(granted());
@@ -110,14 +108,15 @@
     o.at += settle_time;
   }
   observe();
-  EXPECT_TRUE(ask(now_ + settle_time).granted);
+  EXPECT_TRUE(evaluate(now_ + settle_time).granted);
   b().gen = {5, 0, 0};
   seen_.at(vm_id{"b"}).at += 1s;
   observe();
   b().gen = target_.gen;
   seen_.at(vm_id{"b"}).at += 1s;
   observe();
-  EXPECT_FALSE(ask(now_ + settle_time + 2s).granted) << "a differing report starts it anew";
+  EXPECT_FALSE(evaluate(now_ + settle_time + 2s).granted)
+      << "a differing report restarts the settle time";
 }
 
 }  // namespace
--- a/tests/core/summaries_test.cpp
+++ b/tests/core/summaries_test.cpp
@@ -1,4 +1,4 @@
-// Sums of other data centres: how often they are sent, and how long they count.
+// Summaries of other data centres: how often they are sent, and how long they are valid.
 #include "process/summaries.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
   return assets;
 }
 
-// Sums that one node sends in a minute, by receiver.
+// Number of summaries that one node sends in a minute, by receiver.
 std::map<node_id, int> sent_in_a_minute(const inventory& assets) {
   summary_board board(assets.nodes[0].id, data_centre(0));
   std::map<node_id, int> sent;
@@ -47,8 +47,8 @@
   return sum;
 }
 
-// Symptom: nodes exceed their traffic budget by doing nothing. Sequence: the fleet grows to 16 data
-// centres. Cause: the interval was the same however many there were.
+// Guards against idle nodes that exceed their traffic budget in a deployment of 16 data centres,
+// which occurs if the interval does not depend on their number.
 TEST(Summaries, ANodeSendsNoMoreThanTwoASecondHoweverManyDataCentresThereAre) {
   EXPECT_EQ(total(sent_in_a_minute(make(3, 2))), 60) << "both others every 2 s";
   const int many = total(sent_in_a_minute(make(16, 21)));
@@ -56,7 +56,8 @@
   EXPECT_GE(many, 120 - 15);
 }
 
-// Symptom: remote capacity comes and goes. Cause: sums expire before the next but one arrives.
+// Guards against remote capacity that disappears and returns, which occurs if a summary expires
+// when the next two are lost.
 TEST(Summaries, TwoLostInARowDoNotEndTheRemoteCapacity) {
   for (const std::size_t data_centres : {3UL, 16UL}) {
     const inventory assets = make(data_centres, 2);
