--- a/tests/core/hub_order_test.cpp
+++ b/tests/core/hub_order_test.cpp
@@ -97,7 +97,7 @@
 }
 
 TEST(HubOrder, OfADarkDataCentreAFewAreTold) {
-  // The other data centre of a hub has 100 nodes, and none answers.
+  // The other data centre of a hub has 100 nodes, and none responds.
   std::vector<node_record> many;
   for (int i = 100; i < 200; ++i) {
     many.push_back({node_id{"n" + std::to_string(i)}, data_centre_id{"b"}, {}, {}, weak});
