--- a/src/process/control_timing.h
+++ b/src/process/control_timing.h
@@ -20,8 +20,8 @@
   // probes and has no rank.
   duration peer_suspect_after = 2500ms;
   duration peer_dead_after = 4500ms;
-  // A peer that was marked dead twice within the half-life must be received from for this long,
-  // doubled with each further death up to the limit, before it counts as alive again.
+  // A peer that was marked dead twice within the half-life counts as alive again only after its
+  // heartbeats have arrived for this long, doubled with each further death up to the limit.
   duration peer_damping = 2s;
   duration damping_limit = 30s;
   duration damping_half_life = 60s;
@@ -33,7 +33,7 @@
   // A node may repair without the table for this long after it sent the newest message that a
   // majority has acknowledged.
   duration act_alone_for = 4s;
-  // Once a majority has not received from a node for this long, its right to act has expired.
+  // Once a majority has received nothing from a node for this long, its right to act has expired.
   // Exceeds act_alone_for by the clock drift and the validity of an order.
   duration lapse_after = 8s;
 
--- a/src/process/gossip.h
+++ b/src/process/gossip.h
@@ -61,7 +61,7 @@
   bool table_reachable = false;
   bool draining = false;
   bool informed = false;        // membership::informed
-  std::vector<node_id> silent;  // peers not received from for control_timing::lapse_after
+  std::vector<node_id> silent;  // peers without a message for control_timing::lapse_after
   std::vector<observation_delta> observations;
   std::vector<probe_failure> failures;
   std::vector<composition> activations;
--- a/src/process/observations.h
+++ b/src/process/observations.h
@@ -69,8 +69,8 @@
   // pause do not count.
   void resumed(time_point now);
 
-  // Adds this node's own observations that `peer` does not have yet to `message`, whose stamp must be
-  // set. `echoed`: newest own sequence that the peer is known to have (membership::echoed).
+  // Adds this node's own observations that `peer` does not have yet to `message`, whose stamp must
+  // be set. `echoed`: newest own sequence that the peer is known to have (membership::echoed).
   void take_deltas(heartbeat& message, const node_id& peer, std::uint64_t echoed, time_point now);
 
   // To be called when the peer has left the data centre or has a new process (heard::restarted). A
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -430,8 +430,9 @@
     max_replaced = std::max(max_replaced, counts.replaced);
     acted += counts.acted;
   }
-  EXPECT_GT(max_replaced, 2U) << "some rows must have been considered replaced";
-  EXPECT_GT(acted, 1000U) << "some nodes must have been permitted to act";
+  EXPECT_GT(max_replaced, 2U)
+      << "the property would hold for nodes that never consider a row replaced";
+  EXPECT_GT(acted, 1000U) << "the property would hold for nodes that never act";
 }
 
 }  // namespace
--- a/tests/core/observations_test.cpp
+++ b/tests/core/observations_test.cpp
@@ -109,7 +109,7 @@
   observation_table t = make();
   t.own_probe({vm, start, report()}, start);
   EXPECT_EQ(t.condition(vm, start), working);
-  EXPECT_TRUE(fail_probe(t, start + 1s)) << "peers should be notified";
+  EXPECT_TRUE(fail_probe(t, start + 1s)) << "peers should be notified of it";
   EXPECT_EQ(t.condition(vm, start + 2s), suspect);
   t.merge(heartbeat_with_failure(peer, 0ms), composed(start + 1200ms), start + 2s);
   EXPECT_EQ(t.condition(vm, start + 2s), lost);
@@ -172,7 +172,7 @@
   t.merge(heartbeat_with_report(report(), 0ms), composed(start), start);
   t.own_error(vm, start + 1s);
   t.merge(heartbeat_with_report(report(), 0ms), composed(start + 2s), start + 2s);
-  EXPECT_EQ(t.condition(vm, start + 2s), suspect) << "this node's own link failed";
+  EXPECT_EQ(t.condition(vm, start + 2s), suspect) << "suspect by this node's own link";
   (void)t.next_probes(start + 2s);
   ASSERT_EQ(t.next_probes(start + 3s).size() + t.next_probes(start + 4s).size(), 1U);
   t.own_probe({vm, start + 3s, report()}, start + 3s);
@@ -227,7 +227,7 @@
   observation_table t = make();
   t.own_probe({vm, start, report()}, start);
   EXPECT_TRUE(t.mark_leaving(vm, 5));
-  EXPECT_FALSE(t.mark_leaving(vm, 5)) << "not new; otherwise notices would circulate forever";
+  EXPECT_FALSE(t.mark_leaving(vm, 5)) << "no change; otherwise notices would go round forever";
   t.own_probe({vm, start + 1s, report()}, start + 1s);
   EXPECT_EQ(t.condition(vm, start + 1s), leaving);
   t.own_probe({vm, start + 2s, report(6)}, start + 2s);
