--- a/src/process/peer_table.cpp
+++ b/src/process/peer_table.cpp
@@ -1,4 +1,4 @@
-// Liveness of peers, election of the hub, and recipients of heartbeats.
+// Liveness of peers, election of the hub, and selection of the peers to send heartbeats to.
 #include "process/peer_table.h"
 
 #include <algorithm>
