--- a/src/node/hosted_node.cpp
+++ b/src/node/hosted_node.cpp
@@ -61,7 +61,7 @@
     links = std::make_unique<peer_links>(runtime, address_of_endpoint(at.links), state.settings.id);
     keeper = std::make_unique<keeper_loop>(state, *links, watch);
     links->set_receiver(link_channel::coordination, [this](const peer_message& m) {
-      if (const auto beat = decode_node_beat(m.bytes)) {
+      if (const auto beat = decode_node_heartbeat(m.bytes)) {
         keeper->heard(monotonic_now(), m.from, *beat);
       } else {
         log_line(log_level::warning, "links", "unreadable beat", {{"peer", m.from}});
@@ -140,7 +140,7 @@
     runtime.post(0, [this] { watch.follow_targets(); });
     runtime.post(0, [this] {
       watch.follow_nodes(
-          [this](const std::vector<node_record>& nodes) { state.peers.set_known(nodes); });
+          [this](const std::vector<node_record>& nodes) { state.peers.set_records(nodes); });
     });
     runtime.post(0, [this] { keep_verdicts(state); });
     runtime.post(0, [this] { keeper->run(); });
--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -23,12 +23,12 @@
 #include "process/feed_log.h"
 #include "process/fleet_view.h"
 #include "process/hosted_settings.h"
-#include "process/misdirections.h"
-#include "process/node_beat.h"
+#include "process/lost_target_reports.h"
+#include "process/misdirected_heads.h"
+#include "process/node_heartbeat.h"
 #include "process/peer_table.h"
 #include "process/serving_feed.h"
 #include "process/silence.h"
-#include "process/suspicions.h"
 #include "request/instance_choice.h"
 #include "request/replica_choice.h"
 #include "request/retry_window.h"
@@ -63,8 +63,8 @@
   instance_table instances;
   std::map<service_id, retry_window> retries;
   silence_monitor silence;
-  suspicions suspected;  // by peers
-  misdirections misdirected;
+  lost_target_reports suspected;  // by peers
+  misdirected_heads misdirected;
   send_limits limits;
   attempt_registry attempts;
   poison_state poison;  // requests that end their targets
--- a/src/node/keeper_beats.cpp
+++ b/src/node/keeper_beats.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-feed_news keeper_loop::configuration_news(time_point now, const positions& at) {
+feed_update keeper_loop::configuration_news(time_point now, const positions& at) {
   return {node_.configuration_rows.since(at.configuration),
           false,
           node_.configuration_rows.position(),
@@ -35,10 +35,10 @@
 }
 
 void keeper_loop::pass_on_configuration(time_point now, const node_id& peer, const positions& at,
-                                        node_beat& beat) {
+                                        node_heartbeat& beat) {
   const config_passing::listener to{at.configuration_row, at.configuration_progress,
-                                    node_.peers.is_turned_away(peer)};
-  auto next = config_passing_.next_for(node_.configurations, to, node_.peers.living(now) + 1);
+                                    node_.peers.is_refused_by_store(peer)};
+  auto next = config_passing_.next_for(node_.configurations, to, node_.peers.alive_count(now) + 1);
   // A node of an earlier release tells no row and reads no parts: it would take the position alone.
   const bool reads_no_parts = at.configuration_row == 0 && at.configuration > 0 &&
                               at.configuration < node_.configurations.newest();
@@ -48,33 +48,33 @@
 }
 
 // A whole list that this round has no room for comes in a later one.
-void keeper_loop::withhold_beyond_budget(feed_news& news) {
+void keeper_loop::withhold_beyond_budget(feed_update& news) {
   news.withheld = news.whole && !whole_lists_.take(bytes_of(news.rows));
   if (news.withheld) {
     news.rows.clear();
   }
 }
 
-feed_news keeper_loop::target_news(time_point now, std::uint64_t after) {
-  feed_news news{node_.target_rows.since(after), node_.target_rows.needs_whole(after),
-                 node_.target_rows.position(),   after,
-                 now - node_.fleet_read_at,      false};
+feed_update keeper_loop::target_news(time_point now, std::uint64_t after) {
+  feed_update news{node_.target_rows.since(after), node_.target_rows.needs_whole(after),
+                   node_.target_rows.position(),   after,
+                   now - node_.fleet_read_at,      false};
   withhold_beyond_budget(news);
   return news;
 }
 
-feed_news keeper_loop::served_news(time_point now, const serving_follower::position& after) {
+feed_update keeper_loop::served_news(time_point now, const serving_follower::position& after) {
   const feed_log& rows = node_.served.rows();
   const std::uint64_t from = after.life == node_.origin ? after.at : 0;
-  feed_news news{rows.since(from),          rows.needs_whole(from),
-                 rows.position(),           from,
-                 now - node_.fleet_read_at, false};
+  feed_update news{rows.since(from),          rows.needs_whole(from),
+                   rows.position(),           from,
+                   now - node_.fleet_read_at, false};
   withhold_beyond_budget(news);
   return news;
 }
 
 // What this hub knows of the store, to a node of its data centre that has said how far it is.
-void keeper_loop::pass_on(time_point now, const node_id& peer, node_beat& beat) {
+void keeper_loop::pass_on(time_point now, const node_id& peer, node_heartbeat& beat) {
   const auto found = positions_.find(peer);
   if (found == positions_.end()) {
     return;
@@ -108,22 +108,22 @@
   all_loads_ = node_.loads.all();
   if (node_.map && node_.fleet_complete) {
     node_.served.update(node_.fleet, *node_.map);
-    std::set<target_id> suspects = node_.suspected.of_hubs(now);
+    std::set<target_id> suspects = node_.suspected.reported_by_hubs(now);
     suspects.insert(lost_.begin(), lost_.end());
     suspected_ = node_.served.first_of_each(suspects);
   }
 }
 
-node_beat keeper_loop::beat_for(time_point now, const node_id& peer) {
+node_heartbeat keeper_loop::beat_for(time_point now, const node_id& peer) {
   const data_centre_id& home = node_.settings.data_centre;
   const bool same = node_.peers.data_centre_of(peer) == home;
-  node_beat beat;
+  node_heartbeat beat;
   beat.data_centre = home;
   beat.link = node_.settings.listen.links;
   beat.strength = node_.settings.strength;
   beat.hub = !node_.stopping && node_.peers.is_hub(now);
   beat.leaving = node_.stopping;
-  beat.turned_away = node_.peers.turned_away();
+  beat.refused_by_store = node_.peers.refused_by_store();
   beat.requests_seen = node_.requests_seen;
   beat.stamp_us = now.time_since_epoch().count();
   beat.echo_us = node_.peers.newest_stamp(peer);
@@ -142,7 +142,7 @@
   } else {
     std::set<target_id> lost = lost_;
     if (beat.hub && same) {
-      lost.merge(node_.suspected.of_hubs(now));
+      lost.merge(node_.suspected.reported_by_hubs(now));
     }
     beat.lost.assign(lost.begin(), lost.end());
   }
@@ -158,7 +158,7 @@
   if (hears_crashes(now, peer)) {
     beat.crashes = crashes_.news_for(now, peer, node_.poison.ledger);
   }
-  beat.crashes_heard = crashes_.heard_from(peer);
+  beat.received_poison_position = crashes_.heard_from(peer);
   add_limits(now, peer, beat);
   return beat;
 }
@@ -186,7 +186,7 @@
   }
 }
 
-void keeper_loop::add_limits(time_point now, const node_id& peer, node_beat& beat) {
+void keeper_loop::add_limits(time_point now, const node_id& peer, node_heartbeat& beat) {
   const data_centre_id there = node_.peers.data_centre_of(peer);
   const bool same = there == node_.settings.data_centre;
   if (!beat.hub && node_.peers.hub_of(now, node_.settings.data_centre) != peer) {
@@ -204,7 +204,7 @@
   }
 }
 
-void keeper_loop::take_limits(time_point now, const node_id& peer, const node_beat& beat) {
+void keeper_loop::take_limits(time_point now, const node_id& peer, const node_heartbeat& beat) {
   if (beat.echo_us <= 0) {
     return;
   }
@@ -237,8 +237,8 @@
          node_.peers.hub_of(now, node_.peers.data_centre_of(peer)) == peer;
 }
 
-void keeper_loop::take_crashes(time_point now, const node_id& peer, const node_beat& beat) {
-  crashes_.acknowledged(peer, beat.crashes_heard);
+void keeper_loop::take_crashes(time_point now, const node_id& peer, const node_heartbeat& beat) {
+  crashes_.acknowledged(peer, beat.received_poison_position);
   for (const std::string& bytes : beat.crashes.rows) {
     if (const auto row = decode_crash_row(bytes)) {
       take_crash_row(node_, now, *row, "peer");
@@ -275,7 +275,7 @@
 
 void keeper_loop::tell_peers(time_point now) {
   node_.loads.forget_peers(now);
-  std::vector<node_id> peers = node_.peers.to_tell(now);
+  std::vector<node_id> peers = node_.peers.recipients(now);
   std::sort(peers.begin(), peers.end());
   link_to(peers);
   begin_round(now);
@@ -291,11 +291,11 @@
   }
 }
 
-void keeper_loop::heard(time_point now, const node_id& peer, const node_beat& beat) {
+void keeper_loop::heard(time_point now, const node_id& peer, const node_heartbeat& beat) {
   if (beat.link != endpoint{}) {
     node_.peers.learn({peer, beat.data_centre, beat.link, {}, beat.strength});
   }
-  node_.peers.heard(now, peer, {beat.hub, beat.leaving, beat.turned_away, beat.stamp_us});
+  node_.peers.heard(now, peer, {beat.hub, beat.leaving, beat.refused_by_store, beat.stamp_us});
   positions_[peer] = {beat.follows_records,   beat.targets_position,
                       beat.serving,           beat.configuration_position,
                       beat.configuration_row, beat.configuration_progress};
--- a/src/node/keeper_loop.h
+++ b/src/node/keeper_loop.h
@@ -29,7 +29,7 @@
   // On the worker: returns when nothing uses the links any more.
   void end();
 
-  void heard(time_point now, const node_id& peer, const node_beat& beat);
+  void heard(time_point now, const node_id& peer, const node_heartbeat& beat);
 
  private:
   // Answers of engines come within 3 ms. An order without one is asked about, not repeated blindly.
@@ -61,23 +61,23 @@
   // False: another life of the engine answered.
   bool take_report(time_point asked, const target_id& id, const target_report& report);
   void doubt(const target_id& id);
-  [[nodiscard]] feed_news configuration_news(time_point now, const positions& at);
+  [[nodiscard]] feed_update configuration_news(time_point now, const positions& at);
   void pass_on_configuration(time_point now, const node_id& peer, const positions& at,
-                             node_beat& beat);
-  void withhold_beyond_budget(feed_news& news);
-  [[nodiscard]] feed_news target_news(time_point now, std::uint64_t after);
-  [[nodiscard]] feed_news served_news(time_point now, const serving_follower::position& after);
-  void pass_on(time_point now, const node_id& peer, node_beat& beat);
+                             node_heartbeat& beat);
+  void withhold_beyond_budget(feed_update& news);
+  [[nodiscard]] feed_update target_news(time_point now, std::uint64_t after);
+  [[nodiscard]] feed_update served_news(time_point now, const serving_follower::position& after);
+  void pass_on(time_point now, const node_id& peer, node_heartbeat& beat);
   [[nodiscard]] bool hears_crashes(time_point now, const node_id& peer) const;
-  void take_crashes(time_point now, const node_id& peer, const node_beat& beat);
+  void take_crashes(time_point now, const node_id& peer, const node_heartbeat& beat);
   void grant_sends(time_point now);
-  void add_limits(time_point now, const node_id& peer, node_beat& beat);
-  void take_limits(time_point now, const node_id& peer, const node_beat& beat);
+  void add_limits(time_point now, const node_id& peer, node_heartbeat& beat);
+  void take_limits(time_point now, const node_id& peer, const node_heartbeat& beat);
   void choose_asked(const target_id& head, std::vector<target_id>& members);
   void tell_peers(time_point now);
   void link_to(const std::vector<node_id>& peers);
   void begin_round(time_point now);
-  [[nodiscard]] node_beat beat_for(time_point now, const node_id& peer);
+  [[nodiscard]] node_heartbeat beat_for(time_point now, const node_id& peer);
 
   hosted_state& node_;
   peer_links& links_;
--- a/src/node/keeper_losses.cpp
+++ b/src/node/keeper_losses.cpp
@@ -90,7 +90,7 @@
   }
   asked_lost_at_ = now;
   // A hub asks for its data centre; the others hear from it who is back.
-  if (!node_.peers.is_hub(now) && now - hub_heard_at_ < peer_table::alive_for) {
+  if (!node_.peers.is_hub(now) && now - hub_heard_at_ < peer_table::alive_timeout) {
     return;
   }
   for (const auto& [id, view] : node_.fleet.all()) {
--- a/src/node/store_poison.cpp
+++ b/src/node/store_poison.cpp
@@ -94,7 +94,7 @@
     if (!sleep_until(monotonic_now() + pause)) {
       return;
     }
-    if (!node.peers.is_hub(monotonic_now()) || node.peers.turned_away()) {
+    if (!node.peers.is_hub(monotonic_now()) || node.peers.refused_by_store()) {
       failures = 0;
       continue;
     }
--- a/src/node/store_targets.cpp
+++ b/src/node/store_targets.cpp
@@ -52,7 +52,7 @@
   return node_.fleet_complete ? node_.target_rows.position() : 0;
 }
 
-void store_watch::take_target_news(time_point asked, time_point now, const feed_news& news) {
+void store_watch::take_target_news(time_point asked, time_point now, const feed_update& news) {
   targets_withheld_ = news.withheld;
   if (news.withheld) {
     return;  // to be asked for at the store
@@ -77,8 +77,8 @@
 // What serves, and the position in the table of targets at which it was so: should the hub go
 // silent, this node goes on behind that position at the store. Records that come then are of
 // targets that changed, which is all that it needs of them.
-void store_watch::take_served_news(time_point asked, time_point now, const node_beat& beat) {
-  const feed_news& news = *beat.served;
+void store_watch::take_served_news(time_point asked, time_point now, const node_heartbeat& beat) {
+  const feed_update& news = *beat.served;
   targets_withheld_ = news.withheld;
   if (news.withheld || follows_records()) {
     return;
@@ -219,8 +219,8 @@
   // The rows of the nodes say who is strongest; they are read at once.
   const bool peers_known =
       nodes_reads_ > 0 && node_.peers.known() > 0 && !node_.settings.cold_start;
-  if (record_duty_.decided() || peers_known || now - started_ >= peers_known_within) {
-    record_duty_.update(now, node_.peers.is_hub(now), node_.peers.is_heir(now));
+  if (record_subscription_.decided() || peers_known || now - started_ >= peers_known_within) {
+    record_subscription_.update(now, node_.peers.is_hub(now), node_.peers.is_hub_or_next(now));
   }
 }
 
--- a/src/node/store_watch.cpp
+++ b/src/node/store_watch.cpp
@@ -97,7 +97,7 @@
   return now - fed_at_ < fed_for && !node_.peers.is_hub(now);
 }
 
-void store_watch::take_news(time_point asked, time_point now, const node_beat& beat) {
+void store_watch::take_news(time_point asked, time_point now, const node_heartbeat& beat) {
   if (beat.targets) {
     take_target_news(asked - beat.targets->age, now, *beat.targets);
   } else if (beat.served) {
@@ -132,7 +132,7 @@
   }
 }
 
-void store_watch::note_newest(time_point now, const node_beat& beat) {
+void store_watch::note_newest(time_point now, const node_heartbeat& beat) {
   const bool was_behind = node_.lag.behind();
   node_.lag.heard_of(now, beat.configuration_row);
   if (was_behind || !node_.lag.behind()) {
@@ -173,7 +173,7 @@
     return !(configuration_positioned_ && awaits_hub(now));
   }
   return ((withheld_ || waits_in_vain(now)) && now - asked_at_ >= withheld_interval) ||
-         (node_.peers.turned_away() && now - asked_at_ >= ask_again_interval);
+         (node_.peers.refused_by_store() && now - asked_at_ >= ask_again_interval);
 }
 
 void store_watch::note_answer(time_point now, bool answered) {
@@ -181,19 +181,20 @@
   withheld_ = withheld_ && !answered;
   // A silent question has waited for all of its time: that alone is long enough.
   const bool silent = now - asked_at_ >= configuration_wait + answer_slack;
-  const bool turned_away =
-      !answered && (node_.peers.turned_away() || silent || failures_ >= failures_to_hand_over);
-  if (turned_away != node_.peers.turned_away()) {
-    node_.peers.set_turned_away(now, turned_away);
-    log_line(log_level::info, "store", turned_away ? "turned away" : "served again",
+  const bool refused_by_store =
+      !answered && (node_.peers.refused_by_store() || silent || failures_ >= failures_to_hand_over);
+  if (refused_by_store != node_.peers.refused_by_store()) {
+    node_.peers.set_refused_by_store(now, refused_by_store);
+    log_line(log_level::info, "store", refused_by_store ? "turned away" : "served again",
              {{"failures", failures_}, {"hub", node_.peers.is_hub(now)}});
   }
 }
 
 duration store_watch::pause_after_failure() const {
   constexpr std::uint32_t most_doublings = 5;
-  const duration longest =
-      node_.peers.is_heir(monotonic_now()) ? longest_retry_pause : longest_retry_pause_of_others;
+  const duration longest = node_.peers.is_hub_or_next(monotonic_now())
+                               ? longest_retry_pause
+                               : longest_retry_pause_of_others;
   return std::min(retry_pause * (1U << std::min(failures_ > 0 ? failures_ - 1 : 0, most_doublings)),
                   longest);
 }
--- a/src/node/store_watch.h
+++ b/src/node/store_watch.h
@@ -10,7 +10,7 @@
 
 #include "node/hosted_state.h"
 #include "platform/documents.h"
-#include "process/record_duty.h"
+#include "process/record_subscription.h"
 #include "version/inventory.h"
 
 namespace arbutus {
@@ -23,14 +23,14 @@
   void follow_configuration();
   void follow_targets();
   // What the hub of this data centre passed on, and was so after `asked`.
-  void take_news(time_point asked, time_point now, const node_beat& beat);
+  void take_news(time_point asked, time_point now, const node_heartbeat& beat);
   // Of a change of the configuration that the hub passes on.
   [[nodiscard]] const config_progress& configuration_progress() const {
     return receiver_.progress();
   }
   // Of the records of all targets, for the hub to go on behind; 0: they are not all known.
   [[nodiscard]] std::uint64_t records_position() const;
-  [[nodiscard]] bool follows_records() const { return record_duty_.follows_records(); }
+  [[nodiscard]] bool follows_records() const { return record_subscription_.follows_records(); }
   // Writes this node's own row and reads those of its peers. `found`: called with all of them.
   void follow_nodes(const std::function<void(const std::vector<node_record>&)>& found);
 
@@ -45,13 +45,13 @@
   void put_in_force(const std::string& text);
   void tell_in_force(time_point asked, time_point arrived, duration behind, std::string_view source,
                      const feed_row& row);
-  void note_newest(time_point now, const node_beat& beat);
+  void note_newest(time_point now, const node_heartbeat& beat);
   // The hub passes on what this node lacks, and nothing has come for a while.
   [[nodiscard]] bool waits_in_vain(time_point now) const;
   void tell_unanswered(time_point asked, std::string_view reason);
   bool read_targets();
-  void take_target_news(time_point asked, time_point now, const feed_news& news);
-  void take_served_news(time_point asked, time_point now, const node_beat& beat);
+  void take_target_news(time_point asked, time_point now, const feed_update& news);
+  void take_served_news(time_point asked, time_point now, const node_heartbeat& beat);
   void look_at_duty(time_point now);
   [[nodiscard]] bool must_read_whole(time_point now);
   [[nodiscard]] bool may_read_pages(time_point now) const;
@@ -84,7 +84,7 @@
   bool targets_positioned_ = false;
   bool targets_withheld_ = false;  // the hub has a list that it does not pass on in this round
   bool left_to_hub_ = false;       // the list is longer than a page, and the hub passes on enough
-  record_duty record_duty_;
+  record_subscription record_subscription_;
   time_point targets_fed_at_{};  // the hub's last news of targets, or of what serves
   time_point lacking_since_{};   // records that this node should know
   time_point fed_at_{};
--- a/src/process/config_passing.h
+++ b/src/process/config_passing.h
@@ -25,7 +25,7 @@
   struct listener {
     std::uint64_t held{};  // the row that the node holds
     config_progress progress;
-    bool turned_away = false;  // the store does not serve it
+    bool refused_by_store = false;  // the store does not serve it
   };
   struct answer {
     bool withheld = false;  // to be read at the store
@@ -38,7 +38,7 @@
     }
     const std::size_t bytes = from.delta_for(to.held).size();
     const bool too_long = bytes * listeners > budget_.most_bytes() * most_rounds;
-    if (too_long && !to.turned_away) {
+    if (too_long && !to.refused_by_store) {
       return {true, std::nullopt};
     }
     if (!budget_.take(std::min(bytes, longest_part))) {
--- a/src/process/config_replica.cpp
+++ b/src/process/config_replica.cpp
@@ -42,11 +42,12 @@
   config_wants wants;
   const bool reader = reads_head(live);
   if (reader) {
-    next_read_ = std::min(next_read_, now + timing_.head_read_by_readers);
+    next_read_ = std::min(next_read_, now + timing_.head_reader_interval);
   }
-  const bool waiting = read_started_ && now - *read_started_ < timing_.head_read_by_readers;
+  const bool waiting = read_started_ && now - *read_started_ < timing_.head_reader_interval;
   if (now >= next_read_ && !waiting) {
-    const duration interval = reader ? timing_.head_read_by_readers : timing_.head_read_by_others;
+    const duration interval =
+        reader ? timing_.head_reader_interval : timing_.head_non_reader_interval;
     next_read_ = now + interval - random_.jitter(interval / 4);
     read_started_ = now;
     wants.push_back(want_head{});
@@ -150,7 +151,7 @@
   }
   wants.push_back(want_object{c.head.hash});
   c.attempt = 0;
-  c.not_before = now + timing_.head_read_by_readers;
+  c.not_before = now + timing_.head_reader_interval;
 }
 
 // The source that was asked last has not got it.
--- a/src/process/control_slopes.cpp
+++ b/src/process/control_slopes.cpp
@@ -136,13 +136,13 @@
     report.running = load_changes_ ? static_cast<std::uint32_t>(probes_ % 16) : 4;
     report.tokens_per_second = 31.0;
     const outcome<engine_report> answer = decode_report(encode(report));
-    n.seen->own_probe({vm, now_, answer}, now_);
+    n.seen->on_probe_result({vm, now_, answer}, now_);
   }
 
   void beat(std::size_t from, const node_id& to) {
     loop_node& sender = nodes_[from];
     heartbeat beat = sender.peers->prepare(to, now_);
-    sender.peers->claim_config(beat, to, 7600, "00112233445566778899aabbccddeeff");
+    sender.peers->announce_config(beat, to, 7600, "00112233445566778899aabbccddeeff");
     beat.assignment_version = 1234;
     beat.table_reachable = true;
     sender.seen->take_deltas(beat, to, sender.peers->echoed(to), now_);
--- a/src/process/coordinator.cpp
+++ b/src/process/coordinator.cpp
@@ -81,7 +81,7 @@
 bool coordinator::may_send(time_point now, const order& o) {
   parts& p = *parts_;
   // A process that was paused since it last ticked believes what may long be over.
-  const bool awake = now - p.last_tick <= p.timing.own_pause;
+  const bool awake = now - p.last_tick <= p.timing.pause_threshold;
   const auto wanted = p.wanted();
   const auto found = wanted.find(o.vm);
   const bool same =
@@ -114,7 +114,7 @@
 void coordinator::begin_drain(time_point now) {
   parts_->leaving = true;
   if (parts_->peers) {
-    parts_->peers->hurry(now);
+    parts_->peers->expedite_heartbeats(now);
   }
 }
 
--- a/src/process/coordinator_decide.cpp
+++ b/src/process/coordinator_decide.cpp
@@ -45,11 +45,11 @@
       .live = peers->live(now),
       .lost = [&](const vm_id& vm) { return seen.condition(vm, now) == target_condition::lost; },
       .overtaken_by = [&](const replica_plan& r) { return overtaken_by(r); },
-      .allowed = away && peers->may_act_alone(rows.row().version, now),
+      .allowed = away && peers->may_act_without_table(rows.row().version, now),
   };
   for (const replica_id& id : repairs.tick(now, context)) {
     emit(notice{"repair", "replica " + id.str() + " brought back by standbys, table away"});
-    peers->hurry(now);
+    peers->expedite_heartbeats(now);
     changed();
   }
 }
@@ -74,7 +74,7 @@
 bool coordinator::parts::row_confirmed(time_point now) const {
   const auto at = rows.confirmed_at();
   const bool by_table = at && now - *at <= row_confirmation_limit;
-  return by_table || peers->may_act_alone(rows.row().version, now);
+  return by_table || peers->may_act_without_table(rows.row().version, now);
 }
 
 bool coordinator::parts::order_allowed(time_point now, const vm_id& vm) const {
@@ -121,7 +121,7 @@
 // may serve, and its plan, which the table would accept, would take it apart. It waits, and does
 // nothing while it does not reach most targets.
 bool coordinator::parts::may_judge(time_point now) {
-  if (peers->may_act_alone(rows.row().version, now)) {
+  if (peers->may_act_without_table(rows.row().version, now)) {
     minority_since.reset();
     return true;
   }
@@ -167,11 +167,12 @@
   return {
       .row = rows.row(),
       .acknowledged = peers->acknowledged_by_all(rows.row().version, now),
-      .nodes = peers->counted(rows.row().version, now),
+      .nodes = peers->required_acknowledgers(rows.row().version, now),
       .version_of =
           [this](const node_id& node) {
-            const peer_claims* claims = peers->claims(node);
-            const std::uint64_t theirs = claims != nullptr ? claims->assignment_version : 0;
+            const peer_status* last_status = peers->last_status(node);
+            const std::uint64_t theirs =
+                last_status != nullptr ? last_status->assignment_version : 0;
             return node == settings.self ? rows.row().version : theirs;
           },
       .has_requests =
--- a/src/process/coordinator_inputs.cpp
+++ b/src/process/coordinator_inputs.cpp
@@ -45,7 +45,7 @@
   }
   emit(rows.on(now, r));
   if (rows.row().version != row_noted) {
-    peers->hurry(now);  // the others read the row when they hear of it
+    peers->expedite_heartbeats(now);  // the others read the row when they hear of it
   }
   note_row(now);
 }
@@ -81,7 +81,7 @@
   if (report != nullptr && report->leaving) {
     note_leaving(now, r.vm, report->incarnation);
   }
-  const bool news = seen.own_probe(r, now);
+  const bool news = seen.on_probe_result(r, now);
   if (report != nullptr) {
     note_observation(now, r.vm);
   }
@@ -97,13 +97,13 @@
     return;
   }
   // The answer is a report as good as a probe's, and the others wait to hear of it.
-  seen.own_probe({r.asked.vm, *sent_at, *report}, now);
+  seen.on_probe_result({r.asked.vm, *sent_at, *report}, now);
   note_observation(now, r.asked.vm);
-  peers->hurry(now);
+  peers->expedite_heartbeats(now);
 }
 
 void coordinator::parts::on(time_point now, const target_error& e) {
-  if (seen.own_error(e.vm, now)) {
+  if (seen.on_connection_error(e.vm, now)) {
     note_failure(now, e.vm);
   }
   changed();
@@ -138,11 +138,11 @@
   }
   noted->second = newest->at;
   const engine_report& r = newest->report;
-  const auto ready_before = steady.ready_since(vm);
-  steady.observe(*newest);
-  if (ready_before != steady.ready_since(vm)) {
+  const auto ready_before = readiness.ready_since(vm);
+  readiness.observe(*newest);
+  if (ready_before != readiness.ready_since(vm)) {
     changed();
-    peers->hurry(now);
+    peers->expedite_heartbeats(now);
   }
   rows.heard_from_target(now, r.gen.row);
   if (!r.replica.empty() && repairs.adopt(rows.row(), r.replica, r.gen)) {
@@ -227,7 +227,7 @@
     version = m.config_version;
     since = now;
   }
-  const std::string hash = peers->claims(from)->config_hash;
+  const std::string hash = peers->last_status(from)->config_hash;
   take_wants(now, configs.peer_has(from, m.config_version, hash, now));
 }
 
@@ -318,7 +318,7 @@
   }
   peers->set_targets(vms);
   seen.set_targets(vms);
-  peers->hurry(now);
+  peers->expedite_heartbeats(now);
   plan_by = std::min(plan_by, now + plan_debounce);
   changed();
 }
--- a/src/process/coordinator_parts.h
+++ b/src/process/coordinator_parts.h
@@ -112,7 +112,7 @@
 
   // ---- views (coordinator_views.cpp) ----
   [[nodiscard]] permit permission(time_point now, const composition& in_force) const;
-  [[nodiscard]] member_evidence evidence(time_point now, const vm_id& vm) const;
+  [[nodiscard]] member_observation evidence(time_point now, const vm_id& vm) const;
   [[nodiscard]] routing_snapshot routes(time_point now) const;
   [[nodiscard]] std::vector<model_summary> model_summaries(time_point now) const;
   [[nodiscard]] status_view status(time_point now) const;
@@ -133,7 +133,7 @@
   activation repairs;
   order_book sender;
   drain_watch drains;
-  steadiness steady;
+  ready_tracker readiness;
   summary_board board;
 
   effects out;  // of the call under way
--- a/src/process/coordinator_tick.cpp
+++ b/src/process/coordinator_tick.cpp
@@ -9,7 +9,7 @@
 void coordinator::parts::tick(time_point now) {
   last_tick = now;
   if (peers->tick(now) > duration::zero()) {
-    seen.resumed(now);
+    seen.on_resumed(now);
     changed();
   }
   const auto live = peers->live(now);
@@ -36,7 +36,7 @@
 void coordinator::parts::send_heartbeats(time_point now) {
   for (const node_id& peer : peers->due(now)) {
     heartbeat beat = peers->prepare(peer, now);
-    peers->claim_config(beat, peer, configs.in_force().version, configs.in_force().hash);
+    peers->announce_config(beat, peer, configs.in_force().version, configs.in_force().hash);
     beat.assignment_version = rows.row().version;
     beat.table_reachable = !rows.unwritable(now);
     beat.draining = leaving;
@@ -65,9 +65,10 @@
     return;
   }
   for (const node_id& peer : peers->live_peers(now)) {
-    const peer_claims* claims = peers->claims(peer);
-    const bool lacks = claims != nullptr && claims->assignment_version < rows.row().version;
-    if (!lacks || claims->table_reachable) {
+    const peer_status* last_status = peers->last_status(peer);
+    const bool lacks =
+        last_status != nullptr && last_status->assignment_version < rows.row().version;
+    if (!lacks || last_status->table_reachable) {
       continue;
     }
     const bool mine = peers->rank_of(settings.self, "push/" + peer.str(), now) <= 1;
--- a/src/process/coordinator_views.cpp
+++ b/src/process/coordinator_views.cpp
@@ -39,12 +39,13 @@
   return record != nullptr && record->checks_tokens;
 }
 
-member_evidence coordinator::parts::evidence(time_point now, const vm_id& vm) const {
+member_observation coordinator::parts::evidence(time_point now, const vm_id& vm) const {
   return {seen.latest(vm), seen.condition(vm, now), checks_tokens(vm)};
 }
 
 permit coordinator::parts::permission(time_point now, const composition& in_force) const {
-  return permission_for(now, in_force, steady, [&](const vm_id& vm) { return evidence(now, vm); });
+  return permission_for(now, in_force, readiness,
+                        [&](const vm_id& vm) { return evidence(now, vm); });
 }
 
 routing_snapshot coordinator::parts::routes(time_point now) const {
@@ -82,7 +83,7 @@
   std::sort(result.replicas.begin(), result.replicas.end(),
             [](const replica_route& a, const replica_route& b) { return a.id < b.id; });
   if (config) {
-    result.elsewhere = board.elsewhere(now, config->assets);
+    result.remote_capacities = board.remote_capacities(now, config->assets);
   }
   return result;
 }
@@ -202,15 +203,16 @@
   }
   for (const node_record* node : config->assets.nodes_of(settings.data_centre)) {
     const bool self = node->id == settings.self;
-    const peer_claims* claims = peers->claims(node->id);
+    const peer_status* last_status = peers->last_status(node->id);
     node_status n;
     n.id = node->id;
     n.data_centre = node->data_centre;
     n.live = self || peers->state(node->id, now) == peer_state::alive;
-    n.leaving = self ? leaving : claims != nullptr && claims->draining;
+    n.leaving = self ? leaving : last_status != nullptr && last_status->draining;
     n.assignment_version =
-        self ? rows.row().version : (claims != nullptr ? claims->assignment_version : 0);
-    n.config_version = self ? s.config_version : (claims != nullptr ? claims->config_version : 0);
+        self ? rows.row().version : (last_status != nullptr ? last_status->assignment_version : 0);
+    n.config_version =
+        self ? s.config_version : (last_status != nullptr ? last_status->config_version : 0);
     const auto since = peer_config_since.find(node->id);
     n.config_since =
         since == peer_config_since.end() ? configs.in_force().since : since->second.second;
--- a/src/process/membership.cpp
+++ b/src/process/membership.cpp
@@ -1,4 +1,5 @@
-// Hearing peers, own pauses, ranks and probers. The votes are in membership_votes.cpp.
+// Heartbeats of peers, pauses of this process, ranks and probers. The votes are in
+// membership_votes.cpp.
 #include "process/membership.h"
 
 #include <algorithm>
@@ -11,10 +12,10 @@
 
 namespace {
 
-constexpr std::size_t remembered_incarnations = 4;
+constexpr std::size_t max_past_incarnations = 4;
 constexpr std::size_t probers_per_target = 2;
 
-// A node may get a tenth more targets than its fair part before the next one takes them.
+// A node may get 10 % more targets than its fair share before they go to the next node.
 std::size_t target_limit(std::size_t targets, std::size_t nodes) {
   const double fair =
       static_cast<double>(targets * probers_per_target) / static_cast<double>(nodes);
@@ -59,29 +60,29 @@
       continue;
     }
     peer& p = kept[node];
-    p.known_since = p.heard_at = p.received_at = now;
+    p.known_since = p.composed_at = p.received_at = now;
     p.next_heartbeat = now;
   }
   peers_ = std::move(kept);
   choice_.reset();
 }
 
-// A process that was stopped for a while finds every peer silent. That says nothing about them; if
-// it believed it, it would take all ranks and probes at once when it continues.
+// After a pause of this process, no message of any peer is recent. That does not mean that they
+// failed; otherwise this node would take over all ranks and probes when it continues.
 duration membership::tick(time_point now) {
   const duration gap = now - last_tick_;
-  const bool paused = gap > timing_.own_pause;
+  const bool paused = gap > timing_.pause_threshold;
   if (paused) {
     listening_since_ = now;
   }
   last_tick_ = now;
-  bury_silent_peers(now);
+  mark_dead_peers(now);
   return paused ? gap : duration::zero();
 }
 
-void membership::bury_silent_peers(time_point now) {
+void membership::mark_dead_peers(time_point now) {
   for (auto& [id, p] : peers_) {
-    if (p.dead || quiet_for(p, now) <= timing_.peer_dead_after) {
+    if (p.dead || unresponsive_time(p, now) <= timing_.peer_dead_after) {
       continue;
     }
     const double age = to_seconds(now - p.deaths_at) / to_seconds(timing_.damping_half_life);
@@ -91,12 +92,12 @@
   }
 }
 
-// Zero while it is not known whether this process itself was paused.
-duration membership::quiet_for(const peer& p, time_point now) const {
-  if (now - last_tick_ > timing_.own_pause) {
+// Zero while a pause of this process cannot be excluded, as the last tick is too long ago.
+duration membership::unresponsive_time(const peer& p, time_point now) const {
+  if (now - last_tick_ > timing_.pause_threshold) {
     return duration::zero();
   }
-  return now - std::max(p.heard_at, listening_since_);
+  return now - std::max(p.composed_at, listening_since_);
 }
 
 // ---- sending ----
@@ -114,9 +115,9 @@
   return peers;
 }
 
-// Of two nodes the first by id leads; the other answers at once, so that its heartbeat carries the
-// acknowledgement of the leader's segment, which otherwise costs a packet of its own. It beats by
-// itself when the leader is late.
+// Of two nodes, the first by id sends first and the other responds immediately, so that its
+// heartbeat carries the TCP acknowledgement, which otherwise takes a packet of its own. The other
+// sends on its own when the first one is late.
 duration membership::interval_to(const node_id& id) {
   const duration jitter = random_.jitter(timing_.heartbeat_jitter);
   if (self_ < id) {
@@ -125,7 +126,7 @@
   return timing_.heartbeat_interval + jitter + timing_.heartbeat_jitter;
 }
 
-void membership::hurry(time_point now) {
+void membership::expedite_heartbeats(time_point now) {
   for (auto& [id, p] : peers_) {
     const time_point soonest = std::max(now, p.last_heartbeat + timing_.heartbeat_min_gap);
     p.next_heartbeat = std::min(p.next_heartbeat, soonest);
@@ -151,36 +152,36 @@
 }
 
 heartbeat membership::prepare(const node_id& to, time_point now) {
-  heartbeat beat;
-  beat.from = self_;
-  beat.stamp = stamp_for(to, now);
-  beat.informed = informed_;
+  heartbeat message;
+  message.from = self_;
+  message.stamp = stamp_for(to, now);
+  message.informed = informed_;
   for (const auto& [id, p] : peers_) {
-    if (silent(p, now)) {
-      beat.silent.push_back(id);
+    if (unresponsive(p, now)) {
+      message.unresponsive.push_back(id);
     }
   }
-  return beat;
+  return message;
 }
 
-void membership::claim_config(heartbeat& beat, const node_id& to, std::uint64_t version,
-                              const std::string& hash) {
-  beat.config_version = version;
+void membership::announce_config(heartbeat& message, const node_id& to, std::uint64_t version,
+                                 const std::string& hash) {
+  message.config_version = version;
   const auto found = peers_.find(to);
   if (found == peers_.end()) {
     return;
   }
   peer& p = found->second;
-  if (p.hash_told != hash) {
-    p.hash_told = hash;
-    p.hash_sequence = beat.stamp.sequence;
+  if (p.announced_hash != hash) {
+    p.announced_hash = hash;
+    p.hash_sequence = message.stamp.sequence;
   }
   if (p.echoed < p.hash_sequence) {
-    beat.config_hash = hash;
+    message.config_hash = hash;
   }
 }
 
-// ---- hearing ----
+// ---- receiving ----
 
 std::optional<heard> membership::receive(const node_id& from, const message_stamp& stamp,
                                          time_point now) {
@@ -203,9 +204,10 @@
   p.last_sequence = stamp.sequence;
   p.received_at = now;
   accept_echo(p, stamp, result, now);
-  // A message that was stuck on the way does not show that its sender is alive now.
-  p.heard_at = std::max(p.heard_at, result.composed.value_or(p.hears_us ? p.heard_at : now));
-  if (p.dead && quiet_for(p, now) <= timing_.peer_dead_after) {
+  // A message that was delayed in transit does not show that its sender is alive now.
+  p.composed_at =
+      std::max(p.composed_at, result.composed.value_or(p.echoes_us ? p.composed_at : now));
+  if (p.dead && unresponsive_time(p, now) <= timing_.peer_dead_after) {
     p.dead = false;
     p.alive_since = now;
   }
@@ -218,14 +220,14 @@
   if (result.restarted) {
     p.past_incarnations.push_back(p.incarnation);
   }
-  if (p.past_incarnations.size() > remembered_incarnations) {
+  if (p.past_incarnations.size() > max_past_incarnations) {
     p.past_incarnations.erase(p.past_incarnations.begin());
   }
   p.incarnation = stamp.incarnation;
-  p.claims = {};
+  p.last_status = {};
   p.echoed = 0;
-  p.hears_us = false;
-  p.heard_at = now;
+  p.echoes_us = false;
+  p.composed_at = now;
 }
 
 void membership::accept_echo(peer& p, const message_stamp& stamp, heard& result, time_point now) {
@@ -234,33 +236,34 @@
       result.composed = composed_after(*sent_at, stamp.echo_held, now, timing_.clock_drift);
       p.echoed = std::max(p.echoed, stamp.echo_of);
       p.echoed_sent_at = std::max(p.echoed_sent_at, *sent_at);
-      p.hears_us = true;
+      p.echoes_us = true;
     }
   }
   result.echoed = p.echoed;
 }
 
-std::optional<heard> membership::receive(const heartbeat& beat, std::uint64_t own, time_point now) {
-  std::optional<heard> result = receive(beat.from, beat.stamp, now);
+std::optional<heard> membership::receive(const heartbeat& message, std::uint64_t own,
+                                         time_point now) {
+  std::optional<heard> result = receive(message.from, message.stamp, now);
   if (!result) {
     return result;
   }
-  peer_claims& claims = peers_.at(beat.from).claims;
-  claims.config_version = beat.config_version;
-  if (!beat.config_hash.empty()) {
-    claims.config_hash = beat.config_hash;
-  }
-  claims.assignment_version = beat.assignment_version;
-  claims.table_reachable = beat.table_reachable;
-  claims.draining = beat.draining;
-  claims.informed = beat.informed;
-  claims.silent = beat.silent;
-  answer(beat.from, now);
+  peer_status& reported = peers_.at(message.from).last_status;
+  reported.config_version = message.config_version;
+  if (!message.config_hash.empty()) {
+    reported.config_hash = message.config_hash;
+  }
+  reported.assignment_version = message.assignment_version;
+  reported.table_reachable = message.table_reachable;
+  reported.draining = message.draining;
+  reported.informed = message.informed;
+  reported.unresponsive = message.unresponsive;
+  schedule_response(message.from, now);
   learn_from_majority(own);
   return result;
 }
 
-void membership::answer(const node_id& from, time_point now) {
+void membership::schedule_response(const node_id& from, time_point now) {
   peer& p = peers_.at(from);
   if (from < self_ && now - p.last_heartbeat >= timing_.heartbeat_interval / 2) {
     p.next_heartbeat = std::min(p.next_heartbeat, now);
@@ -274,8 +277,9 @@
   return found == peers_.end() ? nullptr : &found->second;
 }
 
-// How long a peer that keeps dying must be heard before it counts again. Each time it counts, ranks
-// and probers move; a node on a bad link would move them every few seconds.
+// How long messages of a peer that was repeatedly marked dead must arrive before it counts as alive
+// again. Ranks and probers change each time; a node with a bad link would change them every few
+// seconds.
 duration membership::damping(const peer& p, time_point now) const {
   const double age = to_seconds(now - p.deaths_at) / to_seconds(timing_.damping_half_life);
   const double deaths = p.deaths * std::exp2(-age);
@@ -294,11 +298,11 @@
   if (p == nullptr || p->incarnation == 0) {
     return peer_state::unknown;
   }
-  const duration quiet = quiet_for(*p, now);
-  if (p->dead || quiet > timing_.peer_dead_after || now - p->alive_since < damping(*p, now)) {
+  const duration elapsed = unresponsive_time(*p, now);
+  if (p->dead || elapsed > timing_.peer_dead_after || now - p->alive_since < damping(*p, now)) {
     return peer_state::dead;
   }
-  return quiet > timing_.peer_suspect_after ? peer_state::suspect : peer_state::alive;
+  return elapsed > timing_.peer_suspect_after ? peer_state::suspect : peer_state::alive;
 }
 
 std::vector<node_id> membership::live_peers(time_point now) const {
@@ -318,9 +322,9 @@
   return nodes;
 }
 
-const peer_claims* membership::claims(const node_id& id) const {
+const peer_status* membership::last_status(const node_id& id) const {
   const peer* p = find(id);
-  return p == nullptr || p->incarnation == 0 ? nullptr : &p->claims;
+  return p == nullptr || p->incarnation == 0 ? nullptr : &p->last_status;
 }
 
 std::uint64_t membership::echoed(const node_id& id) const {
@@ -330,10 +334,11 @@
 
 bool membership::one_way(const node_id& id, time_point now) const {
   const peer* p = find(id);
-  if (p == nullptr || p->incarnation == 0 || quiet_for(*p, now) > timing_.peer_suspect_after) {
+  if (p == nullptr || p->incarnation == 0 ||
+      unresponsive_time(*p, now) > timing_.peer_suspect_after) {
     return false;
   }
-  const time_point echoed_at = p->hears_us ? p->echoed_sent_at : p->alive_since;
+  const time_point echoed_at = p->echoes_us ? p->echoed_sent_at : p->alive_since;
   return now - std::max(echoed_at, listening_since_) > timing_.peer_dead_after;
 }
 
@@ -351,8 +356,8 @@
   choice_.reset();
 }
 
-// Rendezvous hashing alone gives the unluckiest of 21 nodes nearly twice its part, more than its
-// probe budget; so a node that is full is passed over.
+// Rendezvous hashing alone gives the most loaded of 21 nodes nearly twice its fair share, which
+// exceeds its probe budget. Nodes at their limit are therefore skipped.
 void membership::choose_probers(time_point now) {
   std::vector<node_id> nodes = live(now);
   if (choice_ && choice_->live == nodes) {
@@ -374,7 +379,7 @@
       }
     };
     choose(false);
-    choose(true);  // all but one may be full
+    choose(true);  // all nodes but one may be at the limit
   }
   choice_->live = std::move(nodes);
 }
--- a/src/process/membership_votes.cpp
+++ b/src/process/membership_votes.cpp
@@ -1,22 +1,22 @@
-// Who may act without the table, and whose acknowledgement is still awaited.
+// Which nodes may act without the table, and whose acknowledgement of a row is still required.
 //
-// What goes wrong without votes: node B is cut off from the table and from node A, but not from the
-// targets. A withdraws a standby, takes B for dead, and gives the VM to another replica; B
-// activates it by the old row. Two replicas own one VM.
+// Failure prevented by the votes: node B is cut off from the table and from node A, but not from
+// the targets. A withdraws a standby, considers B dead, and gives the VM to another replica; B
+// activates it based on the old row. Two replicas then own one VM.
 //
-// Why this prevents it: A stops waiting for B only when a majority reports B silent for
-// lapse_after, each in a message that also acknowledges the new row. B acts only while a majority
-// has answered messages it sent within act_alone_for, which is shorter, and knows no newer row. Any
-// two majorities share a node: before its report that node's answers to B have expired, after it
-// they name the newer row. A restarted node has forgotten what it acknowledged, and has no vote
-// until it has learnt it again.
+// With votes, A stops waiting for B only when a majority reports B unresponsive for quorum_expiry,
+// each in a message that also acknowledges the new row. B acts only while a majority has echoed
+// messages that B sent within quorum_validity, which is shorter, and reports no newer row. Any two
+// majorities have a node in common: before that node's report its echoes to B have expired, after
+// it they name the newer row. A restarted node no longer knows what it acknowledged, and has no
+// vote until it is informed again.
 #include <algorithm>
 
 #include "process/membership.h"
 
 namespace arbutus {
 
-std::size_t membership::votes_in_all() const {
+std::size_t membership::total_votes() const {
   const std::size_t nodes = peers_.size() + 1;
   return nodes % 2 == 0 ? nodes + 1 : nodes;
 }
@@ -28,15 +28,16 @@
 }
 
 bool membership::majority(std::size_t votes) const {
-  return 2 * votes > votes_in_all();
+  return 2 * votes > total_votes();
 }
 
-// By receipt, not by composing: what counts is that this node has answered nothing of it meanwhile.
-bool membership::silent(const peer& p, time_point now) const {
-  if (now - last_tick_ > timing_.own_pause) {
+// Based on the time of receipt, not of composition: since then, this node has echoed no message of
+// the peer.
+bool membership::unresponsive(const peer& p, time_point now) const {
+  if (now - last_tick_ > timing_.pause_threshold) {
     return false;
   }
-  return now - std::max(p.received_at, listening_since_) >= timing_.lapse_after;
+  return now - std::max(p.received_at, listening_since_) >= timing_.quorum_expiry;
 }
 
 void membership::row_read() {
@@ -49,10 +50,10 @@
   }
   std::size_t votes = 0;
   for (const auto& [id, p] : peers_) {
-    if (!p.hears_us || !p.claims.informed) {
+    if (!p.echoes_us || !p.last_status.informed) {
       continue;
     }
-    if (p.claims.assignment_version > own) {
+    if (p.last_status.assignment_version > own) {
       return;
     }
     votes += vote(id);
@@ -60,44 +61,46 @@
   informed_ = majority(votes);
 }
 
-bool membership::may_act_alone(std::uint64_t assignment_version, time_point now) const {
+bool membership::may_act_without_table(std::uint64_t assignment_version, time_point now) const {
   if (!informed_) {
     return false;
   }
   std::size_t votes = vote(self_);
   for (const auto& [id, p] : peers_) {
-    if (p.claims.assignment_version > assignment_version) {
+    if (p.last_status.assignment_version > assignment_version) {
       return false;
     }
-    const bool answered = p.hears_us && now - p.echoed_sent_at <= timing_.act_alone_for;
-    if (answered && p.claims.informed) {
+    const bool answered = p.echoes_us && now - p.echoed_sent_at <= timing_.quorum_validity;
+    if (answered && p.last_status.informed) {
       votes += vote(id);
     }
   }
   return majority(votes);
 }
 
-// Only reports of nodes that know the row count: one that has died since may have answered `id`
-// between its report and a row it never saw.
-bool membership::lapsed(const node_id& id, const peer& p, std::uint64_t version,
-                        time_point now) const {
-  if (!silent(p, now)) {
+// Only reports of nodes that know the row are valid: another node, failed since, may have echoed
+// messages of `id` between its report and a row that it never received.
+bool membership::has_expired(const node_id& id, const peer& p, std::uint64_t version,
+                             time_point now) const {
+  if (!unresponsive(p, now)) {
     return false;
   }
   std::size_t votes = vote(self_);
   for (const auto& [other, q] : peers_) {
-    const bool reports = std::ranges::find(q.claims.silent, id) != q.claims.silent.end();
-    if (other != id && reports && q.claims.assignment_version >= version) {
+    const bool reports =
+        std::ranges::find(q.last_status.unresponsive, id) != q.last_status.unresponsive.end();
+    if (other != id && reports && q.last_status.assignment_version >= version) {
       votes += vote(other);
     }
   }
   return majority(votes);
 }
 
-std::vector<node_id> membership::counted(std::uint64_t version, time_point now) const {
+std::vector<node_id> membership::required_acknowledgers(std::uint64_t version,
+                                                        time_point now) const {
   std::vector<node_id> nodes{self_};
   for (const auto& [id, p] : peers_) {
-    if (!lapsed(id, p, version, now)) {
+    if (!has_expired(id, p, version, now)) {
       nodes.push_back(id);
     }
   }
@@ -108,14 +111,14 @@
 bool membership::acknowledged(std::uint64_t version, time_point now) const {
   return std::ranges::all_of(peers_, [&](const auto& entry) {
     const auto& [id, p] = entry;
-    return p.claims.assignment_version >= version || lapsed(id, p, version, now);
+    return p.last_status.assignment_version >= version || has_expired(id, p, version, now);
   });
 }
 
 std::uint64_t membership::acknowledged_by_all(std::uint64_t own, time_point now) const {
   std::uint64_t highest = acknowledged(own, now) ? own : 0;
   for (const auto& [id, p] : peers_) {
-    const std::uint64_t version = std::min(own, p.claims.assignment_version);
+    const std::uint64_t version = std::min(own, p.last_status.assignment_version);
     if (version > highest && acknowledged(version, now)) {
       highest = version;
     }
--- /dev/null
+++ b/src/process/node_heartbeat.cpp
@@ -0,0 +1,219 @@
+// MessagePack encoding of node heartbeats.
+#include "process/node_heartbeat.h"
+
+#include <cmath>
+#include <nlohmann/json.hpp>
+
+#include "process/msgpack_bounds.h"
+#include "version/field_text.h"
+
+namespace arbutus {
+
+namespace {
+
+using nlohmann::json;
+
+constexpr std::size_t max_heartbeat_depth = 6;
+
+json update_to_json(const std::optional<feed_update>& update) {
+  if (!update) {
+    return nullptr;
+  }
+  json rows = json::array();
+  for (const feed_row& row : update->rows) {
+    rows.push_back({row.key, row.value, row.version, row.removed, row.readable});
+  }
+  return {std::move(rows),     update->whole,    update->position,
+          update->age.count(), update->withheld, update->after};
+}
+
+std::optional<feed_update> update_from_json(const json& from) {
+  if (from.is_null()) {
+    return std::nullopt;
+  }
+  feed_update update;
+  for (const json& row : from.at(0)) {
+    update.rows.push_back({row.at(0).get<std::string>(), row.at(1).get<std::string>(),
+                           row.at(2).get<std::uint64_t>(), row.at(3).get<bool>(),
+                           row.at(4).get<bool>()});
+  }
+  update.whole = from.at(1).get<bool>();
+  update.position = from.at(2).get<std::uint64_t>();
+  update.age = duration{from.at(3).get<std::int64_t>()};
+  update.withheld = from.at(4).get<bool>();
+  update.after = from.at(5).get<std::uint64_t>();
+  return update;
+}
+
+json part_to_json(const std::optional<config_part>& part) {
+  if (!part) {
+    return nullptr;
+  }
+  // Arbitrary bytes, thus binary: text would have to be UTF-8.
+  return {part->row, part->base, part->size, part->offset,
+          json::binary({part->bytes.begin(), part->bytes.end()})};
+}
+
+json limits_to_json(const std::vector<limit_news>& limits) {
+  json rows = json::array();
+  for (const limit_news& l : limits) {
+    json rate = l.per_second ? json(*l.per_second) : json();
+    rows.push_back(json::array({l.target.str(), std::move(rate), l.age.count(), l.demand}));
+  }
+  return rows;
+}
+
+std::vector<limit_news> limits_from_json(const json& from) {
+  std::vector<limit_news> limits;
+  for (const json& row : from) {
+    limit_news update;
+    update.target = target_id{row.at(0).get<std::string>()};
+    if (!row.at(1).is_null()) {
+      update.per_second = row.at(1).get<double>();
+    }
+    update.age = duration{row.at(2).get<std::int64_t>()};
+    update.demand = row.at(3).get<double>();
+    const bool valid = update.demand >= 0 && update.per_second.value_or(0) >= 0;
+    if (valid) {
+      limits.push_back(std::move(update));
+    }
+  }
+  return limits;
+}
+
+json grants_to_json(const grant_news& grants) {
+  json rows = json::array();
+  for (const auto& [target, total] : grants.totals) {
+    rows.push_back(json::array({target.str(), total}));
+  }
+  return json::array({grants.receiver_life, std::move(rows)});
+}
+
+grant_news grants_from_json(const json& from) {
+  grant_news grants;
+  grants.receiver_life = from.at(0).get<std::string>();
+  for (const json& row : from.at(1)) {
+    grants.totals.emplace_back(target_id{row.at(0).get<std::string>()},
+                               row.at(1).get<std::uint64_t>());
+  }
+  return grants;
+}
+
+std::optional<config_part> part_from_json(const json& from) {
+  if (from.is_null()) {
+    return std::nullopt;
+  }
+  const json::binary_t& bytes = from.at(4).get_binary();
+  return config_part{from.at(0).get<std::uint64_t>(), from.at(1).get<std::uint64_t>(),
+                     from.at(2).get<std::uint64_t>(), from.at(3).get<std::uint64_t>(),
+                     std::string(bytes.begin(), bytes.end())};
+}
+
+// Fields from this index on are not sent by nodes of an earlier release; they are left empty then.
+constexpr std::size_t first_optional_field = 25;
+
+void read_optional_fields(const json& document, node_heartbeat& message) {
+  message.configuration_row = document.at(25).get<std::uint64_t>();
+  message.configuration_progress = {document.at(26).get<std::uint64_t>(),
+                                    document.at(27).get<std::uint64_t>(),
+                                    document.at(28).get<std::uint64_t>()};
+  message.configuration_part = part_from_json(document.at(29));
+  message.limits = limits_from_json(document.at(30));
+  message.grants = grants_from_json(document.at(31));
+}
+
+}  // namespace
+
+std::string encode(const node_heartbeat& message) {
+  json loads = json::array();
+  for (const auto& [id, load] : message.loads) {
+    loads.push_back({id.str(), static_cast<std::int64_t>(std::lround(load.active)),
+                     static_cast<std::int64_t>(std::lround(load.unread_tokens))});
+  }
+  json lost = json::array();
+  for (const target_id& id : message.lost) {
+    lost.push_back(id.str());
+  }
+  const json document = {message.data_centre.str(),
+                         message.hub,
+                         message.leaving,
+                         message.requests_seen,
+                         message.stamp_us,
+                         message.echo_us,
+                         message.targets_position,
+                         message.configuration_position,
+                         std::move(loads),
+                         std::move(lost),
+                         update_to_json(message.targets),
+                         update_to_json(message.configuration),
+                         message.refused_by_store,
+                         to_string(message.link),
+                         message.strength.processor_permille,
+                         message.strength.link_mbps,
+                         message.follows_records,
+                         message.life,
+                         message.serving.life,
+                         message.serving.at,
+                         update_to_json(message.served),
+                         message.crashes.at,
+                         message.crashes.rows,
+                         message.received_poison_position.life,
+                         message.received_poison_position.at,
+                         message.configuration_row,
+                         message.configuration_progress.row,
+                         message.configuration_progress.base,
+                         message.configuration_progress.bytes,
+                         part_to_json(message.configuration_part),
+                         limits_to_json(message.limits),
+                         grants_to_json(message.grants)};
+  std::string bytes;
+  json::to_msgpack(document, bytes);
+  return bytes;
+}
+
+std::optional<node_heartbeat> decode_node_heartbeat(std::string_view bytes) {
+  if (!nesting_bounded(bytes, max_heartbeat_depth)) {
+    return std::nullopt;
+  }
+  try {
+    const json document = json::from_msgpack(bytes);
+    node_heartbeat message;
+    message.data_centre = data_centre_id{document.at(0).get<std::string>()};
+    message.hub = document.at(1).get<bool>();
+    message.leaving = document.at(2).get<bool>();
+    message.requests_seen = document.at(3).get<bool>();
+    message.stamp_us = document.at(4).get<std::int64_t>();
+    message.echo_us = document.at(5).get<std::int64_t>();
+    message.targets_position = document.at(6).get<std::uint64_t>();
+    message.configuration_position = document.at(7).get<std::uint64_t>();
+    for (const json& entry : document.at(8)) {
+      message.loads[target_id{entry.at(0).get<std::string>()}] = {entry.at(1).get<double>(),
+                                                                  entry.at(2).get<double>()};
+    }
+    for (const json& entry : document.at(9)) {
+      message.lost.emplace_back(entry.get<std::string>());
+    }
+    message.targets = update_from_json(document.at(10));
+    message.configuration = update_from_json(document.at(11));
+    message.refused_by_store = document.at(12).get<bool>();
+    // Empty if the node sent no address; it is then known from its row.
+    message.link = parse_endpoint(document.at(13).get<std::string>()).value_or(endpoint{});
+    message.strength = {document.at(14).get<std::uint32_t>(), document.at(15).get<std::uint32_t>()};
+    message.follows_records = document.at(16).get<bool>();
+    message.life = document.at(17).get<std::string>();
+    message.serving = {document.at(18).get<std::string>(), document.at(19).get<std::uint64_t>()};
+    message.served = update_from_json(document.at(20));
+    message.crashes = {document.at(21).get<std::uint64_t>(),
+                       document.at(22).get<std::vector<std::string>>()};
+    message.received_poison_position = {document.at(23).get<std::string>(),
+                                        document.at(24).get<std::uint64_t>()};
+    if (document.size() > first_optional_field) {
+      read_optional_fields(document, message);
+    }
+    return message;
+  } catch (const json::exception&) {
+    return std::nullopt;
+  }
+}
+
+}  // namespace arbutus
--- /dev/null
+++ b/src/process/node_heartbeat.h
@@ -0,0 +1,86 @@
+// Heartbeats that nodes on a hosted platform exchange several times per second.
+//
+// One node of each data centre, its hub, follows the platform's store and controls the replicas.
+// The other nodes report to it that they are alive and what load they have sent to which target.
+// The hub's heartbeats carry changes in the store, the proof that the configuration is still the
+// newest, and the load sent by all other nodes. Hubs exchange heartbeats with each other. The
+// number of messages thus grows linearly with the number of nodes, and the number of queries to the
+// store does not grow at all.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "base/id.h"
+#include "base/units.h"
+#include "process/config_transfer.h"
+#include "process/crash_exchange.h"
+#include "process/feed_log.h"
+#include "process/send_grants.h"
+#include "process/serving_feed.h"
+#include "request/replica_choice.h"
+#include "version/inventory.h"
+
+namespace arbutus {
+
+// The part of a followed table behind the requested position.
+struct feed_update {
+  std::vector<feed_row> rows;
+  bool whole = false;        // the complete table instead of changes only
+  std::uint64_t position{};  // of the sender, including these rows
+  std::uint64_t after{};     // requested position; only a receiver at or beyond it may apply this
+  duration age{};            // since the sender's newest query to the store was sent
+  // There are rows behind the requested position, but they are omitted: to be read from the store.
+  bool withheld = false;
+};
+
+struct node_heartbeat {
+  data_centre_id data_centre;
+  // Address and strength of the sender, as in its row in the store. Without this, a hub drops the
+  // heartbeats of a node that has just joined until it reads the rows again, which takes seconds
+  // and does not happen while the store refuses the hub.
+  endpoint link;
+  node_strength strength;
+  bool hub = false;      // follows the store and controls the data centre
+  bool leaving = false;  // does not control replicas any more
+  bool refused_by_store =
+      false;  // the store does not serve the sender: another node must be the hub
+  bool requests_seen = false;
+  // The sender's clock, and the newest such stamp that it received from the receiver. The content
+  // of the heartbeat is newer than the sending of the echoed stamp; that bounds its age, as a
+  // message may be delayed without limit.
+  std::int64_t stamp_us{};
+  std::int64_t echo_us{};  // 0: none yet
+  // Position of the sender in the tables, from which the hub continues.
+  std::uint64_t targets_position{};
+  // Whether the sender follows the records of all targets, or only the serving replicas.
+  bool follows_records = true;
+  std::string life;                    // incarnation of the sender, to which its positions belong
+  serving_follower::position serving;  // in the rows of serving replicas, as received from the hub
+  std::uint64_t configuration_position{};
+  std::uint64_t configuration_row{};  // newest row of the configuration that the sender holds
+  config_progress configuration_progress;
+  std::map<target_id, replica_load> loads;
+  std::vector<target_id> lost;
+  // Updates about poison requests, and the sender's position in those of the receiver.
+  crash_news crashes;
+  crash_position received_poison_position;
+  // Send limits of targets, and grants to send to them.
+  std::vector<limit_news> limits;
+  grant_news grants;
+  // From a hub to a node of its data centre.
+  std::optional<feed_update> targets;  // records of targets; or instead of them:
+  std::optional<feed_update> served;  // serving replicas; positions are of the sender's incarnation
+  std::optional<feed_update> configuration;
+  std::optional<config_part> configuration_part;
+};
+
+[[nodiscard]] std::string encode(const node_heartbeat& message);
+// Empty when the bytes are damaged.
+[[nodiscard]] std::optional<node_heartbeat> decode_node_heartbeat(std::string_view bytes);
+
+}  // namespace arbutus
--- a/src/process/peer_table.cpp
+++ b/src/process/peer_table.cpp
@@ -1,20 +1,20 @@
-// Peers and hubs.
+// Liveness of peers, election of the hub, and selection of the peers to send heartbeats to.
 #include "process/peer_table.h"
 
 #include <algorithm>
 
-#include "process/duty.h"
+#include "process/replica_control.h"
 
 namespace arbutus {
 
-void peer_table::set_known(const std::vector<node_record>& nodes) {
+void peer_table::set_records(const std::vector<node_record>& nodes) {
   std::vector<node_record> records;
-  std::set<node_id> named;
+  std::set<node_id> listed;
   for (const node_record& n : nodes) {
     if (n.id == self_) {
       continue;
     }
-    named.insert(n.id);
+    listed.insert(n.id);
     records.push_back(n);
     peer& p = peers_[n.id];
     p.data_centre = n.data_centre;
@@ -22,10 +22,10 @@
     p.in_rows = true;
   }
   std::erase_if(peers_, [&](const auto& entry) {
-    return entry.second.in_rows && !named.contains(entry.first);
+    return entry.second.in_rows && !listed.contains(entry.first);
   });
   for (const node_record& n : records_) {
-    if (peers_.contains(n.id) && !named.contains(n.id)) {
+    if (peers_.contains(n.id) && !listed.contains(n.id)) {
       records.push_back(n);
     }
   }
@@ -33,13 +33,13 @@
   sort_peers();
 }
 
-void peer_table::learn(const node_record& told) {
-  if (told.id == self_ || peers_.contains(told.id)) {
+void peer_table::learn(const node_record& record) {
+  if (record.id == self_ || peers_.contains(record.id)) {
     return;
   }
-  peers_[told.id].data_centre = told.data_centre;
-  peers_[told.id].strength = told.strength;
-  records_.push_back(told);
+  peers_[record.id].data_centre = record.data_centre;
+  peers_[record.id].strength = record.strength;
+  records_.push_back(record);
   sort_peers();
 }
 
@@ -48,7 +48,7 @@
   for (const auto& entry : peers_) {
     order_[entry.second.data_centre].push_back(&entry);
   }
-  // Stable: among equals the order of the names stays.
+  // Stable sort: equals stay ordered by name.
   for (auto& [data_centre, peers] : order_) {
     std::stable_sort(peers.begin(), peers.end(), [](const auto* a, const auto* b) {
       return a->second.strength > b->second.strength;
@@ -56,7 +56,7 @@
   }
 }
 
-bool peer_table::before(const node_id& id, const peer& p) const {
+bool peer_table::precedes(const node_id& id, const peer& p) const {
   return strength_ != p.strength ? strength_ > p.strength : self_ < id;
 }
 
@@ -66,46 +66,47 @@
     return;
   }
   peer& p = found->second;
-  if (p.first_told == time_point{}) {
-    p.first_told = now;
+  if (p.first_sent_at == time_point{}) {
+    p.first_sent_at = now;
   }
 }
 
-void peer_table::heard(time_point now, const node_id& id, const peer_word& word) {
+void peer_table::heard(time_point now, const node_id& id, const heartbeat_info& info) {
   const auto found = peers_.find(id);
   if (found == peers_.end()) {
-    return;  // its row will be read soon
+    return;  // not known yet; its row will be read soon
   }
   peer& p = found->second;
-  p.heard_at = now;
-  const std::int64_t newest = std::max(p.word.stamp_us, word.stamp_us);
-  p.word = word;
-  p.word.stamp_us = newest;
+  p.last_received_at = now;
+  const std::int64_t newest = std::max(p.info.stamp_us, info.stamp_us);
+  p.info = info;
+  p.info.stamp_us = newest;
 }
 
-bool peer_table::lives(time_point now, const peer& p) {
-  return p.heard_at != time_point{} && now - p.heard_at < alive_for;
+bool peer_table::is_alive(time_point now, const peer& p) {
+  return p.last_received_at != time_point{} && now - p.last_received_at < alive_timeout;
 }
 
-bool peer_table::lives(time_point now, const node_id& id) const {
+bool peer_table::is_alive(time_point now, const node_id& id) const {
   const auto found = peers_.find(id);
-  return found != peers_.end() && lives(now, found->second);
+  return found != peers_.end() && is_alive(now, found->second);
 }
 
-std::size_t peer_table::living(time_point now) const {
-  return static_cast<std::size_t>(std::count_if(
-      peers_.begin(), peers_.end(), [&](const auto& entry) { return lives(now, entry.second); }));
+std::size_t peer_table::alive_count(time_point now) const {
+  return static_cast<std::size_t>(
+      std::count_if(peers_.begin(), peers_.end(),
+                    [&](const auto& entry) { return is_alive(now, entry.second); }));
 }
 
-bool peer_table::any_lives(time_point now) const {
+bool peer_table::any_alive(time_point now) const {
   return std::any_of(peers_.begin(), peers_.end(),
-                     [&](const auto& entry) { return lives(now, entry.second); });
+                     [&](const auto& entry) { return is_alive(now, entry.second); });
 }
 
 bool peer_table::any_in(const data_centre_id& data_centre) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    return entry.second.data_centre == data_centre && !entry.second.word.leaving &&
-           entry.second.heard_at != time_point{};
+    return entry.second.data_centre == data_centre && !entry.second.info.leaving &&
+           entry.second.last_received_at != time_point{};
   });
 }
 
@@ -119,48 +120,49 @@
   return found == peers_.end() ? data_centre_id{} : found->second.data_centre;
 }
 
-bool peer_table::is_turned_away(const node_id& id) const {
+bool peer_table::is_refused_by_store(const node_id& id) const {
   const auto found = peers_.find(id);
-  return found != peers_.end() && found->second.word.turned_away;
+  return found != peers_.end() && found->second.info.refused_by_store;
 }
 
 bool peer_table::any_served_here(time_point now) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    return entry.second.data_centre == data_centre_ && lives(now, entry.second) &&
+    return entry.second.data_centre == data_centre_ && is_alive(now, entry.second) &&
            may_be_hub(now, entry.second);
   });
 }
 
 std::int64_t peer_table::newest_stamp(const node_id& id) const {
   const auto found = peers_.find(id);
-  return found == peers_.end() ? 0 : found->second.word.stamp_us;
+  return found == peers_.end() ? 0 : found->second.info.stamp_us;
 }
 
-// Living, or not yet proved otherwise.
-bool peer_table::presumed(time_point now, const peer& p) const {
-  if (p.word.leaving) {
+// Alive, or new and not yet known to be unresponsive.
+bool peer_table::presumed_alive(time_point now, const peer& p) const {
+  if (p.info.leaving) {
     return false;
   }
-  if (p.heard_at != time_point{}) {
-    return now - p.heard_at < alive_for;
+  if (p.last_received_at != time_point{}) {
+    return now - p.last_received_at < alive_timeout;
   }
-  return p.first_told == time_point{} || now - p.first_told < benefit_of_doubt;
+  return p.first_sent_at == time_point{} || now - p.first_sent_at < initial_grace;
 }
 
-void peer_table::set_turned_away(time_point now, bool is) {
-  if (turned_away_ && !is) {
+void peer_table::set_refused_by_store(time_point now, bool is) {
+  if (refused_by_store_ && !is) {
     served_since_ = now;
   }
-  turned_away_ = is;
+  refused_by_store_ = is;
 }
 
 bool peer_table::is_served(time_point now) const {
-  if (turned_away_ || served_since_ == time_point{} || now - served_since_ >= served_settles) {
-    return !turned_away_;
+  if (refused_by_store_ || served_since_ == time_point{} ||
+      now - served_since_ >= served_settle_time) {
+    return !refused_by_store_;
   }
   return std::none_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const peer& p = entry.second;
-    return p.data_centre == data_centre_ && !before(entry.first, p) && presumed(now, p);
+    return p.data_centre == data_centre_ && !precedes(entry.first, p) && presumed_alive(now, p);
   });
 }
 
@@ -173,8 +175,8 @@
   }
   for (const auto* entry : found->second) {
     const auto& [id, p] = *entry;
-    if (must_be_served ? may_be_hub(now, p) : presumed(now, p)) {
-      return self_may && before(id, p) ? self_ : id;
+    if (must_be_served ? may_be_hub(now, p) : presumed_alive(now, p)) {
+      return self_may && precedes(id, p) ? self_ : id;
     }
   }
   return self_may ? self_ : node_id{};
@@ -182,7 +184,7 @@
 
 node_id peer_table::hub_of(time_point now, const data_centre_id& data_centre) const {
   const node_id served = first_of(now, data_centre, true);
-  // With the store away from all of them the first one keeps the replicas.
+  // If the store serves none of them, the first live node controls the replicas.
   return served.empty() ? first_of(now, data_centre, false) : served;
 }
 
@@ -192,21 +194,21 @@
   if (!is_hub(now)) {
     return result;
   }
-  std::vector<duty_node> hubs;
+  std::vector<controller_candidate> hubs;
   for (const data_centre_id& data_centre : all) {
     const node_id hub = hub_of(now, data_centre);
     if (!hub.empty()) {
       hubs.push_back({hub, data_centre});
     }
   }
-  return duties_of(self_, all, hubs);
+  return controlled_by(self_, all, hubs);
 }
 
 void peer_table::add_candidates(time_point now, const data_centre_id& data_centre,
                                 std::vector<node_id>& result) const {
   std::size_t served = 0;
-  std::size_t living = 0;
-  std::size_t silent = 0;
+  std::size_t refused = 0;
+  std::size_t unresponsive = 0;
   const auto in_order = order_.find(data_centre);
   if (in_order == order_.end()) {
     return;
@@ -218,23 +220,24 @@
       if (++served == candidates) {
         return;
       }
-    } else if (presumed(now, p)) {
-      // Turned away by the store: the first ones keep the data centre where all are. Goes wrong
-      // when each is told: while the store is away, all nodes of a data centre tell each other.
-      if (living < candidates) {
+    } else if (presumed_alive(now, p)) {
+      // Refused by the store; if all are, the first ones control the data centre. Only those get
+      // heartbeats: otherwise, while the store is unavailable, all nodes of a data centre would
+      // send to each other.
+      if (refused < candidates) {
         result.push_back(id);
       }
-      ++living;
-    } else if (silent < most_silent) {
-      // Goes wrong without them: a hub that returns is not heard, and there are two from then on.
-      // Telling only now and then would open a link each time and close it before it is up.
+      ++refused;
+    } else if (unresponsive < max_unresponsive) {
+      // Without these, a hub that returns goes unnoticed, and there are two from then on. Sending
+      // only now and then would open a link each time and close it before it is established.
       result.push_back(id);
-      ++silent;
+      ++unresponsive;
     }
   }
 }
 
-bool peer_table::is_heir(time_point now) const {
+bool peer_table::is_hub_or_next(time_point now) const {
   std::size_t served_before = 0;
   std::size_t living_before = 0;
   bool any_served = is_served(now);
@@ -244,23 +247,23 @@
     }
     const bool serves = may_be_hub(now, p);
     any_served = any_served || serves;
-    if (!before(id, p)) {
+    if (!precedes(id, p)) {
       served_before += serves ? 1 : 0;
-      living_before += presumed(now, p) ? 1 : 0;
+      living_before += presumed_alive(now, p) ? 1 : 0;
     }
   }
   return any_served ? is_served(now) && served_before < candidates : living_before < candidates;
 }
 
-bool peer_table::is_candidate(time_point now) const {
+bool peer_table::is_hub_candidate(time_point now) const {
   const auto ahead = std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const auto& [id, p] = entry;
-    return p.data_centre == data_centre_ && !before(id, p) && may_be_hub(now, p);
+    return p.data_centre == data_centre_ && !precedes(id, p) && may_be_hub(now, p);
   });
   return static_cast<std::size_t>(ahead) < candidates;
 }
 
-std::vector<node_id> peer_table::to_tell(time_point now) const {
+std::vector<node_id> peer_table::recipients(time_point now) const {
   std::vector<node_id> result;
   add_candidates(now, data_centre_, result);
   if (is_hub(now)) {
@@ -274,12 +277,12 @@
       add_candidates(now, other, result);
     }
   }
-  if (!is_candidate(now)) {
+  if (!is_hub_candidate(now)) {
     return result;
   }
-  // Whoever told this node gets an answer, as long as it has reason to ask.
+  // Peers that send heartbeats to this node get responses as long as it is a candidate.
   for (const auto& [id, p] : peers_) {
-    if (lives(now, p) && std::find(result.begin(), result.end(), id) == result.end()) {
+    if (is_alive(now, p) && std::find(result.begin(), result.end(), id) == result.end()) {
       result.push_back(id);
     }
   }
--- /dev/null
+++ b/src/process/record_subscription.h
@@ -0,0 +1,51 @@
+// Whether a node follows the records of all targets, or only the serving replicas (serving_feed).
+//
+// The hub controls replicas and needs the records; the next in line needs them to take over while
+// the store is unavailable. All others need only the replicas that they send requests to.
+#pragma once
+
+#include "base/units.h"
+
+namespace arbutus {
+
+class record_subscription {
+ public:
+  // `is_hub_or_next`: whether this node is the hub or the next in line, in its local view.
+  void update(time_point now, bool is_hub, bool is_hub_or_next) {
+    if (!decided_ || is_hub) {
+      follows_ = is_hub || is_hub_or_next;
+      decided_ = true;
+      differs_since_ = {};
+      return;
+    }
+    if (is_hub_or_next == follows_) {
+      differs_since_ = {};
+      return;
+    }
+    if (differs_since_ == time_point{}) {
+      differs_since_ = now;
+    }
+    if (now - differs_since_ >= (follows_ ? unsubscribe_after : subscribe_after)) {
+      follows_ = is_hub_or_next;
+      differs_since_ = {};
+    }
+  }
+
+  // False until the first update.
+  [[nodiscard]] bool decided() const { return decided_; }
+  [[nodiscard]] bool follows_records() const { return follows_; }
+
+  // Delays against short changes of the order of hubs, which occur when a heartbeat is late or the
+  // store refuses a node: fetching all records takes some hundred KB. Leaving takes longer, as a
+  // node that has the records may be needed again soon.
+  static constexpr duration subscribe_after = 1s;
+  static constexpr duration unsubscribe_after = 5s;
+
+ private:
+  bool decided_ = false;
+  bool follows_ = false;
+  time_point
+      differs_since_{};  // since when is_hub_or_next differs from follows_; zero: it does not
+};
+
+}  // namespace arbutus
--- a/src/request/spill.cpp
+++ b/src/request/spill.cpp
@@ -63,7 +63,7 @@
   }
   const remote_capacity* best = nullptr;
   duration best_wait{};
-  for (const remote_capacity& remote : routes.elsewhere) {
+  for (const remote_capacity& remote : routes.remote_capacities) {
     if (remote.model != facts.model) {
       continue;
     }
--- a/tests/core/config_transfer_test.cpp
+++ b/tests/core/config_transfer_test.cpp
@@ -97,9 +97,9 @@
     std::size_t nodes = 25;
     std::uint32_t hub_mbps = 200;
     std::uint32_t node_mbps = 20;
-    double lost = 0;           // share of beats
-    bool know_base = true;     // the version before the change
-    bool turned_away = false;  // all but the hub
+    double lost = 0;                // share of beats
+    bool know_base = true;          // the version before the change
+    bool refused_by_store = false;  // all but the hub
     std::uint64_t seed = 1;
   };
 
@@ -149,8 +149,9 @@
       if (random_.unit() < setup_.lost) {
         continue;
       }
-      const auto next = passing_.next_for(
-          hub_, {n.held.newest(), n.receiver.progress(), setup_.turned_away}, nodes_.size() + 1);
+      const auto next =
+          passing_.next_for(hub_, {n.held.newest(), n.receiver.progress(), setup_.refused_by_store},
+                            nodes_.size() + 1);
       n.lag.heard_of(now_, hub_.newest());
       if (next.part) {
         bytes += next.part->bytes.size();
--- a/tests/core/coordination_fixture.h
+++ b/tests/core/coordination_fixture.h
@@ -1,4 +1,5 @@
-// What the coordination tests share: a world at rest, and how to wait for what follows.
+// Fixture of the coordination tests: a simulated cluster in a stable state, and helpers that wait
+// for expected events.
 #pragma once
 
 #include <gmock/gmock.h>
@@ -13,16 +14,16 @@
 
 using ::testing::IsEmpty;
 
-// Long enough for the nodes to agree, order, load and be observed.
-inline constexpr duration patience = 30s;
+// Long enough for the nodes to agree, send orders, load models and observe the result.
+inline constexpr duration test_timeout = 30s;
 
-// A world whose replicas all serve and whose row is at rest.
+// Runs a simulation in which all replicas serve and the row does not change.
 class coordination : public ::testing::Test {
  protected:
   void bring_up(world_options o = {}) {
     world_.emplace(o);
     replicas_ = o.replicas;
-    ASSERT_TRUE(world_->run_until([&] { return world_->all_serve(replicas_); }, patience));
+    ASSERT_TRUE(world_->run_until([&] { return world_->all_serve(replicas_); }, test_timeout));
     world_->run_for(3s);
     row_ = world_->row_in_table();
     ASSERT_EQ(row_.replicas.size(), replicas_);
@@ -38,14 +39,14 @@
   }
   [[nodiscard]] duration time_until(const std::function<bool()>& condition) {
     const time_point start = world_->now();
-    EXPECT_TRUE(world_->run_until(condition, patience));
+    EXPECT_TRUE(world_->run_until(condition, test_timeout));
     return world_->now() - start;
   }
   [[nodiscard]] duration time_to_no_route(const replica_id& id) {
     return time_until([&] { return !world_->routed_anywhere(id); });
   }
-  // Loses a route, then has all again.
-  [[nodiscard]] bool recovers(duration d = patience) {
+  // Waits until a route is lost and then until all replicas serve again.
+  [[nodiscard]] bool recovers(duration d = test_timeout) {
     return world_->run_until([&] { return !all_serve(); }, 5s) && serve_within(d);
   }
   [[nodiscard]] std::uint64_t activations() {
@@ -58,7 +59,7 @@
 
   std::optional<fake_world> world_;
   std::size_t replicas_{};
-  assignment row_;  // at rest
+  assignment row_;  // after startup
 };
 
 }  // namespace arbutus::testing
--- a/tests/core/coordinator_drains_test.cpp
+++ b/tests/core/coordinator_drains_test.cpp
@@ -31,7 +31,7 @@
     }
     return false;
   };
-  ASSERT_TRUE(world_->run_until(known, patience));
+  ASSERT_TRUE(world_->run_until(known, test_timeout));
   EXPECT_LT(time_to_no_route(r.id), 50ms);
 }
 
@@ -54,14 +54,14 @@
         }
         return !stopping.empty();
       },
-      patience);
+      test_timeout);
   ASSERT_TRUE(draining);
   EXPECT_LT(time_to_no_route(stopping), 2s);
   world_->run_for(20s);
   EXPECT_NE(world_->row_in_table().find(stopping), nullptr) << "still runs three requests";
   world_->engine(row_.find(stopping)->members.front()).report.running = 0;
   EXPECT_TRUE(world_->run_until([&] { return world_->row_in_table().find(stopping) == nullptr; },
-                                patience));
+                                test_timeout));
 }
 
 // Symptom: an answer that a node is still passing on breaks off when its replica is stopped.
@@ -79,7 +79,7 @@
     world_->node(2).report_in_flight(r.id, r.gen, 0);
   }
   EXPECT_TRUE(
-      world_->run_until([&] { return world_->row_in_table().replicas.size() == 1; }, patience));
+      world_->run_until([&] { return world_->row_in_table().replicas.size() == 1; }, test_timeout));
 }
 
 }  // namespace
--- a/tests/core/coordinator_members_test.cpp
+++ b/tests/core/coordinator_members_test.cpp
@@ -25,7 +25,7 @@
   const replica_plan& r = row_.replicas.front();
   world_->kill(r.members.back());
   EXPECT_LT(time_to_no_route(r.id), 2500ms);
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
   EXPECT_EQ(activations(), 0U);
 }
 
@@ -50,7 +50,7 @@
   const replica_plan& r = row_.replicas.front();
   world_->kill(r.members.back());
   EXPECT_LT(time_to_no_route(r.id), 2500ms);
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
   EXPECT_GT(activations(), 0U);
 
   // When the table is back, the row takes over what serves, without disturbing it.
@@ -60,7 +60,7 @@
         const assignment now = world_->row_in_table();
         return now.version > row_.version && now.find(r.id)->members != r.members;
       },
-      patience);
+      test_timeout);
   EXPECT_TRUE(entered);
   EXPECT_TRUE(all_serve());
   world_->run_for(5s);
@@ -84,7 +84,7 @@
     world_->cut_target(i, gone, false);
   }
   EXPECT_TRUE(
-      world_->run_until([&] { return world_->engine(gone).report.replica.empty(); }, patience));
+      world_->run_until([&] { return world_->engine(gone).report.replica.empty(); }, test_timeout));
   EXPECT_TRUE(all_serve());
 }
 
@@ -96,7 +96,7 @@
   const replica_plan& r = row_.replicas.front();
   world_->restart(r.members.back());
   EXPECT_LT(time_to_no_route(r.id), 2500ms);
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
 }
 
 // Symptom: requests pile up at a replica that stands still.
@@ -108,7 +108,7 @@
   world_->pause(r.members.front(), 10s);
   EXPECT_LT(time_to_no_route(r.id), 2500ms);
   world_->run_for(12s);
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
 }
 
 // Symptom: a standby is used up for a member that works.
--- a/tests/core/coordinator_nodes_test.cpp
+++ b/tests/core/coordinator_nodes_test.cpp
@@ -23,7 +23,7 @@
   world_->isolate(0, false);
   world_->cut_table(0, false);
   world_->cut_targets(0, false);
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
 }
 
 // Symptom: a node that sees no target takes every replica apart.
@@ -94,7 +94,7 @@
     world_->kill_node(i);
     world_->start_node(i);
   }
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
   world_->kill(row_.replicas.front().members.back());
   EXPECT_TRUE(recovers(90s));
 }
@@ -147,7 +147,8 @@
     world_->kill_node(i);
     world_->start_node(i);
   }
-  EXPECT_TRUE(world_->run_until([&] { return world_->row_in_table().version > newest; }, patience));
+  EXPECT_TRUE(
+      world_->run_until([&] { return world_->row_in_table().version > newest; }, test_timeout));
   EXPECT_TRUE(recovers());
 }
 
@@ -162,7 +163,7 @@
     world_->run_for(1700ms);  // found lost by about now
     world_->pause_node(paused, 15s);
     world_->run_for(18s);
-    EXPECT_TRUE(serve_within(patience));
+    EXPECT_TRUE(serve_within(test_timeout));
     EXPECT_THAT(world_->violations, IsEmpty());
   }
 }
@@ -192,13 +193,13 @@
     }
     return false;
   };
-  ASSERT_TRUE(world_->run_until(ordered, patience));
+  ASSERT_TRUE(world_->run_until(ordered, test_timeout));
   world_->pause_node(sender, GetParam());
   world_->kill(r.members.back());  // the replica gets a newer composition
   world_->run_for(GetParam() + 5s);
   EXPECT_GT(counters(sender).orders_withheld, 0U);
   EXPECT_EQ(world_->overtaken_orders, 0U);
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
 }
 
 INSTANTIATE_TEST_SUITE_P(coordination, paused_order, ::testing::Values(1500ms, 20s));
@@ -230,7 +231,7 @@
   world_->kill_node(1);
   world_->run_for(5s);
   world_->start_node(1);
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
 }
 
 // Symptom: a node that was replaced never routes to some replica again.
--- a/tests/core/coordinator_pairs_test.cpp
+++ b/tests/core/coordinator_pairs_test.cpp
@@ -25,7 +25,7 @@
   const replica_plan& r = row_.replicas.front();
   world_->kill(r.members.front());
   ASSERT_TRUE(world_->run_until(
-      [&] { return !world_->engine(r.standbys.front()).report.replica.empty(); }, patience));
+      [&] { return !world_->engine(r.standbys.front()).report.replica.empty(); }, test_timeout));
   world_->kill(r.standbys.front());
   EXPECT_TRUE(recovers());
 }
@@ -39,7 +39,7 @@
     world_->kill(world_->vms()[i]);
   }
   world_->run_for(10s);
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
 }
 
 // Sequence: a member dies while the table is down; the only node that repairs dies, too.
@@ -48,14 +48,14 @@
   world_->table.up = false;
   world_->run_for(5s);
   world_->kill(row_.replicas.front().members.back());
-  ASSERT_TRUE(world_->run_until([&] { return activations() > 0; }, patience));
+  ASSERT_TRUE(world_->run_until([&] { return activations() > 0; }, test_timeout));
   for (std::size_t i = 0; i < world_->node_count(); ++i) {
     if (world_->node(i).status(world_->now()).counters.activations > 0) {
       world_->kill_node(i);
       break;
     }
   }
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
 }
 
 // Sequence: targets ignore fencing tokens; a member dies, then each node in turn is cut off.
@@ -68,7 +68,7 @@
     world_->isolate(i, false);
     world_->run_for(2s);
   }
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
 }
 
 // Sequence: messages get lost all the time, and one link works in one direction only.
--- a/tests/core/coordinator_table_test.cpp
+++ b/tests/core/coordinator_table_test.cpp
@@ -30,7 +30,7 @@
   }
   replicas_ = 1;
   world_->run_for(10s);
-  EXPECT_TRUE(serve_within(patience));
+  EXPECT_TRUE(serve_within(test_timeout));
 }
 
 // Symptom: one need is written twice, the second write undoing work under the first.
@@ -58,8 +58,8 @@
   const assignment newest = world_->row_in_table();
   ASSERT_GT(newest.version, row_.version);
   world_->table.rows = old_copy;
-  EXPECT_TRUE(
-      world_->run_until([&] { return world_->row_in_table().version > newest.version; }, patience));
+  EXPECT_TRUE(world_->run_until([&] { return world_->row_in_table().version > newest.version; },
+                                test_timeout));
   EXPECT_EQ(world_->row_in_table().replicas, newest.replicas);
   EXPECT_TRUE(all_serve());
 }
--- a/tests/core/fake_world_checks.cpp
+++ b/tests/core/fake_world_checks.cpp
@@ -178,7 +178,7 @@
     for (const vm_id& vm : r.members) {
       const fake_engine& e = engines_.at(vm);
       const bool matches = e.up && !e.paused && e.report.replica == r.id && e.report.gen == r.gen;
-      if (!matches && now_ > e.changed_at + permission_time + route_slack) {
+      if (!matches && now_ > e.changed_at + permission_validity + route_slack) {
         violate("node " + text(nodes_[i].id) + " routes to " + text(r.id) + " without " + text(vm));
       }
       const auto [owner, first] = owners.try_emplace(vm, r.id);
--- a/tests/core/hosted_values_test.cpp
+++ b/tests/core/hosted_values_test.cpp
@@ -10,10 +10,10 @@
 #include "process/fleet_view.h"
 #include "process/hosted_settings.h"
 #include "process/log_budget.h"
-#include "process/node_beat.h"
+#include "process/lost_target_reports.h"
+#include "process/node_heartbeat.h"
 #include "process/peer_table.h"
 #include "process/silence.h"
-#include "process/suspicions.h"
 #include "request/instance_choice.h"
 
 namespace arbutus {
@@ -124,7 +124,7 @@
 // ---- what peers suspect ----
 
 TEST(Suspicions, LastAsLongAsTheyAreRepeated) {
-  suspicions words;
+  lost_target_reports words;
   const node_id hub{"b1"};
   words.told(start, node_id{"a2"}, false, {target_id{"x"}});
   words.told(start, hub, true, {target_id{"y"}});
@@ -132,12 +132,12 @@
   EXPECT_TRUE(words.contains_any(start, {target_id{"z"}, target_id{"y"}}));
   EXPECT_FALSE(words.contains(start, target_id{"z"}));
   // A node's word goes no further than its hub, or two hubs would keep each other's alive.
-  EXPECT_EQ(words.of_hubs(start), std::set<target_id>{target_id{"y"}});
+  EXPECT_EQ(words.reported_by_hubs(start), std::set<target_id>{target_id{"y"}});
   // Taken back.
   words.told(start + 200ms, hub, true, {});
   EXPECT_FALSE(words.contains(start + 200ms, target_id{"y"}));
   // Never repeated, as by a peer that ended.
-  EXPECT_FALSE(words.contains(start + suspicions::remembered, target_id{"x"}));
+  EXPECT_FALSE(words.contains(start + lost_target_reports::retention, target_id{"x"}));
 }
 
 // ---- volume of the log ----
@@ -316,25 +316,25 @@
 // ---- beats and peers ----
 
 TEST(NodeBeat, SurvivesTheWireAndRefusesDamage) {
-  node_beat beat;
+  node_heartbeat beat;
   beat.data_centre = data_centre_id{"a"};
   beat.hub = true;
   beat.stamp_us = 123456;
   beat.echo_us = 99;
   beat.loads[target_id{"x"}] = {3, 500};
   beat.lost = {target_id{"y"}};
-  beat.targets = feed_news{{{"x", "{}", 7, false}}, true, 9, 4, 20ms, true};
+  beat.targets = feed_update{{{"x", "{}", 7, false}}, true, 9, 4, 20ms, true};
   beat.follows_records = false;
   beat.life = "0a1b2c3d";
   beat.serving = {"4e5f6a7b", 17};
-  beat.served = feed_news{{{"h", "row", 18, false}}, false, 18, 17, 30ms, false};
+  beat.served = feed_update{{{"h", "row", 18, false}}, false, 18, 17, 30ms, false};
   beat.configuration_row = 7;
   beat.configuration_progress = {8, 7, 900};
   beat.configuration_part = config_part{8, 7, 1200, 900, std::string("\xff\0\x80", 3)};
   beat.limits = {{target_id{"x"}, 2.5, 30ms, 4}, {target_id{"y"}, std::nullopt, 1s, 0}};
   beat.grants = {"0a1b2c3d", {{target_id{"x"}, 12}}};
   const std::string bytes = encode(beat);
-  const auto back = decode_node_beat(bytes);
+  const auto back = decode_node_heartbeat(bytes);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->echo_us, 99);
   EXPECT_EQ(back->loads.at(target_id{"x"}).unread_tokens, 500);
@@ -355,12 +355,12 @@
   EXPECT_TRUE(back->targets->withheld);
   EXPECT_FALSE(back->configuration);
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-    EXPECT_FALSE(decode_node_beat(bytes.substr(0, cut)));
+    EXPECT_FALSE(decode_node_heartbeat(bytes.substr(0, cut)));
   }
 }
 
 TEST(NodeBeat, OneOfAnEarlierReleaseIsRead) {
-  node_beat beat;
+  node_heartbeat beat;
   beat.data_centre = data_centre_id{"a"};
   beat.configuration_position = 12;
   nlohmann::json document = nlohmann::json::from_msgpack(encode(beat));
@@ -368,7 +368,7 @@
   document.erase(document.begin() + earlier_fields, document.end());
   std::string bytes;
   nlohmann::json::to_msgpack(document, bytes);
-  const auto back = decode_node_beat(bytes);
+  const auto back = decode_node_heartbeat(bytes);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->configuration_position, 12U);
 }
@@ -386,7 +386,7 @@
 
 TEST(PeerTable, TheLowestLivingNameIsTheHub) {
   peer_table peers(node_id{"a2"}, data_centre_id{"a"});
-  peers.set_known(six_nodes());
+  peers.set_records(six_nodes());
   EXPECT_FALSE(peers.is_hub(start));
   peers.told(start, node_id{"a1"});
   // It never answers.
@@ -404,9 +404,9 @@
   // silent one is told once a second, over a link that is closed again before it is up, so it is
   // never heard.
   peer_table peers(node_id{"a3"}, data_centre_id{"a"});
-  peers.set_known(six_nodes());
+  peers.set_records(six_nodes());
   for (duration at = 0ms; at < 5s; at += 200ms) {
-    const std::vector<node_id> told = peers.to_tell(start + at);
+    const std::vector<node_id> told = peers.recipients(start + at);
     for (const node_id& id : told) {
       peers.told(start + at, id);
     }
@@ -419,8 +419,8 @@
   // Symptom: engines of a data centre whose only node died are ordered by nobody, or by two nodes.
   peer_table a(node_id{"a1"}, data_centre_id{"a"});
   peer_table b(node_id{"b1"}, data_centre_id{"b"});
-  a.set_known(six_nodes());
-  b.set_known(six_nodes());
+  a.set_records(six_nodes());
+  b.set_records(six_nodes());
   for (peer_table* p : {&a, &b}) {
     for (const char* name : {"a1", "a2", "a3", "b1", "b2", "c1"}) {
       p->told(start, node_id{name});
@@ -437,11 +437,11 @@
 
 TEST(PeerTable, NodesTellTwoAndHubsTellTheOthers) {
   peer_table ordinary(node_id{"a3"}, data_centre_id{"a"});
-  ordinary.set_known(six_nodes());
-  EXPECT_EQ(ordinary.to_tell(start), (std::vector<node_id>{node_id{"a1"}, node_id{"a2"}}));
+  ordinary.set_records(six_nodes());
+  EXPECT_EQ(ordinary.recipients(start), (std::vector<node_id>{node_id{"a1"}, node_id{"a2"}}));
   peer_table hub(node_id{"a1"}, data_centre_id{"a"});
-  hub.set_known(six_nodes());
-  EXPECT_EQ(hub.to_tell(start).size(), 5U);
+  hub.set_records(six_nodes());
+  EXPECT_EQ(hub.recipients(start).size(), 5U);
 }
 
 TEST(PeerTable, AHubThatTheStoreTurnsAwayHandsOver) {
@@ -452,31 +452,32 @@
   peer_table second(node_id{"a2"}, data_centre_id{"a"});
   peer_table third(node_id{"a3"}, data_centre_id{"a"});
   for (peer_table* p : {&first, &second, &third}) {
-    p->set_known(six_nodes());
+    p->set_records(six_nodes());
   }
-  first.set_turned_away(start, true);
-  const peer_table::peer_word turned_away{.hub = false, .turned_away = true, .stamp_us = 1};
-  second.heard(start, node_id{"a1"}, turned_away);
-  third.heard(start, node_id{"a1"}, turned_away);
+  first.set_refused_by_store(start, true);
+  const peer_table::heartbeat_info refused_by_store{
+      .hub = false, .refused_by_store = true, .stamp_us = 1};
+  second.heard(start, node_id{"a1"}, refused_by_store);
+  third.heard(start, node_id{"a1"}, refused_by_store);
   EXPECT_FALSE(first.is_hub(start));
   EXPECT_TRUE(second.is_hub(start));
   EXPECT_EQ(third.hub_of(start, data_centre_id{"a"}), node_id{"a2"});
   // Two are told that may be the hub, and the first, to be heard when it is served again.
-  EXPECT_EQ(second.to_tell(start)[0], node_id{"a1"});
-  EXPECT_EQ(third.to_tell(start).size(), 2U);
+  EXPECT_EQ(second.recipients(start)[0], node_id{"a1"});
+  EXPECT_EQ(third.recipients(start).size(), 2U);
 
   // It is away from all: the first in the order of names keeps the replicas all the same.
-  second.set_turned_away(start, true);
-  third.set_turned_away(start, true);
-  third.heard(start, node_id{"a2"}, turned_away);
-  second.heard(start, node_id{"a3"}, turned_away);
-  first.heard(start, node_id{"a2"}, turned_away);
-  first.heard(start, node_id{"a3"}, turned_away);
+  second.set_refused_by_store(start, true);
+  third.set_refused_by_store(start, true);
+  third.heard(start, node_id{"a2"}, refused_by_store);
+  second.heard(start, node_id{"a3"}, refused_by_store);
+  first.heard(start, node_id{"a2"}, refused_by_store);
+  first.heard(start, node_id{"a3"}, refused_by_store);
   EXPECT_TRUE(first.is_hub(start));
   EXPECT_FALSE(second.is_hub(start));
   EXPECT_FALSE(third.is_hub(start));
 
-  first.set_turned_away(start, false);
+  first.set_refused_by_store(start, false);
   EXPECT_TRUE(first.is_hub(start));
   second.heard(start, node_id{"a1"}, {.hub = true, .stamp_us = 2});
   EXPECT_FALSE(second.is_hub(start));
@@ -484,16 +485,16 @@
 
 TEST(PeerTable, KnowsWhetherAnotherNodeHereIsServed) {
   peer_table table(node_id{"a1"}, data_centre_id{"a"});
-  table.set_known(
+  table.set_records(
       {{node_id{"a2"}, data_centre_id{"a"}, {}, {}}, {node_id{"b1"}, data_centre_id{"b"}, {}, {}}});
   table.heard(start, node_id{"b1"}, {.stamp_us = 1});
   EXPECT_FALSE(table.any_served_here(start));
-  table.heard(start, node_id{"a2"}, {.turned_away = true, .stamp_us = 1});
+  table.heard(start, node_id{"a2"}, {.refused_by_store = true, .stamp_us = 1});
   EXPECT_FALSE(table.any_served_here(start));
-  EXPECT_TRUE(table.is_turned_away(node_id{"a2"}));
+  EXPECT_TRUE(table.is_refused_by_store(node_id{"a2"}));
   table.heard(start, node_id{"a2"}, {.stamp_us = 2});
   EXPECT_TRUE(table.any_served_here(start));
-  EXPECT_FALSE(table.any_served_here(start + peer_table::alive_for));
+  EXPECT_FALSE(table.any_served_here(start + peer_table::alive_timeout));
 }
 
 TEST(PeerTable, AStoreThatServesAllAgainMakesNoCrowdOfHubs) {
@@ -505,17 +506,17 @@
     rows.push_back({node_id{name}, data_centre_id{"a"}, {}, {}});
   }
   peer_table last(node_id{"a3"}, data_centre_id{"a"});
-  last.set_known(rows);
-  const peer_table::peer_word away{.turned_away = true, .stamp_us = 1};
-  last.set_turned_away(start, true);
+  last.set_records(rows);
+  const peer_table::heartbeat_info away{.refused_by_store = true, .stamp_us = 1};
+  last.set_refused_by_store(start, true);
   last.heard(start, node_id{"a1"}, away);
   last.heard(start, node_id{"a2"}, away);
-  last.set_turned_away(start + 100ms, false);
+  last.set_refused_by_store(start + 100ms, false);
   EXPECT_EQ(last.hub_of(start + 100ms, data_centre_id{"a"}), node_id{"a1"});
   // They are turned away as before: it takes the duty.
   last.heard(start + 600ms, node_id{"a1"}, away);
   last.heard(start + 600ms, node_id{"a2"}, away);
-  EXPECT_TRUE(last.is_hub(start + 100ms + peer_table::served_settles));
+  EXPECT_TRUE(last.is_hub(start + 100ms + peer_table::served_settle_time));
 }
 
 // ---- fleet view ----
--- a/tests/core/request_router_test.cpp
+++ b/tests/core/request_router_test.cpp
@@ -252,8 +252,8 @@
 
 TEST(Spill, GoesElsewhereOnlyForAGain) {
   routing_snapshot routes;
-  routes.elsewhere = {{data_centre_id("near"), model, 0, 2s, now, {{"10.0.0.1", 80}}},
-                      {data_centre_id("far"), model, 3, 0us, now, {{"10.0.1.1", 80}}}};
+  routes.remote_capacities = {{data_centre_id("near"), model, 0, 2s, now, {{"10.0.0.1", 80}}},
+                              {data_centre_id("far"), model, 3, 0us, now, {{"10.0.1.1", 80}}}};
   const std::vector<data_centre_distance> distances = {{data_centre_id("near"), 5ms},
                                                        {data_centre_id("far"), 80ms}};
   const auto spill = [&](std::optional<duration> local, bool already = false) {
@@ -264,10 +264,10 @@
   EXPECT_EQ(spill(5s), "far");
   EXPECT_EQ(spill(std::nullopt), "far");
   EXPECT_EQ(spill(5s, true), "here") << "a request is passed on once";
-  routes.elsewhere[1].at = now - 1min;
+  routes.remote_capacities[1].at = now - 1min;
   EXPECT_EQ(spill(2s), "here");
   EXPECT_EQ(spill(5s), "near");
-  routes.elsewhere[0].entry.clear();
+  routes.remote_capacities[0].entry.clear();
   EXPECT_EQ(spill(std::nullopt), "here");
 }
 
--- a/tests/core/serving_feed_test.cpp
+++ b/tests/core/serving_feed_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "process/list_budget.h"
-#include "process/record_duty.h"
+#include "process/record_subscription.h"
 #include "process/replica_name.h"
 
 namespace arbutus {
@@ -265,7 +265,7 @@
 }
 
 TEST(RecordDuty, TheNextInLineTakesTheRecordsAfterAWhile) {
-  record_duty duty;
+  record_subscription duty;
   duty.update(start, false, false);
   EXPECT_FALSE(duty.follows_records());
   duty.update(start + 100ms, false, true);
@@ -273,18 +273,18 @@
   // A beat that was late: not for this.
   duty.update(start + 200ms, false, false);
   duty.update(start + 300ms, false, true);
-  duty.update(start + 300ms + record_duty::take_after, false, true);
+  duty.update(start + 300ms + record_subscription::subscribe_after, false, true);
   EXPECT_TRUE(duty.follows_records());
 }
 
 TEST(RecordDuty, AHubTakesThemAtOnceAndKeepsThemForAWhile) {
-  record_duty duty;
+  record_subscription duty;
   duty.update(start, false, false);
   duty.update(start + 1s, true, true);
   EXPECT_TRUE(duty.follows_records());
   duty.update(start + 2s, false, false);
   EXPECT_TRUE(duty.follows_records());
-  duty.update(start + 2s + record_duty::leave_after, false, false);
+  duty.update(start + 2s + record_subscription::unsubscribe_after, false, false);
   EXPECT_FALSE(duty.follows_records());
 }
 
--- a/tests/core/target_life_test.cpp
+++ b/tests/core/target_life_test.cpp
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 
 #include "process/fleet_view.h"
-#include "process/misdirections.h"
+#include "process/misdirected_heads.h"
 #include "process/replica_name.h"
 #include "request/replica_choice.h"
 
@@ -189,11 +189,11 @@
 }
 
 TEST(Misdirections, LastUntilTheHeadMayBeOpenAgain) {
-  misdirections said;
+  misdirected_heads said;
   const target_id head{"i-1"};
   said.note(time_point{10s}, head);
   EXPECT_EQ(said.heads(time_point{10s} + 500ms), std::vector<target_id>{head});
-  EXPECT_TRUE(said.heads(time_point{10s} + misdirections::remembered).empty());
+  EXPECT_TRUE(said.heads(time_point{10s} + misdirected_heads::retention).empty());
 }
 
 TEST(TargetAddress, TheNewestRowSaysWhoseItIs) {
