--- a/src/process/activation.cpp
+++ b/src/process/activation.cpp
@@ -1,4 +1,4 @@
-// Choosing the mask, and when to act on it.
+// Choice of the lost mask and timing of activations.
 #include "process/activation.h"
 
 #include <algorithm>
@@ -29,7 +29,7 @@
 std::optional<lost_mask> extend_mask(const replica_plan& replica, std::uint64_t row_version,
                                      lost_mask mask,
                                      const std::function<bool(const vm_id&)>& lost) {
-  // Each round marks at least one more position, so it ends.
+  // Terminates because each round marks at least one more position.
   while (true) {
     const auto candidate = activate(replica, row_version, mask);
     if (!candidate) {
@@ -65,7 +65,7 @@
   }
   const auto seen = activate(*plan, row.version, gen.lost);
   if (!seen || seen->gen != gen) {
-    return false;  // no node that follows the protocol made this
+    return false;  // no correct node produces such a generation
   }
   active_[replica] = gen;
   return true;
@@ -85,8 +85,8 @@
   next_tick_ = time_point::max();
   for (const replica_plan& replica : context.row.replicas) {
     const composition current = in_force(replica);
-    const lost_mask carried = context.overtaken_by(replica).value_or(0);
-    const bool needed = any_lost(current.members, context.lost) || carried != 0;
+    const lost_mask superseding = context.overtaken_by(replica).value_or(0);
+    const bool needed = any_lost(current.members, context.lost) || superseding != 0;
     const bool serves = replica.phase == replica_phase::active;
     if (!needed || !serves || !context.allowed) {
       needed_since_.erase(replica.id);
@@ -101,9 +101,9 @@
     }
     const bool active = active_.contains(replica.id);
     const lost_mask mask = active ? current.gen.lost : lost_mask{0};
-    const auto wanted = extend_mask(replica, context.row.version, mask | carried, context.lost);
+    const auto wanted = extend_mask(replica, context.row.version, mask | superseding, context.lost);
     if (!wanted || (active && *wanted == mask)) {
-      continue;  // no standby left, or nothing newer to say
+      continue;  // no standby left, or the mask is already in force
     }
     active_[replica.id] = activate(replica, context.row.version, *wanted)->gen;
     needed_since_.erase(replica.id);
--- a/src/process/activation.h
+++ b/src/process/activation.h
@@ -1,11 +1,11 @@
-// Repair without the table: brings a replica back with the standbys that its row reserves for it
-// alone.
+// Repair while the table is unavailable: replaces lost members of a replica by the standbys that
+// the assignment row reserves for this replica alone.
 //
-// No other replica may use a reserved standby, so no agreement is needed. What nodes do at the
-// same time is ordered by the generation (row version, step, lost): each node follows the greatest
-// it has seen, and since the composition is a pure function of row and mask, equal generations
-// mean equal compositions. A node adds its own losses to what it follows, never takes any away
-// within one row version.
+// No other replica may use a reserved standby, so the nodes need no agreement. Concurrent
+// activations are ordered by generation (row version, step, lost mask): each node follows the
+// greatest generation it has received. The composition is a pure function of row and mask, so
+// equal generations mean equal compositions. Within one row version a node adds the losses it
+// detects to the mask it follows and never removes any.
 #pragma once
 
 #include <cstddef>
@@ -21,38 +21,39 @@
 
 namespace arbutus {
 
-// A node of rank r starts an activation r times this later; by then it has heard of one that a
-// node before it started. More than an urgent message takes.
+// A node of rank r delays an activation by r times this. It is longer than an urgent message takes,
+// so the node has learnt by then of an activation that a node of lower rank started.
 inline constexpr duration activation_rank_delay = 300ms;
 
 struct activation_context {
   const assignment& row;
   const std::vector<node_id>& live;        // nodes of the data centre, this one included
-  std::function<bool(const vm_id&)> lost;  // lost, not merely suspect
-  // The mask of an activation from an older row that targets of this replica still obey, although
-  // it is greater than the generation in force: without a newer one they refuse every order.
+  std::function<bool(const vm_id&)> lost;  // false for a VM that is only suspect
+  // The mask of an activation from an older row that targets of this replica still obey and whose
+  // generation is greater than the one in force. Without a newer generation they refuse every
+  // order.
   std::function<std::optional<lost_mask>(const replica_plan&)> overtaken_by;
-  bool allowed = false;  // the table cannot be written and this node is not alone
+  bool allowed = false;  // the table cannot be written and this node is not isolated
 };
 
 class activation {
  public:
   explicit activation(node_id self) : self_(std::move(self)) {}
 
-  // To be called on every change of the row: what was activated from an older row is void.
+  // Call on every change of the row: discards activations of the older row.
   void rebase(const assignment& row);
 
-  // Follows a generation seen at a peer or a target if it belongs to this row and is greater than
-  // the one in force. True if it was taken.
+  // Follows a generation reported by a peer or a target if it belongs to this row and is greater
+  // than the one in force. True if it was adopted.
   [[nodiscard]] bool adopt(const assignment& row, const replica_id& replica, const generation& gen);
 
-  // Starts what is needed and due; returns the replicas whose composition changed.
+  // Starts the activations that are due; returns the replicas whose composition changed.
   [[nodiscard]] std::vector<replica_id> tick(time_point now, const activation_context& context);
   [[nodiscard]] time_point next_tick() const { return next_tick_; }
 
   // The composition in force; empty only if the row changed without rebase.
   [[nodiscard]] composition in_force(const replica_plan& replica) const;
-  // Activations in force, to be told to peers.
+  // Activations in force, to be sent to peers.
   [[nodiscard]] const std::map<replica_id, generation>& active() const { return active_; }
   [[nodiscard]] std::uint64_t started() const { return started_; }
 
@@ -65,8 +66,8 @@
   std::uint64_t started_{};
 };
 
-// The smallest mask that contains `mask` and whose composition has no lost VM; empty if the
-// standbys do not suffice.
+// The smallest mask that contains `mask` and whose composition has no lost VM; empty if there are
+// too few standbys.
 [[nodiscard]] std::optional<lost_mask> extend_mask(const replica_plan& replica,
                                                    std::uint64_t row_version, lost_mask mask,
                                                    const std::function<bool(const vm_id&)>& lost);
--- a/src/process/coordinator.cpp
+++ b/src/process/coordinator.cpp
@@ -1,4 +1,4 @@
-// The coordinator's interface: each call collects the effects of the parts.
+// The coordinator's public interface: each call returns the effects that its parts have emitted.
 #include "process/coordinator.h"
 
 #include <algorithm>
@@ -10,24 +10,24 @@
 
 namespace {
 
-// Seeds of the parts differ, so that their jitters do not move together.
-std::uint64_t derived(std::uint64_t seed, std::uint64_t part) {
+// Gives each part its own seed, so that their jitters are independent.
+std::uint64_t derive_seed(std::uint64_t seed, std::uint64_t part) {
   return rng{seed + part}();
 }
 
-// A bound for callers that sleep until next_tick(): never a busy loop.
+// Lower bound for next_tick(), so that callers that sleep until then never busy-loop.
 constexpr duration shortest_sleep = 1ms;
 
 }  // namespace
 
 coordinator::parts::parts(coordinator_settings s)
     : settings(std::move(s)),
-      random(derived(settings.seed, 1)),
-      seen(settings.self, timing),
-      configs(settings.self, derived(settings.seed, 2), timing),
-      rows(settings.self, settings.data_centre, derived(settings.seed, 3)),
-      repairs(settings.self),
-      sender(derived(settings.seed, 4)),
+      random(derive_seed(settings.seed, 1)),
+      observations(settings.self, timing),
+      configs(settings.self, derive_seed(settings.seed, 2), timing),
+      rows(settings.self, settings.data_centre, derive_seed(settings.seed, 3)),
+      activations(settings.self),
+      dispatcher(derive_seed(settings.seed, 4)),
       board(settings.self, settings.data_centre) {}
 
 void coordinator::parts::emit(effects list) {
@@ -45,7 +45,7 @@
   p.started_at = now;
   p.last_tick = now;
   p.table_since = now;
-  p.peers.emplace(p.settings.self, p.settings.incarnation, derived(p.settings.seed, 5), now,
+  p.peers.emplace(p.settings.self, p.settings.incarnation, derive_seed(p.settings.seed, 5), now,
                   p.timing);
   std::vector<node_id> nodes{p.settings.self};
   for (const node_record& n : p.settings.bootstrap_peers) {
@@ -67,20 +67,21 @@
   std::visit([&](const auto& event) { p.on(now, event); }, in);
   p.note_changes(now);
   p.decide(now);
-  p.send_heartbeats(now);  // those that were hurried
+  p.send_heartbeats(now);  // those that are now due early
   return std::exchange(p.out, {});
 }
 
 time_point coordinator::next_tick() const {
   const parts& p = *parts_;
-  const time_point next = std::min({p.last_tick + tick_interval, p.rows.next_tick(),
-                                    p.sender.next_tick(), p.repairs.next_tick(), p.plan_by});
+  const time_point next =
+      std::min({p.last_tick + tick_interval, p.rows.next_tick(), p.dispatcher.next_tick(),
+                p.activations.next_tick(), p.plan_by});
   return std::max(next, p.last_tick + shortest_sleep);
 }
 
 bool coordinator::may_send(time_point now, const order& o) {
   parts& p = *parts_;
-  // A process that was paused since it last ticked believes what may long be over.
+  // The state of a process that was paused since its last tick may be out of date.
   const bool awake = now - p.last_tick <= p.timing.own_pause;
   const auto wanted = p.wanted();
   const auto found = wanted.find(o.vm);
--- a/src/process/coordinator.h
+++ b/src/process/coordinator.h
@@ -1,10 +1,10 @@
-// The coordination core of a node: a value that is fed with (now, input) and returns effects.
+// The coordination core of a node: a state machine that takes (now, input) and returns effects.
 //
-// It holds what the node knows (peers, observations of target VMs, configuration, assignment row)
-// and decides what follows: whom to probe, what to gossip, which row to propose, which standby to
-// activate, which orders to send, and who may be routed to. It knows no clock, thread or socket.
-// All functions of one coordinator are called by one thread at a time; `routes` returns a copy
-// that may then be shared.
+// It holds the node's state (peers, observations of target VMs, configuration, assignment row) and
+// decides which VMs to probe, what to gossip, which row to propose, which standbys to activate,
+// which orders to send and which replicas may be routed to. It uses no clock, thread or socket.
+// Not thread-safe: one thread at a time may call a coordinator. `routes` returns a copy that may
+// be shared between threads.
 #pragma once
 
 #include <cstdint>
@@ -22,15 +22,15 @@
 
 namespace arbutus {
 
-// The table's key of the configuration's head row. That of the assignment is row_key().
+// Key of the configuration's head row in the table. The key of the assignment row is row_key().
 inline constexpr const char* config_head_key = "config/head";
 
 struct coordinator_settings {
   node_id self;
   data_centre_id data_centre;
-  std::uint64_t incarnation{};  // differs after every start of this node
+  std::uint64_t incarnation{};  // differs at every start of this node
   std::uint64_t seed{};
-  std::vector<node_record> bootstrap_peers;  // until a configuration names the nodes
+  std::vector<node_record> bootstrap_peers;  // used until a configuration lists the nodes
 };
 
 class coordinator {
@@ -42,21 +42,21 @@
   coordinator& operator=(coordinator&&) noexcept;
   ~coordinator();
 
-  // The first effects of the process's life. Call once, before anything else.
+  // Returns the first effects after the process has started. Call once, before anything else.
   [[nodiscard]] effects start(time_point now);
-  // Call at next_tick(); earlier or more often does no harm.
+  // Call at next_tick(); calling earlier or more often is harmless.
   [[nodiscard]] effects tick(time_point now);
   [[nodiscard]] effects on(time_point now, const input& in);
-  // Nothing is to be done before this moment unless an input comes.
+  // Until this time there is nothing to do unless an input arrives.
   [[nodiscard]] time_point next_tick() const;
 
-  // Call directly before the bytes of an order go out. False: the order is out of date, do not
-  // send it and report it back as `refused`. A target that does not check fencing tokens would
-  // obey an order that was overtaken while it waited for a connection.
+  // Call directly before the bytes of an order are sent. False: the order is out of date; do not
+  // send it, and report it back as `refused`. A target that does not check fencing tokens would
+  // obey an order that was superseded while it waited for a connection.
   [[nodiscard]] bool may_send(time_point now, const order& o);
 
-  // Changes whenever routes() may give something else than the load it last gave; lets the shell
-  // publish a new snapshot at once instead of polling.
+  // Changes whenever routes() may differ in more than the reported load, so that the embedding
+  // program can publish a new snapshot immediately instead of polling.
   [[nodiscard]] std::uint64_t routes_revision() const;
   [[nodiscard]] routing_snapshot routes(time_point now) const;
 
@@ -64,15 +64,16 @@
   [[nodiscard]] const assignment& row() const;        // version 0 until known
   [[nodiscard]] status_view status(time_point now) const;
 
-  // This node is stopping: peers stop counting on it; what runs here may finish.
+  // This node is stopping: peers no longer rely on it; requests that run here may finish.
   void begin_drain(time_point now);
-  // From the request path, on every change: requests this node has at the replica, in the
-  // composition they were sent to. A draining replica is not emptied while the count is positive.
+  // Called by the request path on every change: the number of requests that this node has at the
+  // replica, by the generation they were sent to. A draining replica does not count as empty while
+  // the number is positive.
   void report_in_flight(const replica_id& replica, generation gen, std::uint32_t count);
-  // From the request path: this workspace's admitted requests a second here; gossiped so that
-  // limits are shared.
+  // Called by the request path: the workspace's admitted requests per second at this node. The
+  // rate is gossiped so that the nodes share the workspace's limit.
   void report_usage(const workspace_id& workspace, double requests_per_second);
-  // The same, summed over the other live nodes.
+  // The recently reported rates of the workspace, summed over the other nodes.
   [[nodiscard]] double usage_elsewhere(time_point now, const workspace_id& workspace) const;
 
  private:
--- a/src/process/coordinator_decide.cpp
+++ b/src/process/coordinator_decide.cpp
@@ -1,5 +1,5 @@
-// The decisions that follow from what is known: which standbys to activate, which orders to send,
-// which row to propose.
+// The coordinator's decisions: which standbys to activate, which orders to send and which row to
+// propose.
 #include <algorithm>
 #include <utility>
 
@@ -20,12 +20,13 @@
 
 // ---- repair without the table ----
 
-// A generation from an older row that targets of this replica obey and that beats the one in force.
+// Finds generations of older rows that members of this replica still obey although they are
+// greater than the generation in force. Returns their combined lost mask.
 std::optional<lost_mask> coordinator::parts::overtaken_by(const replica_plan& replica) const {
-  const composition in_force = repairs.in_force(replica);
+  const composition in_force = activations.in_force(replica);
   std::optional<lost_mask> found;
   for (const vm_id& vm : in_force.members) {
-    const observation* newest = seen.latest(vm);
+    const observation* newest = observations.latest(vm);
     if (newest == nullptr || newest->report.replica != replica.id) {
       continue;
     }
@@ -39,16 +40,19 @@
 }
 
 void coordinator::parts::activate_standbys(time_point now) {
-  const bool away = rows.unwritable(now) && !rows.behind();
+  const bool table_unavailable = rows.unwritable(now) && !rows.behind();
   const activation_context context{
       .row = rows.row(),
       .live = peers->live(now),
-      .lost = [&](const vm_id& vm) { return seen.condition(vm, now) == target_condition::lost; },
+      .lost =
+          [&](const vm_id& vm) {
+            return observations.condition(vm, now) == target_condition::lost;
+          },
       .overtaken_by = [&](const replica_plan& r) { return overtaken_by(r); },
-      .allowed = away && peers->may_act_alone(rows.row().version, now),
+      .allowed = table_unavailable && peers->may_act_alone(rows.row().version, now),
   };
-  for (const replica_id& id : repairs.tick(now, context)) {
-    emit(notice{"repair", "replica " + id.str() + " brought back by standbys, table away"});
+  for (const replica_id& id : activations.tick(now, context)) {
+    emit(notice{"repair", "replica " + id.str() + " repaired with standbys, table unavailable"});
     peers->hurry(now);
     changed();
   }
@@ -62,15 +66,15 @@
     return {};
   }
   for (const vm_record* vm : config->assets.vms_of(settings.data_centre)) {
-    if (const observation* newest = seen.latest(vm->id)) {
+    if (const observation* newest = observations.latest(vm->id)) {
       reports.emplace(vm->id, newest->report);
     }
   }
-  const auto in_force = [&](const replica_plan& r) { return repairs.in_force(r); };
+  const auto in_force = [&](const replica_plan& r) { return activations.in_force(r); };
   return wanted_states(rows.row(), in_force, reports);
 }
 
-// Whether the row was still the newest a moment ago, by the table or by a majority of the nodes.
+// Whether the table or a majority of the nodes recently confirmed that the row is the newest.
 bool coordinator::parts::row_confirmed(time_point now) const {
   const auto at = rows.confirmed_at();
   const bool by_table = at && now - *at <= row_confirmation_limit;
@@ -78,16 +82,17 @@
 }
 
 bool coordinator::parts::order_allowed(time_point now, const vm_id& vm) const {
-  // An order may still be older than the newest row by as much as a confirmation may age. A target
-  // that has seen the newer order refuses it by its token; one that has restarted obeys until the
-  // newer order comes, and meanwhile no replica that needs it serves.
+  // An order may lag behind the newest row by the age of the confirmation. A target that has
+  // received a newer order refuses this one by its token. A target that has restarted since obeys
+  // it until the newer order arrives; until then no replica that needs the target serves.
   const bool current = rows.known() && !rows.behind() && row_confirmed(now);
-  const observation* newest = seen.latest(vm);
+  const observation* newest = observations.latest(vm);
   const bool observed = newest != nullptr && now - newest->at <= order_observation_limit;
   return current && observed;
 }
 
-// Probers first: what they learn from the answer is theirs to tell the others.
+// The nodes that probe the VM come first: they gossip its observations, and the answer to an order
+// is one.
 std::size_t coordinator::parts::order_rank(time_point now, const vm_id& vm) {
   const auto probers = peers->probers_of(vm, now);
   const auto own = std::find(probers.begin(), probers.end(), settings.self);
@@ -103,23 +108,24 @@
       .wanted = states,
       .rank = [&](const vm_id& vm) { return order_rank(now, vm); },
       .reachable = [&](const vm_id& vm) -> const observation* {
-        const target_condition c = seen.condition(vm, now);
+        const target_condition c = observations.condition(vm, now);
         const bool finishes =
             c == target_condition::leaving && states.at(vm).kind != order_kind::form;
         const bool usable = c == target_condition::working || finishes;
-        return usable && order_allowed(now, vm) ? seen.latest(vm) : nullptr;
+        return usable && order_allowed(now, vm) ? observations.latest(vm) : nullptr;
       },
   };
-  for (order& o : sender.tick(now, context)) {
+  for (order& o : dispatcher.tick(now, context)) {
     emit(std::move(o));
   }
 }
 
 // ---- planning ----
 
-// A node that hears few peers is more likely cut off itself than left over: what it does not reach
-// may serve, and its plan, which the table would accept, would take it apart. It waits, and does
-// nothing while it does not reach most targets.
+// Whether this node may plan from its own view. A node that reaches few peers is more likely cut
+// off than the last one alive: replicas that it does not reach may serve, and the table would
+// accept a plan that dissolves them. Such a node waits, and plans only if it reaches at least half
+// of the targets.
 bool coordinator::parts::may_judge(time_point now) {
   if (peers->may_act_alone(rows.row().version, now)) {
     minority_since.reset();
@@ -131,14 +137,14 @@
   }
   const auto vms = config->assets.vms_of(settings.data_centre);
   const auto reached = std::count_if(vms.begin(), vms.end(), [&](const vm_record* vm) {
-    const target_condition c = seen.condition(vm->id, now);
+    const target_condition c = observations.condition(vm->id, now);
     return c == target_condition::working || c == target_condition::leaving;
   });
   return 2 * static_cast<std::size_t>(reached) >= vms.size();
 }
 
-// Planning by older rules than the row was made for would take back an accepted configuration.
-// Only when the newer rules seem to be lost for good, repair goes before that.
+// Planning with older rules than the row was made for would revert an accepted configuration. Only
+// after a timeout, when the newer rules appear to be lost for good, repair takes precedence.
 bool coordinator::parts::knows_rules(time_point now) {
   if (config->version >= rows.row().config_version) {
     old_rules_since.reset();
@@ -163,7 +169,7 @@
   return result;
 }
 
-drain_context coordinator::parts::draining(time_point now) const {
+drain_context coordinator::parts::drain_inputs(time_point now) const {
   return {
       .row = rows.row(),
       .acknowledged = peers->acknowledged_by_all(rows.row().version, now),
@@ -182,10 +188,12 @@
             const auto theirs = in_use_of.find(node);
             return theirs != in_use_of.end() && theirs->second.contains(id);
           },
-      .in_force = [this](const replica_plan& r) { return repairs.in_force(r); },
-      .seen = [this](const vm_id& vm) { return seen.latest(vm); },
-      .lost = [this,
-               now](const vm_id& vm) { return seen.condition(vm, now) == target_condition::lost; },
+      .in_force = [this](const replica_plan& r) { return activations.in_force(r); },
+      .latest_observation = [this](const vm_id& vm) { return observations.latest(vm); },
+      .lost =
+          [this, now](const vm_id& vm) {
+            return observations.condition(vm, now) == target_condition::lost;
+          },
   };
 }
 
@@ -200,7 +208,7 @@
     case target_condition::leaving:
       return vm_condition::leaving;
     case target_condition::suspect:
-    case target_condition::unknown:  // not known to be gone: left where it is
+    case target_condition::unknown:  // may still run: stays in its replica
       break;
   }
   return vm_condition::suspect;
@@ -209,7 +217,7 @@
 }  // namespace
 
 plan coordinator::parts::next_plan(time_point now) {
-  // Whether these rules may be used was decided by knows_rules().
+  // knows_rules() has already decided that these rules may be used.
   assignment current = rows.row();
   current.config_version = std::min(current.config_version, config->version);
   planner_input in;
@@ -217,21 +225,21 @@
   in.current = &current;
   in.data_centre = settings.data_centre;
   for (const vm_record* vm : config->assets.vms_of(settings.data_centre)) {
-    in.health.push_back({vm->id, planner_condition(seen.condition(vm->id, now))});
+    in.health.push_back({vm->id, planner_condition(observations.condition(vm->id, now))});
   }
-  for (const auto& [id, gen] : repairs.active()) {
+  for (const auto& [id, gen] : activations.active()) {
     if (const replica_plan* replica = rows.row().find(id)) {
-      in.in_force.push_back(repairs.in_force(*replica));
+      in.in_force.push_back(activations.in_force(*replica));
     }
   }
-  const auto empty = drains.emptied(now, draining(now));
+  const auto empty = drains.emptied(now, drain_inputs(now));
   in.emptied.assign(empty.begin(), empty.end());
   in.acknowledged = peers->acknowledged_by_all(rows.row().version, now);
   for (const auto& [model, busy] : demand) {
     in.demand.push_back({model, busy});
   }
   for (const replica_plan& replica : rows.row().replicas) {
-    if (permission(now, repairs.in_force(replica)).granted) {
+    if (permission(now, activations.in_force(replica)).granted) {
       in.serving.push_back(replica.id);
     }
   }
@@ -270,7 +278,7 @@
   const auto rank = peers->rank_of(settings.self, subject, now);
   const time_point due = since + rank_wait(rank, row_rank_delay);
   if (now < due) {
-    plan_by = due;  // by then another node's row will have made this one needless
+    plan_by = due;  // by then a node of lower rank has usually written the row
     return;
   }
   emit(rows.propose(now, std::move(p.next)));
--- a/src/process/coordinator_inputs.cpp
+++ b/src/process/coordinator_inputs.cpp
@@ -1,4 +1,4 @@
-// What each input teaches the coordinator. Decisions are taken afterwards, in decide().
+// Handling of inputs: each updates the coordinator's state. Decisions follow in decide().
 #include <algorithm>
 #include <utility>
 
@@ -45,7 +45,7 @@
   }
   emit(rows.on(now, r));
   if (rows.row().version != row_noted) {
-    peers->hurry(now);  // the others read the row when they hear of it
+    peers->hurry(now);  // peers read the row when a heartbeat reports the new version
   }
   note_row(now);
 }
@@ -68,8 +68,9 @@
       listed_leaving.insert(e.vm);
       note_leaving(now, e.vm, 0);
     } else if (listed_leaving.erase(e.vm) > 0) {
-      // Only what the list itself said: it lags behind a target that says it leaves.
-      seen.clear_leaving(e.vm);
+      // Undoes only what the list itself reported: the list lags behind a target that reports
+      // itself as leaving.
+      observations.clear_leaving(e.vm);
     }
   }
 }
@@ -81,7 +82,7 @@
   if (report != nullptr && report->leaving) {
     note_leaving(now, r.vm, report->incarnation);
   }
-  const bool news = seen.own_probe(r, now);
+  const bool news = observations.own_probe(r, now);
   if (report != nullptr) {
     note_observation(now, r.vm);
   }
@@ -91,26 +92,26 @@
 }
 
 void coordinator::parts::on(time_point now, const order_result& r) {
-  const auto sent_at = sender.on(now, r);
+  const auto sent_at = dispatcher.on(now, r);
   const auto* report = std::get_if<engine_report>(&r.result);
   if (!sent_at || report == nullptr) {
     return;
   }
-  // The answer is a report as good as a probe's, and the others wait to hear of it.
-  seen.own_probe({r.asked.vm, *sent_at, *report}, now);
+  // The answer is worth as much as a probe's report, and other nodes wait for it.
+  observations.own_probe({r.asked.vm, *sent_at, *report}, now);
   note_observation(now, r.asked.vm);
   peers->hurry(now);
 }
 
 void coordinator::parts::on(time_point now, const target_error& e) {
-  if (seen.own_error(e.vm, now)) {
+  if (observations.own_error(e.vm, now)) {
     note_failure(now, e.vm);
   }
   changed();
 }
 
 void coordinator::parts::note_failure(time_point now, const vm_id& vm) {
-  const auto failure = seen.failure_of(vm, now);
+  const auto failure = observations.failure_of(vm, now);
   if (!failure) {
     return;
   }
@@ -121,14 +122,14 @@
 }
 
 void coordinator::parts::note_leaving(time_point now, const vm_id& vm, std::uint64_t incarnation) {
-  if (seen.mark_leaving(vm, incarnation)) {
+  if (observations.mark_leaving(vm, incarnation)) {
     tell_all(now, leaving_notice{vm, incarnation});
     changed();
   }
 }
 
 void coordinator::parts::note_observation(time_point now, const vm_id& vm) {
-  const observation* newest = seen.latest(vm);
+  const observation* newest = observations.latest(vm);
   if (newest == nullptr) {
     return;
   }
@@ -145,18 +146,18 @@
     peers->hurry(now);
   }
   rows.heard_from_target(now, r.gen.row);
-  if (!r.replica.empty() && repairs.adopt(rows.row(), r.replica, r.gen)) {
+  if (!r.replica.empty() && activations.adopt(rows.row(), r.replica, r.gen)) {
     changed();
   }
 }
 
 void coordinator::parts::note_changes(time_point now) {
-  for (const condition_change& c : seen.take_changes(now)) {
+  for (const condition_change& c : observations.take_changes(now)) {
     condition_since[c.vm] = now;
     changed();
     plan_by = std::min(plan_by, now + plan_debounce);
     if (c.to == target_condition::lost) {
-      rows.look(now);  // whether the table can be reached decides how to repair
+      rows.look(now);  // how to repair depends on whether the table is reachable
     }
   }
 }
@@ -171,7 +172,7 @@
     return;
   }
   row_noted = rows.row().version;
-  repairs.rebase(rows.row());
+  activations.rebase(rows.row());
   drains.rebase(rows.row());
   need_since.reset();
   plan_by = std::min(plan_by, now + plan_debounce);
@@ -183,38 +184,39 @@
 void coordinator::parts::on(time_point now, const peer_message& m) {
   const auto decoded = decode_gossip(m.from, m.bytes);
   if (const auto* message = std::get_if<gossip_message>(&decoded)) {
-    std::visit([&](const auto& content) { heard(now, m.from, content); }, *message);
+    std::visit([&](const auto& content) { receive(now, m.from, content); }, *message);
     return;
   }
   emit(notice{"gossip", "a message of " + m.from.str() + " cannot be decoded"});
 }
 
-// A restarted peer has echoed messages whose short forms it could not understand.
+// A restarted peer may have echoed messages with short forms that it could not decode, because
+// they refer to messages sent to its previous process.
 void coordinator::parts::note_process(const node_id& from, const struct heard& h) {
   if (h.restarted) {
-    seen.forget_peer(from);
+    observations.forget_peer(from);
   }
 }
 
-void coordinator::parts::heard(time_point now, const node_id& from, const heartbeat& m) {
+void coordinator::parts::receive(time_point now, const node_id& from, const heartbeat& m) {
   const auto h = peers->receive(m, rows.row().version, now);
   if (!h) {
     return;
   }
   note_process(from, *h);
-  seen.merge(m, *h, now);
+  observations.merge(m, *h, now);
   for (const vm_record* vm :
        config ? config->assets.vms_of(settings.data_centre) : std::vector<const vm_record*>{}) {
     note_observation(now, vm->id);
   }
   rows.heard_from_peer(now, m.assignment_version);
   for (const composition& c : m.activations) {
-    if (repairs.adopt(rows.row(), c.replica, c.gen)) {
+    if (activations.adopt(rows.row(), c.replica, c.gen)) {
       changed();
     }
   }
   if (!m.table_reachable && !rows.unreadable_since()) {
-    rows.look(now);  // to know for oneself before a repair depends on it
+    rows.look(now);  // checks the table from here before a repair depends on it
   }
   in_use_of[from] = {m.in_use.begin(), m.in_use.end()};
   peer_usage& u = usage_of[from];
@@ -231,15 +233,15 @@
   take_wants(now, configs.peer_has(from, m.config_version, hash, now));
 }
 
-void coordinator::parts::heard(time_point now, const node_id& from, const config_request& m) {
+void coordinator::parts::receive(time_point now, const node_id& from, const config_request& m) {
   take_wants(now, configs.peer_asks(from, m));
 }
 
-void coordinator::parts::heard(time_point now, const node_id& from, const config_content& m) {
+void coordinator::parts::receive(time_point now, const node_id& from, const config_content& m) {
   take_wants(now, configs.peer_sent(from, m, now));
 }
 
-void coordinator::parts::heard(time_point now, const node_id&, const assignment_push& m) {
+void coordinator::parts::receive(time_point now, const node_id&, const assignment_push& m) {
   const auto decoded = decode_assignment(m.bytes);
   const auto* copy = std::get_if<assignment>(&decoded);
   if (copy != nullptr && rows.adopt(now, *copy)) {
@@ -247,22 +249,22 @@
   }
 }
 
-void coordinator::parts::heard(time_point now, const node_id& from, const lost_notice& m) {
+void coordinator::parts::receive(time_point now, const node_id& from, const lost_notice& m) {
   if (const auto h = peers->receive(from, m.stamp, now)) {
     note_process(from, *h);
-    seen.merge(from, m, *h, now);
+    observations.merge(from, m, *h, now);
     changed();
   }
 }
 
-void coordinator::parts::heard(time_point, const node_id&, const leaving_notice& m) {
-  // Its finder told everybody: passing it on would only multiply it.
-  if (seen.mark_leaving(m.vm, m.incarnation)) {
+void coordinator::parts::receive(time_point, const node_id&, const leaving_notice& m) {
+  // The node that found this has sent it to all peers, so it is not forwarded.
+  if (observations.mark_leaving(m.vm, m.incarnation)) {
     changed();
   }
 }
 
-void coordinator::parts::heard(time_point now, const node_id& from, const summary& m) {
+void coordinator::parts::receive(time_point now, const node_id& from, const summary& m) {
   board.heard(now, m);
   take_wants(now, configs.peer_has(from, m.config_version, m.config_hash, now));
 }
@@ -317,7 +319,7 @@
     vms.push_back(v->id);
   }
   peers->set_targets(vms);
-  seen.set_targets(vms);
+  observations.set_targets(vms);
   peers->hurry(now);
   plan_by = std::min(plan_by, now + plan_debounce);
   changed();
--- a/src/process/coordinator_parts.h
+++ b/src/process/coordinator_parts.h
@@ -1,4 +1,4 @@
-// What a coordinator consists of; only its own source files include this.
+// Internal state of a coordinator; included by the coordinator's own source files only.
 #pragma once
 
 #include <map>
@@ -24,29 +24,33 @@
 
 namespace arbutus {
 
-// Longest pause between ticks; membership needs four a second to notice an own pause.
+// Longest time between ticks. Membership needs four ticks a second to notice that this process
+// was paused.
 inline constexpr duration tick_interval = 100ms;
-// After the start, nothing is proposed or ordered before peers and targets had time to be heard:
-// a node that knows nothing yet would take every VM for free.
+// After its start a node proposes and orders nothing until peers and targets had time to report:
+// without their reports it would treat every VM as free.
 inline constexpr duration start_settle = 3s;
-// Losses come in groups (a fabric domain): plan once for those that are found together.
+// Losses come in groups (a fabric domain fails): plan once for losses that are detected together.
 inline constexpr duration plan_debounce = 150ms;
-// A plan is made at least so often, for what no event announces (demand, acknowledgements).
+// Plans are made at least this often, because some changes raise no event (demand,
+// acknowledgements).
 inline constexpr duration plan_interval = 2s;
-// A node without a majority proposes only after so long: by then the others have either come back
-// or are gone.
+// A node without a majority proposes only after this time. By then the other nodes are either back
+// or down for good.
 inline constexpr duration minority_patience = 10s;
-// Longer than any peer or store needs to hand over a configuration that still exists.
+// Longer than any peer or store takes to deliver a configuration that still exists.
 inline constexpr duration old_rules_patience = 60s;
 inline constexpr duration vm_list_interval = 2s;
 inline constexpr std::size_t vm_list_readers = 2;
-// A peer that cannot read the table is given the row this often until it has it.
+// Interval at which the row is sent to a peer that cannot read the table, until the peer has it.
 inline constexpr duration push_interval = 1s;
-// How long the row may go unconfirmed before no order is sent to a target that ignores tokens.
+// No order is sent if the row was not confirmed as the newest within this time: a target that
+// ignores fencing tokens would obey an outdated order.
 inline constexpr duration row_confirmation_limit = 3s;
-// Targets obey a greater generation than the row knows: laid down anew after so long.
+// If targets obey a generation greater than the row's for this long, the replica gets a new
+// generation in a new row.
 inline constexpr duration overtaken_patience = 1s;
-// A report of usage older than this does not count.
+// Older usage reports of peers are ignored.
 inline constexpr duration usage_lifetime = 3s;
 inline constexpr duration demand_interval = 1s;
 inline constexpr double demand_smoothing = 0.1;
@@ -65,18 +69,18 @@
   void on(time_point now, const vm_list_result& r);
   void on(time_point now, const target_error& e);
 
-  void heard(time_point now, const node_id& from, const heartbeat& m);
-  void heard(time_point now, const node_id& from, const config_request& m);
-  void heard(time_point now, const node_id& from, const config_content& m);
-  void heard(time_point now, const node_id& from, const assignment_push& m);
-  void heard(time_point now, const node_id& from, const lost_notice& m);
-  void heard(time_point now, const node_id& from, const leaving_notice& m);
-  void heard(time_point now, const node_id& from, const summary& m);
+  void receive(time_point now, const node_id& from, const heartbeat& m);
+  void receive(time_point now, const node_id& from, const config_request& m);
+  void receive(time_point now, const node_id& from, const config_content& m);
+  void receive(time_point now, const node_id& from, const assignment_push& m);
+  void receive(time_point now, const node_id& from, const lost_notice& m);
+  void receive(time_point now, const node_id& from, const leaving_notice& m);
+  void receive(time_point now, const node_id& from, const summary& m);
 
   void note_process(const node_id& from, const struct heard& h);
   void take_wants(time_point now, const config_wants& wants);
   void take_configuration(time_point now);
-  // To be called when a newest observation of `vm` may have come.
+  // Call when a newer observation of `vm` may have arrived.
   void note_observation(time_point now, const vm_id& vm);
   void note_leaving(time_point now, const vm_id& vm, std::uint64_t incarnation);
   void note_failure(time_point now, const vm_id& vm);
@@ -108,7 +112,7 @@
   [[nodiscard]] bool row_confirmed(time_point now) const;
   [[nodiscard]] bool order_allowed(time_point now, const vm_id& vm) const;
   [[nodiscard]] std::size_t order_rank(time_point now, const vm_id& vm);
-  [[nodiscard]] drain_context draining(time_point now) const;
+  [[nodiscard]] drain_context drain_inputs(time_point now) const;
 
   // ---- views (coordinator_views.cpp) ----
   [[nodiscard]] permit permission(time_point now, const composition& in_force) const;
@@ -127,42 +131,42 @@
   control_timing timing;
   rng random;
   std::optional<membership> peers;  // set from start() on
-  observation_table seen;
+  observation_table observations;
   config_replica configs;
   row_keeper rows;
-  activation repairs;
-  order_book sender;
+  activation activations;
+  order_book dispatcher;
   drain_watch drains;
   steadiness steady;
   summary_board board;
 
-  effects out;  // of the call under way
+  effects out;  // effects of the current call
   std::optional<configuration> config;
   time_point started_at{};
   time_point last_tick{};
   bool leaving = false;  // this node is stopping
   std::uint64_t revision = 1;
-  std::uint64_t row_noted{};                // version that the parts were last told of
-  std::map<vm_id, time_point> observed_at;  // newest observation already noted
+  std::uint64_t row_noted{};                // row version that the members last followed
+  std::map<vm_id, time_point> observed_at;  // newest observation already processed
   std::map<vm_id, time_point> condition_since;
   std::map<node_id, std::pair<std::uint64_t, time_point>> peer_config_since;
 
-  std::optional<time_point> need_since;  // the row should change
+  std::optional<time_point> need_since;  // since when the plan differs from the row
   std::optional<time_point> minority_since;
   std::optional<time_point> old_rules_since;
   time_point next_plan_at{};
-  time_point plan_by = time_point::max();  // set by an event, after the debounce
+  time_point plan_by = time_point::max();  // next plan before next_plan_at; max: none
   std::vector<std::string> plan_reasons;
   std::map<replica_id, time_point> overtaken_since;
   std::map<node_id, time_point> pushed_at;
   time_point next_vm_list{};
-  std::set<vm_id> listed_leaving;  // by the platform's list
+  std::set<vm_id> listed_leaving;  // marked as leaving in the platform's list
   bool table_ok = true;
   time_point table_since{};
 
   std::map<replica_id, std::map<generation, std::uint32_t>> in_flight;
-  // Draining replicas that a peer still uses, by its newest heartbeat: the same message that
-  // acknowledges the row that drains them.
+  // Draining replicas that each peer still uses, as of its newest heartbeat. The same heartbeat
+  // acknowledges the row that drains them, so the two are consistent.
   std::map<node_id, std::set<replica_id>> in_use_of;
   std::map<workspace_id, double> usage;
   struct peer_usage {
--- a/src/process/coordinator_tick.cpp
+++ b/src/process/coordinator_tick.cpp
@@ -1,4 +1,4 @@
-// What happens by time alone: probes, heartbeats, reads of the platform, sums for others.
+// Periodic work: probes, heartbeats, reads from the platform, summaries for other data centres.
 #include <algorithm>
 #include <utility>
 
@@ -9,7 +9,7 @@
 void coordinator::parts::tick(time_point now) {
   last_tick = now;
   if (peers->tick(now) > duration::zero()) {
-    seen.resumed(now);
+    observations.resumed(now);
     changed();
   }
   const auto live = peers->live(now);
@@ -27,52 +27,53 @@
 }
 
 void coordinator::parts::probe_targets(time_point now) {
-  seen.set_own_targets(peers->own_targets(now), now);
-  for (const vm_id& vm : seen.next_probes(now)) {
+  observations.set_own_targets(peers->own_targets(now), now);
+  for (const vm_id& vm : observations.next_probes(now)) {
     emit(probe{vm});
   }
 }
 
 void coordinator::parts::send_heartbeats(time_point now) {
   for (const node_id& peer : peers->due(now)) {
-    heartbeat beat = peers->prepare(peer, now);
-    peers->claim_config(beat, peer, configs.in_force().version, configs.in_force().hash);
-    beat.assignment_version = rows.row().version;
-    beat.table_reachable = !rows.unwritable(now);
-    beat.draining = leaving;
-    for (const auto& [id, gen] : repairs.active()) {
+    heartbeat message = peers->prepare(peer, now);
+    peers->claim_config(message, peer, configs.in_force().version, configs.in_force().hash);
+    message.assignment_version = rows.row().version;
+    message.table_reachable = !rows.unwritable(now);
+    message.draining = leaving;
+    for (const auto& [id, gen] : activations.active()) {
       if (const replica_plan* replica = rows.row().find(id)) {
-        beat.activations.push_back(repairs.in_force(*replica));
+        message.activations.push_back(activations.in_force(*replica));
       }
     }
     for (const auto& [workspace, rate] : usage) {
-      beat.usage.push_back({workspace, rate});
+      message.usage.push_back({workspace, rate});
     }
     for (const auto& [id, counts] : in_flight) {
       const replica_plan* replica = rows.row().find(id);
       if (replica != nullptr && replica->phase == replica_phase::draining) {
-        beat.in_use.push_back(id);
+        message.in_use.push_back(id);
       }
     }
-    seen.take_deltas(beat, peer, peers->echoed(peer), now);
-    emit(peer_send{peer, encode(gossip_message{beat}), false});
+    observations.take_deltas(message, peer, peers->echoed(peer), now);
+    emit(peer_send{peer, encode(gossip_message{message}), false});
   }
 }
 
-// A node that starts while the table is away would know no row, and could neither route nor repair.
+// Sends the row to peers that cannot read the table. Without this, a node that starts while the
+// table is unavailable has no row and can neither route nor repair.
 void coordinator::parts::push_row(time_point now) {
   if (!rows.known()) {
     return;
   }
   for (const node_id& peer : peers->live_peers(now)) {
     const peer_claims* claims = peers->claims(peer);
-    const bool lacks = claims != nullptr && claims->assignment_version < rows.row().version;
-    if (!lacks || claims->table_reachable) {
+    const bool outdated = claims != nullptr && claims->assignment_version < rows.row().version;
+    if (!outdated || claims->table_reachable) {
       continue;
     }
-    const bool mine = peers->rank_of(settings.self, "push/" + peer.str(), now) <= 1;
+    const bool responsible = peers->rank_of(settings.self, "push/" + peer.str(), now) <= 1;
     const auto [last, first] = pushed_at.try_emplace(peer, now);
-    if (!mine || (!first && now < last->second + push_interval)) {
+    if (!responsible || (!first && now < last->second + push_interval)) {
       continue;
     }
     last->second = now;
@@ -110,7 +111,7 @@
   }
 }
 
-// Load in replicas' worth, smoothed, so that a burst does not reshape the assignment.
+// Demand of each model in replicas, smoothed so that a short burst does not change the assignment.
 void coordinator::parts::update_demand(time_point now) {
   if (now < next_demand || !config) {
     return;
--- a/src/process/coordinator_views.cpp
+++ b/src/process/coordinator_views.cpp
@@ -1,5 +1,5 @@
-// What the coordinator shows: routes to the request path, sums to other data centres, status to
-// people.
+// Views of the coordinator's state: routes for the request path, summaries for other data centres
+// and status for operators.
 #include <algorithm>
 #include <utility>
 
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Time a request spends in a slot, for a first estimate of queueing at another data centre.
+// Assumed time that a request holds a slot, to estimate the queueing time reported to other data
+// centres.
 constexpr duration nominal_service_time = 4s;
 
 std::string name_of(target_condition c) {
@@ -40,7 +41,7 @@
 }
 
 member_evidence coordinator::parts::evidence(time_point now, const vm_id& vm) const {
-  return {seen.latest(vm), seen.condition(vm, now), checks_tokens(vm)};
+  return {observations.latest(vm), observations.condition(vm, now), checks_tokens(vm)};
 }
 
 permit coordinator::parts::permission(time_point now, const composition& in_force) const {
@@ -52,13 +53,13 @@
   result.assignment_version = rows.row().version;
   result.config_version = config ? config->version : 0;
   for (const replica_plan& replica : rows.row().replicas) {
-    const composition in_force = repairs.in_force(replica);
+    const composition in_force = activations.in_force(replica);
     const permit p = permission(now, in_force);
     const vm_record* head = p.granted ? vm_of(in_force.members.front()) : nullptr;
     if (head == nullptr) {
       continue;
     }
-    const observation& load = *seen.latest(head->id);
+    const observation& load = *observations.latest(head->id);
     replica_route route;
     route.id = replica.id;
     route.model = replica.model;
@@ -132,7 +133,8 @@
 
 namespace {
 
-// Without those that already stand in for a lost member: an operator would count on them twice.
+// Leaves out standbys that already replace a lost member, because an operator would otherwise
+// count them twice.
 std::vector<vm_id> unused_standbys(const replica_plan& replica, const composition& in_force) {
   std::vector<vm_id> unused = replica.standbys;
   std::erase_if(unused, [&](const vm_id& vm) {
@@ -152,13 +154,13 @@
   s.assignment_version = rows.row().version;
   s.config_version = config ? config->version : 0;
   s.unmet = plan_reasons;
-  s.counters = counters_of(rows.counters(), sender.counters());
-  s.counters.activations = repairs.started();
+  s.counters = counters_of(rows.counters(), dispatcher.counters());
+  s.counters.activations = activations.started();
   s.counters.orders_withheld = withheld;
 
   std::map<vm_id, std::string> idle_because;
   for (const replica_plan& replica : rows.row().replicas) {
-    const composition in_force = repairs.in_force(replica);
+    const composition in_force = activations.in_force(replica);
     const permit p = permission(now, in_force);
     s.replicas.push_back({replica.id, replica.model, replica.phase, in_force.gen, in_force.members,
                           unused_standbys(replica, in_force), p.granted, p.why_not});
@@ -179,11 +181,11 @@
     return s;
   }
   for (const vm_record* vm : config->assets.vms_of(settings.data_centre)) {
-    const target_condition c = seen.condition(vm->id, now);
+    const target_condition c = observations.condition(vm->id, now);
     const auto since = condition_since.find(vm->id);
     vm_status v{vm->id, name_of(c), since == condition_since.end() ? started_at : since->second,
                 {},     {},         engine_state::idle};
-    if (const observation* newest = seen.latest(vm->id)) {
+    if (const observation* newest = observations.latest(vm->id)) {
       v.reported_replica = newest->report.replica;
       v.reported_gen = newest->report.gen;
       v.reported_state = newest->report.state;
@@ -216,7 +218,7 @@
         since == peer_config_since.end() ? configs.in_force().since : since->second.second;
     s.nodes.push_back(n);
   }
-  s.drains = drains.status(draining(now));
+  s.drains = drains.status(drain_inputs(now));
   return s;
 }
 
--- a/src/process/drains.cpp
+++ b/src/process/drains.cpp
@@ -1,4 +1,4 @@
-// When a draining replica is empty.
+// Detects when a draining replica is empty.
 #include "process/drains.h"
 
 #include <algorithm>
@@ -30,8 +30,8 @@
   }
 }
 
-std::vector<node_id> drain_watch::missing(const replica_id& id, const drain& d,
-                                          const drain_context& context) const {
+std::vector<node_id> drain_watch::pending_nodes(const replica_id& id, const drain& d,
+                                                const drain_context& context) const {
   std::vector<node_id> found;
   for (const node_id& node : context.nodes) {
     if (context.version_of(node) < d.since || context.has_requests(node, id)) {
@@ -48,7 +48,7 @@
     if (replica == nullptr) {
       continue;
     }
-    if (context.acknowledged < d.since || !missing(id, d, context).empty()) {
+    if (context.acknowledged < d.since || !pending_nodes(id, d, context).empty()) {
       d.acknowledged_at.reset();
       continue;
     }
@@ -56,7 +56,7 @@
     d.acknowledged_at = since;
     const auto members = context.in_force(*replica).members;
     const auto is_empty = [&context, since, name = replica->id](const vm_id& vm) {
-      return context.lost(vm) || empty_since(context.seen(vm), name, since);
+      return context.lost(vm) || empty_since(context.latest_observation(vm), name, since);
     };
     const bool empty = std::all_of(members.begin(), members.end(), is_empty);
     if (empty) {
@@ -73,9 +73,9 @@
     if (replica == nullptr) {
       continue;
     }
-    drain_status s{.id = id, .waiting_for = missing(id, d, context), .running = 0};
+    drain_status s{.id = id, .waiting_for = pending_nodes(id, d, context), .running = 0};
     for (const vm_id& vm : context.in_force(*replica).members) {
-      const observation* seen = context.seen(vm);
+      const observation* seen = context.latest_observation(vm);
       s.running += seen != nullptr ? seen->report.running + seen->report.queued : 0;
     }
     result.push_back(std::move(s));
--- a/src/process/effects.h
+++ b/src/process/effects.h
@@ -1,6 +1,6 @@
-// Inputs and effects of a data centre node's coordination core. The core is a value that is fed
-// with (now, input) and returns effects; whoever embeds it carries the effects out and feeds the
-// results back. Nothing here knows of sockets, threads or clocks.
+// Inputs and effects of a node's coordination core. The core is a state machine: it takes
+// (now, input) and returns effects. The embedding program performs the effects and passes their
+// results back as inputs. Nothing here depends on sockets, threads or clocks.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +21,11 @@
 
 struct table_row {
   std::string value;
-  std::uint64_t version{};  // the table's own; 0: the row does not exist
+  std::uint64_t version{};  // assigned by the table; 0: the row does not exist
   auto operator<=>(const table_row&) const = default;
 };
 
-// What was asked for; comes back with the result, so that no other bookkeeping is needed.
+// The operations below come back with their result, so the core need not track open calls.
 struct table_read {
   std::string key;
 };
@@ -53,7 +53,7 @@
 
 enum class order_kind { form, release, drain };
 
-// Idempotent; carries the fencing token. `form`: be a member of this composition.
+// Idempotent; carries the fencing token in `target`. `form`: become a member of this composition.
 struct order {
   order_kind kind = order_kind::form;
   vm_id vm;
@@ -61,7 +61,7 @@
   model_id model;
   std::string model_version;
   std::uint64_t expected_incarnation{};  // 0: any
-  duration valid_for = 2s;               // the sender gives up after that; so does the target
+  duration valid_for = 2s;               // sender and target discard the order after this
 };
 
 // ---- other nodes ----
@@ -69,10 +69,10 @@
 struct peer_send {
   node_id to;
   std::string bytes;    // MessagePack
-  bool urgent = false;  // not to be dropped or delayed in favour of newer state
+  bool urgent = false;  // must not be dropped or delayed in favour of newer state
 };
 
-// ---- the platform's list of VMs: lags, and marks those that leave ----
+// ---- the platform's list of VMs: lags behind, and marks VMs that are about to leave ----
 
 struct vm_list_entry {
   vm_id vm;
@@ -80,7 +80,7 @@
 };
 struct vm_list_read {};
 
-// ---- for people ----
+// ---- messages for operators ----
 
 struct notice {
   std::string part;
@@ -91,7 +91,7 @@
                             peer_send, vm_list_read, notice>;
 using effects = std::vector<effect>;
 
-// ---- results fed back ----
+// ---- results passed back as inputs ----
 
 struct table_read_result {
   table_read asked;
@@ -111,7 +111,7 @@
 };
 struct probe_result {
   vm_id vm;
-  time_point sent_at;  // the report is at least this fresh
+  time_point sent_at;  // the report is not older than this
   outcome<engine_report> result;
 };
 struct order_result {
@@ -125,7 +125,7 @@
 struct vm_list_result {
   outcome<std::vector<vm_list_entry>> result;
 };
-// The request path saw a connection to this target break or be refused.
+// A connection of the request path to this target broke or was refused.
 struct target_error {
   vm_id vm;
 };
--- a/src/process/hosted_settings.cpp
+++ b/src/process/hosted_settings.cpp
@@ -1,4 +1,4 @@
-// Settings of a hosted node from TOML.
+// Reads the settings of a hosted node from TOML.
 #include "process/hosted_settings.h"
 
 #include <cmath>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A bound of an hour or more is most likely given in another unit.
+// A bound of more than an hour is most likely given in the wrong unit.
 constexpr whole_range bound_ms{1, 3'600'000};
 
 class hosted_reader {
--- a/src/process/hosted_settings.h
+++ b/src/process/hosted_settings.h
@@ -1,5 +1,6 @@
-// Settings of a node on a platform that keeps the configuration and the list of targets itself.
-// What operators want served is not here: it is accepted by the platform and watched.
+// Settings of a hosted node: one on a platform that stores the configuration and the list of
+// targets itself. The operators' rules are not part of the settings: the platform accepts them and
+// the node watches them.
 #pragma once
 
 #include <cstdint>
@@ -17,30 +18,30 @@
 
 struct hosted_listen {
   endpoint callers;
-  endpoint ready;    // the balancer asks here whether to send new connections
+  endpoint ready;    // polled by the load balancer, which sends connections only to ready nodes
   endpoint links;    // for other nodes
-  endpoint metrics;  // Prometheus text, for people's tools
+  endpoint metrics;  // Prometheus text format, for monitoring
 };
 
 struct hosted_bounds {
-  duration key_withdrawal = 5s;  // a withdrawn key is dead everywhere after this
-  duration configuration = 3s;   // an accepted version is in force everywhere after this
-  duration drain = 2s;           // a leaving target gets nothing new after this
+  duration key_withdrawal = 5s;  // after this no node accepts a withdrawn key
+  duration configuration = 3s;   // after this an accepted version is in force at every node
+  duration drain = 2s;           // after this a leaving target gets no new requests
   duration grace = 8s;           // from SIGTERM until the process is killed
-  duration stall = 4s;           // an engine that lost a member of its replica gives up after this
-  double retry_ratio = 0.2;      // repeated sends for each request, of all nodes
-  double retry_burst = 100;      // and beyond that in a window
+  duration stall = 4s;           // after this an engine whose replica lost a member gives up
+  double retry_ratio = 0.2;      // retries per request, over all nodes
+  double retry_burst = 100;      // retries allowed in addition in each window
   duration retry_window = 10s;
-  duration target_heartbeat = 1200ms;  // how often a living target refreshes its record
+  duration target_heartbeat = 1200ms;  // interval at which a live target refreshes its record
 };
 
-// Bytes a second; a collector of 340 nodes then takes 22 MB/s at the very worst.
+// Bytes per second. A log collector for 340 nodes then receives at most 22 MB/s.
 inline constexpr std::uint32_t default_log_rate = 64 * 1024;
 
 struct hosted_settings {
   node_id id;
   data_centre_id data_centre;
-  std::vector<data_centre_id> data_centres;  // all of the deployment
+  std::vector<data_centre_id> data_centres;  // all data centres of the deployment
   hosted_listen listen;
   endpoint store;
   hosted_bounds bounds;
@@ -54,7 +55,7 @@
   findings problems;  // usable when has_errors(problems) is false
 };
 
-// `file_name` stands in the findings. Never throws on bad text.
+// The findings name `file_name`. Never throws on invalid text.
 [[nodiscard]] hosted_settings_result load_hosted_settings(std::string_view text,
                                                           const std::string& file_name);
 
--- a/src/process/orders.cpp
+++ b/src/process/orders.cpp
@@ -1,4 +1,4 @@
-// What to tell whom, and when.
+// Which orders to send to which VM, and when.
 #include "process/orders.h"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace {
 
-// How a VM stands in the row.
+// The role of a VM in the row.
 struct place_in_row {
-  const replica_plan* replica = nullptr;  // whose member or standby it is
+  const replica_plan* replica = nullptr;  // the replica whose member or standby it is
   bool in_composition = false;
 };
 
@@ -37,8 +37,8 @@
           replica.model_version};
 }
 
-// A VM that works for nobody gives up what it has. The token must beat the one it obeys, and must
-// not beat a later order that makes it a member again.
+// A VM that is in no composition releases its replica. The order's token must be greater than the
+// one the VM obeys, but not greater than that of a later order that makes it a member again.
 std::optional<wanted_state> release_state(const assignment& row, const place_in_row& place,
                                           const std::map<replica_id, composition>& compositions,
                                           const engine_report& r) {
@@ -52,7 +52,7 @@
     target.gen = same ? own.gen : std::max(own.gen, target.gen);
   }
   if (target.gen <= r.gen) {
-    return std::nullopt;  // it obeys something newer than this row: not ours to undo
+    return std::nullopt;  // it obeys a newer row, which this node must not undo
   }
   return wanted_state{order_kind::release, target, {}, {}};
 }
@@ -65,7 +65,7 @@
     case order_kind::form:
       return same && (r.state == engine_state::loading || r.state == engine_state::ready);
     case order_kind::drain:
-      // Only who serves this composition can finish it.
+      // Only a VM that serves this composition has something to drain.
       return !same || r.state != engine_state::ready;
     case order_kind::release:
       return r.replica.empty();
@@ -100,12 +100,14 @@
 
 std::vector<order> order_book::tick(time_point now, const order_context& context) {
   next_tick_ = time_point::max();
-  std::erase_if(needs_, [&](const auto& entry) { return !context.wanted.contains(entry.first); });
+  std::erase_if(order_states_,
+                [&](const auto& entry) { return !context.wanted.contains(entry.first); });
   std::vector<order> out;
   for (const auto& [vm, wanted] : context.wanted) {
-    need& n = needs_.try_emplace(vm, need{.wanted = wanted, .since = now}).first->second;
+    order_state& n =
+        order_states_.try_emplace(vm, order_state{.wanted = wanted, .since = now}).first->second;
     if (n.wanted != wanted) {
-      n = need{.wanted = wanted, .since = now};
+      n = order_state{.wanted = wanted, .since = now};
     }
     if (auto o = due_order(now, vm, n, context)) {
       ++counters_.sent;
@@ -115,28 +117,28 @@
   return out;
 }
 
-std::optional<order> order_book::due_order(time_point now, const vm_id& vm, need& n,
+std::optional<order> order_book::due_order(time_point now, const vm_id& vm, order_state& n,
                                            const order_context& context) {
   const observation* seen = context.reachable(vm);
   if (seen == nullptr || now - seen->at > order_observation_limit) {
     return std::nullopt;
   }
   if (n.sent_at && now < *n.sent_at + order_valid_for) {
-    later(*n.sent_at + order_valid_for);
+    wake_by(*n.sent_at + order_valid_for);
     return std::nullopt;
   }
   if (n.sent_at) {
     n.sent_at.reset();
-    n.not_before = now + n.pause.fail(random_);
+    n.not_before = now + n.retry_backoff.fail(random_);
   }
   const duration wait = rank_wait(context.rank(vm), order_rank_delay);
   const time_point due = std::max(n.not_before, n.since + wait);
   if (now < due) {
-    later(due);
+    wake_by(due);
     return std::nullopt;
   }
   n.sent_at = now;
-  later(now + order_valid_for);
+  wake_by(now + order_valid_for);
   return order{.kind = n.wanted.kind,
                .vm = vm,
                .target = n.wanted.target,
@@ -153,18 +155,18 @@
   if (std::holds_alternative<unknown>(result.result)) {
     ++counters_.unknown_replies;
   }
-  const auto found = needs_.find(result.asked.vm);
-  if (found == needs_.end() || !found->second.sent_at) {
+  const auto found = order_states_.find(result.asked.vm);
+  if (found == order_states_.end() || !found->second.sent_at) {
     return std::nullopt;
   }
-  need& n = found->second;
+  order_state& n = found->second;
   if (n.wanted.kind != result.asked.kind || n.wanted.target != result.asked.target) {
     return std::nullopt;
   }
   const time_point sent_at = *n.sent_at;
   n.sent_at.reset();
-  n.not_before = now + n.pause.fail(random_);
-  later(n.not_before);
+  n.not_before = now + n.retry_backoff.fail(random_);
+  wake_by(n.not_before);
   return sent_at;
 }
 
--- a/src/process/orders.h
+++ b/src/process/orders.h
@@ -1,8 +1,8 @@
-// Brings each target VM to the state that the row wants, by idempotent orders.
+// Brings each target VM to its wanted state in the row, by idempotent orders.
 //
-// One node sends to a VM; the others step in only if the need still stands after their rank's
-// delay. What a target reports back is the only proof that an order took
-// effect: a lost answer needs no special case.
+// One node sends to a VM; the others send only if the VM still differs from its wanted state after
+// the delay of their rank. Only a target's own report shows that an order took effect, so a lost
+// answer needs no special case.
 #pragma once
 
 #include <cstdint>
@@ -21,17 +21,17 @@
 
 namespace arbutus {
 
-// An order is given up, by sender and target alike, after this.
+// Sender and target both discard an order after this.
 inline constexpr duration order_valid_for = 2s;
-// A node of rank r sends r times this later: more than the order and the urgent heartbeat that
-// tells of its effect take.
+// A node of rank r delays an order by r times this: longer than an order and the urgent heartbeat
+// that reports its effect take.
 inline constexpr duration order_rank_delay = 500ms;
 inline constexpr duration order_backoff_first = 200ms;
 inline constexpr duration order_backoff_most = 5s;
-// No order rests on an older observation of its target.
+// No order is sent on the basis of an older observation of its target.
 inline constexpr duration order_observation_limit = 3s;
 
-// What a VM is to be. Equal targets need no order.
+// The state that a VM should be in.
 struct wanted_state {
   order_kind kind = order_kind::form;
   composition target;
@@ -40,18 +40,18 @@
   auto operator<=>(const wanted_state&) const = default;
 };
 
-// Whether a VM that reports `r` is in the wanted state or on its way.
+// Whether a VM that reports `r` is in the wanted state or on its way to it.
 [[nodiscard]] bool satisfied(const wanted_state& wanted, const engine_report& r);
 
-// What each VM of the data centre has to be told, by what it reports. `in_force` gives the
-// composition of a replica, activations included. VMs that report nothing wrong are left out.
+// The VMs of the data centre that need an order, with their wanted state, according to their
+// reports. `in_force` gives the composition of a replica, activations included.
 [[nodiscard]] std::map<vm_id, wanted_state> wanted_states(
     const assignment& row, const std::function<composition(const replica_plan&)>& in_force,
     const std::map<vm_id, engine_report>& reports);
 
 struct order_context {
   const std::map<vm_id, wanted_state>& wanted;
-  // Position of this node among those that may send to the VM; 0 sends at once.
+  // Position of this node among those that may send to the VM; 0 sends immediately.
   std::function<std::size_t(const vm_id&)> rank;
   // Newest observation; null if none, or if the VM is lost, suspect or leaving.
   std::function<const observation*(const vm_id&)> reachable;
@@ -68,25 +68,25 @@
   explicit order_book(std::uint64_t seed) : random_(seed) {}
 
   [[nodiscard]] std::vector<order> tick(time_point now, const order_context& context);
-  // When the order was sent, if it is one of this node's: its report is at least that fresh.
+  // When the order was sent, if it is this node's open order; the report is not older than that.
   [[nodiscard]] std::optional<time_point> on(time_point now, const order_result& result);
   [[nodiscard]] time_point next_tick() const { return next_tick_; }
   [[nodiscard]] const order_counters& counters() const { return counters_; }
 
  private:
-  struct need {
+  struct order_state {
     wanted_state wanted;
     time_point since;
     time_point not_before{};
     std::optional<time_point> sent_at{};  // an order is open
-    backoff pause{order_backoff_first, order_backoff_most};
+    backoff retry_backoff{order_backoff_first, order_backoff_most};
   };
-  [[nodiscard]] std::optional<order> due_order(time_point now, const vm_id& vm, need& n,
+  [[nodiscard]] std::optional<order> due_order(time_point now, const vm_id& vm, order_state& n,
                                                const order_context& context);
-  void later(time_point at) { next_tick_ = std::min(next_tick_, at); }
+  void wake_by(time_point at) { next_tick_ = std::min(next_tick_, at); }
 
   rng random_;
-  std::map<vm_id, need> needs_;
+  std::map<vm_id, order_state> order_states_;
   time_point next_tick_ = time_point::max();
   order_counters counters_;
 };
--- a/src/process/row_keeper.cpp
+++ b/src/process/row_keeper.cpp
@@ -1,4 +1,4 @@
-// Reading, proposing and repairing the assignment row.
+// Reads, proposals and repairs of the assignment row.
 #include "process/row_keeper.h"
 
 #include <algorithm>
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Reads caused by peers' claims are not repeated faster: with a restored copy in the table every
-// heartbeat claims a newer version.
+// Minimum time between reads that peers' reports cause: with a restored copy in the table every
+// heartbeat reports a newer version.
 constexpr duration read_pause = 300ms;
 
-// Writes with unknown effect that are remembered; older ones have long been overtaken.
+// Maximum number of remembered writes with unknown outcome; older ones have long been superseded.
 constexpr std::size_t most_unresolved = 8;
 
 }  // namespace
@@ -33,9 +33,9 @@
       replica.gen.row = version;
     }
   }
-  for (withdrawal& taken : a.withdrawals) {
-    if (taken.since == a.version) {
-      taken.since = version;
+  for (withdrawal& w : a.withdrawals) {
+    if (w.since == a.version) {
+      w.since = version;
     }
   }
   a.version = version;
@@ -85,7 +85,7 @@
   }
   row_ = copy;
   raise_heard(now, row_.version);
-  // What the table held was read before this copy existed, perhaps: look again before judging it.
+  // The table may have been read before this copy existed, so read it again before comparing.
   in_table_.reset();
   repair_since_.reset();
   read_soon(now);
@@ -162,22 +162,22 @@
   unreadable_since_.reset();
   table_copy copy{.version = row->version, .row_version = 0, .proposal = {}};
   if (row->version == 0) {
-    take(now, copy, std::nullopt);
+    apply_copy(now, copy, std::nullopt);
     return {};
   }
   const auto decoded = decode_assignment(row->value);
   if (const auto* content = std::get_if<assignment>(&decoded)) {
     copy.row_version = content->version;
     copy.proposal = content->proposal;
-    take(now, copy, *content);
+    apply_copy(now, copy, *content);
     return {};
   }
-  take(now, copy, std::nullopt);
+  apply_copy(now, copy, std::nullopt);
   return {notice{"row", "the assignment row in the table cannot be decoded"}};
 }
 
-void row_keeper::take(time_point now, const table_copy& copy,
-                      const std::optional<assignment>& content) {
+void row_keeper::apply_copy(time_point now, const table_copy& copy,
+                            const std::optional<assignment>& content) {
   in_table_ = copy;
   if (content && content->version > row_.version) {
     row_ = *content;
@@ -229,18 +229,18 @@
   if (const auto* written = std::get_if<table_written>(&r.result)) {
     unresolved_.push_back(sent);
     confirmed_at_ = sent.sent_at;
-    take(now, {written->version, content->version, content->proposal}, *content);
+    apply_copy(now, {written->version, content->version, content->proposal}, *content);
     return {};
   }
-  // Refused may also mean that the first copy of a write repeated below us took effect: read back
-  // in any case, and let the row itself tell whose proposal it is.
+  // A refusal may also mean that a lower layer repeated the write and its first copy took effect.
+  // Read back in any case: the row names the proposal that it came from.
   const bool no_answer = std::holds_alternative<unknown>(r.result);
   counters_.unknown_replies += no_answer ? 1 : 0;
   write_failed_ = no_answer;
   unresolved_.push_back(sent);
   write_after_ = now + backoff_.fail(random_);
   if (read_sent_at_) {
-    next_read_ = now;  // the read under way may have passed before the write
+    next_read_ = now;  // the open read may have been served before the write
     return {};
   }
   return read(now);
@@ -255,8 +255,8 @@
   return behind() && in_table_ && now - claimed_at_ >= row_lost_patience;
 }
 
-// The table shows less than what is known: a restored copy, or one that lost a version which
-// targets obey.
+// The table holds an older state than this node knows: it was restored from a backup, or it lost a
+// version that targets obey.
 bool row_keeper::table_needs_repair(time_point now) const {
   if (!in_table_ || !known()) {
     return false;
@@ -274,8 +274,8 @@
   if (!repair_since_ || write_ || unreadable_since_ || now < write_after_) {
     return {};
   }
-  // An answer that was overtaken by a write looks like a restored copy too: believe only a second
-  // read that was sent after the first showed it.
+  // An answer that arrives after a later write also looks like a restored copy. Act only after a
+  // second read, sent after the first one showed it.
   if (last_read_ <= *repair_since_) {
     read_soon(now);
     return {};
--- a/src/process/row_writing.cpp
+++ b/src/process/row_writing.cpp
@@ -1,4 +1,4 @@
-// Times of the two ways to write the row.
+// Write times under both schemes: ranked nodes and a lease holder.
 #include "process/row_writing.h"
 
 #include <algorithm>
@@ -8,9 +8,10 @@
 
 namespace {
 
-// Rank times this after the change is seen; longer than an ordinary write takes to be heard of.
+// A node of rank r writes r times this after the detection of the change; longer than a normal
+// write and its gossip take.
 constexpr duration rank_delay = 500ms;
-// Urgent news within a data centre reach the other nodes within this.
+// Urgent gossip reaches the other nodes of the data centre within this.
 constexpr duration news_delay = 100ms;
 constexpr duration row_news_delay = 300ms;
 // One write in ten is slow.
@@ -28,7 +29,7 @@
   duration end{};
 };
 
-// The first to end wins; whoever began before it heard of that wrote in vain.
+// The first write to end wins; the writes of nodes that began before they learnt of it are wasted.
 write_timing race(const std::vector<attempt>& attempts, rng& random) {
   write_timing timing;
   timing.delay = duration::max();
@@ -55,7 +56,7 @@
   return race(attempts, random);
 }
 
-// Without ranks all who see the lease lapse try to take it, spread over a second.
+// Without ranks all nodes that notice the expiry of the lease try to take it, spread over 1 s.
 write_timing take_lease(const write_situation& situation, rng& random, duration lapses_in) {
   std::vector<attempt> attempts;
   for (std::uint32_t i = 1; i < situation.nodes; ++i) {
@@ -74,7 +75,7 @@
     timing = take_lease(situation, random, {});
   } else if (absent) {
     timing = take_lease(situation, random, random.jitter(lease_time));
-    timing.wasted += 1;  // the old holder wakes and writes; the row's condition refuses it
+    timing.wasted += 1;  // the old holder resumes and writes; the conditional write is refused
   } else {
     timing.delay = random.jitter(news_delay);
   }
--- a/src/process/row_writing.h
+++ b/src/process/row_writing.h
@@ -1,5 +1,6 @@
-// How long it takes until one of many nodes has written the row, and how many write in vain: nodes
-// ranked by a delay against the holder of a lease. Drawn, not played message by message.
+// A random model of writing the row: how long it takes until one of many nodes has written it, and
+// how many writes are wasted. Compares nodes that wait for a rank delay with a lease holder. Times
+// are sampled; messages are not simulated one by one.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 namespace arbutus {
 
 struct write_timing {
-  duration delay{};  // from the change being seen until the row is written
+  duration delay{};  // from the detection of the change until the row is written
   std::uint32_t wasted = 0;
   std::uint32_t lease_writes = 0;
 };
@@ -18,8 +19,8 @@
 struct write_situation {
   row_writer writer = row_writer::ranked;
   std::uint32_t nodes = 1;
-  double absent_share = 0;    // of nodes that are dead or paused, and not yet known to be
-  bool lease_lapsed = false;  // it could not be renewed: the table was away
+  double absent_share = 0;    // share of nodes that are dead or paused but not yet known to be
+  bool lease_lapsed = false;  // could not be renewed because the table was unavailable
 };
 
 inline constexpr duration lease_time = 10s;
--- a/src/process/settings.cpp
+++ b/src/process/settings.cpp
@@ -1,4 +1,4 @@
-// Node settings from TOML.
+// Reads node settings from TOML.
 #include "process/settings.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 constexpr whole_range body_bytes{1024, 1024 * 1024 * 1024};
 constexpr whole_range connections{1, 1'000'000};
 constexpr whole_range workers{0, 1024};
-// A timeout of an hour or more is most likely given in another unit.
+// A timeout of more than an hour is most likely given in the wrong unit.
 constexpr whole_range timeout_ms{1, 3'600'000};
 
 class settings_reader {
@@ -61,8 +61,8 @@
     }
   }
 
-  // Goes wrong: with one endpoint for two purposes the second listener fails only at the start, or
-  // a peer is asked for what it does not serve.
+  // Reports an endpoint that is used for two purposes. Without this, the second listener fails
+  // only at startup, or a peer gets requests for a service that it does not offer.
   void use_endpoint(const endpoint& value, place where) {
     const auto [first, is_new] = used_.emplace(value, where);
     if (!is_new) {
@@ -81,7 +81,7 @@
     }
   }
 
-  // One server may give all three services, so these endpoints may be equal.
+  // One server may offer all three services, so these endpoints may be equal.
   void read_platform() {
     if (auto table = root_.table("platform", presence::required)) {
       table->read("table", settings_.platform.table, presence::required);
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -1,5 +1,6 @@
-// Settings of one node: who it is, where it listens, whom it asks. Read once at the start and
-// checked whole before anything starts; what operators want served is in the configuration instead.
+// Settings of one node: its identity, the endpoints it listens on and the services it uses. They
+// are read once at startup and checked completely before anything starts. The operators' rules are
+// in the configuration instead.
 #pragma once
 
 #include <cstddef>
@@ -28,7 +29,8 @@
   endpoint vms;  // the list of VMs
 };
 
-// A node to talk to before the configuration is known, or when the platform is away at the start.
+// A node to contact before the configuration is known, or if the platform is unavailable at
+// startup.
 struct peer_settings {
   node_id id;
   data_centre_id data_centre;
@@ -36,16 +38,16 @@
   endpoint caller;
 };
 
-// What one caller may cost. Sized for a small entry VM: 2,000 connections with 16 KiB of header
-// each stay at 32 MiB.
+// Limits on the resources that callers may use. Sized for a small entry VM: 2,000 connections with
+// 16 KiB of header each take 32 MiB.
 struct connection_limits {
   std::uint32_t header_bytes = 16 * 1024;
   std::uint32_t body_bytes = 8 * 1024 * 1024;
   std::uint32_t connections = 2000;
   duration header_timeout = 10s;  // from the first byte of a request to the end of its header
   duration body_timeout = 30s;    // for the body after it
-  duration idle_timeout = 75s;    // between requests of a connection
-  duration write_timeout = 10s;   // for a caller that takes no more bytes
+  duration idle_timeout = 75s;    // between requests on a connection
+  duration write_timeout = 10s;   // for a caller that does not read its response
 };
 
 enum class log_level { debug, info, warning, error };
@@ -54,16 +56,17 @@
 struct log_settings {
   log_level level = log_level::info;
   log_format format = log_format::text;
-  // What is written at most in the long run; more is left out by whole requests
-  // (process/log_budget.h). 0: all.
+  // Long-term limit on the log volume. Above it, the lines of whole requests are left out
+  // (process/log_budget.h). 0: no limit.
   std::uint32_t bytes_per_second = 0;
 };
 
-// What is not set keeps the value that the part itself names. Timing that the nodes of a data
-// centre have to share (process/control_timing.h) is no setting of one node.
+// Unset values keep the default of the component that uses them. Timing that all nodes of a data
+// centre must share (process/control_timing.h) cannot be set for one node.
 struct timing_settings {
-  std::optional<duration> balancer_lag;  // until the balancer sends nothing more after not ready
-  std::optional<duration> stop_limit;    // for what is in flight at a planned stop
+  // From reporting "not ready" until the load balancer sends no more connections.
+  std::optional<duration> balancer_lag;
+  std::optional<duration> stop_limit;  // for requests in flight at a planned stop
 };
 
 struct node_settings {
@@ -75,7 +78,7 @@
   connection_limits limits;
   log_settings log;
   std::uint32_t workers = 0;      // threads of the request path; 0: one for each core
-  std::string operator_key_hash;  // SHA-256 in hexadecimal; empty: nobody may change or look
+  std::string operator_key_hash;  // SHA-256 in hexadecimal; empty: operators have no access
   timing_settings timing;
 };
 
@@ -84,19 +87,19 @@
   findings problems;  // usable when has_errors(problems) is false
 };
 
-// `file_name` stands in the findings. Never throws on bad text.
+// The findings name `file_name`. Never throws on invalid text.
 [[nodiscard]] settings_result load_settings(std::string_view text, const std::string& file_name);
 
-// Where a node's settings and the inventory tell different things of it: other nodes would look for
-// it at endpoints where it does not listen.
+// Reports where a node's settings differ from the inventory: other nodes would connect to
+// endpoints where it does not listen.
 [[nodiscard]] findings compare_settings(const node_settings& settings, const inventory& assets,
                                         const std::string& file_name);
 
-// Names as the settings write them: "debug", "info", "warning", "error".
 class table_reader;
-// Level and bytes a second, which both kinds of nodes have; the table is not finished.
+// Reads level and bytes per second, which both kinds of nodes have; does not call table.finish().
 void read_log_volume(table_reader& table, log_settings& log);
 
+// Names as in the settings: "debug", "info", "warning", "error".
 [[nodiscard]] std::optional<log_level> parse_log_level(std::string_view name);
 [[nodiscard]] std::string_view to_string(log_level level);
 
--- a/tests/core/drains_test.cpp
+++ b/tests/core/drains_test.cpp
@@ -42,7 +42,7 @@
         .version_of = [this](const node_id&) { return acknowledged_; },
         .has_requests = [this](const node_id&, const replica_id&) { return busy_; },
         .in_force = planned,
-        .seen = [this](const vm_id&) { return &seen_; },
+        .latest_observation = [this](const vm_id&) { return &seen_; },
         .lost = [this](const vm_id&) { return lost_; },
     };
     return watch_.emptied(now_, context).contains(r);
@@ -106,7 +106,7 @@
       .version_of = [](const node_id&) { return 5U; },
       .has_requests = [](const node_id&, const replica_id&) { return false; },
       .in_force = planned,
-      .seen = [this](const vm_id&) { return &seen_; },
+      .latest_observation = [this](const vm_id&) { return &seen_; },
       .lost = [](const vm_id&) { return false; }};
   const auto status = watch_.status(context);
   ASSERT_EQ(status.size(), 1U);
--- a/tests/core/fake_world.h
+++ b/tests/core/fake_world.h
@@ -131,7 +131,8 @@
   void wake(std::size_t i);
   void carry_out(std::size_t i, const effect& e);
   // `work` runs at the table and gives the answer; `lost` is fed after a timeout instead.
-  void ask_table(std::size_t i, std::function<input()> work, input lost, bool is_write = false);
+  void ask_table(std::size_t i, std::function<input()> work, input timeout_result,
+                 bool is_write = false);
   input read(const table_read& r) const;
   input write(const table_write& w);
   input get(const object_get& g) const;
@@ -141,7 +142,7 @@
   void do_send(std::size_t i, const peer_send& s);
   // `work` runs at the engine and gives the answer; `lost` is fed after a timeout instead.
   void ask_engine(std::size_t i, const vm_id& vm, std::function<input(fake_engine&)> work,
-                  input lost);
+                  input timeout_result);
   outcome<engine_report> obey(fake_engine& e, const order& o);
   void refresh(fake_engine& e);
   void check();
--- a/tests/core/fake_world_io.cpp
+++ b/tests/core/fake_world_io.cpp
@@ -52,9 +52,12 @@
       e);
 }
 
-void fake_world::ask_table(std::size_t i, std::function<input()> work, input lost, bool is_write) {
+void fake_world::ask_table(std::size_t i, std::function<input()> work, input timeout_result,
+                           bool is_write) {
   const time_point deadline = now_ + call_timeout;
-  const auto give_up = [this, i, deadline, lost] { at(deadline, [=, this] { feed(i, lost); }); };
+  const auto give_up = [this, i, deadline, timeout_result] {
+    at(deadline, [=, this] { feed(i, timeout_result); });
+  };
   if (!table.up || table_cuts_.contains(i)) {
     give_up();
     return;
@@ -160,10 +163,12 @@
 }
 
 void fake_world::ask_engine(std::size_t i, const vm_id& vm, std::function<input(fake_engine&)> work,
-                            input lost) {
+                            input timeout_result) {
   const time_point deadline = now_ + call_timeout;
   fake_engine& e = engines_.at(vm);
-  const auto give_up = [this, i, deadline, lost] { at(deadline, [=, this] { feed(i, lost); }); };
+  const auto give_up = [this, i, deadline, timeout_result] {
+    at(deadline, [=, this] { feed(i, timeout_result); });
+  };
   if (!e.up || target_cuts_.contains({i, vm})) {
     give_up();
     return;
