--- a/tests/core/activation_test.cpp
+++ b/tests/core/activation_test.cpp
@@ -1,4 +1,4 @@
-// Masks, and who starts an activation when.
+// Tests of standby activation: lost masks, and which node starts an activation and when.
 #include "process/activation.h"
 
 #include <gmock/gmock.h>
@@ -31,7 +31,7 @@
 class activating : public ::testing::Test {
  protected:
   activating() { first_.rebase(row_); }
-  // A node that acts at once, and one that waits for its rank.
+  // The node that has this rank for activations of the replica; rank 0 acts immediately.
   static node_id ranked(std::size_t rank) {
     for (const node_id& n : nodes) {
       if (rank_of("activate/" + r.str(), n, nodes) == rank) {
@@ -83,9 +83,8 @@
   EXPECT_THAT(first_.tick(now_, context(false)), IsEmpty());
 }
 
-// Symptom: two nodes bring a replica back in two ways.
-// Sequence: both find the loss at the same time.
-// Cause: neither has heard of the other's repair yet.
+// Guards against two nodes repairing a replica in different ways when both detect the loss at the
+// same time and neither knows of the other's repair.
 TEST_F(activating, others_wait_for_their_rank) {
   activation second{ranked(1)};
   second.rebase(row_);
@@ -121,9 +120,8 @@
   EXPECT_FALSE(first_.adopt(row_, r, {7, 1, 0b0010}));
 }
 
-// Symptom: targets refuse all orders of the present row.
-// Sequence: they obey an activation of row 6 that the writer of row 7 had not heard of.
-// Cause: the row's own generation is older than theirs.
+// Guards against targets that refuse all orders of the current row. They obey an activation of
+// row 6 that the writer of row 7 did not know, so their generation is greater than the row's.
 TEST_F(activating, goes_beyond_an_activation_of_an_older_row) {
   overtaken_ = 0b0010;
   EXPECT_THAT(first_.tick(now_, context()), ElementsAre(r));
--- a/tests/core/coordinator_drains_test.cpp
+++ b/tests/core/coordinator_drains_test.cpp
@@ -1,13 +1,12 @@
-// Planned stops and targets that leave.
-// Invariants are checked by the fake world after every step.
+// Planned stops of replicas, and targets that leave.
+// The simulated cluster checks the invariants after every event.
 #include "coordination_fixture.h"
 
 namespace arbutus::testing {
 namespace {
 
-// Symptom: a VM that is about to be taken away gets new requests until it is gone.
-// Sequence: the target itself says that it is leaving.
-// Cause: only its prober sees that.
+// Guards against new requests to a VM that is about to be removed. The target reports that it is
+// leaving, but only the node that probes it receives the report.
 TEST_F(coordination, target_leaves_by_its_own_report) {
   bring_up();
   const replica_plan& r = row_.replicas.front();
@@ -15,14 +14,14 @@
   EXPECT_LT(time_to_no_route(r.id), 2s);
 }
 
-// Sequence: as above, by the platform's list.
+// As above, but the platform's list marks the VM as leaving.
 TEST_F(coordination, target_leaves_by_the_list) {
   bring_up();
   const replica_plan& r = row_.replicas.front();
   for (const vm_id& vm : world_->vms()) {
     world_->listed.push_back({vm, vm == r.members.back()});
   }
-  // From the moment that a node knows: the news must not wait for heartbeats or for the row.
+  // Once one node knows, the update must not wait for a regular heartbeat or a new row.
   const auto known = [&] {
     for (std::size_t i = 0; i < world_->node_count(); ++i) {
       if (world_->usable_routes(i).size() < replicas_) {
@@ -35,9 +34,8 @@
   EXPECT_LT(time_to_no_route(r.id), 50ms);
 }
 
-// Symptom: a planned stop cuts answers off.
-// Sequence: the rules want one replica less while both run requests.
-// Cause: the replica would be taken out of the row at once.
+// Guards against a planned stop that cuts off answers: the rules ask for one replica fewer while
+// both run requests, so the replica must not be removed from the row immediately.
 TEST_F(coordination, drain_waits_for_running_requests) {
   bring_up();
   for (const replica_plan& r : row_.replicas) {
@@ -64,9 +62,8 @@
                                 patience));
 }
 
-// Symptom: an answer that a node is still passing on breaks off when its replica is stopped.
-// Sequence: as above, but the engine is done already; the node is not.
-// Cause: the engine's own report cannot tell.
+// Guards against cutting off an answer that a node is still forwarding when the replica is stopped.
+// The engine has finished and reports no running requests, so only the node knows of it.
 TEST_F(coordination, drain_waits_for_every_node) {
   bring_up();
   for (const replica_plan& r : row_.replicas) {
--- a/tests/core/coordinator_members_test.cpp
+++ b/tests/core/coordinator_members_test.cpp
@@ -1,5 +1,5 @@
-// Members that die, pause, stumble and return; fabric domains that go dark.
-// Invariants are checked by the fake world after every step.
+// Members that die, pause, restart and return, and fabric domains that fail.
+// The simulated cluster checks the invariants after every event.
 #include "coordination_fixture.h"
 
 namespace arbutus::testing {
@@ -17,9 +17,8 @@
   EXPECT_EQ(world_->row_in_table(), row_);
 }
 
-// Symptom: requests are sent to a replica that lacks a machine and never come back.
-// Sequence: a member goes dark; no connection is refused, probes just get no answer.
-// Cause: nothing tells the nodes; only the age of their evidence can.
+// Guards against sending requests to a replica that has lost a VM. No connection is refused and
+// probes just get no answer, so nodes can only notice the age of their newest observation.
 TEST_F(coordination, member_dies) {
   bring_up();
   const replica_plan& r = row_.replicas.front();
@@ -29,9 +28,8 @@
   EXPECT_EQ(activations(), 0U);
 }
 
-// Symptom: each node sends one more request to a dead machine.
-// Sequence: a member dies and one node's connection breaks.
-// Cause: the others would find it by their own probes only.
+// Guards against every node sending one more request to a dead VM: one node's connection breaks,
+// and the others would learn of the loss from their own probes only.
 TEST_F(coordination, broken_connection_is_news_for_all) {
   bring_up();
   const replica_plan& r = row_.replicas.front();
@@ -40,9 +38,8 @@
   EXPECT_LT(time_to_no_route(r.id), 50ms);
 }
 
-// Symptom: one dead machine keeps a replica dark for as long as the table is out.
-// Sequence: the table goes down, then a member dies; later the table comes back.
-// Cause: a new composition seems to need a row, which cannot be written.
+// Guards against a replica that stays down after a member's death until the table is available
+// again, because a new composition would need a row, which cannot be written.
 TEST_F(coordination, member_dies_while_the_table_is_down) {
   bring_up();
   world_->table.up = false;
@@ -53,7 +50,7 @@
   EXPECT_TRUE(serve_within(patience));
   EXPECT_GT(activations(), 0U);
 
-  // When the table is back, the row takes over what serves, without disturbing it.
+  // Once the table is back, the row records the activated composition without interrupting it.
   world_->table.up = true;
   const bool entered = world_->run_until(
       [&] {
@@ -67,9 +64,8 @@
   EXPECT_TRUE(all_serve());
 }
 
-// Symptom: a machine that was thought dead works for its replica again, beside its successor.
-// Sequence: table down, a member is cut off and replaced by a standby, the member comes back.
-// Cause: nobody could tell the member that it was replaced.
+// Guards against a replaced member that works for its replica again beside its successor. The
+// member was cut off while a standby replaced it, so no order could reach it. The table is down.
 TEST_F(coordination, replaced_member_returns) {
   bring_up();
   world_->table.up = false;
@@ -88,9 +84,8 @@
   EXPECT_TRUE(all_serve());
 }
 
-// Symptom: a replica serves with a member whose memory is gone.
-// Sequence: an engine process restarts between two probes and answers the next one.
-// Cause: the VM never looked dead.
+// Guards against a replica that serves with a member that has lost its memory: the engine process
+// restarts between two probes and answers the next one, so the VM never appears lost.
 TEST_F(coordination, member_restarts_between_probes) {
   bring_up();
   const replica_plan& r = row_.replicas.front();
@@ -99,9 +94,8 @@
   EXPECT_TRUE(serve_within(patience));
 }
 
-// Symptom: requests pile up at a replica that stands still.
-// Sequence: a member is paused for ten seconds and then goes on as if nothing had happened.
-// Cause: it did not die, so nothing it holds was cleared.
+// Guards against requests piling up at a paused replica. A member is paused for ten seconds and
+// then resumes with its old state, because its process did not die.
 TEST_F(coordination, member_pauses) {
   bring_up();
   const replica_plan& r = row_.replicas.front();
@@ -111,9 +105,8 @@
   EXPECT_TRUE(serve_within(patience));
 }
 
-// Symptom: a standby is used up for a member that works.
-// Sequence: the table is down; one node after the other does not reach the member for a moment.
-// Cause: a suspect is not lost.
+// Guards against activating a standby for a working member. While the table is down, one node after
+// the other briefly fails to reach the member, which makes it suspect but not lost.
 TEST_F(coordination, suspicion_activates_nothing) {
   bring_up();
   world_->table.up = false;
@@ -129,9 +122,8 @@
   EXPECT_TRUE(all_serve());
 }
 
-// Symptom: whole replicas are moved because one probe took long.
-// Sequence: a member stands still for less than a second.
-// Cause: a straggler is not a loss.
+// Guards against moving a whole replica because of one slow probe: a member that is paused for less
+// than a second is not lost.
 TEST_F(coordination, hiccup_of_a_member_changes_no_row) {
   bring_up();
   world_->pause(row_.replicas.front().members.front(), 600ms);
@@ -140,9 +132,8 @@
   EXPECT_TRUE(all_serve());
 }
 
-// Symptom: all replicas of a rack stay down although another rack has room.
-// Sequence: every VM of one fabric domain goes dark at once.
-// Cause: losses found one by one would be planned one by one.
+// Guards against replicas that stay down after their whole fabric domain has failed, although
+// another domain has room. Losses detected one by one must not be planned one by one.
 TEST_F(coordination, fabric_domain_goes_dark) {
   bring_up({.vms = 8, .standbys_per_replica = 0, .spare_vms = 2});
   for (std::size_t i = 0; i < 4; ++i) {
@@ -151,9 +142,8 @@
   EXPECT_TRUE(recovers());
 }
 
-// Symptom: a repair that waits for the table takes as long as the table is slow.
-// Sequence: each call to the table takes three seconds, then a member dies.
-// Cause: a slow table fails no call early.
+// Guards against a repair that waits for a slow table. Each call to the table takes three seconds,
+// so no call fails early; then a member dies.
 TEST_F(coordination, member_dies_while_the_table_is_slow) {
   bring_up();
   world_->table.latency = 3s;
--- a/tests/core/coordinator_nodes_test.cpp
+++ b/tests/core/coordinator_nodes_test.cpp
@@ -1,13 +1,12 @@
-// Nodes that are cut off, paused, replaced, blind or behind.
-// Invariants are checked by the fake world after every step.
+// Nodes that are cut off, paused, replaced or outdated.
+// The simulated cluster checks the invariants after every event.
 #include "coordination_fixture.h"
 
 namespace arbutus::testing {
 namespace {
 
-// Symptom: a node that is cut off goes on sending to a replica that was taken apart.
-// Sequence: a node loses peers, table and targets; meanwhile a member dies and is replaced.
-// Cause: the node hears nothing, so nothing tells it to stop.
+// Guards against a node that keeps routing to a dissolved composition. It has lost its peers, the
+// table and the targets while a member died and was replaced, so it gets no update.
 TEST_F(coordination, node_is_cut_off) {
   bring_up();
   world_->isolate(0);
@@ -26,9 +25,8 @@
   EXPECT_TRUE(serve_within(patience));
 }
 
-// Symptom: a node that sees no target takes every replica apart.
-// Sequence: a node loses its peers and its targets but not the table.
-// Cause: its plan is right for what it sees, and the table accepts its write.
+// Guards against a node that dissolves every replica after it has lost its peers and its targets
+// but not the table: its plan matches its own view, and the table would accept the write.
 TEST_F(coordination, blind_node_with_the_table_proposes_nothing) {
   bring_up();
   world_->isolate(0);
@@ -37,9 +35,7 @@
   EXPECT_EQ(world_->row_in_table(), row_);
 }
 
-// Symptom: a replica that serves is taken apart.
-// Sequence: a node loses its peers and one member, but not the table.
-// Cause: as above; here most targets are in sight.
+// As above, but the node still reaches most targets and loses only its peers and one member.
 TEST_F(coordination, node_without_a_majority_waits) {
   bring_up();
   world_->isolate(0);
@@ -48,9 +44,8 @@
   EXPECT_EQ(world_->row_in_table(), row_);
 }
 
-// Symptom: a data centre whose entry VMs mostly died repairs nothing any more.
-// Sequence: two of three nodes die, then a member.
-// Cause: the last one waits for a majority that is gone.
+// Guards against a data centre that stops repairing when two of its three nodes have died and the
+// last one waits for a majority that no longer exists.
 TEST_F(coordination, last_node_goes_on_with_the_table) {
   bring_up();
   world_->kill_node(1);
@@ -60,10 +55,9 @@
   EXPECT_TRUE(recovers(60s));
 }
 
-// Symptom: an accepted configuration is taken back.
-// Sequence: a node is cut off while new rules are accepted; it comes back to the table, but the
-// content of the new rules cannot be had.
-// Cause: to its old rules the new row looks wrong.
+// Guards against reverting an accepted configuration. A node is cut off while new rules are
+// accepted; it reaches the table again but cannot get the new rules, and by its old rules the new
+// row looks wrong.
 TEST_F(coordination, node_with_old_rules_proposes_nothing) {
   bring_up();
   world_->isolate(0);
@@ -78,10 +72,8 @@
   EXPECT_EQ(world_->row_in_table(), newer);
 }
 
-// Symptom: nothing is repaired any more.
-// Sequence: the configuration's head is restored from an old copy while all nodes are replaced;
-// then a member dies.
-// Cause: the row was made for rules that nobody has any more.
+// Guards against an end of all repairs. The configuration's head is restored from an old copy
+// while all nodes are replaced, so the row belongs to rules that no node has; then a member dies.
 TEST_F(coordination, lost_rules_do_not_stop_repair) {
   bring_up();
   const table_row head = world_->table.rows.at(config_head_key);
@@ -99,10 +91,9 @@
   EXPECT_TRUE(recovers(90s));
 }
 
-// Symptom: a member that was replaced long ago is formed again.
-// Sequence: a node is cut off from peers and table; the row changes; the replaced VM restarts and
-// knows no token.
-// Cause: to the node it is a member that has lost its order.
+// Guards against ordering a replaced member to form again. A node is cut off from peers and table
+// while the row changes; then the replaced VM restarts without a token, and to that node it looks
+// like a member that needs its order.
 TEST_F(coordination, node_with_an_unconfirmed_row_orders_nothing) {
   bring_up();
   world_->isolate(0);
@@ -117,10 +108,9 @@
   EXPECT_EQ(orders(), before);
 }
 
-// Symptom: two compositions of one replica fight.
-// Sequence: the table is down; a minority node is cut off from its peers, not from the targets,
-// and loses sight of a member that the others still reach.
-// Cause: it would activate a standby alone.
+// Guards against two competing compositions of one replica. The table is down; a node is cut off
+// from its peers and from one member that the others still reach, and must not activate a standby
+// on its own.
 TEST_F(coordination, minority_activates_nothing) {
   bring_up();
   world_->table.up = false;
@@ -132,9 +122,8 @@
   EXPECT_EQ(world_->usable_routes(1).size(), replicas_);
 }
 
-// Symptom: as above, but nobody is left who remembers.
-// Sequence: the table is restored from an old copy while all nodes are replaced.
-// Cause: only the targets know that newer orders were given.
+// The table is restored from an old copy while all nodes are replaced, so only the targets know
+// that newer orders were sent. The row must get a newer version than theirs.
 TEST_F(coordination, table_is_restored_while_all_nodes_restart) {
   bring_up();
   const auto old_copy = world_->table.rows;
@@ -151,15 +140,14 @@
   EXPECT_TRUE(recovers());
 }
 
-// Symptom: a node that was paused sends orders decided long ago.
-// Sequence: a node is paused right after a member died; the others repair; it goes on.
-// Cause: a paused process does not know that it was paused.
+// Guards against outdated orders from a node that was paused right after a member died and resumes
+// after the others have repaired. A process does not know that it was paused.
 TEST_F(coordination, deciding_node_is_paused) {
   for (std::size_t paused = 0; paused < 3; ++paused) {
     SCOPED_TRACE(paused);
     bring_up({.checks_tokens = false});
     world_->kill(row_.replicas.front().members.back());
-    world_->run_for(1700ms);  // found lost by about now
+    world_->run_for(1700ms);  // about the time when the loss is detected
     world_->pause_node(paused, 15s);
     world_->run_for(18s);
     EXPECT_TRUE(serve_within(patience));
@@ -167,10 +155,9 @@
   }
 }
 
-// Symptom: a target that ignores tokens is called back to a replica that it left.
-// Sequence: a node decides on an order and is paused before its connection stands; meanwhile the
-// VM gets a newer order; the node goes on where it stood.
-// Cause: as above; the target does not compare the two orders.
+// Guards against an outdated order to a target that ignores fencing tokens. A node decides on an
+// order and is paused before its connection is set up; meanwhile the VM gets a newer order; then
+// the node resumes, and the target does not compare the two orders.
 class paused_order : public coordination, public ::testing::WithParamInterface<duration> {};
 
 TEST_P(paused_order, is_held_back) {
@@ -203,9 +190,9 @@
 
 INSTANTIATE_TEST_SUITE_P(coordination, paused_order, ::testing::Values(1500ms, 20s));
 
-// Symptom: targets that ignore tokens are thrown back to an old row.
-// Sequence: the table is restored from an old copy while all nodes are replaced.
-// Cause: a new node would believe the table before it has heard the targets.
+// Guards against returning targets that ignore tokens to an old row. The table is restored from an
+// old copy while all nodes are replaced; new nodes must wait for the targets' reports before they
+// act on the table.
 TEST_F(coordination, new_nodes_listen_before_they_order) {
   bring_up({.checks_tokens = false});
   const auto old_copy = world_->table.rows;
@@ -220,9 +207,8 @@
   EXPECT_EQ(world_->overtaken_orders, 0U);
 }
 
-// Symptom: a node that starts during an outage can serve nobody.
-// Sequence: the table is down; a node is replaced.
-// Cause: the row is only in the table and in its peers.
+// Guards against a node that cannot serve because it starts while the table is down: it can only
+// get the row from its peers.
 TEST_F(coordination, node_starts_while_the_table_is_down) {
   bring_up();
   world_->table.up = false;
@@ -233,12 +219,11 @@
   EXPECT_TRUE(serve_within(patience));
 }
 
-// Symptom: a node that was replaced never routes to some replica again.
-// Sequence: it is replaced while cut off; its new process echoes a message that a peer composed for
-// the old one; the peer takes that as proof that what the old one had been told is known.
-// Cause: the short form of an observation stands for an earlier message.
+// Guards against a replaced node that never routes to some replica again. Its new process echoes a
+// message that a peer composed for the old process; the peer would treat this as acknowledgement of
+// everything sent to the old one and go on sending short forms that refer to it.
 TEST_F(coordination, replaced_node_learns_everything_anew) {
-  for (const std::uint64_t seed : {4, 6, 8}) {  // which message crosses which is chance
+  for (const std::uint64_t seed : {4, 6, 8}) {  // the order of messages depends on the seed
     SCOPED_TRACE(seed);
     bring_up({.vms = 8, .standbys_per_replica = 0, .seed = seed});
     rng random{seed};
@@ -249,7 +234,7 @@
       world_->start_node(0);
       world_->run_for(1s + random.jitter(5s));
       world_->isolate(0, false);
-      world_->run_for(10s);  // what it saw itself while cut off lapses
+      world_->run_for(10s);  // its own observations from before expire
       EXPECT_TRUE(all_serve()) << "restart " << i;
     }
   }
--- a/tests/core/coordinator_random_test.cpp
+++ b/tests/core/coordinator_random_test.cpp
@@ -1,5 +1,5 @@
-// Random faults over bounded schedules: whatever comes in whatever order, the invariants hold
-// throughout, and when all faults are over everything serves again.
+// Random faults over bounded schedules: the invariants hold throughout, and all replicas serve
+// again after the faults have ended.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -76,9 +76,8 @@
   }
 };
 
-// Symptom: any of the faults above, overlapping.
-// Sequence: from the seed, which is in the test's name.
-// Cause: two repairs, or a repair and a return, that know nothing of each other.
+// Guards against conflicts between overlapping faults: two repairs, or a repair and the return of a
+// member, that do not know of each other. The seed, which is in the test's name, gives the faults.
 TEST_P(random_faults, harm_nothing_and_heal) {
   const std::uint64_t seed = GetParam();
   rng r{seed};
--- a/tests/core/coordinator_table_test.cpp
+++ b/tests/core/coordinator_table_test.cpp
@@ -1,14 +1,13 @@
-// The table: replies that are lost, copies that are restored, rows that missed something.
-// Invariants are checked by the fake world after every step.
+// Faults of the table: lost replies, restored copies, and rows written without recent activations.
+// The simulated cluster checks the invariants after every event.
 #include "coordination_fixture.h"
 
 namespace arbutus::testing {
 namespace {
 
-// Symptom: targets refuse every order of the row, which looks right.
-// Sequence: two nodes without the table replace a member that only they have lost; the third
-// writes a row for another reason without having heard of it.
-// Cause: what the targets obey is newer than what the row laid down.
+// Guards against targets that refuse every order of a valid row. Two nodes without the table
+// replace a member that only they have lost; the third, unaware of it, writes a row for another
+// reason. The targets then obey a newer generation than the row's.
 TEST_F(coordination, row_that_missed_an_activation_supersedes_it) {
   bring_up();
   const vm_id member = row_.replicas.front().members.back();
@@ -33,9 +32,8 @@
   EXPECT_TRUE(serve_within(patience));
 }
 
-// Symptom: one need is written twice, the second write undoing work under the first.
-// Sequence: a write takes effect, its reply is lost, the proposer tries again.
-// Cause: no answer is not a failure.
+// Guards against writing one change twice, where the second write undoes work of the first. A write
+// takes effect but its reply is lost; the proposer must not treat a missing answer as a failure.
 TEST_F(coordination, reply_to_a_write_is_lost) {
   bring_up();
   const std::uint64_t before = world_->table.writes_won;
@@ -43,13 +41,13 @@
   world_->kill(row_.replicas.front().members.back());
   EXPECT_TRUE(recovers());
   world_->run_for(5s);
-  // One for the repair; others may follow to reserve a new standby or return a withdrawn VM.
+  // One write for the repair; others may follow to reserve a new standby or return a withdrawn VM.
   EXPECT_LE(world_->table.writes_won - before, 3U);
 }
 
-// Symptom: the row goes back in time: VMs belong to replicas they left, under tokens used before.
-// Sequence: a member dies and is replaced, then the platform restores the table from an old copy.
-// Cause: to a reader the old row looks like any row.
+// Guards against a return to an older row, in which VMs belong to replicas they left, under tokens
+// used before. A member dies and is replaced, then the platform restores the table from an old
+// copy, whose row looks valid to any reader.
 TEST_F(coordination, table_is_restored_from_an_old_copy) {
   bring_up();
   const auto old_copy = world_->table.rows;
--- a/tests/core/drains_test.cpp
+++ b/tests/core/drains_test.cpp
@@ -1,4 +1,4 @@
-// When a draining replica may be taken out of the row: each test withholds one proof.
+// When a draining replica may be removed from the row: each test lacks one of the conditions.
 #include "process/drains.h"
 
 #include <gmock/gmock.h>
@@ -81,9 +81,9 @@
   EXPECT_FALSE(empty());
 }
 
-// Symptom: a request that was on its way when the drain began is cut off.
-// Sequence: the engine reports itself empty, the request arrives, then the last node acknowledges.
-// Cause: the report is older than the acknowledgement.
+// Guards against cutting off a request that was in transit when the drain began: the engine reports
+// itself empty, the request arrives, then the last node acknowledges. A report older than the
+// acknowledgements does not count.
 TEST_F(emptying, the_report_has_to_be_newer_than_the_acknowledgements) {
   report(0, engine_state::draining, now_ - 1ms);
   EXPECT_FALSE(empty());
--- a/tests/core/fake_world.cpp
+++ b/tests/core/fake_world.cpp
@@ -1,4 +1,4 @@
-// The fakes, the event loop and the invariants.
+// Set-up of the simulated cluster, its event loop and the nodes.
 #include "fake_world.h"
 
 #include <algorithm>
@@ -148,7 +148,7 @@
       return;
     }
     n.paused = false;
-    // Before it has heard anything it may still send by what it knew.
+    // Until it processes the inputs of the pause, the node still sends by its old routes.
     check();
     for (auto& run : std::exchange(n.waiting, {})) {
       run();
--- a/tests/core/fake_world.h
+++ b/tests/core/fake_world.h
@@ -1,6 +1,6 @@
-// A few coordinators over a fake table, fake engines and a fake network, in virtual time stepped by
-// events. Small and deterministic: the same seed gives the same run. After every step the
-// invariants of the system are checked; what breaks them is collected in `violations`.
+// A simulated cluster: a few coordinators with a fake table, fake engines and a fake network,
+// driven by events in virtual time. Deterministic: the same seed gives the same run. After every
+// event the invariants of the system are checked, and breaches are collected in `violations`.
 #pragma once
 
 #include <cstdint>
@@ -35,12 +35,12 @@
 struct fake_engine {
   vm_record record;
   engine_report report;
-  bool up = true;  // false: dark, calls to it time out
+  bool up = true;  // false: powered off, calls to it time out
   bool paused = false;
   time_point ready_at{};                       // while loading
-  time_point changed_at{};                     // when what it serves last changed
+  time_point changed_at{};                     // last change of what it serves
   std::vector<std::function<void()>> waiting;  // calls that arrived during a pause
-  std::vector<vm_id> members;                  // as ordered
+  std::vector<vm_id> members;                  // from the last order
 };
 
 struct fake_table {
@@ -48,7 +48,7 @@
   std::map<std::string, std::string> objects;
   bool up = true;
   duration latency = 4ms;
-  std::size_t lose_write_replies = 0;  // of so many next writes, after they took effect
+  std::size_t lose_write_replies = 0;  // the next writes whose reply is lost after they took effect
   std::uint64_t writes_won = 0;        // of the assignment row
   std::uint64_t writes_refused = 0;
 };
@@ -63,41 +63,41 @@
   // False when `limit` has passed without the condition.
   bool run_until(const std::function<bool()>& condition, duration limit);
 
-  // ---- what tests look at ----
+  // ---- state that tests inspect ----
   [[nodiscard]] coordinator& node(std::size_t i) { return *nodes_.at(i).core; }
   [[nodiscard]] std::size_t node_count() const { return nodes_.size(); }
   [[nodiscard]] fake_engine& engine(const vm_id& vm) { return engines_.at(vm); }
   [[nodiscard]] std::vector<vm_id> vms() const;
-  // The published routes that this node may use now; none while it is paused or down.
+  // The published routes that the node may use now; none while it is paused or down.
   [[nodiscard]] std::vector<replica_route> usable_routes(std::size_t i) const;
   [[nodiscard]] bool routed_anywhere(const replica_id& id) const;
-  // Every node that is up routes to at least so many replicas.
+  // Whether every node that is up routes to at least `replicas` replicas.
   [[nodiscard]] bool all_serve(std::size_t replicas) const;
   [[nodiscard]] assignment row_in_table() const;
   [[nodiscard]] std::vector<std::string> notices() const { return notices_; }
 
   // ---- faults ----
-  void kill(const vm_id& vm);     // dark
-  void start(const vm_id& vm);    // comes back as a new process
-  void restart(const vm_id& vm);  // new process at once
+  void kill(const vm_id& vm);     // powers it off
+  void start(const vm_id& vm);    // powers it on with a new process
+  void restart(const vm_id& vm);  // replaces its process immediately
   void pause(const vm_id& vm, duration d);
-  // The request path of this node sees a connection refused.
+  // A connection of this node's request path to the VM fails.
   void connection_error(std::size_t i, const vm_id& vm) { feed(i, target_error{vm}); }
   void set_leaving(const vm_id& vm) { engine(vm).report.leaving = true; }
   void kill_node(std::size_t i);
-  void start_node(std::size_t i);  // as a new process that knows nothing
+  void start_node(std::size_t i);  // as a new process without state
   void pause_node(std::size_t i, duration d);
-  // Directed: from `a` to `b` nothing arrives.
+  // Drops all messages from `a` to `b`, but not those in the other direction.
   void cut(std::size_t a, std::size_t b, bool on = true);
-  void isolate(std::size_t i, bool on = true);  // from all other nodes, both ways
+  void isolate(std::size_t i, bool on = true);  // from all other nodes, in both directions
   void cut_table(std::size_t i, bool on = true);
   void cut_target(std::size_t i, const vm_id& vm, bool on = true);
   void cut_targets(std::size_t i, bool on = true);
   void apply_rules(const std::function<void(rules&)>& change);
   fake_table table;
-  double drop = 0;                     // share of node-to-node messages
-  duration connect_time = 2ms;         // until the bytes of an order can go out
-  std::uint64_t overtaken_orders = 0;  // obeyed by targets that ignore tokens, though older
+  double drop = 0;                     // share of node-to-node messages that are lost
+  duration connect_time = 2ms;         // until the bytes of an order can be sent
+  std::uint64_t overtaken_orders = 0;  // older orders obeyed by targets that ignore tokens
   std::vector<vm_list_entry> listed;
   std::vector<std::string> violations;
 
@@ -124,13 +124,14 @@
   void at(time_point t, std::function<void()> run);
   bool step(time_point limit);
   void write_configuration();
-  // Runs `run` on the node, later if it is paused, never if it is another process by then.
+  // Runs `run` on the node: after the pause if it is paused, never if its process was replaced.
   void deliver(std::size_t i, std::function<effects()> run);
   void feed(std::size_t i, input in);
   void after_call(std::size_t i, const effects& out);
   void wake(std::size_t i);
   void carry_out(std::size_t i, const effect& e);
-  // `work` runs at the table and gives the answer; `lost` is fed after a timeout instead.
+  // `work` runs at the table and returns the answer. If no answer arrives in time, the node gets
+  // `timeout_result` instead.
   void ask_table(std::size_t i, std::function<input()> work, input timeout_result,
                  bool is_write = false);
   input read(const table_read& r) const;
@@ -140,7 +141,8 @@
   void do_probe(std::size_t i, const probe& p);
   void do_order(std::size_t i, const order& o);
   void do_send(std::size_t i, const peer_send& s);
-  // `work` runs at the engine and gives the answer; `lost` is fed after a timeout instead.
+  // `work` runs at the engine and returns the answer. If no answer arrives in time, the node gets
+  // `timeout_result` instead.
   void ask_engine(std::size_t i, const vm_id& vm, std::function<input(fake_engine&)> work,
                   input timeout_result);
   outcome<engine_report> obey(fake_engine& e, const order& o);
--- a/tests/core/fake_world_checks.cpp
+++ b/tests/core/fake_world_checks.cpp
@@ -1,4 +1,4 @@
-// The faults, what tests look at, and the invariants.
+// Injected faults, state that tests inspect, and the invariants.
 #include <algorithm>
 #include <sstream>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Beyond the permission time: an observation is dated by when its probe was sent.
+// Allowed in addition to permission_time, which counts from when the probe was sent.
 constexpr duration route_slack = 100ms;
 
 template <class T>
@@ -172,7 +172,8 @@
   }
 }
 
-// A usable route must match what its members serve, or what they served a permission time ago.
+// A usable route must match what its members serve, or served until permission_time ago. No VM may
+// be in the routes of two replicas.
 void fake_world::check_routes(std::size_t i, std::map<vm_id, replica_id>& owners) {
   for (const replica_route& r : usable_routes(i)) {
     for (const vm_id& vm : r.members) {
--- a/tests/core/fake_world_io.cpp
+++ b/tests/core/fake_world_io.cpp
@@ -1,4 +1,4 @@
-// How the fakes answer.
+// Answers of the fake table, network and engines.
 #include <algorithm>
 #include <sstream>
 
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr duration network_delay = 2ms;
-constexpr duration call_timeout = 900ms;  // of the embedding shell
+constexpr duration call_timeout = 900ms;  // of the program that embeds the coordinator
 template <class T>
 std::string text(const T& value) {
   std::ostringstream out;
@@ -134,7 +134,7 @@
 }
 
 void fake_world::do_order(std::size_t i, const order& o) {
-  // A connection is set up first; the node is asked again directly before the bytes go.
+  // The connection is set up first; directly before the bytes are sent, may_send() is checked.
   const auto incarnation = nodes_[i].incarnation;
   const auto send = [=, this] {
     fake_node& n = nodes_[i];
@@ -155,7 +155,7 @@
   at(now_ + connect_time, [=, this] {
     fake_node& n = nodes_[i];
     if (n.paused && n.incarnation == incarnation) {
-      n.waiting.insert(n.waiting.begin(), send);  // goes on where it stood
+      n.waiting.insert(n.waiting.begin(), send);  // continues where it was paused
     } else {
       send();
     }
@@ -192,7 +192,7 @@
   at(now_ + network_delay, [=, this] {
     fake_engine& target = engines_.at(vm);
     if (target.paused) {
-      target.waiting.push_back(arrive);  // in its socket buffer
+      target.waiting.push_back(arrive);  // waits in the target's socket buffer
     } else {
       arrive();
     }
--- a/tests/core/orders_test.cpp
+++ b/tests/core/orders_test.cpp
@@ -1,4 +1,4 @@
-// What is ordered, by whom and how often.
+// Tests of orders: which are sent, by which node and how often.
 #include "process/orders.h"
 
 #include <gmock/gmock.h>
@@ -93,9 +93,8 @@
   EXPECT_EQ(wanted().at(b).kind, order_kind::release);
 }
 
-// Symptom: a node with an old row undoes what a newer one ordered.
-// Sequence: a target reports a generation beyond this row.
-// Cause: the node has not read the newer row yet.
+// Guards against a node that undoes orders of a newer row which it has not read yet: a target
+// reports a generation newer than this node's row.
 TEST_F(ordering, leaves_alone_what_obeys_something_newer) {
   reports_ = {{a, report_of(a, "r2", {10, 0, 0}, engine_state::loading)},
               {vm_id{"x"}, report_of(vm_id{"x"}, "r2", {10, 0, 0}, engine_state::loading)}};
--- a/tests/core/row_keeper_test.cpp
+++ b/tests/core/row_keeper_test.cpp
@@ -1,4 +1,4 @@
-// One node's copy of the row, against answers given by hand.
+// Tests of one node's copy of the row, with scripted answers of the table.
 #include "process/row_keeper.h"
 
 #include <gmock/gmock.h>
@@ -41,7 +41,7 @@
   void fail_read() {
     (void)keeper_.on(now_, table_read_result{{row_key(hall)}, unknown{"timeout"}});
   }
-  // The write that was asked for last; the list is emptied.
+  // The last requested write, if any; clears the collected effects.
   std::optional<table_write> take_write() {
     std::optional<table_write> found;
     for (const effect& e : asked_) {
@@ -72,16 +72,15 @@
   EXPECT_EQ(keeper_.counters().won, 1U);
 }
 
-// Symptom: a node follows a row that was overtaken.
-// Sequence: it reads version 7, then the table is restored and shows 4.
-// Cause: the read is newer than what is known only by time.
+// Guards against adopting an outdated row: the node reads version 7, then the table is restored and
+// returns version 4. A later read does not always return a newer version.
 TEST_F(row_keeping, never_steps_down_and_rewrites_a_restored_copy) {
   tick();
   answer_read(7, row_of(7));
   tick(2s);
   answer_read(4, row_of(4));
   EXPECT_EQ(keeper_.row().version, 7U);
-  tick(500ms);  // a second read confirms it
+  tick(500ms);  // sends the second read, which has to confirm it
   EXPECT_FALSE(take_write());
   answer_read(4, row_of(4));
   tick(500ms);
@@ -93,13 +92,12 @@
   EXPECT_EQ(rewritten.replicas, row_of(7).replicas);
 }
 
-// Symptom: a restored copy is declared although nothing was restored.
-// Sequence: the answer to a read arrives after the reply to a later write.
-// Cause: the answer is older than the write.
+// Guards against mistaking an outdated read for a restored copy: the answer to a read arrives after
+// the reply to a later write.
 TEST_F(row_keeping, overtaken_read_is_no_restored_copy) {
   tick();
   answer_read(3, row_of(3));
-  tick(2s);  // this read is on its way
+  tick(2s);  // sends a read that is answered later
   propose(row_of(4));
   const auto write = take_write();
   ASSERT_TRUE(write);
@@ -113,9 +111,8 @@
   EXPECT_EQ(keeper_.row().version, 4U);
 }
 
-// Symptom: a change is made twice.
-// Sequence: a write takes effect, its reply is lost; the row shows the proposal.
-// Cause: unknown is not refused.
+// Guards against making a change twice: a write takes effect but its reply is lost, and the row
+// contains the proposal. An unknown outcome must not be handled as a refusal.
 TEST_F(row_keeping, lost_reply_is_resolved_by_reading_back) {
   tick();
   answer_read(3, row_of(3));
@@ -147,9 +144,8 @@
   EXPECT_TRUE(keeper_.may_propose(now_ + row_backoff_first));
 }
 
-// Symptom: a node that has just started plans from a row that others have left behind.
-// Sequence: it reads version 4 while a peer says 9.
-// Cause: the table was restored, or the read was overtaken.
+// Guards against a newly started node that plans from an outdated row: it reads version 4 while a
+// peer reports 9, because the table was restored or the read was answered late.
 TEST_F(row_keeping, proposes_nothing_while_behind) {
   tick();
   answer_read(4, row_of(4));
@@ -158,9 +154,8 @@
   EXPECT_FALSE(keeper_.may_propose(now_ + 1min));
 }
 
-// Symptom: targets refuse every order for ever.
-// Sequence: they obey version 9; table and nodes know 4 only.
-// Cause: the content of 9 is lost, its tokens are not.
+// Guards against targets that refuse every order forever: they obey version 9, while table and
+// nodes know only version 4. The content of version 9 is lost, but its tokens are still in force.
 TEST_F(row_keeping, lost_content_is_laid_down_above_what_targets_obey) {
   tick();
   answer_read(4, row_of(4));
--- a/tests/core/settings_test.cpp
+++ b/tests/core/settings_test.cpp
@@ -1,4 +1,4 @@
-// Node settings: defaults, every key, and mistakes with their places.
+// Tests of node settings: defaults, every key, and errors with their positions in the file.
 #include "process/settings.h"
 
 #include <gmock/gmock.h>
@@ -126,7 +126,7 @@
   EXPECT_THAT(found, HasSubstr("id: \"n1\" is this node itself"));
 }
 
-// A key hash that no key can have would silently close the operators' paths.
+// A value that is not the hash of any key would lock operators out without an error.
 TEST(settings, the_operators_key_is_a_hash) {
   const std::string hash(64, 'a');
   EXPECT_EQ(load_settings(least + "[operators]\nkey_hash = \"" + hash + "\"\n", "n.toml")
@@ -136,7 +136,7 @@
               HasSubstr("n.toml:12:12: error: [operators] key_hash"));
 }
 
-// Timing that all nodes of a data centre have to share must not be settable for one of them.
+// Timing that all nodes of a data centre must share cannot be set for one of them.
 TEST(settings, shared_timing_is_no_setting) {
   EXPECT_THAT(problems_of(least + "[timing]\nprobe_ms = 500\n"), HasSubstr("probe_ms"));
 }
