--- a/tests/core/coordinator_members_test.cpp
+++ b/tests/core/coordinator_members_test.cpp
@@ -71,16 +71,16 @@
   world_->table.up = false;
   world_->run_for(5s);
   const replica_plan& r = row_.replicas.front();
-  const vm_id gone = r.members.back();
+  const vm_id replaced = r.members.back();
   for (std::size_t i = 0; i < world_->node_count(); ++i) {
-    world_->cut_target(i, gone);
+    world_->cut_target(i, replaced);
   }
   EXPECT_TRUE(recovers());
   for (std::size_t i = 0; i < world_->node_count(); ++i) {
-    world_->cut_target(i, gone, false);
+    world_->cut_target(i, replaced, false);
   }
   EXPECT_TRUE(
-      world_->run_until([&] { return world_->engine(gone).report.replica.empty(); }, patience));
+      world_->run_until([&] { return world_->engine(replaced).report.replica.empty(); }, patience));
   EXPECT_TRUE(all_serve());
 }
 
