--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -48,8 +48,8 @@
   model.version = "1";
   model.vms_per_replica = 2;
   model.placements = {{here, 2}};
-  c.wanted.models.push_back(model);
-  c.wanted.standbys_per_replica = 1;
+  c.desired.models.push_back(model);
+  c.desired.standbys_per_replica = 1;
   return c;
 }
 
@@ -57,7 +57,7 @@
  public:
   world() {
     const configuration c = make_configuration();
-    const std::string content = encode_content(c.assets, c.wanted);
+    const std::string content = encode_content(c.assets, c.desired);
     objects_[content_hash(content)] = content;
     const config_head head{c.version, content_hash(content), {proposal_id{"example"}}};
     rows_[config_head_key] = {encode(head), 1};
--- a/fuzz/decode_content.cpp
+++ b/fuzz/decode_content.cpp
@@ -11,10 +11,10 @@
   const auto decoded = arbutus::decode_content(text, 1);
   if (const auto* value = std::get_if<arbutus::configuration>(&decoded)) {
     const auto again =
-        arbutus::decode_content(arbutus::encode_content(value->assets, value->wanted), 1);
+        arbutus::decode_content(arbutus::encode_content(value->assets, value->desired), 1);
     arbutus::fuzz::require(arbutus::is_ok(again));
     arbutus::fuzz::require(std::get<0>(again).assets == value->assets);
-    arbutus::fuzz::require(std::get<0>(again).wanted == value->wanted);
+    arbutus::fuzz::require(std::get<0>(again).desired == value->desired);
   }
   (void)arbutus::decode_head(text);
   return 0;
--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -38,11 +38,11 @@
 
 // Slots come from the rules; weights and speeds are the stand-in's own. Incarnations count from the
 // time of start: after a restart of this process no engine passes for the one it was before.
-engine_settings engines_for(const rules& wanted, std::uint64_t seed) {
+engine_settings engines_for(const rules& desired, std::uint64_t seed) {
   engine_settings settings;
   settings.seed = seed;
   settings.first_incarnation = static_cast<std::uint64_t>(wall_now().milliseconds);
-  for (const model_rule& rule : wanted.models) {
+  for (const model_rule& rule : desired.models) {
     model_profile profile = settings.usual;
     profile.batch.slots = rule.slots;
     settings.models.emplace(rule.id, profile);
@@ -66,7 +66,7 @@
   fiber_runtime runtime(standin_workers);
   runtime.run();
   fleet_settings settings;
-  settings.engine = engines_for(imported.wanted, options.seed);
+  settings.engine = engines_for(imported.desired, options.seed);
   settings.engines = options.engines;
   settings.services = options.services;
   settings.platform = options.platform ? *platform : endpoint{platform->host, 0};
--- a/src/connection/link_wire.cpp
+++ b/src/connection/link_wire.cpp
@@ -93,10 +93,10 @@
   return payload;
 }
 
-// Waits until `wanted` bytes stand at begin_.
-bool frame_reader::fill(std::size_t wanted) {
-  make_room(wanted);
-  while (end_ - begin_ < wanted) {
+// Waits until `desired` bytes stand at begin_.
+bool frame_reader::fill(std::size_t desired) {
+  make_room(desired);
+  while (end_ - begin_ < desired) {
     boost::system::error_code error;
     const auto free = boost::asio::buffer(buffer_.data() + end_, buffer_.size() - end_);
     end_ += stream_.read_some(free, error);
@@ -107,16 +107,16 @@
   return true;
 }
 
-void frame_reader::make_room(std::size_t wanted) {
+void frame_reader::make_room(std::size_t desired) {
   const std::size_t held = end_ - begin_;
-  if (held >= wanted) {
+  if (held >= desired) {
     return;
   }
   std::copy(buffer_.begin() + static_cast<std::ptrdiff_t>(begin_),
             buffer_.begin() + static_cast<std::ptrdiff_t>(end_), buffer_.begin());
   begin_ = 0;
   end_ = held;
-  const std::size_t size = std::max({wanted, held, usual_buffer});
+  const std::size_t size = std::max({desired, held, usual_buffer});
   if (buffer_.size() > 2 * size) {
     std::vector<std::uint8_t>(buffer_.begin(), buffer_.begin() + static_cast<std::ptrdiff_t>(size))
         .swap(buffer_);
--- a/src/connection/link_wire.h
+++ b/src/connection/link_wire.h
@@ -52,8 +52,8 @@
   std::optional<std::span<const std::uint8_t>> next();
 
  private:
-  bool fill(std::size_t wanted);
-  void make_room(std::size_t wanted);
+  bool fill(std::size_t desired);
+  void make_room(std::size_t desired);
 
   fiber_stream& stream_;
   atomic_link_counters& counters_;
--- a/src/load/latency.cpp
+++ b/src/load/latency.cpp
@@ -36,12 +36,12 @@
   if (count_ == 0) {
     return 0;
   }
-  const double wanted = p * static_cast<double>(count_);
+  const double desired = p * static_cast<double>(count_);
   double seen = 0;
   for (auto&& bin : boost::histogram::indexed(bins_)) {
     const double here = *bin;
-    if (here > 0 && seen + here >= wanted) {
-      const double within = std::clamp((wanted - seen) / here, 0.0, 1.0);
+    if (here > 0 && seen + here >= desired) {
+      const double within = std::clamp((desired - seen) / here, 0.0, 1.0);
       return bin.bin().lower() + within * bin.bin().width();
     }
     seen += here;
--- a/src/node/call_context.cpp
+++ b/src/node/call_context.cpp
@@ -39,12 +39,12 @@
   return error;
 }
 
-const class_rule* find_request_class(const rules& wanted, const http_headers& headers) {
+const class_rule* find_request_class(const rules& desired, const http_headers& headers) {
   const auto name = headers.find("x-class");
   if (!name) {
-    return wanted.classes.empty() ? nullptr : &wanted.classes.front();
+    return desired.classes.empty() ? nullptr : &desired.classes.front();
   }
-  return wanted.find_class(*name);
+  return desired.find_class(*name);
 }
 
 }  // namespace
@@ -75,17 +75,17 @@
   if (!call.view->config) {
     return no_configuration();
   }
-  const rules& wanted = call.view->config->wanted;
+  const rules& desired = call.view->config->desired;
   const auto authorization = request.headers.find("authorization");
   if (!authorization || !authorization->starts_with(bearer)) {
     return unauthorized();
   }
-  call.workspace = authenticate(wanted, authorization->substr(bearer.size()));
+  call.workspace = authenticate(desired, authorization->substr(bearer.size()));
   if (call.workspace == nullptr) {
     return unauthorized();
   }
   call.measured.workspace = call.workspace->id;
-  const class_rule* request_class = find_request_class(wanted, request.headers);
+  const class_rule* request_class = find_request_class(desired, request.headers);
   if (request_class == nullptr && request.headers.find("x-class")) {
     call_error error;
     error.status = 400;
--- a/src/node/configure.cpp
+++ b/src/node/configure.cpp
@@ -241,10 +241,10 @@
     return;
   }
   const std::string base_content =
-      view->config ? encode_content(view->config->assets, view->config->wanted) : std::string{};
+      view->config ? encode_content(view->config->assets, view->config->desired) : std::string{};
   known_contents contents;
   contents.base = known == asked->base ? base_content : std::string{};
-  contents.proposed = encode_content(imported.assets, imported.wanted);
+  contents.proposed = encode_content(imported.assets, imported.desired);
   config_proposer proposer(asked->id, contents.proposed, asked->base, known, base_content);
   proposal_run(platform, core, writer, std::move(proposer), std::move(contents)).run();
 }
--- a/src/node/control.cpp
+++ b/src/node/control.cpp
@@ -228,7 +228,7 @@
     outcome<engine_report> result = refused{"not in the inventory"};
     if (address) {
       const auto still_due = [&s, &asked] { return s.core.may_send(monotonic_now(), asked); };
-      result = s.engines.send(*address, asked, monotonic_now() + asked.valid_for, still_due);
+      result = s.engines.send(*address, asked, monotonic_now() + asked.validity_period, still_due);
     }
     return input{order_result{asked, std::move(result)}};
   });
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -86,11 +86,11 @@
     const auto& replicas = node_.replicas(*call_.service, model_->id);
     const std::vector<target_id> suspected = suspected_heads(now, replicas);
     const std::vector<target_id> avoided = avoided_heads(now, replicas);
-    const choice_request wanted{
+    const choice_request desired{
         node_.settings.data_centre, call_.head.size, call_.deadline - now, avoided, suspected,
         node_.random.unit()};
     const replica_choice choice =
-        choose_replica(*call_.service->engine, *model_, replicas, node_.loads, wanted);
+        choose_replica(*call_.service->engine, *model_, replicas, node_.loads, desired);
     if (const auto* none = std::get_if<no_replica>(&choice)) {
       const bool by_limit = avoided.size() > avoided_.size();
       end_own(503, by_limit ? retry_after_limit(node_) : none->retry_after,
--- a/src/node/keeper_loop.cpp
+++ b/src/node/keeper_loop.cpp
@@ -102,8 +102,8 @@
     if (duties_.empty() || !node_.fleet_complete) {
       continue;
     }
-    for (const keeper_effect& wanted : found->second.tick(now, node_.fleet, service, own)) {
-      carry_out(service.id, wanted);
+    for (const keeper_effect& desired : found->second.tick(now, node_.fleet, service, own)) {
+      carry_out(service.id, desired);
     }
     tell_plan(now, found->second);
   }
@@ -129,7 +129,7 @@
     text += (text.empty() ? "" : "; ") + d.domain.str() + " ready [";
     add(d.ready);
     text += "] wanted [";
-    add(d.wanted);
+    add(d.desired);
     text += "] blank " + std::to_string(d.blank) + " free " + std::to_string(d.free);
   }
   log_line(log_level::info, "keeper", "plan", {{"domains", text}});
@@ -151,12 +151,12 @@
   }
 }
 
-void keeper_loop::carry_out(const service_id& service, const keeper_effect& wanted) {
-  node_.runtime.post(0, [this, service, wanted] {
+void keeper_loop::carry_out(const service_id& service, const keeper_effect& desired) {
+  node_.runtime.post(0, [this, service, desired] {
     replica_keeper& keeper = keepers_.at(service);
     const time_point asked = monotonic_now();
     const time_point deadline = asked + order_timeout;
-    if (const auto* question = std::get_if<report_question>(&wanted)) {
+    if (const auto* question = std::get_if<report_question>(&desired)) {
       count_question("order");
       const auto result = node_.engines.report(question->to, question->address, deadline);
       const time_point now = monotonic_now();
@@ -171,7 +171,7 @@
       }
       return;
     }
-    const auto& order = std::get<replica_order>(wanted);
+    const auto& order = std::get<replica_order>(desired);
     const order_outcome outcome = node_.engines.order(order, deadline);
     if (outcome == order_outcome::no_answer || outcome == order_outcome::not_sent) {
       node_.fleet.probe_failed(monotonic_now(), order.to);
--- a/src/node/limit_exchange.cpp
+++ b/src/node/limit_exchange.cpp
@@ -79,7 +79,7 @@
   }
   limits_.set_nodes(now, nodes);
   has_limits_ = false;
-  for (const workspace_rule& workspace : config.wanted.workspaces) {
+  for (const workspace_rule& workspace : config.desired.workspaces) {
     limits_.set_limit(now, workspace.id, {workspace.requests_per_second, workspace.burst});
     has_limits_ = has_limits_ || workspace.requests_per_second > 0;
   }
--- a/src/node/model_call.cpp
+++ b/src/node/model_call.cpp
@@ -23,7 +23,7 @@
 constexpr duration look_again = 25ms;
 
 std::optional<call_error> check_model(const call_state& call, const model_id& model) {
-  if (call.view->config->wanted.find_model(model) == nullptr) {
+  if (call.view->config->desired.find_model(model) == nullptr) {
     return invalid_request("unknown_model", "the rules know no model of this name", 404);
   }
   const auto& allowed = call.workspace->models;
--- a/src/node/model_gate.cpp
+++ b/src/node/model_gate.cpp
@@ -223,9 +223,9 @@
   refuse(admission_.tick(now));
 }
 
-void model_gate::set_shares(const rules& wanted) {
+void model_gate::set_shares(const rules& desired) {
   const std::lock_guard guard(lock_);
-  for (const workspace_rule& workspace : wanted.workspaces) {
+  for (const workspace_rule& workspace : desired.workspaces) {
     admission_.set_share(workspace.id, workspace.share);
   }
 }
@@ -243,7 +243,7 @@
   if (!view->config) {
     return;
   }
-  for (const model_rule& model : view->config->wanted.models) {
+  for (const model_rule& model : view->config->desired.models) {
     of(model.id);
   }
   const std::lock_guard guard(lock_);
@@ -251,7 +251,7 @@
   config_version_ = view->config->version;
   for (const auto& [id, gate] : gates_) {
     if (new_config) {
-      gate->set_shares(view->config->wanted);
+      gate->set_shares(view->config->desired);
     }
     gate->refresh(view);
   }
--- a/src/node/model_gate.h
+++ b/src/node/model_gate.h
@@ -74,7 +74,7 @@
 
   // A new view: capacity may have changed.
   void refresh(const std::shared_ptr<const node_view>& view);
-  void set_shares(const rules& wanted);
+  void set_shares(const rules& desired);
 
  private:
   void apply_capacity(time_point now, const node_view& view);
--- a/src/node/service_call.cpp
+++ b/src/node/service_call.cpp
@@ -86,7 +86,7 @@
       return error;
     }
     const std::string_view path = path_of(request_.target);
-    service_ = find_service_by_path(call_.view->config->wanted, path);
+    service_ = find_service_by_path(call_.view->config->desired, path);
     if (service_ == nullptr || has_dot_segment(path)) {
       return problem(404, "unknown_path", "no service has this path");
     }
@@ -298,8 +298,8 @@
 
 }  // namespace
 
-const service_rule* find_service_by_path(const rules& wanted, std::string_view path) {
-  for (const service_rule& service : wanted.services) {
+const service_rule* find_service_by_path(const rules& desired, std::string_view path) {
+  for (const service_rule& service : desired.services) {
     if (is_below(path, service.path_prefix)) {
       return &service;
     }
--- a/src/node/service_call.h
+++ b/src/node/service_call.h
@@ -7,7 +7,7 @@
 namespace arbutus {
 
 // The service that a path belongs to; null if none.
-[[nodiscard]] const service_rule* find_service_by_path(const rules& wanted, std::string_view path);
+[[nodiscard]] const service_rule* find_service_by_path(const rules& desired, std::string_view path);
 
 // Answers the call, always; returns when nothing of it is left.
 void serve_service_call(call_context& node, const http_request& request, response_writer& writer);
--- a/src/process/row_keeper.cpp
+++ b/src/process/assignment_writer.cpp
@@ -1,5 +1,5 @@
-// Reading, proposing and repairing the assignment row.
-#include "process/row_keeper.h"
+// Reads, proposals and repairs of the assignment row.
+#include "process/assignment_writer.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Reads caused by peers' claims are not repeated faster: with a restored copy in the table every
-// heartbeat claims a newer version.
+// Minimum time between reads that peers' reports cause: with a restored copy in the table every
+// heartbeat reports a newer version.
 constexpr duration read_pause = 300ms;
 
-// Writes with unknown effect that are remembered; older ones have long been overtaken.
-constexpr std::size_t most_unresolved = 8;
+// Maximum number of remembered writes with unknown outcome; older ones have long been superseded.
+constexpr std::size_t max_unresolved = 8;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   return "assignment/" + dc.str();
 }
 
-void lay_down_anew(assignment& a) {
+void supersede_generations(assignment& a) {
   for (replica_plan& replica : a.replicas) {
     replica.gen = generation{.row = a.version};
   }
@@ -33,36 +33,36 @@
       replica.gen.row = version;
     }
   }
-  for (withdrawal& taken : a.withdrawals) {
-    if (taken.since == a.version) {
-      taken.since = version;
+  for (withdrawal& w : a.withdrawals) {
+    if (w.since == a.version) {
+      w.since = version;
     }
   }
   a.version = version;
 }
 
-row_keeper::row_keeper(node_id self, data_centre_id dc, std::uint64_t seed)
+assignment_writer::assignment_writer(node_id self, data_centre_id dc, std::uint64_t seed)
     : self_(std::move(self)), dc_(std::move(dc)), key_(row_key(dc_)), random_(seed) {
   row_.data_centre = dc_;
 }
 
-void row_keeper::raise_heard(time_point now, std::uint64_t version) {
-  if (version <= highest_heard_) {
+void assignment_writer::raise_highest_known(time_point now, std::uint64_t version) {
+  if (version <= highest_known_version_) {
     return;
   }
-  highest_heard_ = version;
+  highest_known_version_ = version;
   if (behind()) {
-    claimed_at_ = now;
+    newer_version_reported_at_ = now;
   }
 }
 
-void row_keeper::heard_from_peer(time_point now, std::uint64_t version) {
+void assignment_writer::note_peer_version(time_point now, std::uint64_t version) {
   if (version <= row_.version) {
     return;
   }
-  const bool news = version > highest_heard_;
-  raise_heard(now, version);
-  claimed_at_ = now;
+  const bool news = version > highest_known_version_;
+  raise_highest_known(now, version);
+  newer_version_reported_at_ = now;
   if (news) {
     next_read_ = std::min(next_read_, now + random_.jitter(row_read_spread));
   } else {
@@ -70,45 +70,45 @@
   }
 }
 
-void row_keeper::heard_from_target(time_point now, std::uint64_t version) {
-  if (version <= highest_heard_) {
+void assignment_writer::note_target_version(time_point now, std::uint64_t version) {
+  if (version <= highest_known_version_) {
     return;
   }
-  raise_heard(now, version);
+  raise_highest_known(now, version);
   read_soon(now);
 }
 
-bool row_keeper::adopt(time_point now, const assignment& copy) {
+bool assignment_writer::adopt(time_point now, const assignment& copy) {
   const bool newer = copy.data_centre == dc_ && copy.version > row_.version;
   if (!newer || has_errors(check_invariants(copy))) {
     return false;
   }
   row_ = copy;
-  raise_heard(now, row_.version);
-  // What the table held was read before this copy existed, perhaps: look again before judging it.
+  raise_highest_known(now, row_.version);
+  // The table may have been read before this copy existed, so read it again before comparing.
   in_table_.reset();
   repair_since_.reset();
   read_soon(now);
   return true;
 }
 
-void row_keeper::read_soon(time_point now) {
+void assignment_writer::read_soon(time_point now) {
   const time_point earliest = std::max(now, last_read_ + read_pause);
   next_read_ = std::min(next_read_, earliest + random_.jitter(row_read_spread));
 }
 
-effects row_keeper::read(time_point now) {
+effects assignment_writer::read(time_point now) {
   read_sent_at_ = now;
   last_read_ = now;
   ++counters_.reads;
   return {table_read{key_}};
 }
 
-effects row_keeper::tick(time_point now, const std::vector<node_id>& live) {
-  if (read_sent_at_ && now - *read_sent_at_ >= row_reply_patience) {
-    table_silent(now);
+effects assignment_writer::tick(time_point now, const std::vector<node_id>& live) {
+  if (read_sent_at_ && now - *read_sent_at_ >= row_reply_timeout) {
+    note_failed_read(now);
   }
-  if (write_ && now - write_->sent_at >= row_reply_patience) {
+  if (write_ && now - write_->sent_at >= row_reply_timeout) {
     write_failed_ = true;
     unresolved_.push_back(*write_);
     write_.reset();
@@ -129,10 +129,10 @@
   return out;
 }
 
-time_point row_keeper::next_tick() const {
-  time_point next = read_sent_at_ ? *read_sent_at_ + row_reply_patience : next_read_;
+time_point assignment_writer::next_tick() const {
+  time_point next = read_sent_at_ ? *read_sent_at_ + row_reply_timeout : next_read_;
   if (write_) {
-    next = std::min(next, write_->sent_at + row_reply_patience);
+    next = std::min(next, write_->sent_at + row_reply_timeout);
   }
   if (repair_since_ && !write_) {
     next = std::min(next, std::max(last_read_ + read_pause, write_after_));
@@ -140,19 +140,19 @@
   return next;
 }
 
-void row_keeper::table_silent(time_point now) {
+void assignment_writer::note_failed_read(time_point now) {
   read_sent_at_.reset();
   unreadable_since_ = unreadable_since_.value_or(now);
   next_read_ = now + row_reader_interval / 2 + random_.jitter(row_reader_interval);
 }
 
-effects row_keeper::on(time_point now, const table_read_result& r) {
-  if (r.asked.key != key_) {
+effects assignment_writer::on(time_point now, const table_read_result& r) {
+  if (r.request.key != key_) {
     return {};
   }
   const auto* row = std::get_if<table_row>(&r.result);
   if (row == nullptr) {
-    table_silent(now);
+    note_failed_read(now);
     return {};
   }
   if (read_sent_at_) {
@@ -162,26 +162,26 @@
   unreadable_since_.reset();
   table_copy copy{.version = row->version, .row_version = 0, .proposal = {}};
   if (row->version == 0) {
-    take(now, copy, std::nullopt);
+    apply_copy(now, copy, std::nullopt);
     return {};
   }
   const auto decoded = decode_assignment(row->value);
   if (const auto* content = std::get_if<assignment>(&decoded)) {
     copy.row_version = content->version;
     copy.proposal = content->proposal;
-    take(now, copy, *content);
+    apply_copy(now, copy, *content);
     return {};
   }
-  take(now, copy, std::nullopt);
+  apply_copy(now, copy, std::nullopt);
   return {notice{"row", "the assignment row in the table cannot be decoded"}};
 }
 
-void row_keeper::take(time_point now, const table_copy& copy,
-                      const std::optional<assignment>& content) {
+void assignment_writer::apply_copy(time_point now, const table_copy& copy,
+                                   const std::optional<assignment>& content) {
   in_table_ = copy;
   if (content && content->version > row_.version) {
     row_ = *content;
-    raise_heard(now, row_.version);
+    raise_highest_known(now, row_.version);
   }
   resolve_unknown(now, copy);
   if (!table_needs_repair(now)) {
@@ -193,7 +193,7 @@
   }
 }
 
-void row_keeper::resolve_unknown(time_point now, const table_copy& copy) {
+void assignment_writer::resolve_unknown(time_point now, const table_copy& copy) {
   std::erase_if(unresolved_, [&](const open_write& w) {
     if (w.proposal == copy.proposal) {
       ++counters_.won;
@@ -202,25 +202,25 @@
       write_after_ = now;
       return true;
     }
-    const bool overtaken = copy.version > w.expected;
-    counters_.lost += overtaken ? 1 : 0;
-    return overtaken;  // otherwise it may still take effect
+    const bool superseded = copy.version > w.expected;
+    counters_.lost += superseded ? 1 : 0;
+    return superseded;  // otherwise it may still take effect
   });
-  while (unresolved_.size() > most_unresolved) {
+  while (unresolved_.size() > max_unresolved) {
     unresolved_.erase(unresolved_.begin());
   }
 }
 
-effects row_keeper::on(time_point now, const table_write_result& r) {
-  if (r.asked.key != key_) {
+effects assignment_writer::on(time_point now, const table_write_result& r) {
+  if (r.request.key != key_) {
     return {};
   }
-  const auto decoded = decode_assignment(r.asked.value);
+  const auto decoded = decode_assignment(r.request.value);
   const auto* content = std::get_if<assignment>(&decoded);
   if (content == nullptr) {
     return {};
   }
-  open_write sent{.proposal = content->proposal, .expected = r.asked.expected, .sent_at = {}};
+  open_write sent{.proposal = content->proposal, .expected = r.request.expected, .sent_at = {}};
   if (write_ && write_->proposal == sent.proposal) {
     sent.sent_at = write_->sent_at;
     write_.reset();
@@ -229,35 +229,35 @@
   if (const auto* written = std::get_if<table_written>(&r.result)) {
     unresolved_.push_back(sent);
     confirmed_at_ = sent.sent_at;
-    take(now, {written->version, content->version, content->proposal}, *content);
+    apply_copy(now, {written->version, content->version, content->proposal}, *content);
     return {};
   }
-  // Refused may also mean that the first copy of a write repeated below us took effect: read back
-  // in any case, and let the row itself tell whose proposal it is.
+  // A refusal may also mean that a lower layer repeated the write and its first copy took effect.
+  // Read back in any case: the row names the proposal that it came from.
   const bool no_answer = std::holds_alternative<unknown>(r.result);
   counters_.unknown_replies += no_answer ? 1 : 0;
   write_failed_ = no_answer;
   unresolved_.push_back(sent);
   write_after_ = now + backoff_.fail(random_);
   if (read_sent_at_) {
-    next_read_ = now;  // the read under way may have passed before the write
+    next_read_ = now;  // the open read may have been served before the write
     return {};
   }
   return read(now);
 }
 
-bool row_keeper::unwritable(time_point now) const {
-  const bool slow = write_ && now - write_->sent_at >= row_reply_patience;
+bool assignment_writer::unwritable(time_point now) const {
+  const bool slow = write_ && now - write_->sent_at >= row_reply_timeout;
   return unreadable_since_ || write_failed_ || slow;
 }
 
-bool row_keeper::content_lost(time_point now) const {
-  return behind() && in_table_ && now - claimed_at_ >= row_lost_patience;
+bool assignment_writer::content_lost(time_point now) const {
+  return behind() && in_table_ && now - newer_version_reported_at_ >= lost_content_timeout;
 }
 
-// The table shows less than what is known: a restored copy, or one that lost a version which
-// targets obey.
-bool row_keeper::table_needs_repair(time_point now) const {
+// The table holds an older state than this node knows: it was restored from a backup, or it lost a
+// version that targets obey.
+bool assignment_writer::table_needs_repair(time_point now) const {
   if (!in_table_ || !known()) {
     return false;
   }
@@ -266,7 +266,7 @@
   return in_table_->row_version < row_.version || differs || content_lost(now);
 }
 
-effects row_keeper::repair_table(time_point now, const std::vector<node_id>& live) {
+effects assignment_writer::repair_table(time_point now, const std::vector<node_id>& live) {
   if (!repair_since_ && table_needs_repair(now)) {
     repair_since_ = now;
     ++counters_.restored_copies;
@@ -274,8 +274,8 @@
   if (!repair_since_ || write_ || unreadable_since_ || now < write_after_) {
     return {};
   }
-  // An answer that was overtaken by a write looks like a restored copy too: believe only a second
-  // read that was sent after the first showed it.
+  // An answer that arrives after a later write also looks like a restored copy. Act only after a
+  // second read, sent after the first one showed it.
   if (last_read_ <= *repair_since_) {
     read_soon(now);
     return {};
@@ -291,24 +291,24 @@
   assignment next = row_;
   next.version = next_version();
   if (behind()) {
-    lay_down_anew(next);
+    supersede_generations(next);
   }
   return write(now, std::move(next));
 }
 
-bool row_keeper::may_propose(time_point now) const {
+bool assignment_writer::may_propose(time_point now) const {
   const bool seen = missing() || (known() && in_table_);
   const bool free = seen && !write_ && !repair_since_ && !unreadable_since_;
   const bool newest = !behind() || (!known() && content_lost(now));
   return free && newest && now >= write_after_;
 }
 
-std::uint64_t row_keeper::next_version() const {
+std::uint64_t assignment_writer::next_version() const {
   const bool gap = repair_since_ || behind();
-  return std::max(row_.version, highest_heard_) + (gap ? row_restore_gap : 1);
+  return std::max(row_.version, highest_known_version_) + (gap ? row_restore_gap : 1);
 }
 
-effects row_keeper::propose(time_point now, assignment next) {
+effects assignment_writer::propose(time_point now, assignment next) {
   if (!may_propose(now)) {
     return {};
   }
@@ -316,7 +316,7 @@
   return write(now, std::move(next));
 }
 
-effects row_keeper::write(time_point now, assignment next) {
+effects assignment_writer::write(time_point now, assignment next) {
   next.data_centre = dc_;
   next.proposal = proposal_id{self_.str() + "/" + std::to_string(random_()) + "/" +
                               std::to_string(++proposals_)};
--- a/src/process/config_replica.cpp
+++ b/src/process/config_replica.cpp
@@ -198,13 +198,13 @@
   return wants;
 }
 
-// True if the content was right, wanted or not.
+// True if the content was right, desired or not.
 bool config_replica::accept(const config_content& content, config_wants& wants, time_point now) {
   std::optional<std::string> whole = apply_patch(content_, content);
   if (!whole) {
     return false;
   }
-  // The same content may be wanted under several versions; the highest is last.
+  // The same content may be desired under several versions; the highest is last.
   std::optional<config_head> best;
   for (const auto& [id, c] : candidates_) {
     if (c.head.hash == content.head.hash) {
--- a/src/process/coordinator_decide.cpp
+++ b/src/process/coordinator_decide.cpp
@@ -1,5 +1,5 @@
-// The decisions that follow from what is known: which standbys to activate, which orders to send,
-// which row to propose.
+// The coordinator's decisions: which standbys to activate, which orders to send and which row to
+// propose.
 #include <algorithm>
 #include <utility>
 
@@ -20,12 +20,13 @@
 
 // ---- repair without the table ----
 
-// A generation from an older row that targets of this replica obey and that beats the one in force.
-std::optional<lost_mask> coordinator::parts::overtaken_by(const replica_plan& replica) const {
-  const composition in_force = repairs.in_force(replica);
+// Finds generations of older rows that members of this replica still obey although they are
+// greater than the generation in force. Returns their combined lost mask.
+std::optional<lost_mask> coordinator::parts::superseding_mask(const replica_plan& replica) const {
+  const composition in_force = activations.in_force(replica);
   std::optional<lost_mask> found;
   for (const vm_id& vm : in_force.members) {
-    const observation* newest = seen.latest(vm);
+    const observation* newest = observations.latest(vm);
     if (newest == nullptr || newest->report.replica != replica.id) {
       continue;
     }
@@ -39,16 +40,19 @@
 }
 
 void coordinator::parts::activate_standbys(time_point now) {
-  const bool away = rows.unwritable(now) && !rows.behind();
+  const bool table_unavailable = rows.unwritable(now) && !rows.behind();
   const activation_context context{
       .row = rows.row(),
       .live = peers->live(now),
-      .lost = [&](const vm_id& vm) { return seen.condition(vm, now) == target_condition::lost; },
-      .overtaken_by = [&](const replica_plan& r) { return overtaken_by(r); },
-      .allowed = away && peers->may_act_without_table(rows.row().version, now),
+      .lost =
+          [&](const vm_id& vm) {
+            return observations.condition(vm, now) == target_condition::lost;
+          },
+      .superseding_mask = [&](const replica_plan& r) { return superseding_mask(r); },
+      .allowed = table_unavailable && peers->may_act_without_table(rows.row().version, now),
   };
-  for (const replica_id& id : repairs.tick(now, context)) {
-    emit(notice{"repair", "replica " + id.str() + " brought back by standbys, table away"});
+  for (const replica_id& id : activations.tick(now, context)) {
+    emit(notice{"repair", "replica " + id.str() + " brought back by standbys, table unavailable"});
     peers->expedite_heartbeats(now);
     changed();
   }
@@ -56,38 +60,39 @@
 
 // ---- orders ----
 
-std::map<vm_id, wanted_state> coordinator::parts::wanted() const {
+std::map<vm_id, desired_state> coordinator::parts::desired() const {
   std::map<vm_id, engine_report> reports;
   if (!config) {
     return {};
   }
   for (const vm_record* vm : config->assets.vms_of(settings.data_centre)) {
-    if (const observation* newest = seen.latest(vm->id)) {
+    if (const observation* newest = observations.latest(vm->id)) {
       reports.emplace(vm->id, newest->report);
     }
   }
-  const auto in_force = [&](const replica_plan& r) { return repairs.in_force(r); };
-  return wanted_states(rows.row(), in_force, reports);
+  const auto in_force = [&](const replica_plan& r) { return activations.in_force(r); };
+  return desired_states(rows.row(), in_force, reports);
 }
 
-// Whether the row was still the newest a moment ago, by the table or by a majority of the nodes.
+// Whether the table or a majority of the nodes recently confirmed that the row is the newest.
 bool coordinator::parts::row_confirmed(time_point now) const {
   const auto at = rows.confirmed_at();
-  const bool by_table = at && now - *at <= row_confirmation_limit;
+  const bool by_table = at && now - *at <= row_confirmation_max_age;
   return by_table || peers->may_act_without_table(rows.row().version, now);
 }
 
 bool coordinator::parts::order_allowed(time_point now, const vm_id& vm) const {
-  // An order may still be older than the newest row by as much as a confirmation may age. A target
-  // that has seen the newer order refuses it by its token; one that has restarted obeys until the
-  // newer order comes, and meanwhile no replica that needs it serves.
+  // An order may lag behind the newest row by the age of the confirmation. A target that has
+  // received a newer order refuses this one by its token. A target that has restarted since obeys
+  // it until the newer order arrives; until then no replica that needs the target serves.
   const bool current = rows.known() && !rows.behind() && row_confirmed(now);
-  const observation* newest = seen.latest(vm);
-  const bool observed = newest != nullptr && now - newest->at <= order_observation_limit;
+  const observation* newest = observations.latest(vm);
+  const bool observed = newest != nullptr && now - newest->at <= order_max_observation_age;
   return current && observed;
 }
 
-// Probers first: what they learn from the answer is theirs to tell the others.
+// The nodes that probe the VM come first: they gossip its observations, and the answer to an order
+// is one.
 std::size_t coordinator::parts::order_rank(time_point now, const vm_id& vm) {
   const auto probers = peers->probers_of(vm, now);
   const auto own = std::find(probers.begin(), probers.end(), settings.self);
@@ -98,77 +103,78 @@
 }
 
 void coordinator::parts::send_orders(time_point now) {
-  const auto states = wanted();
+  const auto states = desired();
   const order_context context{
-      .wanted = states,
+      .desired = states,
       .rank = [&](const vm_id& vm) { return order_rank(now, vm); },
       .reachable = [&](const vm_id& vm) -> const observation* {
-        const target_condition c = seen.condition(vm, now);
+        const target_condition c = observations.condition(vm, now);
         const bool finishes =
             c == target_condition::leaving && states.at(vm).kind != order_kind::form;
         const bool usable = c == target_condition::working || finishes;
-        return usable && order_allowed(now, vm) ? seen.latest(vm) : nullptr;
+        return usable && order_allowed(now, vm) ? observations.latest(vm) : nullptr;
       },
   };
-  for (order& o : sender.tick(now, context)) {
+  for (order& o : dispatcher.tick(now, context)) {
     emit(std::move(o));
   }
 }
 
 // ---- planning ----
 
-// A node that hears few peers is more likely cut off itself than left over: what it does not reach
-// may serve, and its plan, which the table would accept, would take it apart. It waits, and does
-// nothing while it does not reach most targets.
-bool coordinator::parts::may_judge(time_point now) {
+// Whether this node may plan from its own view. A node that reaches few peers is more likely cut
+// off than the last one alive: replicas that it does not reach may serve, and the table would
+// accept a plan that dissolves them. Such a node waits, and plans only if it reaches at least half
+// of the targets.
+bool coordinator::parts::may_plan(time_point now) {
   if (peers->may_act_without_table(rows.row().version, now)) {
     minority_since.reset();
     return true;
   }
   minority_since = minority_since.value_or(now);
-  if (now - *minority_since < minority_patience) {
+  if (now - *minority_since < minority_timeout) {
     return false;
   }
   const auto vms = config->assets.vms_of(settings.data_centre);
   const auto reached = std::count_if(vms.begin(), vms.end(), [&](const vm_record* vm) {
-    const target_condition c = seen.condition(vm->id, now);
+    const target_condition c = observations.condition(vm->id, now);
     return c == target_condition::working || c == target_condition::leaving;
   });
   return 2 * static_cast<std::size_t>(reached) >= vms.size();
 }
 
-// Planning by older rules than the row was made for would take back an accepted configuration.
-// Only when the newer rules seem to be lost for good, repair goes before that.
-bool coordinator::parts::knows_rules(time_point now) {
+// Planning with older rules than the row was made for would revert an accepted configuration. Only
+// after a timeout, when the newer rules appear to be lost for good, repair takes precedence.
+bool coordinator::parts::has_current_rules(time_point now) {
   if (config->version >= rows.row().config_version) {
     old_rules_since.reset();
     return true;
   }
   old_rules_since = old_rules_since.value_or(now);
-  return now - *old_rules_since >= old_rules_patience;
+  return now - *old_rules_since >= old_rules_timeout;
 }
 
-std::set<replica_id> coordinator::parts::overtaken(time_point now) {
+std::set<replica_id> coordinator::parts::superseded_replicas(time_point now) {
   std::set<replica_id> result;
   for (const replica_plan& replica : rows.row().replicas) {
-    if (!overtaken_by(replica)) {
-      overtaken_since.erase(replica.id);
+    if (!superseding_mask(replica)) {
+      superseded_since.erase(replica.id);
       continue;
     }
-    const auto since = overtaken_since.try_emplace(replica.id, now).first->second;
-    if (now - since >= overtaken_patience) {
+    const auto since = superseded_since.try_emplace(replica.id, now).first->second;
+    if (now - since >= superseded_timeout) {
       result.insert(replica.id);
     }
   }
   return result;
 }
 
-drain_context coordinator::parts::draining(time_point now) const {
+drain_context coordinator::parts::drain_inputs(time_point now) const {
   return {
       .row = rows.row(),
       .acknowledged = peers->acknowledged_by_all(rows.row().version, now),
       .nodes = peers->required_acknowledgers(rows.row().version, now),
-      .version_of =
+      .acknowledged_version =
           [this](const node_id& node) {
             const peer_status* last_status = peers->last_status(node);
             const std::uint64_t theirs =
@@ -180,13 +186,15 @@
             if (node == settings.self) {
               return in_flight.contains(id);
             }
-            const auto theirs = in_use_of.find(node);
-            return theirs != in_use_of.end() && theirs->second.contains(id);
+            const auto theirs = draining_in_use_by.find(node);
+            return theirs != draining_in_use_by.end() && theirs->second.contains(id);
+          },
+      .in_force = [this](const replica_plan& r) { return activations.in_force(r); },
+      .latest_observation = [this](const vm_id& vm) { return observations.latest(vm); },
+      .lost =
+          [this, now](const vm_id& vm) {
+            return observations.condition(vm, now) == target_condition::lost;
           },
-      .in_force = [this](const replica_plan& r) { return repairs.in_force(r); },
-      .seen = [this](const vm_id& vm) { return seen.latest(vm); },
-      .lost = [this,
-               now](const vm_id& vm) { return seen.condition(vm, now) == target_condition::lost; },
   };
 }
 
@@ -201,7 +209,7 @@
     case target_condition::leaving:
       return vm_condition::leaving;
     case target_condition::suspect:
-    case target_condition::unknown:  // not known to be gone: left where it is
+    case target_condition::unknown:  // may still run: stays in its replica
       break;
   }
   return vm_condition::suspect;
@@ -210,7 +218,7 @@
 }  // namespace
 
 plan coordinator::parts::next_plan(time_point now) {
-  // Whether these rules may be used was decided by knows_rules().
+  // has_current_rules() has already decided that these rules may be used.
   assignment current = rows.row();
   current.config_version = std::min(current.config_version, config->version);
   planner_input in;
@@ -218,26 +226,26 @@
   in.current = &current;
   in.data_centre = settings.data_centre;
   for (const vm_record* vm : config->assets.vms_of(settings.data_centre)) {
-    in.health.push_back({vm->id, planner_condition(seen.condition(vm->id, now))});
+    in.health.push_back({vm->id, planner_condition(observations.condition(vm->id, now))});
   }
-  for (const auto& [id, gen] : repairs.active()) {
+  for (const auto& [id, gen] : activations.active()) {
     if (const replica_plan* replica = rows.row().find(id)) {
-      in.in_force.push_back(repairs.in_force(*replica));
+      in.in_force.push_back(activations.in_force(*replica));
     }
   }
-  const auto empty = drains.emptied(now, draining(now));
+  const auto empty = drains.emptied(now, drain_inputs(now));
   in.emptied.assign(empty.begin(), empty.end());
   in.acknowledged = peers->acknowledged_by_all(rows.row().version, now);
   for (const auto& [model, busy] : demand) {
     in.demand.push_back({model, busy});
   }
   for (const replica_plan& replica : rows.row().replicas) {
-    if (permission(now, repairs.in_force(replica)).granted) {
+    if (permission(now, activations.in_force(replica)).granted) {
       in.serving.push_back(replica.id);
     }
   }
   plan p = make_plan(in);
-  for (const replica_id& id : overtaken(now)) {
+  for (const replica_id& id : superseded_replicas(now)) {
     for (replica_plan& replica : p.next.replicas) {
       if (replica.id == id && replica.gen.row <= rows.row().version) {
         p.next.version = rows.row().version + 1;
@@ -250,28 +258,28 @@
 }
 
 void coordinator::parts::plan_next(time_point now) {
-  if (now < plan_by && now < next_plan_at) {
+  if (now < replan_at && now < next_plan_at) {
     return;
   }
-  plan_by = time_point::max();
+  replan_at = time_point::max();
   next_plan_at = now + plan_interval;
-  if (!knows_rules(now) || !rows.may_propose(now) || !may_judge(now)) {
+  if (!has_current_rules(now) || !rows.may_propose(now) || !may_plan(now)) {
     return;
   }
   plan p = next_plan(now);
   plan_reasons = p.reasons;
   if (!p.changed) {
-    need_since.reset();
+    change_needed_since.reset();
     return;
   }
-  const time_point since = need_since.value_or(now);
-  need_since = since;
+  const time_point since = change_needed_since.value_or(now);
+  change_needed_since = since;
   const std::string subject =
       "propose/" + settings.data_centre.str() + "/" + std::to_string(rows.row().version);
   const auto rank = peers->rank_of(settings.self, subject, now);
   const time_point due = since + rank_wait(rank, row_rank_delay);
   if (now < due) {
-    plan_by = due;  // by then another node's row will have made this one needless
+    replan_at = due;  // by then a node of lower rank has usually written the row
     return;
   }
   emit(rows.propose(now, std::move(p.next)));
--- a/src/process/coordinator_inputs.cpp
+++ b/src/process/coordinator_inputs.cpp
@@ -1,4 +1,4 @@
-// What each input teaches the coordinator. Decisions are taken afterwards, in decide().
+// Handling of inputs: each updates the coordinator's state. Decisions follow in decide().
 #include <algorithm>
 #include <utility>
 
@@ -9,7 +9,7 @@
 // ---- platform ----
 
 void coordinator::parts::on(time_point now, const table_read_result& r) {
-  if (r.asked.key == config_head_key) {
+  if (r.request.key == config_head_key) {
     const auto head = match(
         r.result,
         [](const table_row& row) -> outcome<head_row> {
@@ -24,38 +24,38 @@
         },
         [](const refused& f) -> outcome<head_row> { return f; },
         [](const unknown& u) -> outcome<head_row> { return u; });
-    take_wants(now, configs.head_read(head, now));
+    apply_config_effects(now, configs.head_read(head, now));
     return;
   }
   emit(rows.on(now, r));
   if (std::holds_alternative<table_row>(r.result) && !rows.behind()) {
     peers->row_read();
   }
-  note_row(now);
+  apply_row_change(now);
 }
 
 void coordinator::parts::on(time_point now, const table_write_result& r) {
-  if (r.asked.key == config_head_key) {
+  if (r.request.key == config_head_key) {
     const auto version = match(
         r.result, [](const table_written& w) -> outcome<std::uint64_t> { return w.version; },
         [](const refused& f) -> outcome<std::uint64_t> { return f; },
         [](const unknown& u) -> outcome<std::uint64_t> { return u; });
-    take_wants(now, configs.healed(version, now));
+    apply_config_effects(now, configs.healed(version, now));
     return;
   }
   emit(rows.on(now, r));
-  if (rows.row().version != row_noted) {
-    peers->expedite_heartbeats(now);  // the others read the row when they hear of it
+  if (rows.row().version != applied_row_version) {
+    peers->expedite_heartbeats(now);  // peers read the row when a heartbeat reports the new version
   }
-  note_row(now);
+  apply_row_change(now);
 }
 
 void coordinator::parts::on(time_point now, const object_get_result& r) {
-  take_wants(now, configs.object_read(r.asked.name, r.result, now));
+  apply_config_effects(now, configs.object_read(r.request.name, r.result, now));
 }
 
 void coordinator::parts::on(time_point now, const object_put_result& r) {
-  take_wants(now, configs.stored(r.result, now));
+  apply_config_effects(now, configs.stored(r.result, now));
 }
 
 void coordinator::parts::on(time_point now, const vm_list_result& r) {
@@ -68,8 +68,9 @@
       listed_leaving.insert(e.vm);
       note_leaving(now, e.vm, 0);
     } else if (listed_leaving.erase(e.vm) > 0) {
-      // Only what the list itself said: it lags behind a target that says it leaves.
-      seen.clear_leaving(e.vm);
+      // Undoes only what the list itself reported: the list lags behind a target that reports
+      // itself as leaving.
+      observations.clear_leaving(e.vm);
     }
   }
 }
@@ -81,36 +82,36 @@
   if (report != nullptr && report->leaving) {
     note_leaving(now, r.vm, report->incarnation);
   }
-  const bool news = seen.on_probe_result(r, now);
+  const bool news = observations.on_probe_result(r, now);
   if (report != nullptr) {
     note_observation(now, r.vm);
   }
   if (news) {
-    note_failure(now, r.vm);
+    announce_failure(now, r.vm);
   }
 }
 
 void coordinator::parts::on(time_point now, const order_result& r) {
-  const auto sent_at = sender.on(now, r);
+  const auto sent_at = dispatcher.on(now, r);
   const auto* report = std::get_if<engine_report>(&r.result);
   if (!sent_at || report == nullptr) {
     return;
   }
-  // The answer is a report as good as a probe's, and the others wait to hear of it.
-  seen.on_probe_result({r.asked.vm, *sent_at, *report}, now);
-  note_observation(now, r.asked.vm);
+  // The answer is worth as much as a probe's report, and other nodes wait for it.
+  observations.on_probe_result({r.request.vm, *sent_at, *report}, now);
+  note_observation(now, r.request.vm);
   peers->expedite_heartbeats(now);
 }
 
 void coordinator::parts::on(time_point now, const target_error& e) {
-  if (seen.on_connection_error(e.vm, now)) {
-    note_failure(now, e.vm);
+  if (observations.on_connection_error(e.vm, now)) {
+    announce_failure(now, e.vm);
   }
   changed();
 }
 
-void coordinator::parts::note_failure(time_point now, const vm_id& vm) {
-  const auto failure = seen.failure_of(vm, now);
+void coordinator::parts::announce_failure(time_point now, const vm_id& vm) {
+  const auto failure = observations.failure_of(vm, now);
   if (!failure) {
     return;
   }
@@ -121,14 +122,14 @@
 }
 
 void coordinator::parts::note_leaving(time_point now, const vm_id& vm, std::uint64_t incarnation) {
-  if (seen.mark_leaving(vm, incarnation)) {
-    tell_all(now, leaving_notice{vm, incarnation});
+  if (observations.mark_leaving(vm, incarnation)) {
+    broadcast(now, leaving_notice{vm, incarnation});
     changed();
   }
 }
 
 void coordinator::parts::note_observation(time_point now, const vm_id& vm) {
-  const observation* newest = seen.latest(vm);
+  const observation* newest = observations.latest(vm);
   if (newest == nullptr) {
     return;
   }
@@ -144,37 +145,37 @@
     changed();
     peers->expedite_heartbeats(now);
   }
-  rows.heard_from_target(now, r.gen.row);
-  if (!r.replica.empty() && repairs.adopt(rows.row(), r.replica, r.gen)) {
+  rows.note_target_version(now, r.gen.row);
+  if (!r.replica.empty() && activations.adopt(rows.row(), r.replica, r.gen)) {
     changed();
   }
 }
 
-void coordinator::parts::note_changes(time_point now) {
-  for (const condition_change& c : seen.take_changes(now)) {
+void coordinator::parts::apply_condition_changes(time_point now) {
+  for (const condition_change& c : observations.take_changes(now)) {
     condition_since[c.vm] = now;
     changed();
-    plan_by = std::min(plan_by, now + plan_debounce);
+    replan_at = std::min(replan_at, now + plan_debounce);
     if (c.to == target_condition::lost) {
-      rows.look(now);  // whether the table can be reached decides how to repair
+      rows.request_read(now);  // how to repair depends on whether the table is reachable
     }
   }
 }
 
-void coordinator::parts::note_row(time_point now) {
+void coordinator::parts::apply_row_change(time_point now) {
   const bool readable = !rows.unreadable_since();
-  if (readable != table_ok) {
-    table_ok = readable;
+  if (readable != table_readable) {
+    table_readable = readable;
     table_since = now;
   }
-  if (rows.row().version == row_noted) {
+  if (rows.row().version == applied_row_version) {
     return;
   }
-  row_noted = rows.row().version;
-  repairs.rebase(rows.row());
+  applied_row_version = rows.row().version;
+  activations.rebase(rows.row());
   drains.rebase(rows.row());
-  need_since.reset();
-  plan_by = std::min(plan_by, now + plan_debounce);
+  change_needed_since.reset();
+  replan_at = std::min(replan_at, now + plan_debounce);
   changed();
 }
 
@@ -183,41 +184,42 @@
 void coordinator::parts::on(time_point now, const peer_message& m) {
   const auto decoded = decode_gossip(m.from, m.bytes);
   if (const auto* message = std::get_if<gossip_message>(&decoded)) {
-    std::visit([&](const auto& content) { heard(now, m.from, content); }, *message);
+    std::visit([&](const auto& content) { receive(now, m.from, content); }, *message);
     return;
   }
   emit(notice{"gossip", "a message of " + m.from.str() + " cannot be decoded"});
 }
 
-// A restarted peer has echoed messages whose short forms it could not understand.
-void coordinator::parts::note_process(const node_id& from, const struct heard& h) {
+// A restarted peer may have echoed messages with short forms that it could not decode, because
+// they refer to messages sent to its previous process.
+void coordinator::parts::handle_peer_restart(const node_id& from, const struct heard& h) {
   if (h.restarted) {
-    seen.forget_peer(from);
+    observations.forget_peer(from);
   }
 }
 
-void coordinator::parts::heard(time_point now, const node_id& from, const heartbeat& m) {
+void coordinator::parts::receive(time_point now, const node_id& from, const heartbeat& m) {
   const auto h = peers->receive(m, rows.row().version, now);
   if (!h) {
     return;
   }
-  note_process(from, *h);
-  seen.merge(m, *h, now);
+  handle_peer_restart(from, *h);
+  observations.merge(m, *h, now);
   for (const vm_record* vm :
        config ? config->assets.vms_of(settings.data_centre) : std::vector<const vm_record*>{}) {
     note_observation(now, vm->id);
   }
-  rows.heard_from_peer(now, m.assignment_version);
+  rows.note_peer_version(now, m.assignment_version);
   for (const composition& c : m.activations) {
-    if (repairs.adopt(rows.row(), c.replica, c.gen)) {
+    if (activations.adopt(rows.row(), c.replica, c.gen)) {
       changed();
     }
   }
   if (!m.table_reachable && !rows.unreadable_since()) {
-    rows.look(now);  // to know for oneself before a repair depends on it
+    rows.request_read(now);  // checks the table from here before a repair depends on it
   }
-  in_use_of[from] = {m.in_use.begin(), m.in_use.end()};
-  peer_usage& u = usage_of[from];
+  draining_in_use_by[from] = {m.in_use.begin(), m.in_use.end()};
+  peer_usage& u = usage_by_node[from];
   u = {{}, now};
   for (const workspace_usage& w : m.usage) {
     u.rates[w.workspace] = w.requests_per_second;
@@ -228,46 +230,46 @@
     since = now;
   }
   const std::string hash = peers->last_status(from)->config_hash;
-  take_wants(now, configs.peer_has(from, m.config_version, hash, now));
+  apply_config_effects(now, configs.peer_has(from, m.config_version, hash, now));
 }
 
-void coordinator::parts::heard(time_point now, const node_id& from, const config_request& m) {
-  take_wants(now, configs.peer_asks(from, m));
+void coordinator::parts::receive(time_point now, const node_id& from, const config_request& m) {
+  apply_config_effects(now, configs.peer_asks(from, m));
 }
 
-void coordinator::parts::heard(time_point now, const node_id& from, const config_content& m) {
-  take_wants(now, configs.peer_sent(from, m, now));
+void coordinator::parts::receive(time_point now, const node_id& from, const config_content& m) {
+  apply_config_effects(now, configs.peer_sent(from, m, now));
 }
 
-void coordinator::parts::heard(time_point now, const node_id&, const assignment_push& m) {
+void coordinator::parts::receive(time_point now, const node_id&, const assignment_push& m) {
   const auto decoded = decode_assignment(m.bytes);
   const auto* copy = std::get_if<assignment>(&decoded);
   if (copy != nullptr && rows.adopt(now, *copy)) {
-    note_row(now);
+    apply_row_change(now);
   }
 }
 
-void coordinator::parts::heard(time_point now, const node_id& from, const lost_notice& m) {
+void coordinator::parts::receive(time_point now, const node_id& from, const lost_notice& m) {
   if (const auto h = peers->receive(from, m.stamp, now)) {
-    note_process(from, *h);
-    seen.merge(from, m, *h, now);
+    handle_peer_restart(from, *h);
+    observations.merge(from, m, *h, now);
     changed();
   }
 }
 
-void coordinator::parts::heard(time_point, const node_id&, const leaving_notice& m) {
-  // Its finder told everybody: passing it on would only multiply it.
-  if (seen.mark_leaving(m.vm, m.incarnation)) {
+void coordinator::parts::receive(time_point, const node_id&, const leaving_notice& m) {
+  // The node that found this has sent it to all peers, so it is not forwarded.
+  if (observations.mark_leaving(m.vm, m.incarnation)) {
     changed();
   }
 }
 
-void coordinator::parts::heard(time_point now, const node_id& from, const summary& m) {
+void coordinator::parts::receive(time_point now, const node_id& from, const summary& m) {
   board.heard(now, m);
-  take_wants(now, configs.peer_has(from, m.config_version, m.config_hash, now));
+  apply_config_effects(now, configs.peer_has(from, m.config_version, m.config_hash, now));
 }
 
-void coordinator::parts::tell_all(time_point now, const gossip_message& m) {
+void coordinator::parts::broadcast(time_point now, const gossip_message& m) {
   const std::string bytes = encode(m);
   for (const node_id& peer : peers->live_peers(now)) {
     emit(peer_send{peer, bytes, true});
@@ -276,7 +278,7 @@
 
 // ---- configuration ----
 
-void coordinator::parts::take_wants(time_point now, const config_wants& wants) {
+void coordinator::parts::apply_config_effects(time_point now, const config_wants& wants) {
   for (const config_want& want : wants) {
     match(
         want, [&](const want_head&) { emit(table_read{config_head_key}); },
@@ -295,11 +297,11 @@
         [&](const want_told& w) {
           emit(notice{"config", w.text});
         },
-        [&](const want_adopted&) { take_configuration(now); });
+        [&](const want_adopted&) { adopt_configuration(now); });
   }
 }
 
-void coordinator::parts::take_configuration(time_point now) {
+void coordinator::parts::adopt_configuration(time_point now) {
   const auto decoded = decode_content(configs.content(), configs.in_force().version);
   const auto* content = std::get_if<configuration>(&decoded);
   if (content == nullptr) {
@@ -317,9 +319,9 @@
     vms.push_back(v->id);
   }
   peers->set_targets(vms);
-  seen.set_targets(vms);
+  observations.set_targets(vms);
   peers->expedite_heartbeats(now);
-  plan_by = std::min(plan_by, now + plan_debounce);
+  replan_at = std::min(replan_at, now + plan_debounce);
   changed();
 }
 
--- a/src/process/drains.cpp
+++ b/src/process/drain_tracker.cpp
@@ -1,5 +1,5 @@
-// When a draining replica is empty.
-#include "process/drains.h"
+// Detects when a draining replica is empty.
+#include "process/drain_tracker.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void drain_watch::rebase(const assignment& row) {
+void drain_tracker::rebase(const assignment& row) {
   std::erase_if(drains_, [&](const auto& entry) {
     const replica_plan* replica = row.find(entry.first);
     return replica == nullptr || replica->phase != replica_phase::draining;
@@ -30,25 +30,25 @@
   }
 }
 
-std::vector<node_id> drain_watch::missing(const replica_id& id, const drain& d,
-                                          const drain_context& context) const {
+std::vector<node_id> drain_tracker::pending_nodes(const replica_id& id, const drain& d,
+                                                  const drain_context& context) const {
   std::vector<node_id> found;
   for (const node_id& node : context.nodes) {
-    if (context.version_of(node) < d.since || context.has_requests(node, id)) {
+    if (context.acknowledged_version(node) < d.since || context.has_requests(node, id)) {
       found.push_back(node);
     }
   }
   return found;
 }
 
-std::set<replica_id> drain_watch::emptied(time_point now, const drain_context& context) {
+std::set<replica_id> drain_tracker::emptied(time_point now, const drain_context& context) {
   std::set<replica_id> result;
   for (auto& [id, d] : drains_) {
     const replica_plan* replica = context.row.find(id);
     if (replica == nullptr) {
       continue;
     }
-    if (context.acknowledged < d.since || !missing(id, d, context).empty()) {
+    if (context.acknowledged < d.since || !pending_nodes(id, d, context).empty()) {
       d.acknowledged_at.reset();
       continue;
     }
@@ -56,7 +56,7 @@
     d.acknowledged_at = since;
     const auto members = context.in_force(*replica).members;
     const auto is_empty = [&context, since, name = replica->id](const vm_id& vm) {
-      return context.lost(vm) || empty_since(context.seen(vm), name, since);
+      return context.lost(vm) || empty_since(context.latest_observation(vm), name, since);
     };
     const bool empty = std::all_of(members.begin(), members.end(), is_empty);
     if (empty) {
@@ -66,16 +66,16 @@
   return result;
 }
 
-std::vector<drain_status> drain_watch::status(const drain_context& context) const {
+std::vector<drain_status> drain_tracker::status(const drain_context& context) const {
   std::vector<drain_status> result;
   for (const auto& [id, d] : drains_) {
     const replica_plan* replica = context.row.find(id);
     if (replica == nullptr) {
       continue;
     }
-    drain_status s{.id = id, .waiting_for = missing(id, d, context), .running = 0};
+    drain_status s{.id = id, .waiting_for = pending_nodes(id, d, context), .running = 0};
     for (const vm_id& vm : context.in_force(*replica).members) {
-      const observation* seen = context.seen(vm);
+      const observation* seen = context.latest_observation(vm);
       s.running += seen != nullptr ? seen->report.running + seen->report.queued : 0;
     }
     result.push_back(std::move(s));
--- /dev/null
+++ b/src/process/drain_tracker.h
@@ -0,0 +1,56 @@
+// Planned stops of replicas: a draining replica gets no new requests, finishes the running ones
+// and is only then removed from the row.
+//
+// No request may be cut off, and one may be in transit from a node that has not yet received the
+// draining row. So a replica counts as empty only when every node that may still act has
+// acknowledged the row that drains it and has no request there, and every member has afterwards
+// reported that it is draining (so it refuses late arrivals) and runs nothing.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <optional>
+#include <set>
+#include <vector>
+
+#include "base/id.h"
+#include "base/units.h"
+#include "process/report.h"
+#include "process/status_view.h"
+#include "version/assignment.h"
+
+namespace arbutus {
+
+struct drain_context {
+  const assignment& row;
+  std::uint64_t acknowledged{};  // row version that all of `nodes` have acknowledged
+  std::vector<node_id> nodes;    // the nodes that may still act, this one included
+  std::function<std::uint64_t(const node_id&)>
+      acknowledged_version;  // row version that the node acknowledged
+  std::function<bool(const node_id&, const replica_id&)> has_requests;  // as last reported
+  std::function<composition(const replica_plan&)> in_force;
+  std::function<const observation*(const vm_id&)> latest_observation;  // newest; null: none
+  std::function<bool(const vm_id&)> lost;                              // a lost VM runs nothing
+};
+
+class drain_tracker {
+ public:
+  // Call on every change of the row.
+  void rebase(const assignment& row);
+  // Replicas that may be removed from the row.
+  [[nodiscard]] std::set<replica_id> emptied(time_point now, const drain_context& context);
+  [[nodiscard]] std::vector<drain_status> status(const drain_context& context) const;
+
+ private:
+  struct drain {
+    std::uint64_t since{};  // the first row version known to have the replica draining
+    // Since when all nodes have acknowledged that row and have no request at the replica.
+    std::optional<time_point> acknowledged_at;
+  };
+  [[nodiscard]] std::vector<node_id> pending_nodes(const replica_id& id, const drain& d,
+                                                   const drain_context& context) const;
+  std::map<replica_id, drain> drains_;
+};
+
+}  // namespace arbutus
--- a/src/process/engine_wire.cpp
+++ b/src/process/engine_wire.cpp
@@ -101,7 +101,7 @@
               {"model", o.model.str()},
               {"ver", o.model_version},
               {"inc", o.expected_incarnation},
-              {"ttl_us", o.valid_for.count()}}
+              {"ttl_us", o.validity_period.count()}}
       .dump();
 }
 
@@ -118,7 +118,7 @@
     o.model = model_id{j.at("model").get<std::string>()};
     o.model_version = j.at("ver").get<std::string>();
     o.expected_incarnation = decode_whole<std::uint64_t>(j.at("inc"));
-    o.valid_for = duration{decode_whole<std::int64_t>(j.at("ttl_us"))};
+    o.validity_period = duration{decode_whole<std::int64_t>(j.at("ttl_us"))};
     return o;
   });
 }
--- a/src/process/failure_day.cpp
+++ b/src/process/failure_day.cpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "process/failure_world.h"
-#include "process/row_writing.h"
+#include "process/row_write_model.h"
 
 namespace arbutus {
 
@@ -32,7 +32,7 @@
       play_step(now);
     }
     if (settings_.writer == row_writer::leased) {
-      result_.lease_writes += static_cast<std::uint32_t>(day_length / (lease_time / 3));
+      result_.lease_writes += static_cast<std::uint32_t>(day_length / (lease_duration / 3));
     }
     return result_;
   }
@@ -66,7 +66,7 @@
     }
     const double absent = world_.domain_just_lost() ? absent_after_domain_loss : absent_usually;
     const write_timing timing =
-        draw_write({settings_.writer, settings_.nodes, absent, lapsed_}, random_);
+        simulate_write({settings_.writer, settings_.nodes, absent, lapsed_}, random_);
     lapsed_ = false;
     proposal_ = std::move(next.next);
     written_at_ = now + timing.delay;
@@ -87,7 +87,7 @@
 
   void account() {
     const std::uint32_t serving = world_.serving();
-    const std::uint32_t dark = world_.wanted() - std::min(world_.wanted(), serving);
+    const std::uint32_t dark = world_.desired() - std::min(world_.desired(), serving);
     const std::uint32_t working = serving * settings_.vms_per_replica;
     result_.group_downtime += to_seconds(step) * dark;
     result_.stranded_accelerators += to_seconds(step) * (world_.powered_accelerators() - working);
--- a/src/process/failure_day.h
+++ b/src/process/failure_day.h
@@ -48,7 +48,7 @@
 };
 
 struct failure_day_result {
-  double group_downtime{};         // replica-seconds wanted and not served
+  double group_downtime{};         // replica-seconds desired and not served
   double stranded_accelerators{};  // accelerator-seconds powered and in no replica that serves
   std::uint32_t rows_written = 0;
   std::uint32_t wasted_writes = 0;  // refused: another was first
--- a/src/process/failure_world.cpp
+++ b/src/process/failure_world.cpp
@@ -65,12 +65,12 @@
   model.version = "v1";
   model.vms_per_replica = s.vms_per_replica;
   model.placements = {{data_centre_id{"dc"}, wanted_}};
-  config_.wanted.models = {model};
-  config_.wanted.preference = s.preference;
-  config_.wanted.vm_failures_per_day = s.vm_failures_per_day;
-  config_.wanted.vm_repair_hours = s.vm_repair_hours;
+  config_.desired.models = {model};
+  config_.desired.preference = s.preference;
+  config_.desired.vm_failures_per_day = s.vm_failures_per_day;
+  config_.desired.vm_repair_hours = s.vm_repair_hours;
   const bool shared = s.policy == standby_policy::shared;
-  config_.wanted.spare_vms_per_data_centre = shared ? spares * s.fabric_domains : 0;
+  config_.desired.spare_vms_per_data_centre = shared ? spares * s.fabric_domains : 0;
 
   const failure_schedule schedule = draw_failures(s, seed);
   unwritable_ = schedule.unwritable;
--- a/src/process/failure_world.h
+++ b/src/process/failure_world.h
@@ -29,7 +29,7 @@
   // What nodes do on their own while the row cannot be written; the number of activations.
   std::uint32_t activate_standbys();
 
-  [[nodiscard]] std::uint32_t wanted() const { return wanted_; }
+  [[nodiscard]] std::uint32_t desired() const { return wanted_; }
   [[nodiscard]] std::uint32_t serving() const { return serving_; }
   [[nodiscard]] std::uint32_t powered_accelerators() const { return powered_; }
 
--- a/src/process/far_shape.cpp
+++ b/src/process/far_shape.cpp
@@ -70,17 +70,17 @@
     return all < size ? 0 : std::min(all, whole * size + size / members_for_a_spare);
   }
 
-  void set_apart(std::size_t m, std::uint32_t wanted) {
+  void set_apart(std::size_t m, std::uint32_t desired) {
     std::vector<std::size_t> order(left_.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
       return left_[a].ready[m] > left_[b].ready[m];
     });
     for (const std::size_t d : order) {
-      const std::uint32_t taken = std::min(wanted, engines_of(left_[d]));
+      const std::uint32_t taken = std::min(desired, engines_of(left_[d]));
       take_from(left_[d], m, taken);
       apart_[d][m] += taken;
-      wanted -= taken;
+      desired -= taken;
     }
   }
 
--- a/src/process/fleet_sizes.cpp
+++ b/src/process/fleet_sizes.cpp
@@ -65,7 +65,7 @@
 }
 
 rules make_rules(const fleet_size& size) {
-  rules wanted;
+  rules desired;
   for (std::size_t i = 0; i < size.models; ++i) {
     model_rule model;
     model.id = model_id{numbered("model-", i)};
@@ -74,17 +74,17 @@
     for (std::size_t dc = 0; dc < size.data_centres; ++dc) {
       model.placements.push_back({data_centre_of(dc, size.data_centres), 1});
     }
-    wanted.models.push_back(std::move(model));
+    desired.models.push_back(std::move(model));
   }
   for (std::size_t i = 0; i < size.workspaces; ++i) {
     workspace_rule workspace;
     workspace.id = workspace_id{numbered("workspace-", i)};
     workspace.key_hashes = {std::string(64, 'a')};
-    workspace.models = {wanted.models[i % size.models].id};
+    workspace.models = {desired.models[i % size.models].id};
     workspace.requests_per_second = 100;
-    wanted.workspaces.push_back(std::move(workspace));
+    desired.workspaces.push_back(std::move(workspace));
   }
-  return wanted;
+  return desired;
 }
 
 assignment make_row(std::size_t vms) {
@@ -180,18 +180,18 @@
 
 void print_configuration(std::ostream& out, const fleet_size& size) {
   inventory assets = make_inventory(size);
-  const rules wanted = make_rules(size);
-  const std::string content = encode_content(assets, wanted);
+  const rules desired = make_rules(size);
+  const std::string content = encode_content(assets, desired);
   const std::size_t before = heap_bytes();
   const auto decoded = std::make_unique<outcome<configuration>>(decode_content(content, 7600));
   const std::size_t memory = heap_bytes() - before;
-  const double encode_ms = milliseconds([&] { (void)encode_content(assets, wanted); });
+  const double encode_ms = milliseconds([&] { (void)encode_content(assets, desired); });
   const double decode_ms = milliseconds([&] { (void)decode_content(content, 7600); });
   out << size.vms << " VMs, " << size.nodes << " nodes: configuration " << content.size()
       << " bytes, " << memory / 1024 << " KB decoded, " << encode_ms << " ms to encode, "
       << decode_ms << " ms to decode\n";
   assets.vms[size.vms / 2].address.port += 1;
-  const std::string changed = encode_content(assets, wanted);
+  const std::string changed = encode_content(assets, desired);
   const config_content patch = make_patch(content, changed);
   const double patch_ms = milliseconds([&] { (void)apply_patch(content, patch); });
   out << "  patch for one VM's port: object " << encode_patch(patch).size() << " bytes, message "
--- a/src/process/hosted_settings.cpp
+++ b/src/process/hosted_settings.cpp
@@ -1,4 +1,4 @@
-// Settings of a hosted node from TOML.
+// Reads the settings of a hosted node from TOML.
 #include "process/hosted_settings.h"
 
 #include <cmath>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// A bound of an hour or more is most likely given in another unit.
+// A bound of more than an hour is most likely given in the wrong unit.
 constexpr whole_range bound_ms{1, 3'600'000};
 
 class hosted_reader {
@@ -81,10 +81,10 @@
     if (!table) {
       return;
     }
-    constexpr double most_cores = 1024;
+    constexpr double max_cores = 1024;
     double processor = 0;
     double link_mbps = 0;
-    table->read("processor", processor, presence::optional, real_range{0, most_cores, true});
+    table->read("processor", processor, presence::optional, real_range{0, max_cores, true});
     table->read("link_mbps", link_mbps, presence::optional, real_range{0, 1e6, true});
     table->finish();
     settings_.strength = {static_cast<std::uint32_t>(std::lround(processor * 1000)),
--- a/src/process/orders.cpp
+++ b/src/process/orders.cpp
@@ -1,4 +1,4 @@
-// What to tell whom, and when.
+// Which orders to send to which VM, and when.
 #include "process/orders.h"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace {
 
-// How a VM stands in the row.
+// The role of a VM in the row.
 struct place_in_row {
-  const replica_plan* replica = nullptr;  // whose member or standby it is
+  const replica_plan* replica = nullptr;  // the replica whose member or standby it is
   bool in_composition = false;
 };
 
@@ -31,17 +31,17 @@
   return found;
 }
 
-wanted_state member_state(const replica_plan& replica, const composition& in_force) {
+desired_state member_state(const replica_plan& replica, const composition& in_force) {
   const bool draining = replica.phase == replica_phase::draining;
   return {draining ? order_kind::drain : order_kind::form, in_force, replica.model,
           replica.model_version};
 }
 
-// A VM that works for nobody gives up what it has. The token must beat the one it obeys, and must
-// not beat a later order that makes it a member again.
-std::optional<wanted_state> release_state(const assignment& row, const place_in_row& place,
-                                          const std::map<replica_id, composition>& compositions,
-                                          const engine_report& r) {
+// A VM that is in no composition releases its replica. The order's token must be greater than the
+// one the VM obeys, but not greater than that of a later order that makes it a member again.
+std::optional<desired_state> release_state(const assignment& row, const place_in_row& place,
+                                           const std::map<replica_id, composition>& compositions,
+                                           const engine_report& r) {
   if (r.replica.empty()) {
     return std::nullopt;
   }
@@ -52,20 +52,20 @@
     target.gen = same ? own.gen : std::max(own.gen, target.gen);
   }
   if (target.gen <= r.gen) {
-    return std::nullopt;  // it obeys something newer than this row: not ours to undo
+    return std::nullopt;  // it obeys a newer row, which this node must not undo
   }
-  return wanted_state{order_kind::release, target, {}, {}};
+  return desired_state{order_kind::release, target, {}, {}};
 }
 
 }  // namespace
 
-bool satisfied(const wanted_state& wanted, const engine_report& r) {
-  const bool same = r.replica == wanted.target.replica && r.gen == wanted.target.gen;
-  switch (wanted.kind) {
+bool satisfied(const desired_state& desired, const engine_report& r) {
+  const bool same = r.replica == desired.target.replica && r.gen == desired.target.gen;
+  switch (desired.kind) {
     case order_kind::form:
       return same && (r.state == engine_state::loading || r.state == engine_state::ready);
     case order_kind::drain:
-      // Only who serves this composition can finish it.
+      // Only a VM that serves this composition has something to drain.
       return !same || r.state != engine_state::ready;
     case order_kind::release:
       return r.replica.empty();
@@ -73,7 +73,7 @@
   return true;
 }
 
-std::map<vm_id, wanted_state> wanted_states(
+std::map<vm_id, desired_state> desired_states(
     const assignment& row, const std::function<composition(const replica_plan&)>& in_force,
     const std::map<vm_id, engine_report>& reports) {
   std::map<replica_id, composition> compositions;
@@ -81,15 +81,15 @@
     compositions[replica.id] = in_force(replica);
   }
   const auto in_row = places(row, compositions);
-  std::map<vm_id, wanted_state> result;
+  std::map<vm_id, desired_state> result;
   for (const auto& [vm, report] : reports) {
     const auto found = in_row.find(vm);
     const place_in_row place = found == in_row.end() ? place_in_row{} : found->second;
     if (place.in_composition) {
-      auto wanted = member_state(*place.replica, compositions.at(place.replica->id));
-      const bool newer = report.gen > wanted.target.gen;
-      if (!newer && !satisfied(wanted, report)) {
-        result.emplace(vm, std::move(wanted));
+      auto desired = member_state(*place.replica, compositions.at(place.replica->id));
+      const bool newer = report.gen > desired.target.gen;
+      if (!newer && !satisfied(desired, report)) {
+        result.emplace(vm, std::move(desired));
       }
     } else if (auto release = release_state(row, place, compositions, report)) {
       result.emplace(vm, std::move(*release));
@@ -98,16 +98,18 @@
   return result;
 }
 
-std::vector<order> order_book::tick(time_point now, const order_context& context) {
+std::vector<order> order_dispatcher::tick(time_point now, const order_context& context) {
   next_tick_ = time_point::max();
-  std::erase_if(needs_, [&](const auto& entry) { return !context.wanted.contains(entry.first); });
+  std::erase_if(order_states_,
+                [&](const auto& entry) { return !context.desired.contains(entry.first); });
   std::vector<order> out;
-  for (const auto& [vm, wanted] : context.wanted) {
-    need& n = needs_.try_emplace(vm, need{.wanted = wanted, .since = now}).first->second;
-    if (n.wanted != wanted) {
-      n = need{.wanted = wanted, .since = now};
+  for (const auto& [vm, desired] : context.desired) {
+    order_state& n =
+        order_states_.try_emplace(vm, order_state{.desired = desired, .since = now}).first->second;
+    if (n.desired != desired) {
+      n = order_state{.desired = desired, .since = now};
     }
-    if (auto o = due_order(now, vm, n, context)) {
+    if (auto o = order_if_due(now, vm, n, context)) {
       ++counters_.sent;
       out.push_back(std::move(*o));
     }
@@ -115,56 +117,56 @@
   return out;
 }
 
-std::optional<order> order_book::due_order(time_point now, const vm_id& vm, need& n,
-                                           const order_context& context) {
+std::optional<order> order_dispatcher::order_if_due(time_point now, const vm_id& vm, order_state& n,
+                                                    const order_context& context) {
   const observation* seen = context.reachable(vm);
-  if (seen == nullptr || now - seen->at > order_observation_limit) {
+  if (seen == nullptr || now - seen->at > order_max_observation_age) {
     return std::nullopt;
   }
-  if (n.sent_at && now < *n.sent_at + order_valid_for) {
-    later(*n.sent_at + order_valid_for);
+  if (n.sent_at && now < *n.sent_at + order_validity_period) {
+    wake_by(*n.sent_at + order_validity_period);
     return std::nullopt;
   }
   if (n.sent_at) {
     n.sent_at.reset();
-    n.not_before = now + n.pause.fail(random_);
+    n.not_before = now + n.retry_backoff.fail(random_);
   }
   const duration wait = rank_wait(context.rank(vm), order_rank_delay);
   const time_point due = std::max(n.not_before, n.since + wait);
   if (now < due) {
-    later(due);
+    wake_by(due);
     return std::nullopt;
   }
   n.sent_at = now;
-  later(now + order_valid_for);
-  return order{.kind = n.wanted.kind,
+  wake_by(now + order_validity_period);
+  return order{.kind = n.desired.kind,
                .vm = vm,
-               .target = n.wanted.target,
-               .model = n.wanted.model,
-               .model_version = n.wanted.model_version,
+               .target = n.desired.target,
+               .model = n.desired.model,
+               .model_version = n.desired.model_version,
                .expected_incarnation = seen->report.incarnation,
-               .valid_for = order_valid_for};
+               .validity_period = order_validity_period};
 }
 
-std::optional<time_point> order_book::on(time_point now, const order_result& result) {
+std::optional<time_point> order_dispatcher::on(time_point now, const order_result& result) {
   if (std::holds_alternative<refused>(result.result)) {
     ++counters_.refused;
   }
   if (std::holds_alternative<unknown>(result.result)) {
     ++counters_.unknown_replies;
   }
-  const auto found = needs_.find(result.asked.vm);
-  if (found == needs_.end() || !found->second.sent_at) {
+  const auto found = order_states_.find(result.request.vm);
+  if (found == order_states_.end() || !found->second.sent_at) {
     return std::nullopt;
   }
-  need& n = found->second;
-  if (n.wanted.kind != result.asked.kind || n.wanted.target != result.asked.target) {
+  order_state& n = found->second;
+  if (n.desired.kind != result.request.kind || n.desired.target != result.request.target) {
     return std::nullopt;
   }
   const time_point sent_at = *n.sent_at;
   n.sent_at.reset();
-  n.not_before = now + n.pause.fail(random_);
-  later(n.not_before);
+  n.not_before = now + n.retry_backoff.fail(random_);
+  wake_by(n.not_before);
   return sent_at;
 }
 
--- a/src/process/replica_keeper.cpp
+++ b/src/process/replica_keeper.cpp
@@ -352,7 +352,7 @@
 
 // Whether so many engines of the head's domain are ready for its model and in no real replica.
 bool replica_keeper::has_spares(const round& r, const target_view& head, const model_shape& model,
-                                std::size_t wanted) const {
+                                std::size_t desired) const {
   std::size_t count = 0;
   for (const auto& [id, view] : r.fleet.all()) {
     const auto& own = view.record.member_of;
@@ -362,7 +362,7 @@
     const bool here = view.record.domain == head.record.domain;
     count += spare && ready && here && round::alive(&view) && !view.record.draining ? 1 : 0;
   }
-  return count >= wanted;
+  return count >= desired;
 }
 
 // Head first. Until it is out, the members stay where they are.
--- a/src/process/replica_keeper.h
+++ b/src/process/replica_keeper.h
@@ -104,7 +104,7 @@
   double dark_share = 2.0 / 3;  // away; a lost fabric domain is half of a data centre at most
   // Engines that left the list longer ago than a cut and its return take are not counted as away.
   duration away_counts_for = 20s;
-  // An engine that is ready for a model is made ready for another only when the plan has wanted
+  // An engine that is ready for a model is made ready for another only when the plan has desired
   // that for so long: domains that go dark are mostly back within 8 s, and a load takes 12 to 16 s.
   duration change_after = 10s;
   // A model without a replica within one data centre is given one across data centres after this.
@@ -150,7 +150,7 @@
   struct domain_plan {
     fabric_domain_id domain;
     std::vector<std::uint32_t> ready;
-    std::vector<std::uint32_t> wanted;
+    std::vector<std::uint32_t> desired;
     std::uint32_t blank = 0;
     std::size_t free = 0;
     bool operator==(const domain_plan&) const = default;
@@ -202,7 +202,7 @@
   void advance_forming(round& r);
   void mend_standing(round& r);
   [[nodiscard]] bool has_spares(const round& r, const target_view& head, const model_shape& model,
-                                std::size_t wanted) const;
+                                std::size_t desired) const;
   [[nodiscard]] std::string_view why_apart(const round& r, const standing_replica& replica,
                                            const target_view* head) const;
   void take_apart(round& r, const standing_replica& replica, std::string_view reason);
--- a/src/process/replica_keeper_load.cpp
+++ b/src/process/replica_keeper_load.cpp
@@ -56,9 +56,9 @@
   std::size_t index = 0;
   plan_.clear();
   for (auto& [id, domain] : r.domains) {
-    domain.wanted = shape[index++];
+    domain.desired = shape[index++];
     const auto free = r.free.find(id);
-    plan_.push_back({id, domain.ready, domain.wanted, domain.blank,
+    plan_.push_back({id, domain.ready, domain.desired, domain.blank,
                      free == r.free.end() ? 0 : free->second.size()});
   }
   note_shortages(r);
@@ -79,7 +79,7 @@
   for (const auto& [id, domain] : r.domains) {
     for (std::size_t m = 0; m < r.engine.models.size(); ++m) {
       const std::pair key(id, r.engine.models[m].id);
-      if (domain.ready[m] < domain.wanted[m]) {
+      if (domain.ready[m] < domain.desired[m]) {
         short_since_.emplace(key, r.now);
       } else {
         short_since_.erase(key);
@@ -111,15 +111,15 @@
   const engine_memory& memory = memory_.at(view.record.id);
   const model_shape& shape = r.engine.models[model];
   const domain_state& domain = r.domains.at(view.record.domain);
-  if (memory.ready_for == shape.id || domain.ready[model] >= domain.wanted[model]) {
+  if (memory.ready_for == shape.id || domain.ready[model] >= domain.desired[model]) {
     return std::nullopt;
   }
   const auto current = r.model_index(memory.ready_for);
   // An engine that is ready for a model is given up only where the plan has too many of it, and has
-  // wanted the other for some time.
+  // desired the other for some time.
   const auto since = short_since_.find({view.record.domain, shape.id});
   const bool lasts = since != short_since_.end() && r.now - since->second >= settings_.change_after;
-  if (current && (domain.ready[*current] <= domain.wanted[*current] ||
+  if (current && (domain.ready[*current] <= domain.desired[*current] ||
                   !(lasts || completes_with_surplus(r, domain, *current, model)))) {
     return std::nullopt;
   }
--- a/src/process/replica_keeper_round.h
+++ b/src/process/replica_keeper_round.h
@@ -14,7 +14,7 @@
 struct replica_keeper::domain_state {
   std::vector<std::uint32_t> ready;
   std::uint32_t blank = 0;
-  std::vector<std::uint32_t> wanted;
+  std::vector<std::uint32_t> desired;
 };
 
 // What one tick works on.
--- /dev/null
+++ b/src/process/row_write_model.cpp
@@ -0,0 +1,93 @@
+// Write times under both schemes: ranked nodes and a lease holder.
+#include "process/row_write_model.h"
+
+#include <algorithm>
+#include <vector>
+
+namespace arbutus {
+
+namespace {
+
+// A node of rank r writes r times this after the detection of the change; longer than a normal
+// write and its gossip take.
+constexpr duration rank_delay = 500ms;
+// Urgent gossip reaches the other nodes of the data centre within this.
+constexpr duration urgent_gossip_delay = 100ms;
+constexpr duration row_gossip_delay = 300ms;
+// One write in ten is slow.
+constexpr double slow_share = 0.1;
+constexpr duration usual_write = 60ms;
+constexpr duration slow_write = 2s;
+
+duration random_write_latency(rng& random) {
+  const bool slow = random.unit() < slow_share;
+  return slow ? usual_write + random.jitter(slow_write) : 20ms + random.jitter(usual_write - 20ms);
+}
+
+struct attempt {
+  duration begin{};
+  duration end{};
+};
+
+// The first write to end wins; the writes of nodes that began before they learnt of it are wasted.
+write_timing race(const std::vector<attempt>& attempts, rng& random) {
+  write_timing timing;
+  timing.delay = duration::max();
+  for (const attempt& a : attempts) {
+    timing.delay = std::min(timing.delay, a.end);
+  }
+  for (const attempt& a : attempts) {
+    timing.wasted += a.begin < timing.delay + random.jitter(row_gossip_delay) ? 1 : 0;
+  }
+  timing.wasted -= 1;
+  return timing;
+}
+
+write_timing write_ranked(const write_conditions& situation, rng& random) {
+  std::vector<attempt> attempts;
+  for (std::uint32_t rank = 0; rank < situation.nodes; ++rank) {
+    const bool absent = random.unit() < situation.absent_fraction;
+    const duration begin = random.jitter(urgent_gossip_delay) + rank * rank_delay;
+    const duration end = begin + random_write_latency(random);
+    if (!absent || rank + 1 == situation.nodes) {
+      attempts.push_back({begin, end});
+    }
+  }
+  return race(attempts, random);
+}
+
+// Without ranks all nodes that notice the expiry of the lease try to take it, spread over 1 s.
+write_timing take_lease(const write_conditions& situation, rng& random, duration expires_in) {
+  std::vector<attempt> attempts;
+  for (std::uint32_t i = 1; i < situation.nodes; ++i) {
+    const duration begin = expires_in + random.jitter(1s);
+    attempts.push_back({begin, begin + random_write_latency(random)});
+  }
+  write_timing timing = race(attempts, random);
+  timing.lease_writes = 1;
+  return timing;
+}
+
+write_timing write_leased(const write_conditions& situation, rng& random) {
+  const bool absent = random.unit() < situation.absent_fraction;
+  write_timing timing;
+  if (situation.lease_expired) {
+    timing = take_lease(situation, random, {});
+  } else if (absent) {
+    timing = take_lease(situation, random, random.jitter(lease_duration));
+    timing.wasted += 1;  // the old holder resumes and writes; the conditional write is refused
+  } else {
+    timing.delay = random.jitter(urgent_gossip_delay);
+  }
+  timing.delay += random_write_latency(random);
+  return timing;
+}
+
+}  // namespace
+
+write_timing simulate_write(const write_conditions& situation, rng& random) {
+  return situation.writer == row_writer::ranked ? write_ranked(situation, random)
+                                                : write_leased(situation, random);
+}
+
+}  // namespace arbutus
--- a/src/request/keyed.cpp
+++ b/src/request/keyed.cpp
@@ -34,7 +34,7 @@
 }
 
 keyed_effects keyed_call::on(time_point now, wall_time wall, const table_write_result& result) {
-  if (!asked_table_ || result.asked.key != row_ || step_ == step::finished) {
+  if (!asked_table_ || result.request.key != row_ || step_ == step::finished) {
     return {};
   }
   asked_table_ = false;
@@ -42,7 +42,7 @@
     row_version_ = done->version;
     backoff_ = settings_.first_backoff;
     // What we want may have changed while the write was under way.
-    const bool is_wanted = result.asked.value == wanted_;
+    const bool is_wanted = result.request.value == wanted_;
     return is_wanted ? standing(now, wall) : write(now, wall, record_.phase);
   }
   // Refused: another record stands there, or an earlier write of ours whose reply was lost.
@@ -55,7 +55,7 @@
 }
 
 keyed_effects keyed_call::on(time_point now, wall_time wall, const table_read_result& result) {
-  if (!asked_table_ || result.asked.key != row_ || step_ == step::finished) {
+  if (!asked_table_ || result.request.key != row_ || step_ == step::finished) {
     return {};
   }
   asked_table_ = false;
@@ -305,7 +305,7 @@
   record_until_ = now + settings_.record_for;
   record_.phase = phase;
   if (asked_table_) {
-    wanted_.clear();  // the write under way is not the wanted one; its result brings us back
+    wanted_.clear();  // the write under way is not the desired one; its result brings us back
     return {};
   }
   if (retry_at_ != time_point::max()) {
--- a/src/request/limits.cpp
+++ b/src/request/limits.cpp
@@ -194,11 +194,11 @@
   const double spare = std::max(0.0, own - target(b.demand));
   double available = std::max(0.0, own - floor - still_lent);
   for (const node_id& peer : others_) {
-    const double wanted = spare * lacks(peer) / lacking;
+    const double desired = spare * lacks(peer) / lacking;
     const double held = largest(now, b.peers[peer].lent);
-    const double more = std::clamp(wanted - held, 0.0, available);
+    const double more = std::clamp(desired - held, 0.0, available);
     available -= more;
-    b.peers[peer].planned = std::min(wanted, held + more);
+    b.peers[peer].planned = std::min(desired, held + more);
   }
 }
 
--- a/src/standin/batch_standin.cpp
+++ b/src/standin/batch_standin.cpp
@@ -41,9 +41,9 @@
   return settings_.tokens_per_second * speed / slowdown();
 }
 
-double batch_standin::seconds_until(const job_state& job, std::uint32_t wanted,
+double batch_standin::seconds_until(const job_state& job, std::uint32_t desired,
                                     double speed) const {
-  const double missing = std::max(0.0, static_cast<double>(wanted) - job.produced);
+  const double missing = std::max(0.0, static_cast<double>(desired) - job.produced);
   const double prefill = job.prefill_left / (settings_.prefill_tokens_per_second * speed);
   return prefill * slowdown() + missing / tokens_per_second(speed);
 }
@@ -68,8 +68,8 @@
   }
 }
 
-bool batch_standin::has_made(const job_state& job, std::uint32_t wanted) {
-  return job.prefill_left <= 0 && whole_tokens(job.produced) >= wanted;
+bool batch_standin::has_made(const job_state& job, std::uint32_t desired) {
+  return job.prefill_left <= 0 && whole_tokens(job.produced) >= desired;
 }
 
 void batch_standin::finish_done() {
@@ -126,7 +126,7 @@
   queue_.clear();
 }
 
-batch_progress batch_standin::progress(batch_handle handle, std::uint32_t wanted,
+batch_progress batch_standin::progress(batch_handle handle, std::uint32_t desired,
                                        double speed) const {
   const auto found = jobs_.find(handle);
   if (found == jobs_.end()) {
@@ -134,10 +134,10 @@
   }
   const job_state& job = found->second;
   batch_progress result{job.started, whole_tokens(job.produced), std::nullopt};
-  if (job.started && has_made(job, wanted)) {
+  if (job.started && has_made(job, desired)) {
     result.remaining = duration{};
   } else if (job.started && speed > 0) {
-    result.remaining = round_up(seconds_until(job, wanted, speed));
+    result.remaining = round_up(seconds_until(job, desired, speed));
   }
   return result;
 }
--- a/src/standin/batch_standin.h
+++ b/src/standin/batch_standin.h
@@ -50,8 +50,8 @@
   // Drops every job; those to come are run by `settings`. Handles are never given twice.
   void reset(const batch_settings& settings);
 
-  // How far a job is on its way to `wanted` tokens.
-  [[nodiscard]] batch_progress progress(batch_handle handle, std::uint32_t wanted,
+  // How far a job is on its way to `desired` tokens.
+  [[nodiscard]] batch_progress progress(batch_handle handle, std::uint32_t desired,
                                         double speed) const;
 
   [[nodiscard]] std::uint32_t running() const;
@@ -69,10 +69,10 @@
   };
 
   [[nodiscard]] double slowdown() const;
-  [[nodiscard]] double seconds_until(const job_state& job, std::uint32_t wanted,
+  [[nodiscard]] double seconds_until(const job_state& job, std::uint32_t desired,
                                      double speed) const;
   void progress_by(double seconds, double speed);
-  [[nodiscard]] static bool has_made(const job_state& job, std::uint32_t wanted);
+  [[nodiscard]] static bool has_made(const job_state& job, std::uint32_t desired);
   void finish_done();
   void fill_slots();
   [[nodiscard]] double seconds_to_next_finish(double speed) const;
--- a/src/standin/engine_requests.cpp
+++ b/src/standin/engine_requests.cpp
@@ -143,8 +143,8 @@
     ++counters_.completed;
     stream.finished = true;
   }
-  const std::uint32_t wanted = whole ? answer.total() : made.produced + 1;
-  if (const auto left = batch_.progress(handle, wanted, speed).remaining) {
+  const std::uint32_t desired = whole ? answer.total() : made.produced + 1;
+  if (const auto left = batch_.progress(handle, desired, speed).remaining) {
     step.next_at = std::max(now + *left, answer.not_before());
   }
   return step;
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -52,7 +52,7 @@
   if (o.vm != vm_) {
     return "for another VM";
   }
-  if (now - received_at > o.valid_for) {
+  if (now - received_at > o.validity_period) {
     return "too late";
   }
   if (o.expected_incarnation != 0 && o.expected_incarnation != incarnation_) {
@@ -112,17 +112,17 @@
     return;
   }
   drop_role(now);
-  const model_profile& wanted = profile(o.model);
+  const model_profile& desired = profile(o.model);
   const std::string shard = shard_of(o);
   if (resident_ != shard) {
     resident_ = shard;
-    resident_at_ = now + fabric_.weights().load_time(now, wanted.weight_bytes);
+    resident_at_ = now + fabric_.weights().load_time(now, desired.weight_bytes);
   }
   ready_at_ = std::max(now, resident_at_) + settings_.form_time;
   group_ = o.target;
   model_ = o.model;
   model_version_ = o.model_version;
-  batch_.reset(wanted.batch);
+  batch_.reset(desired.batch);
 }
 
 // Requests that run at this moment are cut: only a drained engine gives up its role without harm.
--- a/src/version/configuration.cpp
+++ b/src/version/configuration.cpp
@@ -320,10 +320,10 @@
 
 }  // namespace
 
-std::string encode_content(const inventory& assets, const rules& wanted) {
+std::string encode_content(const inventory& assets, const rules& desired) {
   return dump(json{{"format", content_format},
                    {"inventory", to_json_value(assets)},
-                   {"rules", to_json_value(wanted)}});
+                   {"rules", to_json_value(desired)}});
 }
 
 outcome<configuration> decode_content(std::string_view content, std::uint64_t version) {
@@ -337,7 +337,7 @@
     configuration result;
     result.version = version;
     reader("inventory", result.assets);
-    reader("rules", result.wanted);
+    reader("rules", result.desired);
     return result;
   });
 }
--- a/src/version/configuration.h
+++ b/src/version/configuration.h
@@ -25,11 +25,11 @@
 struct configuration {
   std::uint64_t version{};
   inventory assets;
-  rules wanted;
+  rules desired;
 };
 
 // Content as stored: independent of the version number. decode(encode(c)) == c.
-[[nodiscard]] std::string encode_content(const inventory& assets, const rules& wanted);
+[[nodiscard]] std::string encode_content(const inventory& assets, const rules& desired);
 [[nodiscard]] outcome<configuration> decode_content(std::string_view content,
                                                     std::uint64_t version);
 
--- a/src/version/cross_check.cpp
+++ b/src/version/cross_check.cpp
@@ -19,8 +19,8 @@
 
 class checker {
  public:
-  checker(const inventory& assets, const rules& wanted, const place_index& places)
-      : assets_(assets), wanted_(wanted), places_(places) {}
+  checker(const inventory& assets, const rules& desired, const place_index& places)
+      : assets_(assets), wanted_(desired), places_(places) {}
 
   findings run() {
     check_names();
@@ -344,8 +344,8 @@
 
 }  // namespace
 
-findings cross_check(const inventory& assets, const rules& wanted, const place_index& places) {
-  return checker(assets, wanted, places).run();
+findings cross_check(const inventory& assets, const rules& desired, const place_index& places) {
+  return checker(assets, desired, places).run();
 }
 
 }  // namespace arbutus
--- a/src/version/cross_check.h
+++ b/src/version/cross_check.h
@@ -10,11 +10,11 @@
 namespace arbutus {
 
 // Models that can never fit, or not all of them; part of cross_check.
-[[nodiscard]] findings check_room(const inventory& assets, const rules& wanted,
+[[nodiscard]] findings check_room(const inventory& assets, const rules& desired,
                                   const place_index& places);
 
 // All findings in one run. `places` says where each record was read; it may be empty.
-[[nodiscard]] findings cross_check(const inventory& assets, const rules& wanted,
+[[nodiscard]] findings cross_check(const inventory& assets, const rules& desired,
                                    const place_index& places);
 
 }  // namespace arbutus
--- a/src/version/cross_check_room.cpp
+++ b/src/version/cross_check_room.cpp
@@ -16,8 +16,8 @@
 
 class room_checker {
  public:
-  room_checker(const inventory& assets, const rules& wanted, const place_index& places)
-      : assets_(assets), wanted_(wanted), places_(places) {}
+  room_checker(const inventory& assets, const rules& desired, const place_index& places)
+      : assets_(assets), wanted_(desired), places_(places) {}
 
   findings run() {
     check_models();
@@ -69,31 +69,31 @@
     }
   }
 
-  void check_placement(const model_rule& model, const model_placement& wanted,
+  void check_placement(const model_rule& model, const model_placement& desired,
                        const std::string& path) {
-    if (wanted.replicas == 0 || model.vms_per_replica == 0) {
+    if (desired.replicas == 0 || model.vms_per_replica == 0) {
       return;
     }
     std::uint32_t vms = 0;
     std::uint32_t largest = 0;
     std::uint32_t in_domains = 0;  // replicas that fit without crossing
-    for (const auto& [domain, count] : fitting_vms(model, wanted.data_centre)) {
+    for (const auto& [domain, count] : fitting_vms(model, desired.data_centre)) {
       vms += count;
       largest = std::max(largest, count);
       in_domains += count / model.vms_per_replica;
     }
     const std::string what =
-        "model " + in_quotes(model.id.str()) + " in " + in_quotes(wanted.data_centre.str());
+        "model " + in_quotes(model.id.str()) + " in " + in_quotes(desired.data_centre.str());
     const std::string need = std::to_string(model.vms_per_replica) + " VMs with " +
                              std::to_string(model.accelerators_per_vm) + " accelerators each";
     if (vms < model.vms_per_replica) {
-      short_of_room_.insert(wanted.data_centre);
+      short_of_room_.insert(desired.data_centre);
       error(path, what + " can never fit: " + std::to_string(vms) + " such VMs are there",
             need + " for one replica");
       return;
     }
     if (in_domains == 0 && !model.may_cross_fabric_domains) {
-      short_of_room_.insert(wanted.data_centre);
+      short_of_room_.insert(desired.data_centre);
       error(path,
             what + " can never fit: a replica is larger than any fabric domain (largest: " +
                 std::to_string(largest) + " such VMs) and may not cross",
@@ -102,19 +102,19 @@
     }
     const std::uint32_t fits =
         model.may_cross_fabric_domains ? vms / model.vms_per_replica : in_domains;
-    if (fits < wanted.replicas) {
-      short_of_room_.insert(wanted.data_centre);
-      warning(path, what + ": " + std::to_string(wanted.replicas) + " replicas wanted, at most " +
+    if (fits < desired.replicas) {
+      short_of_room_.insert(desired.data_centre);
+      warning(path, what + ": " + std::to_string(desired.replicas) + " replicas wanted, at most " +
                         std::to_string(fits) + " fit");
     }
   }
 
   // All models of a data centre together, where each by itself fits.
   void check_together() {
-    std::map<data_centre_id, std::uint64_t> wanted;
+    std::map<data_centre_id, std::uint64_t> desired;
     for (const model_rule& model : wanted_.models) {
       for (const model_placement& p : model.placements) {
-        wanted[p.data_centre] += std::uint64_t{p.replicas} * model.vms_per_replica;
+        desired[p.data_centre] += std::uint64_t{p.replicas} * model.vms_per_replica;
       }
     }
     std::map<data_centre_id, std::uint64_t> present;
@@ -124,8 +124,8 @@
     for (std::size_t i = 0; i < assets_.data_centres.size(); ++i) {
       const data_centre_id& dc = assets_.data_centres[i].id;
       const std::uint64_t vms = present[dc];
-      if (wanted[dc] > vms && !short_of_room_.contains(dc)) {
-        warning(indexed("data_centres", i), "the models want " + std::to_string(wanted[dc]) +
+      if (desired[dc] > vms && !short_of_room_.contains(dc)) {
+        warning(indexed("data_centres", i), "the models want " + std::to_string(desired[dc]) +
                                                 " VMs in " + in_quotes(dc.str()) + ", which has " +
                                                 std::to_string(vms));
       }
@@ -141,8 +141,8 @@
 
 }  // namespace
 
-findings check_room(const inventory& assets, const rules& wanted, const place_index& places) {
-  return room_checker(assets, wanted, places).run();
+findings check_room(const inventory& assets, const rules& desired, const place_index& places) {
+  return room_checker(assets, desired, places).run();
 }
 
 }  // namespace arbutus
--- a/src/version/import.cpp
+++ b/src/version/import.cpp
@@ -85,12 +85,12 @@
 import_result import_texts(std::string_view inventory_text, const std::string& inventory_name,
                            std::string_view rules_text, const std::string& rules_name) {
   inventory_import assets = import_inventory(inventory_text, inventory_name);
-  rules_import wanted = import_rules(rules_text, rules_name);
-  import_result result{std::move(assets.assets), std::move(wanted.wanted), {}};
+  rules_import desired = import_rules(rules_text, rules_name);
+  import_result result{std::move(assets.assets), std::move(desired.desired), {}};
   append(result.problems, std::move(assets.problems));
-  append(result.problems, std::move(wanted.problems));
-  assets.places.merge(std::move(wanted.places));
-  append(result.problems, cross_check(result.assets, result.wanted, assets.places));
+  append(result.problems, std::move(desired.problems));
+  assets.places.merge(std::move(desired.places));
+  append(result.problems, cross_check(result.assets, result.desired, assets.places));
   std::stable_sort(result.problems.begin(), result.problems.end(),
                    [](const finding& a, const finding& b) { return a.where < b.where; });
   return result;
--- a/src/version/import.h
+++ b/src/version/import.h
@@ -46,14 +46,14 @@
 };
 
 struct rules_import {
-  rules wanted;
+  rules desired;
   place_index places;  // "models/0", "workspaces/2/models/1", ...
   findings problems;
 };
 
 struct import_result {
   inventory assets;
-  rules wanted;
+  rules desired;
   findings problems;  // usable when has_errors(problems) is false
 };
 
--- a/src/version/import_rules.cpp
+++ b/src/version/import_rules.cpp
@@ -56,7 +56,7 @@
 }
 
 void read_model(table_reader& table, rules_import& result) {
-  const std::string path = indexed("models", result.wanted.models.size());
+  const std::string path = indexed("models", result.desired.models.size());
   note_fields(table, path, {"id", "vms_per_replica"}, result.places);
   model_rule model;
   table.read("id", model.id);
@@ -70,7 +70,7 @@
   read_ids(table, "adapters", path, model.adapters, result);
   read_placements(table, path, model, result);
   table.finish();
-  result.wanted.models.push_back(std::move(model));
+  result.desired.models.push_back(std::move(model));
 }
 
 bool is_path(std::string_view text) {
@@ -114,7 +114,7 @@
 }
 
 void read_service(table_reader& table, rules_import& result) {
-  const std::string path = indexed("services", result.wanted.services.size());
+  const std::string path = indexed("services", result.desired.services.size());
   note_fields(table, path, {"id", "path_prefix"}, result.places);
   service_rule service;
   table.read("id", service.id);
@@ -127,7 +127,7 @@
   read_calls(table, path, service, result);
   read_ids(table, "workspaces", path, service.workspaces, result);
   table.finish();
-  result.wanted.services.push_back(std::move(service));
+  result.desired.services.push_back(std::move(service));
 }
 
 void read_key_hashes(table_reader& table, const std::string& path, workspace_rule& workspace,
@@ -152,7 +152,7 @@
 }
 
 void read_workspace(table_reader& table, rules_import& result) {
-  const std::string path = indexed("workspaces", result.wanted.workspaces.size());
+  const std::string path = indexed("workspaces", result.desired.workspaces.size());
   note_fields(table, path, {"id"}, result.places);
   workspace_rule workspace;
   table.read("id", workspace.id);
@@ -162,11 +162,11 @@
   table.read("requests_per_second", workspace.requests_per_second, presence::optional, from_zero);
   table.read("burst", workspace.burst, presence::optional, from_zero);
   table.finish();
-  result.wanted.workspaces.push_back(std::move(workspace));
+  result.desired.workspaces.push_back(std::move(workspace));
 }
 
 void read_class(table_reader& table, rules_import& result) {
-  const std::string path = indexed("classes", result.wanted.classes.size());
+  const std::string path = indexed("classes", result.desired.classes.size());
   note_fields(table, path, {"name", "first_token_ms"}, result.places);
   class_rule entry;
   table.read_name("name", entry.name, presence::required);
@@ -174,26 +174,26 @@
   table.read_ms("deadline_ms", entry.deadline, presence::optional, waiting_ms);
   table.read_ms("first_token_ms", entry.first_token, presence::optional, waiting_ms);
   table.finish();
-  result.wanted.classes.push_back(std::move(entry));
+  result.desired.classes.push_back(std::move(entry));
 }
 
-void read_weights(table_reader table, rules& wanted) {
-  table.read("group_downtime", wanted.preference.group_downtime, presence::optional, from_zero);
-  table.read("stranded_accelerators", wanted.preference.stranded_accelerators, presence::optional,
+void read_weights(table_reader table, rules& desired) {
+  table.read("group_downtime", desired.preference.group_downtime, presence::optional, from_zero);
+  table.read("stranded_accelerators", desired.preference.stranded_accelerators, presence::optional,
              from_zero);
-  if (wanted.preference.group_downtime + wanted.preference.stranded_accelerators <= 0) {
+  if (desired.preference.group_downtime + desired.preference.stranded_accelerators <= 0) {
     table.problem("group_downtime", "both weights are 0", "at least one above 0");
   }
   table.finish();
 }
 
-void read_planning(table_reader table, rules& wanted) {
-  table.read("spare_vms_per_data_centre", wanted.spare_vms_per_data_centre, presence::optional,
+void read_planning(table_reader table, rules& desired) {
+  table.read("spare_vms_per_data_centre", desired.spare_vms_per_data_centre, presence::optional,
              any_count);
-  table.read("standbys_per_replica", wanted.standbys_per_replica, presence::optional,
+  table.read("standbys_per_replica", desired.standbys_per_replica, presence::optional,
              {0, max_vms_per_replica});
-  table.read("vm_failures_per_day", wanted.vm_failures_per_day, presence::optional, from_zero);
-  table.read("vm_repair_hours", wanted.vm_repair_hours, presence::optional, above_zero);
+  table.read("vm_failures_per_day", desired.vm_failures_per_day, presence::optional, from_zero);
+  table.read("vm_repair_hours", desired.vm_repair_hours, presence::optional, above_zero);
   table.finish();
 }
 
@@ -223,10 +223,10 @@
   read_each(root, "workspace", result, read_workspace);
   read_each(root, "class", result, read_class);
   if (auto table = root.table("weights")) {
-    read_weights(std::move(*table), result.wanted);
+    read_weights(std::move(*table), result.desired);
   }
   if (auto table = root.table("planning")) {
-    read_planning(std::move(*table), result.wanted);
+    read_planning(std::move(*table), result.desired);
   }
   root.finish();
   return result;
--- a/src/version/placement.cpp
+++ b/src/version/placement.cpp
@@ -184,8 +184,8 @@
   std::vector<vm_id> members(rule.vms_per_replica);
   for (std::size_t i = 0; before && i < std::min(members.size(), before->members.size()); ++i) {
     const vm_id& vm = before->members[i];
-    const bool wanted = domain == any_domain || draft.pool.domain_of(vm) == domain;
-    if (wanted && draft.pool.usable(vm, rule.accelerators_per_vm) && draft.pool.take_free(vm)) {
+    const bool desired = domain == any_domain || draft.pool.domain_of(vm) == domain;
+    if (desired && draft.pool.usable(vm, rule.accelerators_per_vm) && draft.pool.take_free(vm)) {
       members[i] = vm;
     }
   }
@@ -268,14 +268,14 @@
          (rule.may_cross_fabric_domains && wait_for_new(draft, rule, any_domain, sources::all));
 }
 
-void repair_and_fill(plan_draft& draft, const std::vector<std::uint32_t>& wanted) {
+void repair_and_fill(plan_draft& draft, const std::vector<std::uint32_t>& desired) {
   const auto& models = draft.models();
   for (std::size_t i = 0; i < models.size(); ++i) {
     const bool first_of_rank = i == 0 || models[i]->rank != models[i - 1]->rank;
     if (first_of_rank) {
       repair_rank(draft, models[i]->rank);
     }
-    for (std::uint32_t n = draft.count_active(models[i]->id); n < wanted[i]; ++n) {
+    for (std::uint32_t n = draft.count_active(models[i]->id); n < desired[i]; ++n) {
       if (!lay_down_or_wait(draft, *models[i])) {
         break;
       }
--- a/src/version/placement.h
+++ b/src/version/placement.h
@@ -11,8 +11,8 @@
 // order: own standby, a free VM of the same fabric domain, another domain that holds the replica
 // whole, VMs that will be free anyway, standbys of others, other domains if the rule allows, broken
 // replicas that come later in the order, serving replicas of a lower rank, which are drained.
-// `wanted[i]` is the number of replicas for `draft.models()[i]`.
-void repair_and_fill(plan_draft& draft, const std::vector<std::uint32_t>& wanted);
+// `desired[i]` is the number of replicas for `draft.models()[i]`.
+void repair_and_fill(plan_draft& draft, const std::vector<std::uint32_t>& desired);
 
 // Lays down one more replica on free VMs of one domain, leaving `keep_free` of them; false when
 // none fits.
--- a/src/version/plan_draft.cpp
+++ b/src/version/plan_draft.cpp
@@ -34,7 +34,7 @@
     : pool(*in.config, in.data_centre, in.health),
       in_(in),
       next_version_(in.current->version + 1),
-      models_(by_rank(in.config->wanted.models)),
+      models_(by_rank(in.config->desired.models)),
       serving_(in.serving.begin(), in.serving.end()) {
   read_replicas();
   drop_acknowledged();
@@ -47,7 +47,7 @@
   for (replica_plan& plan : baked.replicas) {
     draft_replica r;
     r.plan = std::move(plan);
-    r.rule = wanted().find_model(r.plan.model);
+    r.rule = desired().find_model(r.plan.model);
     const replica_plan* before = in_.current->find(r.plan.id);
     if (r.plan.members != before->members) {
       r.plan.crosses_fabric_domains = crosses(r.plan.members);
@@ -125,7 +125,7 @@
 
 bool plan_draft::outdated(const draft_replica& r) const {
   if (r.rule == nullptr) {
-    return false;  // not wanted at all: surplus
+    return false;  // not desired at all: surplus
   }
   const bool too_small = std::ranges::any_of(r.plan.members, [&](const vm_id& vm) {
     return pool.usable(vm) && !pool.usable(vm, r.rule->accelerators_per_vm);
--- a/src/version/plan_draft.h
+++ b/src/version/plan_draft.h
@@ -31,7 +31,7 @@
   explicit plan_draft(const planner_input& in);
 
   [[nodiscard]] const planner_input& in() const { return in_; }
-  [[nodiscard]] const rules& wanted() const { return in_.config->wanted; }
+  [[nodiscard]] const rules& desired() const { return in_.config->desired; }
   // Models of the rules, repaired first first.
   [[nodiscard]] const std::vector<const model_rule*>& models() const { return models_; }
   [[nodiscard]] std::uint32_t base_replicas(const model_rule& rule) const;
--- a/src/version/planner.cpp
+++ b/src/version/planner.cpp
@@ -104,12 +104,12 @@
 
 void run_passes(plan_draft& draft) {
   draft.begin_round();
-  const std::vector<std::uint32_t> wanted = wanted_replicas(draft);
-  shed_surplus(draft, wanted);
+  const std::vector<std::uint32_t> desired = wanted_replicas(draft);
+  shed_surplus(draft, desired);
   drain_leaving(draft);
-  repair_and_fill(draft, wanted);
+  repair_and_fill(draft, desired);
   roll(draft);
-  follow_demand(draft, wanted, standbys_kept(draft));
+  follow_demand(draft, desired, standbys_kept(draft));
   reserve_standbys(draft);
 }
 
--- a/src/version/planner_bench.cpp
+++ b/src/version/planner_bench.cpp
@@ -31,7 +31,7 @@
     row_.version = 1;
     config_.version = 1;
     config_.assets.data_centres = {{row_.data_centre, "region-1"}};
-    config_.wanted.vm_failures_per_day = 29;
+    config_.desired.vm_failures_per_day = 29;
     for (std::size_t d = 0; d < domains; ++d) {
       add_domain(d);
     }
@@ -41,7 +41,7 @@
     model.vms_per_replica = vms_per_replica;
     model.placements = {
         {row_.data_centre, static_cast<std::uint32_t>(domains) * replicas_per_domain}};
-    config_.wanted.models.push_back(std::move(model));
+    config_.desired.models.push_back(std::move(model));
   }
 
   [[nodiscard]] std::size_t vms() const { return health_.size(); }
--- a/src/version/rules.h
+++ b/src/version/rules.h
@@ -21,7 +21,7 @@
 
 struct model_placement {
   data_centre_id data_centre;
-  std::uint32_t replicas{};  // wanted there
+  std::uint32_t replicas{};  // desired there
   auto operator<=>(const model_placement&) const = default;
 };
 
--- a/src/version/secret.cpp
+++ b/src/version/secret.cpp
@@ -34,13 +34,13 @@
   return a.size() == b.size() && CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
 
-const workspace_rule* authenticate(const rules& wanted, std::string_view key) {
+const workspace_rule* authenticate(const rules& desired, std::string_view key) {
   const std::string hash = sha256_hex(key);
   if (key.empty() || hash.size() != sha256_hex_length) {
     return nullptr;
   }
   const workspace_rule* found = nullptr;
-  for (const workspace_rule& workspace : wanted.workspaces) {
+  for (const workspace_rule& workspace : desired.workspaces) {
     for (const std::string& known : workspace.key_hashes) {
       found = equal_constant_time(known, hash) ? &workspace : found;
     }
--- a/src/version/secret.h
+++ b/src/version/secret.h
@@ -24,6 +24,6 @@
 
 // The workspace that `key` belongs to, or null. Compares with every hash of every workspace, so
 // that the time taken tells a caller nothing about which keys exist.
-[[nodiscard]] const workspace_rule* authenticate(const rules& wanted, std::string_view key);
+[[nodiscard]] const workspace_rule* authenticate(const rules& desired, std::string_view key);
 
 }  // namespace arbutus
--- a/src/version/standby.cpp
+++ b/src/version/standby.cpp
@@ -78,7 +78,7 @@
 }
 
 standby_question ask_for(const plan_draft& draft, const model_rule& rule) {
-  const rules& wanted = draft.wanted();
+  const rules& desired = draft.desired();
   const double fleet =
       std::max<double>(1, static_cast<double>(draft.in().config->assets.vms.size()));
   const double domains = std::max<double>(1, draft.pool.domains());
@@ -88,17 +88,17 @@
   }
   standby_question q;
   q.members = rule.vms_per_replica;
-  q.failures_per_hour = wanted.vm_failures_per_day / fleet / 24.0;
-  q.repair_hours = wanted.vm_repair_hours;
+  q.failures_per_hour = desired.vm_failures_per_day / fleet / 24.0;
+  q.repair_hours = desired.vm_repair_hours;
   q.replicas_per_domain = std::max(1.0, replicas / domains);
-  q.spares_per_domain = wanted.spare_vms_per_data_centre / domains;
-  q.preference = wanted.preference;
+  q.spares_per_domain = desired.spare_vms_per_data_centre / domains;
+  q.preference = desired.preference;
   return q;
 }
 
 std::size_t standbys_kept(const plan_draft& draft) {
-  if (draft.wanted().standbys_per_replica > 0) {
-    return draft.wanted().standbys_per_replica;
+  if (draft.desired().standbys_per_replica > 0) {
+    return draft.desired().standbys_per_replica;
   }
   std::uint32_t most = 0;
   for (const model_rule* rule : draft.models()) {
@@ -111,7 +111,7 @@
 
 struct reservation {
   std::size_t replica;    // index in the draft
-  std::size_t wanted;     // standbys
+  std::size_t desired;    // standbys
   std::size_t keep_free;  // shared spares that it must leave
 };
 
@@ -126,8 +126,8 @@
 }
 
 std::vector<reservation> reservations(const plan_draft& draft) {
-  const rules& wanted = draft.wanted();
-  const bool fixed = wanted.standbys_per_replica > 0;
+  const rules& desired = draft.desired();
+  const bool fixed = desired.standbys_per_replica > 0;
   std::vector<reservation> list;
   for (const model_rule* rule : draft.models()) {
     const std::uint32_t idle = standbys_worth(ask_for(draft, *rule)).worth_when_idle;
@@ -137,8 +137,8 @@
       const draft_replica& r = draft.replicas[i];
       if (r.active() && !r.broken() && r.rule == rule) {
         const std::size_t count =
-            std::min<std::size_t>(room, fixed ? wanted.standbys_per_replica : idle);
-        list.push_back({i, count, fixed ? 0 : wanted.spare_vms_per_data_centre});
+            std::min<std::size_t>(room, fixed ? desired.standbys_per_replica : idle);
+        list.push_back({i, count, fixed ? 0 : desired.spare_vms_per_data_centre});
       }
     }
   }
@@ -160,7 +160,7 @@
 void reserve(plan_draft& draft, const reservation& want, std::size_t level) {
   draft_replica& r = draft.replicas[want.replica];
   const std::uint32_t accelerators = r.rule->accelerators_per_vm;
-  const bool enough = level > want.wanted || count_present(draft, r) >= level;
+  const bool enough = level > want.desired || count_present(draft, r) >= level;
   const domain_index home = draft.home(r);
   if (enough || home == any_domain ||
       draft.pool.free_count(any_domain, accelerators) <= want.keep_free) {
@@ -173,7 +173,7 @@
 
 void give_back(plan_draft& draft, const reservation& want) {
   draft_replica& r = draft.replicas[want.replica];
-  while (count_present(draft, r) > want.wanted) {
+  while (count_present(draft, r) > want.desired) {
     draft.take_back_standby(r, vm_id{r.plan.standbys.back()}, "standby no longer wanted");
   }
 }
@@ -185,7 +185,7 @@
   std::size_t levels = 0;
   for (const reservation& want : list) {
     give_back(draft, want);
-    levels = std::max(levels, want.wanted);
+    levels = std::max(levels, want.desired);
   }
   // Everybody's first before anybody's second.
   for (std::size_t level = 1; level <= levels; ++level) {
--- a/src/version/wanted.cpp
+++ b/src/version/wanted.cpp
@@ -66,17 +66,17 @@
   return list;
 }
 
-// A replica that serves goes only when the ones that stay serve, and are as many as wanted.
-void shed(plan_draft& draft, const model_id& model, std::uint32_t wanted) {
+// A replica that serves goes only when the ones that stay serve, and are as many as desired.
+void shed(plan_draft& draft, const model_id& model, std::uint32_t desired) {
   const std::vector<draft_replica*> list = by_worth(draft, model);
-  for (std::size_t i = 0; i + wanted < list.size(); ++i) {
+  for (std::size_t i = 0; i + desired < list.size(); ++i) {
     if (list[i]->broken()) {
       draft.dissolve(*list[i], "broken and no longer wanted");
       continue;
     }
     const auto stay = list.begin() + static_cast<std::ptrdiff_t>(i + 1);
     const auto serve = std::count_if(stay, list.end(), [](const auto* r) { return r->serving; });
-    if (static_cast<std::size_t>(serve) < wanted) {
+    if (static_cast<std::size_t>(serve) < desired) {
       return;
     }
     draft.drain(*list[i], "no longer wanted");
@@ -136,9 +136,9 @@
 
 // A model that lacks a replica of its placements comes before one that only wants more, and would
 // take what the lender gave.
-bool placements_unmet(const plan_draft& draft, const std::vector<std::uint32_t>& wanted) {
-  for (std::size_t i = 0; i < wanted.size(); ++i) {
-    if (draft.count_active(draft.models()[i]->id) < wanted[i]) {
+bool placements_unmet(const plan_draft& draft, const std::vector<std::uint32_t>& desired) {
+  for (std::size_t i = 0; i < desired.size(); ++i) {
+    if (draft.count_active(draft.models()[i]->id) < desired[i]) {
       return true;
     }
   }
@@ -184,16 +184,16 @@
 
 std::vector<std::uint32_t> wanted_replicas(const plan_draft& draft) {
   const bool lending = somebody_borrows(draft);
-  std::vector<std::uint32_t> wanted;
+  std::vector<std::uint32_t> desired;
   for (const model_rule* rule : draft.models()) {
-    wanted.push_back(wanted_of(draft, *rule, lending));
+    desired.push_back(wanted_of(draft, *rule, lending));
   }
-  return wanted;
+  return desired;
 }
 
-void shed_surplus(plan_draft& draft, const std::vector<std::uint32_t>& wanted) {
-  for (std::size_t i = 0; i < wanted.size(); ++i) {
-    shed(draft, draft.models()[i]->id, wanted[i]);
+void shed_surplus(plan_draft& draft, const std::vector<std::uint32_t>& desired) {
+  for (std::size_t i = 0; i < desired.size(); ++i) {
+    shed(draft, draft.models()[i]->id, desired[i]);
   }
   for (draft_replica& r : draft.replicas) {
     if (r.active() && r.rule == nullptr) {
@@ -202,10 +202,10 @@
   }
 }
 
-void follow_demand(plan_draft& draft, const std::vector<std::uint32_t>& wanted,
+void follow_demand(plan_draft& draft, const std::vector<std::uint32_t>& desired,
                    std::size_t standbys_kept) {
-  const bool may_borrow = !placements_unmet(draft, wanted);
-  const std::size_t keep_free = draft.wanted().spare_vms_per_data_centre;
+  const bool may_borrow = !placements_unmet(draft, desired);
+  const std::size_t keep_free = draft.desired().spare_vms_per_data_centre;
   for (const model_rule* rule : draft.models()) {
     const bool settled = !has_too_few(draft, *rule) || lay_down(draft, *rule, keep_free) ||
                          on_their_way(draft, *rule, standbys_kept, keep_free);
--- a/src/version/wanted.h
+++ b/src/version/wanted.h
@@ -15,12 +15,12 @@
 // All replicas of the model serve, and are too few for its load.
 [[nodiscard]] bool has_too_few(const plan_draft& draft, const model_rule& rule);
 
-// Removes or drains replicas beyond the wanted number, and those of models without a rule.
-void shed_surplus(plan_draft& draft, const std::vector<std::uint32_t>& wanted);
+// Removes or drains replicas beyond the desired number, and those of models without a rule.
+void shed_surplus(plan_draft& draft, const std::vector<std::uint32_t>& desired);
 
 // Lays down one more replica for an overloaded model: on free VMs, else on idle standbys, else by
 // draining a replica of a model with little load. `standbys_kept` stay with each replica.
-void follow_demand(plan_draft& draft, const std::vector<std::uint32_t>& wanted,
+void follow_demand(plan_draft& draft, const std::vector<std::uint32_t>& desired,
                    std::size_t standbys_kept);
 
 }  // namespace arbutus
--- a/tests/core/config_changes_test.cpp
+++ b/tests/core/config_changes_test.cpp
@@ -13,16 +13,16 @@
 
 struct texts {
   inventory assets;
-  rules wanted;
-  [[nodiscard]] std::string content() const { return encode_content(assets, wanted); }
+  rules desired;
+  [[nodiscard]] std::string content() const { return encode_content(assets, desired); }
 };
 
 texts example() {
   texts t;
   t.assets.data_centres = {{data_centre_id{"a"}, "lab"}, {data_centre_id{"b"}, "lab"}};
-  t.wanted.classes.resize(2);
-  t.wanted.classes[0].name = "interactive";
-  t.wanted.classes[1].name = "batch";
+  t.desired.classes.resize(2);
+  t.desired.classes[0].name = "interactive";
+  t.desired.classes[1].name = "batch";
   return t;
 }
 
@@ -32,14 +32,14 @@
 
 TEST(ConfigChanges, NamesTheRecordAndTheField) {
   texts after = example();
-  after.wanted.classes[1].priority = 7;
+  after.desired.classes[1].priority = 7;
   EXPECT_THAT(changes_between(example().content(), after.content()),
               ElementsAre("rules classes batch priority: 0 -> 7"));
 }
 
 TEST(ConfigChanges, AnotherOrderIsNoChangeOfRecords) {
   texts after = example();
-  std::swap(after.wanted.classes[0], after.wanted.classes[1]);
+  std::swap(after.desired.classes[0], after.desired.classes[1]);
   EXPECT_THAT(changes_between(example().content(), after.content()), IsEmpty());
 }
 
--- a/tests/core/configuration_test.cpp
+++ b/tests/core/configuration_test.cpp
@@ -26,7 +26,7 @@
 }
 
 rules every_rule() {
-  rules wanted;
+  rules desired;
   model_rule model;
   model.id = model_id{"dispatch-llm"};
   model.version = "2";
@@ -37,18 +37,18 @@
   model.rank = 7;
   model.adapters = {adapter_id{"brief"}};
   model.placements = {{data_centre_id{"hall-a"}, 5}};
-  wanted.models = {model};
-  wanted.services = {
+  desired.models = {model};
+  desired.services = {
       {service_id{"crew-api"}, "/crew", {{"GET", "/crew/cards"}}, {workspace_id{"w"}}}};
-  wanted.workspaces = {
+  desired.workspaces = {
       {workspace_id{"w"}, {sha256_hex("key-w")}, {model_id{"dispatch-llm"}}, 2.5, 0.1, 30}};
-  wanted.classes = {{"interactive", 1, 12345678us, 1500ms}};
-  wanted.preference = {4.0, 0.3};
-  wanted.spare_vms_per_data_centre = 2;
-  wanted.standbys_per_replica = 1;
-  wanted.vm_failures_per_day = 0.7;
-  wanted.vm_repair_hours = 3.25;
-  return wanted;
+  desired.classes = {{"interactive", 1, 12345678us, 1500ms}};
+  desired.preference = {4.0, 0.3};
+  desired.spare_vms_per_data_centre = 2;
+  desired.standbys_per_replica = 1;
+  desired.vm_failures_per_day = 0.7;
+  desired.vm_repair_hours = 3.25;
+  return desired;
 }
 
 std::string reason(const outcome<configuration>& result) {
@@ -62,14 +62,14 @@
   ASSERT_NE(value, nullptr) << reason(decoded);
   EXPECT_EQ(value->version, 42U);
   EXPECT_TRUE(value->assets == every_asset());
-  EXPECT_TRUE(value->wanted == every_rule());
+  EXPECT_TRUE(value->desired == every_rule());
 }
 
 TEST(configuration, equal_values_give_equal_bytes) {
   const std::string once = encode_content(every_asset(), every_rule());
   const auto decoded = decode_content(once, 1);
   const auto& value = std::get<configuration>(decoded);
-  EXPECT_EQ(encode_content(value.assets, value.wanted), once);
+  EXPECT_EQ(encode_content(value.assets, value.desired), once);
 }
 
 TEST(configuration, head_round_trips) {
@@ -102,10 +102,10 @@
 TEST(configuration, encoding_never_throws) {
   inventory assets = every_asset();
   assets.vms[0].id = vm_id{"\xff\xfe"};
-  rules wanted = every_rule();
-  wanted.vm_failures_per_day = std::numeric_limits<double>::quiet_NaN();
-  EXPECT_NO_THROW((void)encode_content(assets, wanted));
-  EXPECT_FALSE(is_ok(decode_content(encode_content(assets, wanted), 1)));
+  rules desired = every_rule();
+  desired.vm_failures_per_day = std::numeric_limits<double>::quiet_NaN();
+  EXPECT_NO_THROW((void)encode_content(assets, desired));
+  EXPECT_FALSE(is_ok(decode_content(encode_content(assets, desired), 1)));
 }
 
 TEST(secret, sha256_matches_the_published_vector) {
@@ -121,19 +121,19 @@
 }
 
 TEST(secret, a_key_opens_its_own_workspace_only) {
-  rules wanted = every_rule();
-  wanted.workspaces.push_back({workspace_id{"v"}, {sha256_hex("old"), sha256_hex("new")}, {}});
-  const workspace_rule* found = authenticate(wanted, "new");
+  rules desired = every_rule();
+  desired.workspaces.push_back({workspace_id{"v"}, {sha256_hex("old"), sha256_hex("new")}, {}});
+  const workspace_rule* found = authenticate(desired, "new");
   ASSERT_NE(found, nullptr);
   EXPECT_EQ(found->id, workspace_id{"v"});
-  ASSERT_NE(authenticate(wanted, "key-w"), nullptr);
-  EXPECT_EQ(authenticate(wanted, "key-w")->id, workspace_id{"w"});
-  EXPECT_EQ(authenticate(wanted, "other"), nullptr);
+  ASSERT_NE(authenticate(desired, "key-w"), nullptr);
+  EXPECT_EQ(authenticate(desired, "key-w")->id, workspace_id{"w"});
+  EXPECT_EQ(authenticate(desired, "other"), nullptr);
   // Also when the hash of nothing stands in the rules, from a script with an empty variable.
-  wanted.workspaces.push_back({workspace_id{"u"}, {sha256_hex("")}, {}});
-  EXPECT_EQ(authenticate(wanted, ""), nullptr);
+  desired.workspaces.push_back({workspace_id{"u"}, {sha256_hex("")}, {}});
+  EXPECT_EQ(authenticate(desired, ""), nullptr);
   // The hash itself is no key.
-  EXPECT_EQ(authenticate(wanted, sha256_hex("new")), nullptr);
+  EXPECT_EQ(authenticate(desired, sha256_hex("new")), nullptr);
 }
 
 }  // namespace
--- a/tests/core/coordination_measures_test.cpp
+++ b/tests/core/coordination_measures_test.cpp
@@ -27,8 +27,8 @@
             << s.at(1.0) << " s over " << s.values.size() << " runs\n";
 }
 
-world_options sizes(std::uint64_t seed) {
-  world_options o;
+cluster_options sizes(std::uint64_t seed) {
+  cluster_options o;
   o.nodes = 6;
   o.vms = 12;
   o.vms_per_replica = 4;
@@ -37,8 +37,8 @@
 }
 
 // A simulated cluster in a stable state, at a time that depends on the seed.
-std::unique_ptr<fake_world> settled_cluster(std::uint64_t seed) {
-  auto w = std::make_unique<fake_world>(sizes(seed));
+std::unique_ptr<fake_cluster> settled_cluster(std::uint64_t seed) {
+  auto w = std::make_unique<fake_cluster>(sizes(seed));
   EXPECT_TRUE(w->run_until([&] { return w->all_serve(2); }, test_timeout));
   w->run_for(3s + rng{seed}.jitter(2s));
   return w;
--- a/tests/core/coordinator_random_test.cpp
+++ b/tests/core/coordinator_random_test.cpp
@@ -1,5 +1,5 @@
-// Random faults over bounded schedules: whatever comes in whatever order, the invariants hold
-// throughout, and when all faults are over everything serves again.
+// Random faults over bounded schedules: the invariants hold throughout, and all replicas serve
+// again after the faults have ended.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 
 class random_faults : public ::testing::TestWithParam<std::uint64_t> {
  protected:
-  void inject(fake_world& w, rng& r) {
+  void inject(fake_cluster& w, rng& r) {
     const auto vms = w.vms();
     const vm_id& vm = vms[r.below(vms.size())];
     const auto node = static_cast<std::size_t>(r.below(w.node_count()));
@@ -58,7 +58,7 @@
     }
   }
 
-  void heal(fake_world& w) {
+  void heal(fake_cluster& w) {
     w.table.up = true;
     w.table.latency = 4ms;
     w.table.lose_write_replies = 0;
@@ -76,20 +76,19 @@
   }
 };
 
-// Symptom: any of the faults above, overlapping.
-// Sequence: from the seed, which is in the test's name.
-// Cause: two repairs, or a repair and a return, that know nothing of each other.
-TEST_P(random_faults, harm_nothing_and_heal) {
+// Guards against conflicts between overlapping faults: two repairs, or a repair and the return of a
+// member, that do not know of each other. The seed, which is in the test's name, gives the faults.
+TEST_P(random_faults, keep_invariants_and_recover) {
   const std::uint64_t seed = GetParam();
   rng r{seed};
-  world_options o;
+  cluster_options o;
   o.nodes = 3 + r.below(3);
   o.vms = 8;
   o.fabric_domains = 1 + r.below(2);
   o.standbys_per_replica = static_cast<std::uint32_t>(r.below(3));
   o.checks_tokens = r.below(3) != 0;
   o.seed = seed;
-  fake_world w(o);
+  fake_cluster w(o);
   ASSERT_TRUE(w.run_until([&] { return w.all_serve(2); }, 30s));
   for (int i = 0; i < faults; ++i) {
     inject(w, r);
--- a/tests/core/drains_test.cpp
+++ b/tests/core/drain_tracker_test.cpp
@@ -1,5 +1,5 @@
-// When a draining replica may be taken out of the row: each test withholds one proof.
-#include "process/drains.h"
+// When a draining replica may be removed from the row: each test lacks one of the conditions.
+#include "process/drain_tracker.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -15,16 +15,16 @@
 const vm_id a{"a"};
 const node_id peer{"n1"};
 
-class emptying : public ::testing::Test {
+class drain_tracking : public ::testing::Test {
  protected:
-  emptying() {
+  drain_tracking() {
     row_.version = 6;
     replica_plan p;
     p.id = r;
     p.phase = replica_phase::draining;
     p.members = {a};
     row_.replicas = {p};
-    watch_.rebase(row_);
+    tracker_.rebase(row_);
     report(0, engine_state::draining, now_);
   }
   void report(std::uint32_t running, engine_state state, time_point at) {
@@ -39,17 +39,17 @@
         .row = row_,
         .acknowledged = acknowledged_,
         .nodes = {peer},
-        .version_of = [this](const node_id&) { return acknowledged_; },
+        .acknowledged_version = [this](const node_id&) { return acknowledged_; },
         .has_requests = [this](const node_id&, const replica_id&) { return busy_; },
         .in_force = planned,
-        .seen = [this](const vm_id&) { return &seen_; },
+        .latest_observation = [this](const vm_id&) { return &seen_; },
         .lost = [this](const vm_id&) { return lost_; },
     };
-    return watch_.emptied(now_, context).contains(r);
+    return tracker_.emptied(now_, context).contains(r);
   }
 
   assignment row_;
-  drain_watch watch_;
+  drain_tracker tracker_;
   observation seen_;
   std::uint64_t acknowledged_ = 6;
   bool busy_ = false;
@@ -57,58 +57,58 @@
   time_point now_{1s};
 };
 
-TEST_F(emptying, with_every_proof_it_is_empty) {
+TEST_F(drain_tracking, empty_when_all_conditions_hold) {
   EXPECT_TRUE(empty());
 }
 
-TEST_F(emptying, every_node_has_to_acknowledge) {
+TEST_F(drain_tracking, every_node_has_to_acknowledge) {
   acknowledged_ = 5;
   EXPECT_FALSE(empty());
 }
 
-TEST_F(emptying, every_node_has_to_be_done) {
+TEST_F(drain_tracking, every_node_has_to_finish_its_requests) {
   busy_ = true;
   EXPECT_FALSE(empty());
 }
 
-TEST_F(emptying, the_engine_has_to_be_empty) {
+TEST_F(drain_tracking, the_engine_has_to_be_empty) {
   report(1, engine_state::draining, now_);
   EXPECT_FALSE(empty());
 }
 
-TEST_F(emptying, the_engine_has_to_refuse_new_work) {
+TEST_F(drain_tracking, the_engine_has_to_refuse_new_work) {
   report(0, engine_state::ready, now_);
   EXPECT_FALSE(empty());
 }
 
-// Symptom: a request that was on its way when the drain began is cut off.
-// Sequence: the engine reports itself empty, the request arrives, then the last node acknowledges.
-// Cause: the report is older than the acknowledgement.
-TEST_F(emptying, the_report_has_to_be_newer_than_the_acknowledgements) {
+// Guards against cutting off a request that was in transit when the drain began: the engine reports
+// itself empty, the request arrives, then the last node acknowledges. A report older than the
+// acknowledgements does not count.
+TEST_F(drain_tracking, the_report_has_to_be_newer_than_the_acknowledgements) {
   report(0, engine_state::draining, now_ - 1ms);
   EXPECT_FALSE(empty());
   report(0, engine_state::draining, now_ + 1ms);
   EXPECT_TRUE(empty());
 }
 
-TEST_F(emptying, a_lost_member_runs_nothing) {
+TEST_F(drain_tracking, a_lost_member_runs_nothing) {
   report(3, engine_state::ready, now_);
   lost_ = true;
   EXPECT_TRUE(empty());
 }
 
-TEST_F(emptying, status_names_who_is_waited_for) {
+TEST_F(drain_tracking, status_lists_the_nodes_waited_for) {
   acknowledged_ = 5;
   const drain_context context{
       .row = row_,
       .acknowledged = 5,
       .nodes = {peer},
-      .version_of = [](const node_id&) { return 5U; },
+      .acknowledged_version = [](const node_id&) { return 5U; },
       .has_requests = [](const node_id&, const replica_id&) { return false; },
       .in_force = planned,
-      .seen = [this](const vm_id&) { return &seen_; },
+      .latest_observation = [this](const vm_id&) { return &seen_; },
       .lost = [](const vm_id&) { return false; }};
-  const auto status = watch_.status(context);
+  const auto status = tracker_.status(context);
   ASSERT_EQ(status.size(), 1U);
   EXPECT_THAT(status.front().waiting_for, ::testing::ElementsAre(peer));
 }
--- a/tests/core/engine_wire_test.cpp
+++ b/tests/core/engine_wire_test.cpp
@@ -33,7 +33,7 @@
   o.model = model_id{"m"};
   o.model_version = "1";
   o.expected_incarnation = 7;
-  o.valid_for = 1500ms;
+  o.validity_period = 1500ms;
   return o;
 }
 
@@ -48,7 +48,7 @@
   const order decoded = std::get<order>(decode_order(encode(some_order())));
   EXPECT_EQ(encode(decoded), encode(some_order()));
   EXPECT_TRUE(decoded.target == some_order().target);
-  EXPECT_EQ(decoded.valid_for, 1500ms);
+  EXPECT_EQ(decoded.validity_period, 1500ms);
 }
 
 // Symptom: a broken target looks idle and draws all requests. Sequence: it reports a number that
--- a/tests/core/fake_world.cpp
+++ b/tests/core/fake_cluster.cpp
@@ -1,9 +1,8 @@
-// The fakes, the event loop and the invariants.
-#include "fake_world.h"
-
+// Set-up of the simulated cluster, its event loop and the nodes.
 #include <algorithm>
 
 #include "base/hash.h"
+#include "fake_world.h"
 
 namespace arbutus::testing {
 
@@ -16,7 +15,7 @@
   return prefix + std::to_string(i / 10) + std::to_string(i % 10);
 }
 
-configuration make_configuration(const world_options& o) {
+configuration make_configuration(const cluster_options& o) {
   configuration c;
   c.version = 1;
   c.assets.data_centres.push_back({hall, "sk-west"});
@@ -37,15 +36,15 @@
   rule.version = "v1";
   rule.vms_per_replica = o.vms_per_replica;
   rule.placements = {{hall, o.replicas}};
-  c.wanted.models.push_back(rule);
-  c.wanted.standbys_per_replica = o.standbys_per_replica;
-  c.wanted.spare_vms_per_data_centre = o.spare_vms;
+  c.desired.models.push_back(rule);
+  c.desired.standbys_per_replica = o.standbys_per_replica;
+  c.desired.spare_vms_per_data_centre = o.spare_vms;
   return c;
 }
 
 }  // namespace
 
-fake_world::fake_world(world_options options)
+fake_cluster::fake_cluster(cluster_options options)
     : options_(options), random_(options.seed), config_(make_configuration(options)) {
   for (const vm_record& vm : config_.assets.vms) {
     fake_engine e;
@@ -63,8 +62,8 @@
   }
 }
 
-void fake_world::write_configuration() {
-  const std::string content = encode_content(config_.assets, config_.wanted);
+void fake_cluster::write_configuration() {
+  const std::string content = encode_content(config_.assets, config_.desired);
   const std::string hash = content_hash(content);
   table.objects[hash] = content;
   table_row& head = table.rows[config_head_key];
@@ -72,19 +71,19 @@
   head = {encode(config_head{config_.version, hash, {proposal}}), head.version + 1};
 }
 
-void fake_world::apply_rules(const std::function<void(rules&)>& change) {
-  change(config_.wanted);
+void fake_cluster::apply_rules(const std::function<void(rules&)>& change) {
+  change(config_.desired);
   ++config_.version;
   write_configuration();
 }
 
 // ---- time ----
 
-void fake_world::at(time_point t, std::function<void()> run) {
+void fake_cluster::at(time_point t, std::function<void()> run) {
   events_.push({std::max(t, now_), next_order_++, std::move(run)});
 }
 
-bool fake_world::step(time_point limit) {
+bool fake_cluster::step(time_point limit) {
   if (events_.empty() || events_.top().at > limit) {
     now_ = limit;
     return false;
@@ -97,13 +96,13 @@
   return true;
 }
 
-void fake_world::run_for(duration d) {
+void fake_cluster::run_for(duration d) {
   const time_point end = now_ + d;
   while (step(end)) {
   }
 }
 
-bool fake_world::run_until(const std::function<bool()>& condition, duration limit) {
+bool fake_cluster::run_until(const std::function<bool()>& condition, duration limit) {
   const time_point end = now_ + limit;
   while (!condition()) {
     if (!step(end)) {
@@ -115,14 +114,14 @@
 
 // ---- nodes ----
 
-void fake_world::start_node(std::size_t i) {
+void fake_cluster::start_node(std::size_t i) {
   fake_node& n = nodes_.at(i);
   ++n.incarnation;
   n.up = true;
   n.paused = false;
   n.waiting.clear();
   n.wake_at = time_point::max();
-  n.row_seen = n.config_seen = 0;
+  n.last_row_version = n.last_config_version = 0;
   n.published = {};
   coordinator_settings s;
   s.self = n.id;
@@ -134,12 +133,12 @@
   deliver(i, [this, i] { return nodes_[i].core->start(now_); });
 }
 
-void fake_world::kill_node(std::size_t i) {
+void fake_cluster::kill_node(std::size_t i) {
   nodes_.at(i).up = false;
   nodes_.at(i).core.reset();
 }
 
-void fake_world::pause_node(std::size_t i, duration d) {
+void fake_cluster::pause_node(std::size_t i, duration d) {
   nodes_.at(i).paused = true;
   const auto incarnation = nodes_[i].incarnation;
   at(now_ + d, [this, i, incarnation] {
@@ -148,7 +147,7 @@
       return;
     }
     n.paused = false;
-    // Before it has heard anything it may still send by what it knew.
+    // Until it processes the inputs of the pause, the node still sends by its old routes.
     check();
     for (auto& run : std::exchange(n.waiting, {})) {
       run();
@@ -157,7 +156,7 @@
   });
 }
 
-void fake_world::deliver(std::size_t i, std::function<effects()> run) {
+void fake_cluster::deliver(std::size_t i, std::function<effects()> run) {
   const auto incarnation = nodes_[i].incarnation;
   auto guarded = [this, i, incarnation, run = std::move(run)] {
     fake_node& n = nodes_[i];
@@ -172,11 +171,11 @@
   }
 }
 
-void fake_world::feed(std::size_t i, input in) {
+void fake_cluster::feed(std::size_t i, input in) {
   deliver(i, [this, i, in = std::move(in)] { return nodes_[i].core->on(now_, in); });
 }
 
-void fake_world::wake(std::size_t i) {
+void fake_cluster::wake(std::size_t i) {
   fake_node& n = nodes_[i];
   const time_point due = std::max(n.core->next_tick(), now_);
   if (n.wake_at <= due && n.wake_at > now_) {
@@ -194,7 +193,7 @@
   });
 }
 
-void fake_world::after_call(std::size_t i, const effects& out) {
+void fake_cluster::after_call(std::size_t i, const effects& out) {
   for (const effect& e : out) {
     carry_out(i, e);
   }
--- a/tests/core/fake_world_checks.cpp
+++ b/tests/core/fake_cluster_checks.cpp
@@ -1,17 +1,17 @@
-// The faults, what tests look at, and the invariants.
+// Injected faults, state that tests inspect, and the invariants.
 #include <algorithm>
 #include <sstream>
 
 #include "fake_world.h"
+#include "process/assignment_writer.h"
 #include "process/permission.h"
-#include "process/row_keeper.h"
 
 namespace arbutus::testing {
 
 namespace {
 
-// Beyond the permission time: an observation is dated by when its probe was sent.
-constexpr duration route_slack = 100ms;
+// Allowed in addition to permission_validity, which counts from when the probe was sent.
+constexpr duration route_expiry_slack = 100ms;
 
 template <class T>
 std::string text(const T& value) {
@@ -22,12 +22,12 @@
 
 }  // namespace
 
-void fake_world::kill(const vm_id& vm) {
+void fake_cluster::kill(const vm_id& vm) {
   engine(vm).up = false;
   engine(vm).changed_at = now_;
 }
 
-void fake_world::restart(const vm_id& vm) {
+void fake_cluster::restart(const vm_id& vm) {
   fake_engine& e = engine(vm);
   const std::uint64_t incarnation = e.report.incarnation + 1;
   e.report = {};
@@ -40,12 +40,12 @@
   e.changed_at = now_;
 }
 
-void fake_world::start(const vm_id& vm) {
+void fake_cluster::start(const vm_id& vm) {
   restart(vm);
   engine(vm).up = true;
 }
 
-void fake_world::pause(const vm_id& vm, duration d) {
+void fake_cluster::pause(const vm_id& vm, duration d) {
   engine(vm).paused = true;
   engine(vm).changed_at = now_;
   const auto incarnation = engine(vm).report.incarnation;
@@ -63,7 +63,7 @@
 
 // ---- links ----
 
-void fake_world::cut(std::size_t a, std::size_t b, bool on) {
+void fake_cluster::cut(std::size_t a, std::size_t b, bool on) {
   if (on) {
     cuts_.insert({a, b});
   } else {
@@ -71,14 +71,14 @@
   }
 }
 
-void fake_world::isolate(std::size_t i, bool on) {
+void fake_cluster::isolate(std::size_t i, bool on) {
   for (std::size_t other = 0; other < nodes_.size(); ++other) {
     cut(i, other, on);
     cut(other, i, on);
   }
 }
 
-void fake_world::cut_table(std::size_t i, bool on) {
+void fake_cluster::cut_table(std::size_t i, bool on) {
   if (on) {
     table_cuts_.insert(i);
   } else {
@@ -86,7 +86,7 @@
   }
 }
 
-void fake_world::cut_target(std::size_t i, const vm_id& vm, bool on) {
+void fake_cluster::cut_target(std::size_t i, const vm_id& vm, bool on) {
   if (on) {
     target_cuts_.insert({i, vm});
   } else {
@@ -94,7 +94,7 @@
   }
 }
 
-void fake_world::cut_targets(std::size_t i, bool on) {
+void fake_cluster::cut_targets(std::size_t i, bool on) {
   for (const vm_id& vm : vms()) {
     cut_target(i, vm, on);
   }
@@ -102,7 +102,7 @@
 
 // ---- views and invariants ----
 
-std::vector<vm_id> fake_world::vms() const {
+std::vector<vm_id> fake_cluster::vms() const {
   std::vector<vm_id> result;
   for (const auto& [vm, e] : engines_) {
     result.push_back(vm);
@@ -110,7 +110,7 @@
   return result;
 }
 
-std::vector<replica_route> fake_world::usable_routes(std::size_t i) const {
+std::vector<replica_route> fake_cluster::usable_routes(std::size_t i) const {
   std::vector<replica_route> result;
   const fake_node& n = nodes_.at(i);
   if (!n.up || n.paused) {
@@ -124,7 +124,7 @@
   return result;
 }
 
-bool fake_world::routed_anywhere(const replica_id& id) const {
+bool fake_cluster::routed_anywhere(const replica_id& id) const {
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     const auto routes = usable_routes(i);
     const auto same = [&](const replica_route& r) { return r.id == id; };
@@ -135,7 +135,7 @@
   return false;
 }
 
-bool fake_world::all_serve(std::size_t replicas) const {
+bool fake_cluster::all_serve(std::size_t replicas) const {
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     if (nodes_[i].up && usable_routes(i).size() < replicas) {
       return false;
@@ -144,17 +144,17 @@
   return true;
 }
 
-assignment fake_world::row_in_table() const {
+assignment fake_cluster::row_in_table() const {
   const auto found = table.rows.find(row_key(data_centre_id{"hall-a"}));
   return found == table.rows.end() ? assignment{}
                                    : std::get<assignment>(decode_assignment(found->second.value));
 }
 
-void fake_world::violate(const std::string& text) {
+void fake_cluster::record_violation(const std::string& text) {
   violations.push_back(std::to_string(to_seconds(now_.time_since_epoch())) + " s: " + text);
 }
 
-void fake_world::check() {
+void fake_cluster::check() {
   std::map<vm_id, replica_id> owners;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
     fake_node& n = nodes_[i];
@@ -163,27 +163,29 @@
     }
     const std::uint64_t row = n.core->row().version;
     const std::uint64_t config = n.core->config() != nullptr ? n.core->config()->version : 0;
-    if (row < n.row_seen || config < n.config_seen) {
-      violate("node " + text(n.id) + " stepped down");
+    if (row < n.last_row_version || config < n.last_config_version) {
+      record_violation("node " + text(n.id) + " stepped down");
     }
-    n.row_seen = row;
-    n.config_seen = config;
+    n.last_row_version = row;
+    n.last_config_version = config;
     check_routes(i, owners);
   }
 }
 
-// A usable route must match what its members serve, or what they served a permission time ago.
-void fake_world::check_routes(std::size_t i, std::map<vm_id, replica_id>& owners) {
+// A usable route must match what its members serve, or served until permission_validity ago. No VM
+// may be in the routes of two replicas.
+void fake_cluster::check_routes(std::size_t i, std::map<vm_id, replica_id>& owners) {
   for (const replica_route& r : usable_routes(i)) {
     for (const vm_id& vm : r.members) {
       const fake_engine& e = engines_.at(vm);
       const bool matches = e.up && !e.paused && e.report.replica == r.id && e.report.gen == r.gen;
-      if (!matches && now_ > e.changed_at + permission_validity + route_slack) {
-        violate("node " + text(nodes_[i].id) + " routes to " + text(r.id) + " without " + text(vm));
+      if (!matches && now_ > e.changed_at + permission_validity + route_expiry_slack) {
+        record_violation("node " + text(nodes_[i].id) + " routes to " + text(r.id) + " without " +
+                         text(vm));
       }
       const auto [owner, first] = owners.try_emplace(vm, r.id);
       if (!first && owner->second != r.id) {
-        violate("VM " + text(vm) + " is routed to for two replicas");
+        record_violation("VM " + text(vm) + " is routed to for two replicas");
       }
     }
   }
--- a/tests/core/fake_world_io.cpp
+++ b/tests/core/fake_cluster_io.cpp
@@ -1,16 +1,16 @@
-// How the fakes answer.
+// Answers of the fake table, network and engines.
 #include <algorithm>
 #include <sstream>
 
 #include "fake_world.h"
-#include "process/row_keeper.h"
+#include "process/assignment_writer.h"
 
 namespace arbutus::testing {
 
 namespace {
 
 constexpr duration network_delay = 2ms;
-constexpr duration call_timeout = 900ms;  // of the embedding shell
+constexpr duration call_timeout = 900ms;  // of the program that embeds the coordinator
 template <class T>
 std::string text(const T& value) {
   std::ostringstream out;
@@ -22,28 +22,28 @@
 
 // ---- effects ----
 
-void fake_world::carry_out(std::size_t i, const effect& e) {
+void fake_cluster::carry_out(std::size_t i, const effect& e) {
   const auto no_answer = unknown{"timeout"};
   std::visit(
       overloaded{[&](const table_read& r) {
-                   ask_table(
+                   call_table(
                        i, [this, r] { return read(r); }, table_read_result{r, no_answer});
                  },
                  [&](const table_write& w) {
-                   ask_table(
+                   call_table(
                        i, [this, w] { return write(w); }, table_write_result{w, no_answer}, true);
                  },
                  [&](const object_get& g) {
-                   ask_table(
+                   call_table(
                        i, [this, g] { return get(g); }, object_get_result{g, no_answer});
                  },
                  [&](const object_put& p) {
-                   ask_table(
+                   call_table(
                        i, [this, p] { return put(p); }, object_put_result{p, no_answer});
                  },
                  [&](const vm_list_read&) {
-                   ask_table(
-                       i, [this]() -> input { return vm_list_result{listed}; },
+                   call_table(
+                       i, [this]() -> input { return vm_list_result{vm_list}; },
                        vm_list_result{no_answer});
                  },
                  [&](const probe& p) { do_probe(i, p); }, [&](const order& o) { do_order(i, o); },
@@ -52,9 +52,12 @@
       e);
 }
 
-void fake_world::ask_table(std::size_t i, std::function<input()> work, input lost, bool is_write) {
+void fake_cluster::call_table(std::size_t i, std::function<input()> work, input timeout_result,
+                              bool is_write) {
   const time_point deadline = now_ + call_timeout;
-  const auto give_up = [this, i, deadline, lost] { at(deadline, [=, this] { feed(i, lost); }); };
+  const auto give_up = [this, i, deadline, timeout_result] {
+    at(deadline, [=, this] { feed(i, timeout_result); });
+  };
   if (!table.up || table_cuts_.contains(i)) {
     give_up();
     return;
@@ -65,10 +68,10 @@
       return;
     }
     const input answer = work();
-    const bool swallow = is_write && table.lose_write_replies > 0;
-    table.lose_write_replies -= swallow ? 1 : 0;
+    const bool drop_reply = is_write && table.lose_write_replies > 0;
+    table.lose_write_replies -= drop_reply ? 1 : 0;
     const time_point back = now_ + table.latency / 2;
-    if (swallow || back > deadline) {
+    if (drop_reply || back > deadline) {
       give_up();
       return;
     }
@@ -76,12 +79,12 @@
   });
 }
 
-input fake_world::read(const table_read& r) const {
+input fake_cluster::read(const table_read& r) const {
   const auto found = table.rows.find(r.key);
   return table_read_result{r, found == table.rows.end() ? table_row{} : found->second};
 }
 
-input fake_world::write(const table_write& w) {
+input fake_cluster::write(const table_write& w) {
   table_row& row = table.rows[w.key];
   const bool is_row = w.key == row_key(data_centre_id{"hall-a"});
   if (row.version != w.expected) {
@@ -92,12 +95,12 @@
   table.writes_won += is_row ? 1 : 0;
   const auto written = decode_assignment(w.value);
   if (is_row && has_errors(check_invariants(std::get<assignment>(written)))) {
-    violate("the row breaks its invariants");
+    record_violation("the row breaks its invariants");
   }
   return table_write_result{w, table_written{row.version}};
 }
 
-input fake_world::get(const object_get& g) const {
+input fake_cluster::get(const object_get& g) const {
   const auto found = table.objects.find(g.name);
   if (found == table.objects.end()) {
     return object_get_result{g, refused{"no such object"}};
@@ -105,12 +108,12 @@
   return object_get_result{g, found->second};
 }
 
-input fake_world::put(const object_put& p) {
+input fake_cluster::put(const object_put& p) {
   table.objects[p.name] = p.content;
   return object_put_result{p, std::monostate{}};
 }
 
-void fake_world::do_send(std::size_t i, const peer_send& s) {
+void fake_cluster::do_send(std::size_t i, const peer_send& s) {
   for (std::size_t to = 0; to < nodes_.size(); ++to) {
     const bool lost = cuts_.contains({i, to}) || random_.unit() < drop;
     if (nodes_[to].id == s.to && !lost) {
@@ -120,9 +123,9 @@
   }
 }
 
-void fake_world::do_probe(std::size_t i, const probe& p) {
+void fake_cluster::do_probe(std::size_t i, const probe& p) {
   const time_point sent_at = now_;
-  ask_engine(
+  call_engine(
       i, p.vm,
       [p, sent_at](fake_engine& e) -> input {
         return probe_result{p.vm, sent_at, e.report};
@@ -130,8 +133,8 @@
       probe_result{p.vm, sent_at, unknown{"timeout"}});
 }
 
-void fake_world::do_order(std::size_t i, const order& o) {
-  // A connection is set up first; the node is asked again directly before the bytes go.
+void fake_cluster::do_order(std::size_t i, const order& o) {
+  // The connection is set up first; directly before the bytes are sent, may_send() is checked.
   const auto incarnation = nodes_[i].incarnation;
   const auto send = [=, this] {
     fake_node& n = nodes_[i];
@@ -142,28 +145,30 @@
       feed(i, order_result{o, refused{"out of date"}});
       return;
     }
-    ask_engine(
+    call_engine(
         i, o.vm,
         [this, o](fake_engine& e) -> input {
-          return order_result{o, obey(e, o)};
+          return order_result{o, apply_order(e, o)};
         },
         order_result{o, unknown{"timeout"}});
   };
   at(now_ + connect_time, [=, this] {
     fake_node& n = nodes_[i];
     if (n.paused && n.incarnation == incarnation) {
-      n.waiting.insert(n.waiting.begin(), send);  // goes on where it stood
+      n.waiting.insert(n.waiting.begin(), send);  // continues where it was paused
     } else {
       send();
     }
   });
 }
 
-void fake_world::ask_engine(std::size_t i, const vm_id& vm, std::function<input(fake_engine&)> work,
-                            input lost) {
+void fake_cluster::call_engine(std::size_t i, const vm_id& vm,
+                               std::function<input(fake_engine&)> work, input timeout_result) {
   const time_point deadline = now_ + call_timeout;
   fake_engine& e = engines_.at(vm);
-  const auto give_up = [this, i, deadline, lost] { at(deadline, [=, this] { feed(i, lost); }); };
+  const auto give_up = [this, i, deadline, timeout_result] {
+    at(deadline, [=, this] { feed(i, timeout_result); });
+  };
   if (!e.up || target_cuts_.contains({i, vm})) {
     give_up();
     return;
@@ -175,7 +180,7 @@
       give_up();
       return;
     }
-    refresh(target);
+    finish_loading(target);
     const input answer = work(target);
     const time_point back = now_ + network_delay;
     if (back > deadline) {
@@ -187,7 +192,7 @@
   at(now_ + network_delay, [=, this] {
     fake_engine& target = engines_.at(vm);
     if (target.paused) {
-      target.waiting.push_back(arrive);  // in its socket buffer
+      target.waiting.push_back(arrive);  // waits in the target's socket buffer
     } else {
       arrive();
     }
@@ -196,13 +201,13 @@
 
 // ---- engines ----
 
-void fake_world::refresh(fake_engine& e) {
+void fake_cluster::finish_loading(fake_engine& e) {
   if (e.report.state == engine_state::loading && now_ >= e.ready_at) {
     e.report.state = engine_state::ready;
   }
 }
 
-outcome<engine_report> fake_world::obey(fake_engine& e, const order& o) {
+outcome<engine_report> fake_cluster::apply_order(fake_engine& e, const order& o) {
   engine_report& r = e.report;
   if (o.expected_incarnation != 0 && o.expected_incarnation != r.incarnation) {
     return refused{"another process"};
@@ -213,7 +218,7 @@
   if (e.record.checks_tokens && (stale || (o.kind == order_kind::form && other_members))) {
     return refused{"old token"};
   }
-  overtaken_orders += o.target.gen < r.gen ? 1 : 0;
+  stale_orders_obeyed += o.target.gen < r.gen ? 1 : 0;
   const bool loaded = r.state == engine_state::loading || r.state == engine_state::ready;
   if (o.kind == order_kind::drain) {
     r.state = same && loaded ? engine_state::draining : r.state;
@@ -223,7 +228,7 @@
     return r;
   }
   if (r.running > 0 && r.state == engine_state::draining) {
-    violate("VM " + text(r.vm) + " is stopped while it runs requests");
+    record_violation("VM " + text(r.vm) + " is stopped while it runs requests");
   }
   r.gen = o.target.gen;
   e.changed_at = now_;
--- a/tests/core/import_test.cpp
+++ b/tests/core/import_test.cpp
@@ -79,10 +79,10 @@
     const auto directory = std::filesystem::path(ARBUTUS_SOURCE_DIR) / "examples" / name;
     const import_result result = import_directory(directory);
     EXPECT_TRUE(result.problems.empty()) << name << '\n' << text_of(result.problems);
-    const auto decoded = decode_content(encode_content(result.assets, result.wanted), 1);
+    const auto decoded = decode_content(encode_content(result.assets, result.desired), 1);
     ASSERT_TRUE(is_ok(decoded)) << name;
     EXPECT_TRUE(std::get<configuration>(decoded).assets == result.assets) << name;
-    EXPECT_TRUE(std::get<configuration>(decoded).wanted == result.wanted) << name;
+    EXPECT_TRUE(std::get<configuration>(decoded).desired == result.desired) << name;
   }
 }
 
@@ -101,18 +101,18 @@
   EXPECT_EQ(result.assets.nodes[5].caller, (endpoint{"127.0.0.1", 21405}));
   EXPECT_EQ(result.assets.data_centres[1].region, "sk-west");
   EXPECT_EQ(result.assets.services[2].service, service_id{"crew-api"});
-  const rules& wanted = result.wanted;
-  EXPECT_EQ(wanted.preference.group_downtime, 4.0);
-  EXPECT_EQ(wanted.spare_vms_per_data_centre, 3U);
-  EXPECT_EQ(wanted.vm_failures_per_day, 1.2);
-  EXPECT_EQ(wanted.models.at(0).vms_per_replica, 3U);
-  EXPECT_EQ(wanted.models[0].adapters.at(1), adapter_id{"address-notes"});
-  EXPECT_EQ(wanted.models[0].placements.at(2).replicas, 5U);
-  EXPECT_EQ(wanted.services.at(0).idempotent_calls.at(1).path_prefix, "/crew/pings");
-  EXPECT_EQ(wanted.find_class("flood")->deadline, 15s);
-  EXPECT_EQ(wanted.workspaces.size(), 10U);
-  ASSERT_NE(authenticate(wanted, "example-crew-tablets"), nullptr);
-  EXPECT_EQ(authenticate(wanted, "example-crew-tablets")->id, workspace_id{"crew-tablets"});
+  const rules& desired = result.desired;
+  EXPECT_EQ(desired.preference.group_downtime, 4.0);
+  EXPECT_EQ(desired.spare_vms_per_data_centre, 3U);
+  EXPECT_EQ(desired.vm_failures_per_day, 1.2);
+  EXPECT_EQ(desired.models.at(0).vms_per_replica, 3U);
+  EXPECT_EQ(desired.models[0].adapters.at(1), adapter_id{"address-notes"});
+  EXPECT_EQ(desired.models[0].placements.at(2).replicas, 5U);
+  EXPECT_EQ(desired.services.at(0).idempotent_calls.at(1).path_prefix, "/crew/pings");
+  EXPECT_EQ(desired.find_class("flood")->deadline, 15s);
+  EXPECT_EQ(desired.workspaces.size(), 10U);
+  ASSERT_NE(authenticate(desired, "example-crew-tablets"), nullptr);
+  EXPECT_EQ(authenticate(desired, "example-crew-tablets")->id, workspace_id{"crew-tablets"});
 }
 
 TEST(import, unknown_columns_are_left_alone_but_misspelt_ones_are_not) {
--- a/tests/core/planner_cost_test.cpp
+++ b/tests/core/planner_cost_test.cpp
@@ -42,7 +42,7 @@
   }
   const auto replicas = static_cast<std::uint32_t>(domains * (32 / vms_per_replica));
   w.add_model("llm", vms_per_replica, replicas);
-  w.config.wanted.vm_failures_per_day = 2;
+  w.config.desired.vm_failures_per_day = 2;
   w.settle();
   EXPECT_EQ(w.serving(), replicas);
   cost c{};
--- a/tests/core/planner_optimum_test.cpp
+++ b/tests/core/planner_optimum_test.cpp
@@ -22,14 +22,14 @@
 std::size_t best(std::vector<std::size_t> domains,
                  std::vector<std::pair<std::size_t, int>> models) {
   std::size_t most = 0;
-  for (auto& [size, wanted] : models) {
+  for (auto& [size, desired] : models) {
     for (std::size_t& room : domains) {
-      if (wanted > 0 && room >= size) {
-        --wanted;
+      if (desired > 0 && room >= size) {
+        --desired;
         room -= size;
         most = std::max(most, 1 + best(domains, models));
         room += size;
-        ++wanted;
+        ++desired;
       }
     }
   }
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -24,9 +24,9 @@
     rule.may_cross_fabric_domains = random.below(3) == 0;
     w.demand.push_back({rule.id, 0.0});
   }
-  w.config.wanted.spare_vms_per_data_centre = static_cast<std::uint32_t>(random.below(3));
-  w.config.wanted.standbys_per_replica = static_cast<std::uint32_t>(random.below(2));
-  w.config.wanted.vm_failures_per_day = 1;
+  w.config.desired.spare_vms_per_data_centre = static_cast<std::uint32_t>(random.below(3));
+  w.config.desired.standbys_per_replica = static_cast<std::uint32_t>(random.below(2));
+  w.config.desired.vm_failures_per_day = 1;
   return w;
 }
 
@@ -51,7 +51,7 @@
 void change_something(planner_world& w, rng& random) {
   auto vm = std::next(w.conditions.begin(),
                       static_cast<std::ptrdiff_t>(random.below(w.conditions.size())));
-  model_rule& rule = w.config.wanted.models[random.below(w.config.wanted.models.size())];
+  model_rule& rule = w.config.desired.models[random.below(w.config.desired.models.size())];
   switch (random.below(9)) {
     case 0:
     case 1:
--- a/tests/core/planner_repair_test.cpp
+++ b/tests/core/planner_repair_test.cpp
@@ -70,7 +70,7 @@
 
 TEST(planner_repair, own_standby_goes_first) {
   planner_world w = small_world();
-  w.config.wanted.standbys_per_replica = 1;
+  w.config.desired.standbys_per_replica = 1;
   w.settle();
   const replica_plan before = w.row.replicas[0];
   ASSERT_EQ(before.standbys.size(), 1U) << w.text();
@@ -83,7 +83,7 @@
 // Cause: the planner lays it down anew, with a token that its members do not obey yet.
 TEST(planner_repair, activation_is_entered_without_disturbing_it) {
   planner_world w = small_world();
-  w.config.wanted.standbys_per_replica = 1;
+  w.config.desired.standbys_per_replica = 1;
   w.settle();
   const replica_plan before = w.row.replicas[1];
   w.set(before.members[0], vm_condition::lost);
@@ -119,21 +119,21 @@
   planner_world w;
   w.add_domain(8);
   w.add_model("llm", 3, 2);
-  w.config.wanted.standbys_per_replica = 1;
+  w.config.desired.standbys_per_replica = 1;
   w.settle();
-  const vm_id wanted = w.row.replicas[1].standbys[0];
+  const vm_id desired = w.row.replicas[1].standbys[0];
   w.set(w.row.replicas[0].members[0], vm_condition::lost);
   w.set(w.row.replicas[0].standbys[0], vm_condition::lost);
   w.acknowledge = false;
   w.settle();
   ASSERT_EQ(w.row.withdrawals.size(), 1U) << w.text();
-  EXPECT_EQ(w.row.withdrawals[0].vm, wanted);
+  EXPECT_EQ(w.row.withdrawals[0].vm, desired);
   EXPECT_EQ(w.row.withdrawals[0].since, w.row.version);
   EXPECT_EQ(w.serving(), 1U);
   w.acknowledge = true;
   w.settle();
   EXPECT_EQ(w.serving(), 2U) << w.text();
-  EXPECT_EQ(w.row.replicas[0].members[0], wanted);
+  EXPECT_EQ(w.row.replicas[0].members[0], desired);
 }
 
 TEST(planner_repair, broken_replicas_are_made_into_fewer_whole_ones) {
@@ -177,7 +177,7 @@
   w.set(lost, vm_condition::lost);
   w.settle();
   EXPECT_EQ(w.serving(), 2U) << w.text();
-  w.config.wanted.models[0].may_cross_fabric_domains = true;
+  w.config.desired.models[0].may_cross_fabric_domains = true;
   w.settle();
   EXPECT_EQ(w.serving(), 3U) << w.text();
   EXPECT_EQ(std::ranges::count(w.row.replicas, true, &replica_plan::crosses_fabric_domains), 1);
@@ -209,7 +209,7 @@
   w.add_domain(9);
   w.add_model("llm", 3, 3);
   w.settle();
-  w.config.wanted.models[0].version = "v2";
+  w.config.desired.models[0].version = "v2";
   std::size_t fewest = 3;
   while (w.step()) {
     fewest = std::min(fewest, w.serving());
@@ -218,7 +218,7 @@
   EXPECT_EQ(fewest, 2U);
   EXPECT_EQ(std::ranges::count(w.row.replicas, "v2", &replica_plan::model_version), 3) << w.text();
 
-  w.config.wanted.models[0].version = "v3";
+  w.config.desired.models[0].version = "v3";
   planner_input in = w.input();
   in.serving.pop_back();  // one still loads
   EXPECT_FALSE(make_plan(in).changed);
@@ -229,7 +229,7 @@
   w.add_domain(6);
   w.add_model("llm", 3, 1);
   w.settle();
-  w.config.wanted.models[0].version = "v2";
+  w.config.desired.models[0].version = "v2";
   while (w.step()) {
     EXPECT_GE(w.serving(), 1U);
   }
@@ -246,7 +246,7 @@
   w.add_model("llm", 3, 1);
   w.settle();
   const replica_id old = w.row.replicas[0].id;
-  w.config.wanted.models[0].version = "v2";
+  w.config.desired.models[0].version = "v2";
   ASSERT_TRUE(w.step());
   ASSERT_EQ(w.row.replicas.size(), 2U);
   planner_input in = w.input();
@@ -260,7 +260,7 @@
 
 TEST(planner_roll, unwanted_replica_drains_and_is_removed_when_empty) {
   planner_world w = small_world();
-  w.config.wanted.models[0].placements[0].replicas = 1;
+  w.config.desired.models[0].placements[0].replicas = 1;
   w.finish_drains = false;
   w.settle();
   EXPECT_EQ(w.row.replicas.size(), 2U);
--- a/tests/core/planner_standby_test.cpp
+++ b/tests/core/planner_standby_test.cpp
@@ -50,7 +50,7 @@
   planner_world w;
   w.add_domain(6 + idle);
   w.add_model("llm", 3, 2);
-  w.config.wanted.vm_failures_per_day = 1;
+  w.config.desired.vm_failures_per_day = 1;
   w.settle();
   return w;
 }
@@ -66,8 +66,8 @@
   planner_world w;
   w.add_domain(8);
   w.add_model("llm", 3, 2);
-  w.config.wanted.vm_failures_per_day = 1;
-  w.config.wanted.spare_vms_per_data_centre = 2;
+  w.config.desired.vm_failures_per_day = 1;
+  w.config.desired.spare_vms_per_data_centre = 2;
   w.settle();
   for (const replica_plan& r : w.row.replicas) {
     EXPECT_TRUE(r.standbys.empty()) << w.text();
@@ -79,7 +79,7 @@
   w.add_domain(3);
   w.add_domain(5);
   w.add_model("llm", 3, 2);
-  w.config.wanted.standbys_per_replica = 1;
+  w.config.desired.standbys_per_replica = 1;
   w.settle();
   for (const replica_plan& r : w.row.replicas) {
     for (const vm_id& vm : r.standbys) {
@@ -91,7 +91,7 @@
 
 TEST(standbys, lost_one_is_replaced_and_surplus_taken_back) {
   planner_world w = world_with_idle_vms(3);
-  w.config.wanted.standbys_per_replica = 1;
+  w.config.desired.standbys_per_replica = 1;
   w.settle();
   const vm_id lost = w.row.replicas[0].standbys[0];
   const generation gen = w.row.replicas[0].gen;
@@ -106,7 +106,7 @@
   planner_world w;
   w.add_domain(60);
   w.add_model("llm", 30, 1);
-  w.config.wanted.standbys_per_replica = 8;
+  w.config.desired.standbys_per_replica = 8;
   w.settle();
   EXPECT_EQ(w.row.replicas[0].standbys.size(), 2U);
 }
--- a/tests/core/planner_world.h
+++ b/tests/core/planner_world.h
@@ -53,8 +53,8 @@
     m.vms_per_replica = vms;
     m.rank = rank;
     m.placements = {{row.data_centre, replicas}};
-    config.wanted.models.push_back(m);
-    return config.wanted.models.back();
+    config.desired.models.push_back(m);
+    return config.desired.models.back();
   }
 
   void set(const vm_id& vm, vm_condition c) { conditions[vm] = c; }
--- a/tests/core/replica_choice_test.cpp
+++ b/tests/core/replica_choice_test.cpp
@@ -34,7 +34,7 @@
   return r;
 }
 
-choice_request wanted(double prompt = 1000) {
+choice_request desired(double prompt = 1000) {
   choice_request r;
   r.home = data_centre_id{"a"};
   r.size = {prompt, 200};
@@ -63,10 +63,10 @@
 TEST(ReplicaChoice, PrefersHomeUnlessAwayIsClearlySooner) {
   load_table loads;
   const std::vector<serving_replica> two = {replica("away", "b"), replica("home", "a")};
-  auto choice = choose_replica(engine(), model, two, loads, wanted());
+  auto choice = choose_replica(engine(), model, two, loads, desired());
   EXPECT_EQ(std::get<chosen_replica>(choice).index, 1U);
   loads.sent(target_id{"home"}, {3000, 100});
-  choice = choose_replica(engine(), model, two, loads, wanted());
+  choice = choose_replica(engine(), model, two, loads, desired());
   EXPECT_EQ(std::get<chosen_replica>(choice).index, 0U);
 }
 
@@ -74,7 +74,7 @@
   load_table loads;
   const std::vector<serving_replica> two = {replica("x"), replica("y")};
   const std::vector<target_id> x = {target_id{"x"}};
-  choice_request request = wanted();
+  choice_request request = desired();
   request.avoided = x;
   auto choice = choose_replica(engine(), model, two, loads, request);
   EXPECT_EQ(std::get<chosen_replica>(choice).index, 1U);
@@ -92,7 +92,7 @@
   for (int i = 0; i < 28; ++i) {
     loads.sent(target_id{"x"}, {1000, 200});
   }
-  const auto choice = choose_replica(engine(), model, one, loads, wanted());
+  const auto choice = choose_replica(engine(), model, one, loads, desired());
   ASSERT_TRUE(std::holds_alternative<no_replica>(choice));
   EXPECT_GE(std::get<no_replica>(choice).retry_after, 100ms);
   EXPECT_LE(std::get<no_replica>(choice).retry_after, 2s);
@@ -109,7 +109,7 @@
   rng random(3);
   for (int i = 0; i < 200; ++i) {
     const double prompt = 200 + 2000 * random.unit();
-    const auto choice = choose_replica(engine(), model, ten, loads, wanted(prompt));
+    const auto choice = choose_replica(engine(), model, ten, loads, desired(prompt));
     const auto& chosen = std::get<chosen_replica>(choice);
     loads.sent(ten[chosen.index].head, {prompt, 200});
     loads.first_event(ten[chosen.index].head, {prompt, 200});
@@ -134,7 +134,7 @@
   for (int node = 0; node < 70; ++node) {
     load_table loads;
     loads.heard(node_id{"hub"}, data_centre_id{"a"}, time_point{1s}, told);
-    choice_request request = wanted();
+    choice_request request = desired();
     request.draw = random.unit();
     ++sends[std::get<chosen_replica>(choose_replica(engine(), model, six, loads, request)).index];
   }
@@ -148,7 +148,7 @@
   load_table loads;
   const std::vector<serving_replica> two = {replica("x"), replica("y")};
   loads.sent(target_id{"x"}, {1000, 200});
-  choice_request request = wanted();
+  choice_request request = desired();
   request.draw = 0.99;
   const auto choice = choose_replica(engine(), model, two, loads, request);
   EXPECT_EQ(std::get<chosen_replica>(choice).index, 1U);
@@ -162,7 +162,7 @@
   std::vector<serving_replica> two = {replica("across"), replica("busy")};
   two[0].crosses_domains = true;
   loads.sent(target_id{"busy"}, {6000, 200});
-  choice_request request = wanted();
+  choice_request request = desired();
   request.size = {200, 540};
   auto choice = choose_replica(engine(), model, two, loads, request);
   EXPECT_EQ(std::get<chosen_replica>(choice).index, 1U);
@@ -178,7 +178,7 @@
   const std::vector<serving_replica> two = {replica("home", "a"), replica("away", "b")};
   loads.heard(node_id{"p"}, data_centre_id{"a"}, time_point{1s},
               {{target_id{"home"}, {24, 0}}, {target_id{"away"}, {12, 0}}});
-  const auto choice = choose_replica(engine(), model, two, loads, wanted());
+  const auto choice = choose_replica(engine(), model, two, loads, desired());
   EXPECT_EQ(std::get<chosen_replica>(choice).index, 1U);
 }
 
--- a/tests/core/settings_test.cpp
+++ b/tests/core/settings_test.cpp
@@ -1,4 +1,4 @@
-// Node settings: defaults, every key, and mistakes with their places.
+// Tests of node settings: defaults, every key, and errors with their positions in the file.
 #include "process/settings.h"
 
 #include <gmock/gmock.h>
@@ -13,7 +13,7 @@
 
 using testing::HasSubstr;
 
-const std::string least = R"([node]
+const std::string minimal_settings = R"([node]
 id = "n1"
 data_centre = "hall-a"
 [listen]
@@ -33,9 +33,9 @@
   return out.str();
 }
 
-TEST(settings, the_least_settings_load_with_defaults) {
-  const settings_result result = load_settings(least, "n.toml");
-  EXPECT_EQ(problems_of(least), "");
+TEST(settings, minimal_settings_load_with_defaults) {
+  const settings_result result = load_settings(minimal_settings, "n.toml");
+  EXPECT_EQ(problems_of(minimal_settings), "");
   EXPECT_EQ(result.settings.id, node_id{"n1"});
   EXPECT_EQ(result.settings.data_centre, data_centre_id{"hall-a"});
   EXPECT_EQ(result.settings.listen.links, (endpoint{"127.0.0.1", 21300}));
@@ -44,8 +44,8 @@
   EXPECT_FALSE(result.settings.timing.balancer_lag.has_value());
 }
 
-TEST(settings, every_key_arrives) {
-  const settings_result result = load_settings(least + R"(
+TEST(settings, every_key_is_read) {
+  const settings_result result = load_settings(minimal_settings + R"(
 [[peer]]
 id = "n2"
 data_centre = "hall-b"
@@ -117,31 +117,31 @@
 
 TEST(settings, peers_and_endpoints_must_differ) {
   const std::string peer = "[[peer]]\nid = \"n2\"\ndata_centre = \"hall-b\"\n";
-  const std::string found =
-      problems_of(least + peer + "link = \"127.0.0.1:21400\"\ncaller = \"127.0.0.1:1\"\n" + peer +
-                  "link = \"127.0.0.1:2\"\ncaller = \"127.0.0.1:3\"\n[[peer]]\nid = \"n1\"\n" +
-                  "data_centre = \"a\"\nlink = \"127.0.0.1:4\"\ncaller = \"127.0.0.1:5\"\n");
+  const std::string found = problems_of(
+      minimal_settings + peer + "link = \"127.0.0.1:21400\"\ncaller = \"127.0.0.1:1\"\n" + peer +
+      "link = \"127.0.0.1:2\"\ncaller = \"127.0.0.1:3\"\n[[peer]]\nid = \"n1\"\n" +
+      "data_centre = \"a\"\nlink = \"127.0.0.1:4\"\ncaller = \"127.0.0.1:5\"\n");
   EXPECT_THAT(found, HasSubstr("n.toml:14:8: error: endpoint 127.0.0.1:21400 is taken at line 5"));
   EXPECT_THAT(found, HasSubstr("id: \"n2\" is listed already"));
   EXPECT_THAT(found, HasSubstr("id: \"n1\" is this node itself"));
 }
 
-// A key hash that no key can have would silently close the operators' paths.
+// A value that is not the hash of any key would lock operators out without an error.
 TEST(settings, the_operators_key_is_a_hash) {
   const std::string hash(64, 'a');
-  EXPECT_EQ(load_settings(least + "[operators]\nkey_hash = \"" + hash + "\"\n", "n.toml")
+  EXPECT_EQ(load_settings(minimal_settings + "[operators]\nkey_hash = \"" + hash + "\"\n", "n.toml")
                 .settings.operator_key_hash,
             hash);
-  EXPECT_THAT(problems_of(least + "[operators]\nkey_hash = \"secret\"\n"),
+  EXPECT_THAT(problems_of(minimal_settings + "[operators]\nkey_hash = \"secret\"\n"),
               HasSubstr("n.toml:12:12: error: [operators] key_hash"));
 }
 
-// Timing that all nodes of a data centre have to share must not be settable for one of them.
-TEST(settings, shared_timing_is_no_setting) {
-  EXPECT_THAT(problems_of(least + "[timing]\nprobe_ms = 500\n"), HasSubstr("probe_ms"));
+// Timing that all nodes of a data centre must share cannot be set for one of them.
+TEST(settings, shared_timing_is_not_a_setting) {
+  EXPECT_THAT(problems_of(minimal_settings + "[timing]\nprobe_ms = 500\n"), HasSubstr("probe_ms"));
 }
 
-TEST(settings, hostile_text_is_a_finding) {
+TEST(settings, invalid_text_yields_findings) {
   EXPECT_THAT(problems_of(""), HasSubstr("the settings are empty"));
   EXPECT_THAT(problems_of("[node"), HasSubstr("n.toml:1:"));
   EXPECT_THAT(problems_of(std::string("\0\xff", 2)), HasSubstr("n.toml:1:"));
@@ -151,7 +151,7 @@
 
 TEST(settings, windows_line_ends_are_read) {
   std::string text;
-  for (const char c : least) {
+  for (const char c : minimal_settings) {
     text += c == '\n' ? "\r\n" : std::string(1, c);
   }
   EXPECT_EQ(problems_of(text), "");
@@ -173,7 +173,7 @@
 }
 
 TEST(settings, differences_from_the_inventory_are_findings) {
-  const node_settings settings = load_settings(least, "n.toml").settings;
+  const node_settings settings = load_settings(minimal_settings, "n.toml").settings;
   inventory assets;
   EXPECT_THAT(compare_settings(settings, assets, "n.toml").at(0).message,
               HasSubstr("\"n1\" is not in the inventory"));
--- a/tests/shell/connection_fixture.h
+++ b/tests/shell/connection_fixture.h
@@ -53,8 +53,8 @@
     return changed_.wait_for(lock, std::chrono::seconds(10), [&] { return holds(value_); });
   }
 
-  [[nodiscard]] bool wait_for(const T& wanted) {
-    return wait([&](const T& value) { return value == wanted; });
+  [[nodiscard]] bool wait_for(const T& desired) {
+    return wait([&](const T& value) { return value == desired; });
   }
 
  private:
--- a/tests/shell/limit_exchange_test.cpp
+++ b/tests/shell/limit_exchange_test.cpp
@@ -24,7 +24,7 @@
   workspace.id = workspace_id{"desk"};
   workspace.requests_per_second = requests_per_second;
   workspace.burst = requests_per_second;
-  config.wanted.workspaces = {workspace};
+  config.desired.workspaces = {workspace};
   auto exchange = std::make_unique<limit_exchange>(start, self);
   exchange->configure(start, config);
   return exchange;
