--- a/src/process/crash_exchange.h
+++ b/src/process/crash_exchange.h
@@ -1,8 +1,8 @@
-// Which rows of the crash ledger a node tells which peer: those that changed since what the peer
-// said it has, and no more often than once in a while as long as the peer does not answer.
+// Selects which rows of the poison tracker a node sends to each peer: those that changed since the
+// position that the peer has acknowledged. Unacknowledged rows are resent after a timeout.
 //
-// Rows go from node to hub, between hubs, and from a hub to its nodes; whoever takes a row and
-// learns by it passes it on. So each change crosses a link once or twice, and nothing is sent while
+// Rows go from node to hub, between hubs, and from a hub to its nodes. A node that learns something
+// from a row forwards it. So each change crosses a link once or twice, and nothing is sent while
 // nothing changes.
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace arbutus {
 
-// Position in the ledger of one life of a node.
+// Position in the tracker of one incarnation of a node.
 struct crash_position {
   std::string life;
   std::uint64_t at = 0;
@@ -24,36 +24,37 @@
 };
 
 struct crash_news {
-  std::uint64_t at = 0;           // of the sender's ledger, with these rows
+  std::uint64_t at = 0;           // position of the sender's tracker that these rows reach
   std::vector<std::string> rows;  // encoded
 };
 
 class crash_exchange {
  public:
-  explicit crash_exchange(std::string life) : life_(std::move(life)) {}
+  explicit crash_exchange(std::string life) : incarnation_(std::move(life)) {}
 
-  // What to tell `peer` now; no rows: nothing new.
+  // The rows to send to `peer` now; empty if nothing changed.
   [[nodiscard]] crash_news news_for(time_point now, const node_id& peer,
                                     const crash_ledger& ledger);
-  // The peer has said how far it is.
+  // `peer` reported the position of this node's tracker that it has received.
   void acknowledged(const node_id& peer, const crash_position& at);
-  // The peer told up to this position, to be acknowledged.
-  void heard(const node_id& peer, const crash_position& at) { peers_[peer].heard = at; }
+  // `peer` sent its rows up to this position; reported back to it as received.
+  void heard(const node_id& peer, const crash_position& at) { peers_[peer].received = at; }
   [[nodiscard]] crash_position heard_from(const node_id& peer) const;
 
-  // An answer comes with the peer's next beat; then the rows were lost, or the peer is away.
+  // The acknowledgement comes with the peer's next heartbeat. If it is missing for so long, the
+  // rows were lost or the peer is unreachable.
   static constexpr duration tell_again_after = 1s;
-  // 64 rows are some 6 KB: a beat stays small beside the loads that it carries.
-  static constexpr std::size_t most_rows = 64;
+  // 64 rows are about 6 KB, which is small compared with the loads that a heartbeat carries.
+  static constexpr std::size_t max_rows = 64;
 
  private:
   struct peer_state {
     std::uint64_t acknowledged = 0;
-    std::uint64_t told = 0;
-    time_point told_at{};
-    crash_position heard;
+    std::uint64_t sent = 0;
+    time_point sent_at{};
+    crash_position received;
   };
-  std::string life_;
+  std::string incarnation_;
   std::map<node_id, peer_state> peers_;
 };
 
--- a/src/process/crash_ledger.cpp
+++ b/src/process/crash_ledger.cpp
@@ -1,5 +1,4 @@
-// Evidence on requests that end their targets: kept, told and forgotten. crash_verdict.cpp weighs
-// it.
+// Stores, exchanges and expires strikes against requests. crash_verdict.cpp evaluates them.
 #include "process/crash_ledger.h"
 
 #include <algorithm>
@@ -8,10 +7,11 @@
 
 namespace {
 
-// Goes wrong with the name of the life alone: a target that is back within a second is known by its
-// earlier name until the list tells, so that its ends, one after the other, look like one. Runs of
-// one life overlap; one that was sent after another had broken off met a later life. Ages that are
-// told lose parts of a millisecond, and the time that they were on their way.
+// Whether the entry has a strike for the same crash already. The target_id alone does not tell: a
+// target that restarts within a second keeps its old id here until the list is updated, so its
+// successive crashes would look like one. Runs in one incarnation overlap in time; a run that was
+// sent after another one broke off reached a later incarnation. The slack covers ages in messages,
+// which are truncated to milliseconds and do not include the time in transit.
 bool knows_end(const crash_entry& entry, const crash_mark& mark) {
   constexpr duration slack = 50ms;
   return std::any_of(entry.marks.begin(), entry.marks.end(), [&](const crash_mark& m) {
@@ -20,7 +20,7 @@
   });
 }
 
-// The newest that is known of it.
+// Time of the newest event that is recorded in the entry.
 time_point newest_of(const crash_entry& entry) {
   time_point newest = entry.marks.empty() ? time_point{} : entry.marks.back().ended_at;
   newest = std::max(newest, entry.acquitted_at.value_or(time_point{}));
@@ -43,30 +43,32 @@
   return found != explained_.end() && found->second != print;
 }
 
-// Those with the fewest marks give way first, the oldest among equals. Goes wrong otherwise: a
-// caller who sends thousands of different requests frees the one that ends the engines.
+// Evicts the entry with the fewest strikes, the oldest among equals. Entries with several strikes
+// are never evicted: otherwise a caller who sends thousands of different requests would push out
+// the one that crashes the engines.
 bool crash_ledger::make_room(const request_print& print) {
   const auto count = of_workspace_.find(print.workspace);
   const bool own_full =
       count != of_workspace_.end() && count->second >= settings_.most_of_workspace;
-  if (!own_full && entries_.size() < settings_.most_entries) {
+  if (!own_full && entries_.size() < settings_.max_entries) {
     return true;
   }
-  auto least = entries_.end();
+  auto weakest = entries_.end();
   const auto weight = [](const crash_entry& e) {
     return std::pair(e.convicted_at ? std::size_t{1} << 32U : e.marks.size(), e.changed);
   };
   for (auto i = entries_.begin(); i != entries_.end(); ++i) {
-    const bool may_go = !own_full || i->first.workspace == print.workspace;
-    if (may_go && (least == entries_.end() || weight(i->second) < weight(least->second))) {
-      least = i;
+    const bool may_evict = !own_full || i->first.workspace == print.workspace;
+    if (may_evict && (weakest == entries_.end() || weight(i->second) < weight(weakest->second))) {
+      weakest = i;
     }
   }
-  if (least == entries_.end() || least->second.marks.size() > 1 || least->second.convicted_at) {
+  if (weakest == entries_.end() || weakest->second.marks.size() > 1 ||
+      weakest->second.convicted_at) {
     return false;
   }
-  --of_workspace_[least->first.workspace];
-  entries_.erase(least);
+  --of_workspace_[weakest->first.workspace];
+  entries_.erase(weakest);
   return true;
 }
 
@@ -76,7 +78,7 @@
     return &found->second;
   }
   if (!make_room(print)) {
-    ++turned_away_;
+    ++rejected_strikes_;
     return nullptr;
   }
   ++of_workspace_[print.workspace];
@@ -101,16 +103,16 @@
 }
 
 bool crash_ledger::mark(const request_print& print, const crash_mark& mark) {
-  const well_run& well = well_[print.hash % well_slots];
-  if (well.print == print && well.at != time_point{} &&
-      mark.ended_at <= well.at + settings_.cleared_for) {
+  const well_run& cleared = well_[print.hash % well_slots];
+  if (cleared.print == print && cleared.at != time_point{} &&
+      mark.ended_at <= cleared.at + settings_.cleared_for) {
     return false;
   }
   crash_entry* entry = entry_for(print);
   return entry != nullptr && add_mark(print, *entry, mark);
 }
 
-void crash_ledger::clear(crash_entry& entry, time_point acquitted_at) {
+void crash_ledger::clear_entry(crash_entry& entry, time_point acquitted_at) {
   const time_point covered = acquitted_at + settings_.cleared_for;
   entry.acquitted_at = acquitted_at;
   std::erase_if(entry.marks, [&](const crash_mark& m) {
@@ -135,7 +137,7 @@
   crash_entry& entry = found->second;
   const bool suspected = !entry.marks.empty() || entry.convicted_at;
   if (suspected) {
-    clear(entry, now);
+    clear_entry(entry, now);
   }
   return suspected;
 }
@@ -145,7 +147,7 @@
   if (found == entries_.end()) {
     return false;
   }
-  clear(found->second, now - settings_.cleared_for);
+  clear_entry(found->second, now - settings_.cleared_for);
   return true;
 }
 
@@ -160,7 +162,7 @@
   if (found == entries_.end() || !found->second.convicted_at) {
     return std::nullopt;
   }
-  return std::max<duration>(newest_of(found->second) + settings_.convicted_for - now, 0ms);
+  return std::max<duration>(newest_of(found->second) + settings_.quarantine_duration - now, 0ms);
 }
 
 std::size_t crash_ledger::convicted() const {
@@ -169,22 +171,23 @@
                     [](const auto& entry) { return entry.second.convicted_at.has_value(); }));
 }
 
-// The row of a verdict that lapses is still in the store, and peers may still hold it.
-void crash_ledger::lapse(time_point now) {
+// Expired quarantines are cleared, not erased: the store still has their rows, and peers may still
+// hold them.
+void crash_ledger::expire_quarantines(time_point now) {
   for (auto& [print, entry] : entries_) {
-    if (entry.convicted_at && now - newest_of(entry) > settings_.convicted_for) {
-      clear(entry, now - settings_.cleared_for);
+    if (entry.convicted_at && now - newest_of(entry) > settings_.quarantine_duration) {
+      clear_entry(entry, now - settings_.cleared_for);
     }
   }
 }
 
-void crash_ledger::forget_old(time_point now) {
+void crash_ledger::remove_expired(time_point now) {
   constexpr duration interval = 1s;
   if (now - forgot_at_ < interval) {
     return;
   }
   forgot_at_ = now;
-  lapse(now);
+  expire_quarantines(now);
   std::erase_if(entries_, [&](const entry_map::value_type& known) {
     const auto& [print, entry] = known;
     if (entry.convicted_at || now - newest_of(entry) <= settings_.suspected_for) {
@@ -198,10 +201,11 @@
   });
   std::erase_if(of_workspace_, [](const auto& entry) { return entry.second == 0; });
   std::erase_if(sent_to_,
-                [&](const auto& entry) { return now - entry.second > settings_.looked_back; });
+                [&](const auto& entry) { return now - entry.second > settings_.lookback_window; });
 }
 
-// Its ends are explained by it: they say nothing of what else ran there.
+// The crashes of its targets now have a known cause, so they no longer count as strikes against the
+// other requests that ran there.
 void crash_ledger::convict(const request_print& print, crash_entry& entry, time_point at) {
   entry.convicted_at = at;
   entry.stored = false;
@@ -222,21 +226,21 @@
   if (entry == nullptr) {
     return false;
   }
-  const well_run& well = well_[row.print.hash % well_slots];
+  const well_run& cleared = well_[row.print.hash % well_slots];
   std::optional<time_point> acquitted_at;
   if (row.acquitted_ago) {
     acquitted_at = now - *row.acquitted_ago;
   }
-  const bool well_here = well.print == row.print && well.at != time_point{};
-  if (well_here && (!acquitted_at || *acquitted_at < well.at)) {
-    acquitted_at = well.at;
+  const bool cleared_here = cleared.print == row.print && cleared.at != time_point{};
+  if (cleared_here && (!acquitted_at || *acquitted_at < cleared.at)) {
+    acquitted_at = cleared.at;
   }
-  // A told age is a little short, by the time that the beat was on its way.
-  constexpr duration same = 50ms;
+  // An age in a message is slightly short: it does not include the time in transit.
+  constexpr duration tolerance = 50ms;
   const bool newer =
-      acquitted_at && (!entry->acquitted_at || *acquitted_at > *entry->acquitted_at + same);
+      acquitted_at && (!entry->acquitted_at || *acquitted_at > *entry->acquitted_at + tolerance);
   if (newer) {
-    clear(*entry, *acquitted_at);
+    clear_entry(*entry, *acquitted_at);
   }
   for (const crash_row::mark& m : row.marks) {
     add_mark(row.print, *entry, {m.target, now - m.sent_ago, now - m.ended_ago});
@@ -274,7 +278,7 @@
 }
 
 std::vector<crash_row> crash_ledger::changed_since(time_point now, std::uint64_t& after,
-                                                   std::size_t most) const {
+                                                   std::size_t max_rows) const {
   std::vector<const entry_map::value_type*> changed;
   for (const entry_map::value_type& known : entries_) {
     if (known.second.changed > after) {
@@ -283,15 +287,15 @@
   }
   std::sort(changed.begin(), changed.end(),
             [](const auto* a, const auto* b) { return a->second.changed < b->second.changed; });
-  if (changed.size() > most) {
-    changed.resize(most);
+  if (changed.size() > max_rows) {
+    changed.resize(max_rows);
   }
   std::vector<crash_row> rows;
   for (const entry_map::value_type* known : changed) {
     rows.push_back(to_row(now, *known));
     after = known->second.changed;
   }
-  if (rows.size() < most) {
+  if (rows.size() < max_rows) {
     after = position_;
   }
   return rows;
--- a/src/process/crash_ledger.h
+++ b/src/process/crash_ledger.h
@@ -1,26 +1,26 @@
-// Which requests end the targets that run them (poison requests, or queries of death), by what all
-// nodes saw: a value in virtual time.
+// Detects requests that crash the targets that run them (poison requests, or queries of death) from
+// the observations of all nodes. A value type in virtual time.
 //
-// Goes wrong without it: a request whose run ends its engine is sent to the next one, comes again
-// at any node under a new id, and ends engine after engine; each takes along all that it runs, and
-// its replica falls as a whole. One would see engines that end alone, one after the other, and the
-// same print among the attempts that broke off at each of them.
+// Without this, a request that crashes its engine is retried on the next one, is sent again by its
+// caller to any node under a new id, and crashes engine after engine. Each crash cuts off all other
+// requests of the engine and its whole replica. The symptom: engines that end one by one, with the
+// same fingerprint among the attempts that broke off at each of them.
 //
-// A target that ends takes proper requests along, too, so that one end says little. Weighed are:
-// - A mark: a run of the request had hardly begun when the life of its target ended. One for each
-//   target. What ran on for a while has shown that it does no harm.
-// - Marks count as events only if each run was sent after the target before it had ended: a signal
-//   to many processes, or a rack that fails, is one event however often the request ran there.
-// - A run that ends well acquits the request on every node, of what was before and for a minute:
-//   a poison request never ends well.
-// - Several targets that end at the same moment under different requests are no evidence.
-// - A verdict needs `least_events` in which no other suspect has as many marks. A proper request
-//   that was sent along with the culprit does not share all of its ends.
-// - And it must be improbable by chance: on evenings when targets end anyway, some request is lost
-//   several times in a row. How often they end anyway is told by the ends that no suspect explains.
+// A crash also cuts off harmless requests, so a single one proves little. The rules are:
+// - A strike is recorded when a target's incarnation ends before or shortly after the first event
+//   of a run; one for each target. A run that lasted longer has shown that it is harmless.
+// - Strikes count as separate events only if each run was sent after the previous target had ended.
+//   A signal to many processes or a failing rack is one event, however many runs it cut off.
+// - A successful run clears the request on every node, for all earlier strikes and for the next
+//   minute: a poison request never succeeds.
+// - Several targets that end simultaneously with no request in common give no evidence.
+// - A quarantine needs `least_events` in which no other suspect has as many strikes. A harmless
+//   request that was sent along with a poison request does not share all of its crashes.
+// - A coincidence must be improbable: while targets fail for other reasons, some request is cut off
+//   several times in a row. The base rate is estimated from crashes that no suspect explains.
 //
-// While marks of other nodes may still be on their way, a request with enough events is held back,
-// neither sent nor refused.
+// While strikes from other nodes may still be in transit, a request with enough events is held: it
+// is neither sent nor refused.
 #pragma once
 
 #include <cstdint>
@@ -35,39 +35,41 @@
 
 namespace arbutus {
 
-// A run whose target ends has hardly begun until so long after its first event.
+// A run counts as a strike if its target ends earlier than this after the run's first event.
 inline constexpr duration hardly_begun = 150ms;
 
 struct crash_ledger_settings {
-  // A verdict needs so many. One less, and the request waits for what others know before each run.
+  // Events needed for a quarantine. A request with one less is held before each run until the
+  // strikes of other nodes have arrived.
   std::size_t least_events = 4;
-  // Suspects that were always sent together cannot be told apart. With so many events each is taken
-  // for guilty, as none of them ever ended well.
+  // Suspects that were always sent together cannot be told apart. With so many events all of them
+  // are quarantined, since none of them ever succeeded.
   std::size_t events_of_inseparable = 8;
-  // At least so many targets that end within so short a time, with no request in common, are no
-  // evidence.
+  // A mass failure: at least this many targets end within this window with no request in common.
+  // It gives no evidence.
   std::size_t targets_of_mass = 3;
   duration same_moment = 20ms;
-  // Marks of other nodes for the same ends arrive within this: a question and three beats.
-  duration settle = 700ms;
-  // Probability that a proper request is lost in so many events in a row; of some million
-  // requests none is to be taken for guilty.
+  // Strikes of other nodes for the same crashes arrive within this time: a query to the target and
+  // three heartbeats.
+  duration settle_time = 700ms;
+  // Highest accepted probability that a harmless request is cut off in so many events in a row.
+  // With some million requests, none should be quarantined by coincidence.
   double accepted_chance = 1e-8;
-  // How far back before a suspect's first mark ends count as those that happen anyway.
-  duration looked_back = 3s;
-  duration cleared_for = 60s;      // after a run that ended well
-  duration suspected_for = 300s;   // after the newest mark
-  duration convicted_for = 3600s;  // after the newest mark
-  std::size_t most_entries = 1024;
-  // One workspace cannot push out what is known of another's requests.
+  // Unrelated crashes count towards the base rate from so long before a suspect's first strike.
+  duration lookback_window = 3s;
+  duration cleared_for = 60s;            // after a successful run
+  duration suspected_for = 300s;         // after the newest strike
+  duration quarantine_duration = 3600s;  // after the newest strike
+  std::size_t max_entries = 1024;
+  // Keeps one workspace from evicting the entries of others.
   std::size_t most_of_workspace = 128;
   std::size_t most_marks = 16;  // of one request
 };
 
 struct crash_mark {
   target_id target;
-  time_point sent_at;   // the run
-  time_point ended_at;  // the target's life, as the node saw that sent the run
+  time_point sent_at;   // when the run was sent
+  time_point ended_at;  // when the target ended, as observed by the node that sent the run
 };
 
 [[nodiscard]] inline bool ended_before(const crash_mark& a, const crash_mark& b) {
@@ -75,15 +77,17 @@
 }
 
 struct crash_entry {
-  std::vector<crash_mark> marks;           // at most one for an end, in their order
-  std::optional<time_point> acquitted_at;  // marks are newer than this by cleared_for
+  std::vector<crash_mark> marks;           // at most one for a crash, ordered by ended_at
+  std::optional<time_point> acquitted_at;  // strikes are newer than this plus cleared_for
   std::optional<time_point> convicted_at;
-  // The platform's store has a row of the verdict: with none in force, one to be removed.
+  // The platform's store has a row of this quarantine. If the request is no longer quarantined, the
+  // row has to be removed.
   bool stored = false;
   std::uint64_t changed = 0;  // position of the newest change
 };
 
-// What a node tells others of one request. Times are told as ages: clocks of nodes differ.
+// What a node sends to peers about one request. Times are sent as ages, since the clocks of nodes
+// differ.
 struct crash_row {
   request_print print;
   struct mark {
@@ -99,77 +103,80 @@
 
 struct crash_verdict {
   request_print print;
-  std::vector<target_id> targets;  // that it ended
-  std::size_t events = 0;          // that count
-  double chance = 0;               // probability of so many for a proper request
+  std::vector<target_id> targets;  // that ended under the request
+  std::size_t events = 0;          // number of separate events
+  double chance = 0;               // that a harmless request is cut off in so many events
 };
 
 class crash_ledger {
  public:
   explicit crash_ledger(const crash_ledger_settings& settings = {}) : settings_(settings) {}
 
-  // A request of this node's went out to a target.
+  // This node sent a request to `target`.
   void run_sent(time_point now, const target_id& target);
-  // A run of this node's had its first event after this time.
+  // A run that this node sent had its first event after `waited`.
   void run_began(duration waited);
-  // The life of a target ended when a run of this request, sent by this node, had hardly begun
-  // there. False: known already, explained by a request that is convicted, or there is no room.
+  // Records that a target ended before or shortly after the first event of a run that this node
+  // sent. False if the strike is known already, the crash is attributed to a quarantined request,
+  // the request was cleared, or there is no room.
   bool mark(const request_print& print, const crash_mark& mark);
-  // A run ended well, or brought events for long. True: the request was suspected.
+  // A run succeeded, or delivered events for a long time. True if the request was a suspect.
   bool acquit(time_point now, const request_print& print);
-  // An operator lifts the verdict; what is seen from now on counts. True: there was a suspicion.
+  // An operator releases the request; strikes from now on count again. True if there was an entry.
   bool lift(time_point now, const request_print& print);
 
   [[nodiscard]] bool is_convicted(const request_print& print) const;
-  // Until when the request must wait, as the evidence against it may be incomplete; empty: now is
-  // fine.
+  // Until when the request is held, since strikes of other nodes may still arrive; empty if it may
+  // be sent now.
   [[nodiscard]] std::optional<time_point> held_until(time_point now,
                                                      const request_print& print) const;
-  // Until the verdict lapses if nothing new is seen; empty: there is none.
+  // Time until the quarantine expires if no new strike comes; empty if there is no quarantine.
   [[nodiscard]] std::optional<duration> convicted_for(time_point now,
                                                       const request_print& print) const;
-  // Forgets what is old, and convicts whom the evidence is against. The new verdicts.
+  // Removes expired entries and quarantines requests with sufficient strikes. Returns the new
+  // quarantines.
   std::vector<crash_verdict> judge(time_point now);
 
-  // Evidence of a peer, or a verdict from the platform's store. True: it was convicted by that.
+  // Merges strikes from a peer, or a quarantine from the platform's store. True if the request
+  // became quarantined by it.
   bool take(time_point now, const crash_row& row);
-  // Changes behind `after`, oldest first, at most `most` of them; `after` is moved behind the last.
+  // Rows that changed after position `after`, oldest first; `after` is moved to the last one.
   [[nodiscard]] std::vector<crash_row> changed_since(time_point now, std::uint64_t& after,
-                                                     std::size_t most) const;
+                                                     std::size_t max_rows) const;
   [[nodiscard]] std::uint64_t position() const { return position_; }
 
-  // What the platform's store lacks, and what it has of verdicts that hold no longer.
+  // Quarantines that the platform's store lacks, and rows whose quarantine is no longer in force.
   struct store_changes {
     std::vector<request_print> to_write;
     std::vector<request_print> to_remove;
   };
   [[nodiscard]] store_changes for_store() const;
   void set_stored(const request_print& print, bool stored);
-  // As a row to be stored; empty: it is not convicted.
+  // The row to store for a request; empty if it is not quarantined.
   [[nodiscard]] std::optional<crash_row> row_of(time_point now, const request_print& print) const;
 
   [[nodiscard]] const std::map<request_print, crash_entry>& all() const { return entries_; }
   [[nodiscard]] std::size_t convicted() const;
-  // Marks for which there was no room.
-  [[nodiscard]] std::uint64_t turned_away() const { return turned_away_; }
+  // Strikes and rows that were dropped for lack of room.
+  [[nodiscard]] std::uint64_t turned_away() const { return rejected_strikes_; }
 
  private:
   using entry_map = std::map<request_print, crash_entry>;
-  // Suspects by the targets that ended under them.
+  // Suspects by the targets that ended while running them.
   using suspects_by_target = std::map<target_id, std::vector<const entry_map::value_type*>>;
 
   crash_entry* entry_for(const request_print& print);
   bool make_room(const request_print& print);
   void touch(crash_entry& entry) { entry.changed = ++position_; }
   bool add_mark(const request_print& print, crash_entry& entry, const crash_mark& mark);
-  // Drops the marks that an acquittal at this time covers, and a verdict that rests on them.
-  void clear(crash_entry& entry, time_point acquitted_at);
+  // Drops the strikes that a successful run at this time covers, and a quarantine based on them.
+  void clear_entry(crash_entry& entry, time_point acquitted_at);
   void convict(const request_print& print, crash_entry& entry, time_point at);
-  void lapse(time_point now);
-  void forget_old(time_point now);
+  void expire_quarantines(time_point now);
+  void remove_expired(time_point now);
   [[nodiscard]] static crash_row to_row(time_point now, const entry_map::value_type& known);
   [[nodiscard]] bool is_explained(const request_print& print, const target_id& target) const;
-  [[nodiscard]] suspects_by_target index(time_point settled) const;
+  [[nodiscard]] suspects_by_target index_by_target(time_point settled) const;
   [[nodiscard]] std::set<target_id> mass_ends(const suspects_by_target& ended) const;
   [[nodiscard]] bool is_explained_by_others(const suspects_by_target& ended,
                                             const target_id& target) const;
@@ -178,12 +185,12 @@
                                        time_point to) const;
   [[nodiscard]] double chance_of(const entry_map::value_type& suspect, std::size_t events,
                                  const suspects_by_target& ended) const;
-  [[nodiscard]] std::optional<crash_verdict> judge_one(const entry_map::value_type& suspect,
-                                                       const suspects_by_target& ended,
-                                                       const std::set<target_id>& mass) const;
+  [[nodiscard]] std::optional<crash_verdict> judge_one(
+      const entry_map::value_type& suspect, const suspects_by_target& ended,
+      const std::set<target_id>& mass_failed) const;
 
-  // Requests that lately ended well here, by a part of their hash: a mark of another node may come
-  // later than the run that acquits the request.
+  // Requests that recently succeeded here, indexed by part of their hash. A strike from another
+  // node may arrive after the run that cleared the request.
   static constexpr std::size_t well_slots = 4096;
   struct well_run {
     request_print print;
@@ -193,11 +200,11 @@
   crash_ledger_settings settings_;
   entry_map entries_;
   std::map<workspace_id, std::size_t> of_workspace_;
-  std::map<target_id, request_print> explained_;  // ended targets of convicted requests
+  std::map<target_id, request_print> explained_;  // ended targets, and the quarantined cause
   std::uint64_t position_ = 0;
-  std::uint64_t turned_away_ = 0;
-  std::map<target_id, time_point> sent_to_;  // targets that this node sends to, and when last
-  double waits_s_ = 0.5;                     // until a first event, on average lately
+  std::uint64_t rejected_strikes_ = 0;
+  std::map<target_id, time_point> sent_to_;  // when this node last sent to each target
+  double waits_s_ = 0.5;                     // moving average of the time to the first event
   time_point forgot_at_{};
   std::vector<well_run> well_ = std::vector<well_run>(well_slots);
 };
--- a/src/process/crash_wire.cpp
+++ b/src/process/crash_wire.cpp
@@ -1,4 +1,4 @@
-// Rows of the crash ledger as MessagePack.
+// Encodes and decodes rows of the poison tracker as MessagePack.
 #include "process/crash_wire.h"
 
 #include <algorithm>
@@ -13,10 +13,10 @@
 using nlohmann::json;
 
 constexpr std::size_t row_depth = 4;
-constexpr std::size_t longest_name = 256;
+constexpr std::size_t max_name_bytes = 256;
 constexpr std::size_t most_told_marks = 64;
-constexpr std::int64_t never = -1;
-// Longer than anything is remembered.
+constexpr std::int64_t absent = -1;
+// Longer than any entry is retained.
 constexpr std::int64_t longest_ago_ms = 24LL * 3600 * 1000;
 
 std::int64_t to_ms(duration d) {
@@ -29,27 +29,27 @@
 }
 
 std::optional<duration> optional_ago_of(const json& from) {
-  return from.get<std::int64_t>() == never ? std::nullopt : std::optional(ago_of(from));
+  return from.get<std::int64_t>() == absent ? std::nullopt : std::optional(ago_of(from));
 }
 
-std::string name_of(const json& from) {
+std::string decode_name(const json& from) {
   auto name = from.get<std::string>();
-  if (name.size() > longest_name) {
+  if (name.size() > max_name_bytes) {
     throw json::other_error::create(501, "a name is too long", &from);
   }
   return name;
 }
 
-crash_row row_of(const json& from) {
+crash_row decode_row(const json& from) {
   crash_row row;
-  row.print = {workspace_id{name_of(from.at(0))}, from.at(1).get<std::uint64_t>()};
+  row.print = {workspace_id{decode_name(from.at(0))}, from.at(1).get<std::uint64_t>()};
   row.acquitted_ago = optional_ago_of(from.at(2));
   row.convicted_ago = optional_ago_of(from.at(3));
   row.stored = from.at(4).get<bool>();
   const json& marks = from.at(5);
   for (std::size_t i = 0; i < std::min(marks.size(), most_told_marks); ++i) {
     const json& m = marks.at(i);
-    row.marks.push_back({target_id{name_of(m.at(0))}, ago_of(m.at(1)), ago_of(m.at(2))});
+    row.marks.push_back({target_id{decode_name(m.at(0))}, ago_of(m.at(1)), ago_of(m.at(2))});
   }
   return row;
 }
@@ -63,8 +63,8 @@
   }
   const json document = {row.print.workspace.str(),
                          row.print.hash,
-                         row.acquitted_ago ? to_ms(*row.acquitted_ago) : never,
-                         row.convicted_ago ? to_ms(*row.convicted_ago) : never,
+                         row.acquitted_ago ? to_ms(*row.acquitted_ago) : absent,
+                         row.convicted_ago ? to_ms(*row.convicted_ago) : absent,
                          row.stored,
                          std::move(marks)};
   std::string bytes;
@@ -77,7 +77,7 @@
     return std::nullopt;
   }
   try {
-    return row_of(json::from_msgpack(bytes));
+    return decode_row(json::from_msgpack(bytes));
   } catch (const json::exception&) {
     return std::nullopt;
   }
--- a/src/process/crash_wire.h
+++ b/src/process/crash_wire.h
@@ -1,4 +1,4 @@
-// Rows of the crash ledger as MessagePack: within beats, and as values in the platform's store.
+// Rows of the poison tracker as MessagePack: in heartbeats, and as values in the platform's store.
 #pragma once
 
 #include <optional>
@@ -10,7 +10,7 @@
 namespace arbutus {
 
 [[nodiscard]] std::string encode(const crash_row& row);
-// Empty when the bytes are damaged, or name what no node would.
+// Empty if the bytes are malformed or hold a name that is too long.
 [[nodiscard]] std::optional<crash_row> decode_crash_row(std::string_view bytes);
 
 }  // namespace arbutus
--- a/src/process/engine_wire.cpp
+++ b/src/process/engine_wire.cpp
@@ -1,4 +1,5 @@
-// Reports and orders as JSON. Keys are short since every target is probed about once a second.
+// Encodes reports and orders as JSON. Keys are short, since every target is probed about once a
+// second.
 #include "process/engine_wire.h"
 
 #include <nlohmann/json.hpp>
@@ -11,10 +12,10 @@
 
 using json = nlohmann::json;
 
-// Runs a decoder that may throw on missing or mistyped fields; a bad answer must never take the
-// process down, and is refused with its reason.
+// Runs a decoder that may throw on missing or mistyped fields. A malformed message is refused with
+// the reason instead of ending the process.
 template <class T, class Decode>
-outcome<T> guarded(std::string_view text, Decode decode) {
+outcome<T> decode_guarded(std::string_view text, Decode decode) {
   try {
     return decode(json::parse(text));
   } catch (const std::exception& e) {
@@ -30,8 +31,8 @@
   return *parsed;
 }
 
-// The library's own conversion takes any number: -20.5 or 2^40 into 32 bits would be undefined or
-// silently cut, and a load of 0 that is none draws requests to a broken target.
+// The library's conversion accepts any number: converting -20.5 or 2^40 to 32 bits is undefined or
+// truncates. A load that is wrongly read as 0 would attract requests to a broken target.
 template <class T>
 T decode_whole(const json& j) {
   if (!j.is_number_integer()) {
@@ -70,7 +71,7 @@
 }
 
 outcome<engine_report> decode_report(std::string_view text) {
-  return guarded<engine_report>(text, [](const json& j) {
+  return decode_guarded<engine_report>(text, [](const json& j) {
     engine_report r;
     r.vm = vm_id{j.at("vm").get<std::string>()};
     r.incarnation = decode_whole<std::uint64_t>(j.at("inc"));
@@ -106,7 +107,7 @@
 }
 
 outcome<order> decode_order(std::string_view text) {
-  return guarded<order>(text, [](const json& j) {
+  return decode_guarded<order>(text, [](const json& j) {
     order o;
     o.kind = decode_enum(j.at("kind"), order_kind::drain);
     o.vm = vm_id{j.at("vm").get<std::string>()};
--- a/src/process/engine_wire.h
+++ b/src/process/engine_wire.h
@@ -1,4 +1,4 @@
-// How reports and orders look on the wire between a node and a target VM (JSON over HTTP).
+// Wire format of reports and orders between a node and a target VM (JSON over HTTP).
 #pragma once
 
 #include <string>
--- a/src/process/list_budget.h
+++ b/src/process/list_budget.h
@@ -1,8 +1,8 @@
-// Which nodes a hub passes whole lists on to, in one round of beats.
+// Limits how many full lists a hub sends to its nodes in one round of heartbeats.
 //
-// Goes wrong without a bound: all nodes start at once and are behind their hub, which passes its
-// list to all of them in every beat until they say that they have it. Its link is full for as long
-// as that lasts; one would see leaving targets that are still used after four seconds.
+// Without a limit, all nodes that start together are behind their hub, and it sends its full list
+// to each of them in every heartbeat until they acknowledge it. This saturates the hub's link, and
+// nodes still use leaving targets after four seconds.
 #pragma once
 
 #include <algorithm>
@@ -13,14 +13,14 @@
 
 class list_budget {
  public:
-  // `link_mbps`: the node's own link; 0: not known.
+  // `link_mbps`: bandwidth of the node's own link; 0 if unknown.
   explicit list_budget(std::uint32_t link_mbps)
       : most_bytes_(std::max(least_bytes, link_mbps * bytes_per_mbps)) {}
 
   void begin_round() { passed_on_ = 0; }
 
-  // Whether a list of so many bytes goes out in this round: as many as fit, one at least. The
-  // others come in the next rounds, or ask the store from where they are.
+  // Whether a list of this size may be sent in this round. At least one list is sent per round. The
+  // other nodes get theirs in later rounds, or read the changes from the store.
   [[nodiscard]] bool take(std::size_t bytes) {
     if (passed_on_ > 0 && passed_on_ + bytes > most_bytes_) {
       return false;
@@ -29,12 +29,12 @@
     return true;
   }
 
-  // Of one round.
+  // Budget of one round.
   [[nodiscard]] std::size_t most_bytes() const { return most_bytes_; }
 
-  // 100 ms of a link, which leaves half of it between two rounds.
+  // 100 ms of the link's bandwidth, which is half of the time between two rounds.
   static constexpr std::size_t bytes_per_mbps = 12'500;
-  // As on a link of 20 Mbit/s.
+  // The budget of a 20 Mbit/s link.
   static constexpr std::size_t least_bytes = 20 * bytes_per_mbps;
 
  private:
--- a/src/process/msgpack_bounds.cpp
+++ b/src/process/msgpack_bounds.cpp
@@ -13,21 +13,21 @@
   explicit depth_check(std::string_view bytes) : bytes_(bytes) {}
 
   bool bounded(std::size_t depth) {
-    std::vector<std::uint64_t> left{1};  // values still to come, per open container
-    while (!left.empty()) {
-      if (left.back() == 0) {
-        left.pop_back();
+    std::vector<std::uint64_t> pending{1};  // values still to come, per open container
+    while (!pending.empty()) {
+      if (pending.back() == 0) {
+        pending.pop_back();
         continue;
       }
-      --left.back();
+      --pending.back();
       if (position_ >= bytes_.size()) {
         return false;
       }
       const std::uint64_t inner = next();
       if (inner > 0) {
-        left.push_back(inner);
+        pending.push_back(inner);
       }
-      if (left.size() > depth) {
+      if (pending.size() > depth) {
         return false;
       }
     }
@@ -35,7 +35,7 @@
   }
 
  private:
-  // Skips one value's head and body; the number of values inside, if it is a container.
+  // Skips one value's head and body. Returns the number of nested values of a container, else 0.
   std::uint64_t next() {
     const auto head = static_cast<std::uint8_t>(bytes_[position_++]);
     if (head <= 0x7f || head >= 0xe0) {
@@ -87,7 +87,7 @@
       case 0xdf:
         return 2 * number(4);
       default:
-        return 0;  // nil, booleans; extensions are refused by the reader
+        return 0;  // nil and booleans; the reader rejects extensions
     }
   }
 
--- a/src/process/replica_name.cpp
+++ b/src/process/replica_name.cpp
@@ -1,4 +1,5 @@
-// "s.MODEL.HEAD" of a spare, "r.MODEL.ORIGIN.DIGEST.HEAD" of a replica that may be opened.
+// Formats: "s.MODEL.HEAD" for a spare, "r.MODEL.ORIGIN.DIGEST.HEAD" for a replica that may be
+// opened.
 #include "process/replica_name.h"
 
 #include "process/target_life.h"
@@ -14,7 +15,7 @@
 constexpr std::size_t digest_part = 3;
 constexpr std::size_t replica_parts = 5;
 
-// Empty when there are fewer parts.
+// Empty if the name has fewer parts.
 std::string_view part_of(std::string_view name, std::size_t index) {
   for (; index > 0; --index) {
     const auto next = name.find(separator);
--- a/src/process/replica_name.h
+++ b/src/process/replica_name.h
@@ -1,11 +1,13 @@
-// Names of replicas, which tell what a node cannot know otherwise of one that it did not form.
+// Builds and parses replica names. A name carries what a node cannot know otherwise about a replica
+// that it did not form.
 //
-// A spare holds a replica of itself alone, which is never opened. Both kinds name model and head,
-// so that a node knows what an engine loads, and whom to ask of a head it never saw. The origin
-// differs for each life of a keeper: two that choose the same head and epoch at once would else mix
-// their members under one name. The digest is of the members' lives (target_life.h): a member that
-// started again may be back under the same name and epoch, by an order of before that came late,
-// and one would see a replica that looks whole and moves nothing.
+// A spare is a replica of a single member that is never opened. Both kinds of name hold the model
+// and the head, so a node knows what an engine loads, and which target to query if it never saw the
+// head. The origin differs for each incarnation of a replica controller: otherwise two
+// controllers that choose the same head and epoch simultaneously would mix their members under one
+// name. The digest covers the members' incarnations (target_life.h): a delayed order may bring a
+// restarted member back under the same name and epoch, and the replica would look complete but make
+// no progress.
 #pragma once
 
 #include <span>
@@ -17,14 +19,15 @@
 namespace arbutus {
 
 [[nodiscard]] std::string spare_name(const model_id& model, const target_id& id);
-// The first member is the head. `origin` without dots.
+// The first member is the head. `origin` must not contain dots.
 [[nodiscard]] std::string replica_name(const model_id& model, std::string_view origin,
                                        std::span<const target_id> members);
 [[nodiscard]] model_id model_in(std::string_view name);
 [[nodiscard]] bool is_spare_name(std::string_view name);
 [[nodiscard]] target_id head_of(std::string_view name);
 
-// Whether a replica of this name was formed of these lives. A name without a digest says nothing.
+// Whether a replica of this name was formed of these incarnations. True for a name without a
+// digest.
 [[nodiscard]] bool is_of_lives(std::string_view name, std::span<const target_id> members);
 
 }  // namespace arbutus
--- a/src/process/send_grants.cpp
+++ b/src/process/send_grants.cpp
@@ -1,4 +1,4 @@
-// Drawing and counting grants.
+// Distributes and counts grants.
 #include "process/send_grants.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A hub that was paused does not make up for it.
+// A hub that was paused does not issue the grants of the missed time later.
 constexpr duration longest_round = 500ms;
 
 double demand_of(const std::map<target_id, double>& demand, const target_id& target) {
@@ -23,35 +23,35 @@
   if (r.life != life) {
     r.granted.clear();
   }
-  r.told_at = now;
+  r.reported_at = now;
   r.life = life;
   r.is_other_hub = is_other_hub;
   r.demand = std::move(demand);
 }
 
 void send_grants::received(const target_id& target, std::uint64_t count) {
-  passing_[target] += static_cast<double>(count);
+  to_forward_[target] += static_cast<double>(count);
 }
 
 void send_grants::round(time_point now, rng& random, const std::map<target_id, double>& issued) {
-  const duration since = round_at_ == time_point{} ? duration{} : now - round_at_;
+  const duration elapsed = round_at_ == time_point{} ? duration{} : now - round_at_;
   round_at_ = now;
   std::erase_if(issuing_, [&](const auto& entry) { return !issued.contains(entry.first); });
   for (const auto& [target, per_second] : issued) {
     double& stock = issuing_[target];
-    stock += std::max(per_second, least_per_second) * to_seconds(std::min(since, longest_round));
+    stock += std::max(per_second, least_per_second) * to_seconds(std::min(elapsed, longest_round));
     hand_out(now, random, target, true, stock);
   }
-  for (auto& [target, stock] : passing_) {
+  for (auto& [target, stock] : to_forward_) {
     hand_out(now, random, target, false, stock);
   }
-  passing_.clear();
+  to_forward_.clear();
 }
 
 void send_grants::hand_out(time_point now, rng& random, const target_id& target, bool to_other_hubs,
                            double& stock) {
   for (; stock >= 1; stock -= 1) {
-    receiver* to = draw(now, random, target, to_other_hubs);
+    receiver* to = pick_receiver(now, random, target, to_other_hubs);
     if (to == nullptr) {
       stock = std::min(stock, 1.0);
       return;
@@ -62,17 +62,18 @@
   }
 }
 
-send_grants::receiver* send_grants::draw(time_point now, rng& random, const target_id& target,
-                                         bool to_other_hubs) {
+send_grants::receiver* send_grants::pick_receiver(time_point now, rng& random,
+                                                  const target_id& target, bool to_other_hubs) {
   const auto weight = [&](const receiver& r) {
-    const bool may = now - r.told_at < demand_memory && (to_other_hubs || !r.is_other_hub);
-    return may ? demand_of(r.demand, target) : 0.0;
+    const bool is_eligible =
+        now - r.reported_at < demand_validity && (to_other_hubs || !r.is_other_hub);
+    return is_eligible ? demand_of(r.demand, target) : 0.0;
   };
-  double left = 0;
+  double remaining = 0;
   for (const auto& [id, r] : receivers_) {
-    left += weight(r);
+    remaining += weight(r);
   }
-  left *= random.unit();
+  remaining *= random.unit();
   receiver* last = nullptr;
   for (auto& [id, r] : receivers_) {
     const double own = weight(r);
@@ -80,8 +81,8 @@
       continue;
     }
     last = &r;
-    left -= own;
-    if (left < 0) {
+    remaining -= own;
+    if (remaining < 0) {
       break;
     }
   }
@@ -105,7 +106,7 @@
 std::map<target_id, double> send_grants::demand_here(time_point now) const {
   std::map<target_id, double> sum;
   for (const auto& [id, r] : receivers_) {
-    if (r.is_other_hub || now - r.told_at >= demand_memory) {
+    if (r.is_other_hub || now - r.reported_at >= demand_validity) {
       continue;
     }
     for (const auto& [target, demand] : r.demand) {
@@ -117,35 +118,35 @@
 
 grant_receiver::sender_life& grant_receiver::find_life(const node_id& from,
                                                        const std::string& life) {
-  std::deque<sender_life>& lives = senders_[from];
-  const auto found = std::ranges::find(lives, life, &sender_life::life);
-  if (found != lives.end()) {
+  std::deque<sender_life>& known_incarnations = senders_[from];
+  const auto found = std::ranges::find(known_incarnations, life, &sender_life::life);
+  if (found != known_incarnations.end()) {
     return *found;
   }
-  if (lives.size() == most_lives) {
-    lives.pop_front();
+  if (known_incarnations.size() == most_lives) {
+    known_incarnations.pop_front();
   }
-  return lives.emplace_back(sender_life{life, {}});
+  return known_incarnations.emplace_back(sender_life{life, {}});
 }
 
-std::map<target_id, std::uint64_t> grant_receiver::take(time_point asked, time_point now,
+std::map<target_id, std::uint64_t> grant_receiver::take(time_point valid_from, time_point now,
                                                         const node_id& from,
                                                         const std::string& life_of_sender,
                                                         const std::string& own_life,
                                                         const grant_news& news) {
-  std::map<target_id, std::uint64_t> fresh;
+  std::map<target_id, std::uint64_t> new_grants;
   if (news.receiver_life != own_life) {
-    return fresh;
+    return new_grants;
   }
   std::map<target_id, std::uint64_t>& totals = find_life(from, life_of_sender).totals;
   for (const auto& [target, total] : news.totals) {
     std::uint64_t& before = totals[target];
-    if (total > before && now - asked <= longest_way) {
-      fresh[target] = total - before;
+    if (total > before && now - valid_from <= longest_way) {
+      new_grants[target] = total - before;
     }
     before = std::max(before, total);
   }
-  return fresh;
+  return new_grants;
 }
 
 }  // namespace arbutus
--- a/src/process/send_grants.h
+++ b/src/process/send_grants.h
@@ -1,14 +1,15 @@
-// Who may send to a target that names a limit (request/send_limits).
+// Decides which nodes may send to a target that declares a rate limit (request/send_limits).
 //
-// The limit is of all nodes together, and a fixed share of it would lie where no callers are: at
-// 340 nodes and 2 requests a second a node could send once in three minutes. So the hub that keeps
-// the target's data centre issues grants at the limit's rate, one for each request, and draws for
-// each who gets it: a node of its own, or the hub of another data centre, which draws among its
-// nodes. They are drawn by how many calls could have gone there lately. Grants travel with the
-// beats, and lapse, so that no more of them are about than the limit gives in a second or two.
+// The limit applies to all nodes together. Fixed shares would go to nodes without callers: with
+// 340 nodes and 2 requests a second, a node could send once in three minutes. So the hub that
+// manages the target's data centre issues grants at the limit's rate, one for each request, and
+// picks a random receiver for each: one of its own nodes, or the hub of another data centre, which
+// picks among its nodes. Receivers are weighted by their recent demand for the target. Grants are
+// sent with the heartbeats and expire, so no more are outstanding than the limit allows in a second
+// or two.
 //
-// While two hubs take themselves for the keeper each issues; a hub that has ended issues no more.
-// Values in virtual time.
+// While two hubs both act as replica controller, both issue grants; a hub that has ended issues
+// none. Value types in virtual time.
 #pragma once
 
 #include <cstdint>
@@ -25,77 +26,82 @@
 
 namespace arbutus {
 
-// What a beat says of a target's limit.
+// What a heartbeat reports about a target's limit.
 struct limit_news {
   target_id target;
-  std::optional<double> per_second;  // none: the target has stopped naming one
-  duration age{};                    // since the target said so
-  double demand = 0;                 // calls a second for it, of the sender or of its data centre
+  std::optional<double> per_second;  // empty if the target no longer declares a limit
+  duration age{};                    // since the target's response
+  double demand = 0;  // calls a second for the target, from the sender or its whole data centre
   bool operator==(const limit_news&) const = default;
 };
 
-// All grants to one life of the receiver so far, so that one that is lost comes with the next; of
-// targets that were granted lately.
+// Totals of all grants to one incarnation of the receiver, for targets with recent grants. Totals
+// make up for lost messages.
 struct grant_news {
   std::string receiver_life;
   std::vector<std::pair<target_id, std::uint64_t>> totals;
   bool operator==(const grant_news&) const = default;
 };
 
-// Of a hub.
+// Used by a hub to issue and distribute grants.
 class send_grants {
  public:
-  // Calls a second that `peer`, a node or a hub of another data centre, could have sent to each.
+  // `demand`: calls a second that `peer` could have sent to each target. `peer` is a node of this
+  // data centre or the hub of another one.
   void set_demand(time_point now, const node_id& peer, const std::string& life, bool is_other_hub,
                   std::map<target_id, double> demand);
 
-  // One round of beats. `issued`: the targets that this hub issues for, with their limits.
+  // One round of heartbeats. `issued`: the targets that this hub issues grants for, and their
+  // limits in requests a second.
   void round(time_point now, rng& random, const std::map<target_id, double>& issued);
-  // Grants from the hub that issues, for nodes of this data centre.
+  // Grants received from the issuing hub, for the nodes of this data centre.
   void received(const target_id& target, std::uint64_t count);
 
   [[nodiscard]] grant_news news_for(time_point now, const node_id& peer) const;
-  // All nodes of this data centre together, in calls a second.
+  // Demand of all nodes of this data centre together, in calls a second.
   [[nodiscard]] std::map<target_id, double> demand_here(time_point now) const;
 
-  // A target that takes nothing is asked so often whether that still holds.
+  // A target with a limit of zero still gets requests at this rate, to notice when the limit
+  // changes.
   static constexpr double least_per_second = 0.2;
-  // Told for so long after the newest: several beats in a row may be lost.
+  // A total is repeated for so long after its newest grant: several heartbeats in a row may be
+  // lost.
   static constexpr duration told_for = 2s;
-  // A peer that has not told for so long gets none.
-  static constexpr duration demand_memory = 1500ms;
+  // A peer whose demand is older gets no grants.
+  static constexpr duration demand_validity = 1500ms;
 
  private:
   struct grant_count {
     std::uint64_t total = 0;
-    time_point granted_at{};  // the newest
+    time_point granted_at{};  // of the newest grant
   };
   struct receiver {
-    time_point told_at{};
+    time_point reported_at{};
     std::string life;
     bool is_other_hub = false;
     std::map<target_id, double> demand;
-    std::map<target_id, grant_count> granted;  // to this life; a total never goes back
+    std::map<target_id, grant_count> granted;  // to this incarnation; totals never decrease
   };
 
   void hand_out(time_point now, rng& random, const target_id& target, bool to_other_hubs,
                 double& stock);
-  [[nodiscard]] receiver* draw(time_point now, rng& random, const target_id& target,
-                               bool to_other_hubs);
+  [[nodiscard]] receiver* pick_receiver(time_point now, rng& random, const target_id& target,
+                                        bool to_other_hubs);
 
   std::map<node_id, receiver> receivers_;
-  std::map<target_id, double> issuing_;  // not handed out yet, below one
-  std::map<target_id, double> passing_;  // received, to be handed out in the next round
+  std::map<target_id, double> issuing_;     // not distributed yet, below one
+  std::map<target_id, double> to_forward_;  // received, to be distributed in the next round
   time_point round_at_{};
 };
 
-// Of a node, and of a hub towards the one that issues.
+// Used by a node, and by a hub that receives grants from the issuing hub.
 class grant_receiver {
  public:
-  // Grants that are new. `asked`: what the beat says was so after that. Those that may be old are
-  // left out: they were another second's.
-  std::map<target_id, std::uint64_t> take(time_point asked, time_point now, const node_id& from,
-                                          const std::string& life_of_sender,
+  // The grants that are new in this update. `valid_from`: the content of the heartbeat is not older
+  // than this. Grants that may be too old are dropped, since they belong to an earlier second of
+  // the limit.
+  std::map<target_id, std::uint64_t> take(time_point valid_from, time_point now,
+                                          const node_id& from, const std::string& life_of_sender,
                                           const std::string& own_life, const grant_news& news);
 
   static constexpr duration longest_way = 1s;
@@ -105,11 +111,11 @@
     std::string life;
     std::map<target_id, std::uint64_t> totals;
   };
-  // Lives have no order, and a beat of the one before may come late.
+  // Incarnations have no order, and a heartbeat of a previous one may come late.
   static constexpr std::size_t most_lives = 3;
   [[nodiscard]] sender_life& find_life(const node_id& from, const std::string& life);
 
-  std::map<node_id, std::deque<sender_life>> senders_;  // the newest life at the end
+  std::map<node_id, std::deque<sender_life>> senders_;  // newest incarnation at the end
 };
 
 }  // namespace arbutus
--- a/src/process/silence.cpp
+++ b/src/process/silence.cpp
@@ -1,4 +1,4 @@
-// Silent replicas.
+// Detects stalled replicas.
 #include "process/silence.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 void silence_monitor::forget_idle(time_point now) {
   std::erase_if(heads_, [&](const auto& entry) {
     const state& s = entry.second;
-    return s.running == 0 && s.waiting == 0 && now - s.idle_since > settings_.remembered;
+    return s.running == 0 && s.waiting == 0 && now - s.idle_since > settings_.idle_retention;
   });
 }
 
@@ -28,20 +28,20 @@
   if (s.waiting == 0) {
     const auto known = first_ratio_.find(model);
     const double ratio = known == first_ratio_.end() ? 1 : known->second;
-    constexpr double least_factor = 2;
-    s.first_by =
-        now + scaled(expected_first, std::clamp(ratio * settings_.first_factor, least_factor,
-                                                settings_.most_first_factor));
+    constexpr double min_factor = 2;
+    s.first_by = now + scaled(expected_first, std::clamp(ratio * settings_.first_factor, min_factor,
+                                                         settings_.most_first_factor));
   }
   ++s.waiting;
 }
 
 void silence_monitor::event(time_point now, const target_id& head, duration expected_gap) {
   state& s = heads_[head];
-  const duration before = scaled(s.seen, settings_.seen_decay);
-  // After a time without a running stream the gap says nothing.
+  const duration before = scaled(s.recent_gap, settings_.seen_decay);
+  // The first event after a time without running streams gives no meaningful gap.
   const bool follows = s.running > 0 && s.last_event != time_point{};
-  s.seen = follows ? std::max(before, std::min(now - s.last_event, settings_.most_seen)) : before;
+  s.recent_gap =
+      follows ? std::max(before, std::min(now - s.last_event, settings_.most_seen)) : before;
   s.last_event = now;
   s.gap = expected_gap;
   s.found_well = 0;
@@ -76,16 +76,17 @@
 
 void silence_monitor::found_well(time_point now, const target_id& head) {
   if (const auto found = heads_.find(head); found != heads_.end()) {
-    constexpr std::uint32_t most_doublings = 3;
+    constexpr std::uint32_t max_doublings = 3;
     state& s = found->second;
-    s.quiet_until = now + settings_.pause * (1U << std::min(s.found_well, most_doublings));
+    s.quiet_until =
+        now + settings_.recheck_interval * (1U << std::min(s.found_well, max_doublings));
     ++s.found_well;
   }
 }
 
 duration silence_monitor::longest_gap(const state& s) const {
-  return std::max({settings_.least, s.gap + settings_.margin,
-                   scaled(s.seen, settings_.seen_factor) + settings_.margin});
+  return std::max({settings_.min_gap, s.gap + settings_.gap_margin,
+                   scaled(s.recent_gap, settings_.seen_factor) + settings_.gap_margin});
 }
 
 std::vector<target_id> silence_monitor::silent(time_point now) const {
--- a/src/process/silence.h
+++ b/src/process/silence.h
@@ -1,8 +1,8 @@
-// Notices replicas that have gone silent.
+// Detects stalled replicas.
 //
-// An engine that loses a member of its replica goes on accepting requests and moves none of them.
-// One would see every stream of that replica stop at once, seconds before the platform's list or
-// the engine itself says so. A replica that works sends an event of each stream with every pass.
+// An engine that loses a member of its replica still accepts requests but makes no progress on any
+// of them. All streams of the replica stop simultaneously, seconds before the platform's list or
+// the engine itself reports it. A working replica sends an event of each stream with every pass.
 #pragma once
 
 #include <cstdint>
@@ -15,31 +15,33 @@
 namespace arbutus {
 
 struct silence_settings {
-  // Beyond the expected gap: a late packet, the node's own scheduling and the engine's rounding.
-  duration margin = 100ms;
-  // No gap is taken for silence before this.
-  duration least = 180ms;
-  // A stream without its first event is late for its caller by now, whatever is done; waiting costs
-  // no more, and a question that is not needed costs its price. Four of five were of this kind.
+  // Added to the expected gap for late packets, the node's own scheduling and the engine's
+  // rounding.
+  duration gap_margin = 100ms;
+  // Shorter gaps are never reported as a stall.
+  duration min_gap = 180ms;
+  // A first event must be overdue by this before the replica is checked. The stream is late for its
+  // caller anyway, so waiting costs little, while an unnecessary check has a cost. Four of five
+  // checks were for missing first events.
   duration least_first = 300ms;
-  // Expected times to the first event are exceeded by as much as they were lately with this model,
-  // half as much again; at most so many times.
+  // The allowed time to the first event is the expected time, multiplied by the ratio recently seen
+  // for this model and by first_factor. The product of the two is capped at most_first_factor.
   double first_factor = 1.5;
   double most_first_factor = 8;
   double first_decay = 0.9;
-  // What was learned of a head without streams is kept so long.
-  duration remembered = 10s;
-  // After a replica was found well, it is not asked about again for so long; each time more that
-  // it is asked without an event in between doubles that, up to eight times.
-  duration pause = 400ms;
-  // A replica's passes grow with its load, which a node knows only in part. So a gap is compared
-  // with the longest lately seen as well: a replica that is full has gaps of 150 to 250 ms. Goes
-  // wrong with expected gaps alone: most questions under load are to replicas that are well.
+  // How long the state of a head without streams is kept.
+  duration idle_retention = 10s;
+  // A replica that was found healthy is not checked again for this time. Each further check without
+  // an event in between doubles the time, up to eight times.
+  duration recheck_interval = 400ms;
+  // The duration of a replica's pass grows with its load, which a node knows only in part. So a gap
+  // is also compared with the longest recent one: a full replica has gaps of 150 to 250 ms. With
+  // expected gaps alone, most checks under load would be of healthy replicas.
   double seen_factor = 1.5;
-  // The longest gap seen counts for less with each event after it: half after about 14, two thirds
-  // of a second of one stream.
+  // The longest recent gap decays with each event: to half after about 14 events, which is two
+  // thirds of a second of one stream.
   double seen_decay = 0.95;
-  // Beyond this a gap was a stall, not a pass: it must not hide the next one.
+  // A longer gap was a stall, not a pass, and must not hide the next stall.
   duration most_seen = 400ms;
 };
 
@@ -47,31 +49,31 @@
  public:
   explicit silence_monitor(const silence_settings& settings = {}) : settings_(settings) {}
 
-  // A stream of `model` was sent, and its first event is expected after `expected_first`.
+  // A stream of `model` was sent; its first event is expected after `expected_first`.
   void sent(time_point now, const target_id& head, const model_id& model, duration expected_first);
-  // An event came; `expected_gap` until the next of any stream of this head.
+  // An event came; the next one of any stream of this head is expected after `expected_gap`.
   void event(time_point now, const target_id& head, duration expected_gap);
-  // `waited` since it was sent.
+  // The first event of a stream came, `waited` after the stream was sent.
   void first_event(const target_id& head, duration waited, duration expected_first);
   void ended(time_point now, const target_id& head, bool had_first_event);
-  // The replica was asked and works.
+  // The replica was checked and works.
   void found_well(time_point now, const target_id& head);
 
-  // Heads that should have sent something by now.
+  // Heads whose next event is overdue.
   [[nodiscard]] std::vector<target_id> silent(time_point now) const;
 
  private:
   struct state {
     std::size_t waiting = 0;  // streams without a first event
-    std::size_t running = 0;  // streams with one
+    std::size_t running = 0;  // streams that had their first event
     time_point last_event{};
     duration gap{};                // expected until the next event
-    duration seen{};               // longest gap between events lately
-    std::uint32_t found_well = 0;  // times in a row, without an event in between
-    time_point first_by{};         // when a first event is overdue, if nothing came at all
+    duration recent_gap{};         // longest gap between events lately
+    std::uint32_t found_well = 0;  // checks in a row without an event in between
+    time_point first_by{};         // when a first event is overdue if no stream is running
     time_point quiet_until{};
     model_id model;
-    time_point idle_since{};  // has had no stream since
+    time_point idle_since{};  // end of the last stream
   };
 
   [[nodiscard]] duration longest_gap(const state& s) const;
@@ -79,7 +81,7 @@
 
   silence_settings settings_;
   std::map<target_id, state> heads_;
-  std::map<model_id, double> first_ratio_;  // waited / expected, its greatest lately
+  std::map<model_id, double> first_ratio_;  // recent maximum of actual / expected time
 };
 
 }  // namespace arbutus
--- a/src/process/target_life.cpp
+++ b/src/process/target_life.cpp
@@ -1,4 +1,4 @@
-// Digest of a replica's members.
+// Digest of the incarnations of a replica's members.
 #include "process/target_life.h"
 
 #include <array>
@@ -7,7 +7,7 @@
 namespace arbutus {
 
 std::string lives_digest(std::span<const target_id> members) {
-  std::uint64_t sum = 0;  // so that the order does not matter
+  std::uint64_t sum = 0;  // a sum does not depend on the order of members
   for (const target_id& member : members) {
     sum += stable_hash(member.str());
   }
--- a/src/process/target_life.h
+++ b/src/process/target_life.h
@@ -1,12 +1,13 @@
-// Names of the lives of targets.
+// Ids of the incarnations of targets.
 //
-// An engine may start again under the name it had. It then holds and knows nothing of before, and
-// its counts start anew. So a target_id names one life: the engine's name and, where the engine
-// tells it, the mark of its start. All that is kept by target_id is thereby of one life, and the
-// replica of an engine that started again lacks the member that it had.
+// An engine may restart under the same name. It then has no models loaded, no state and new
+// counters. So a target_id identifies one incarnation: the engine's name and, if the engine reports
+// it, its start stamp. All state that is keyed by target_id belongs to one incarnation, and a
+// replica loses a member that restarts.
 //
-// The mark is the time of day of the start. That clock may jump, so marks are compared for equality
-// alone; which of two lives is the newer one follows from when each was asked (fleet_view).
+// The start stamp is the wall-clock time of the start. That clock may jump, so stamps are compared
+// only for equality; which of two incarnations is newer follows from when each was queried
+// (fleet_view).
 #pragma once
 
 #include <cstdint>
@@ -21,41 +22,43 @@
 namespace arbutus {
 
 inline constexpr char life_separator = '~';
-// As long as the names of rows may be, less room for the mark.
+// The maximum length of a row name, less room for the start stamp.
 inline constexpr std::size_t longest_engine_name = 128;
 
-// Names go into heads of requests, names of replicas and log lines: printable, and none of the
-// separators of those. A record under another name was written by something else than an engine.
+// Engine names appear in request headers, replica names and log lines, so they must be printable
+// and contain none of their separators. A record under any other name was not written by an engine.
 [[nodiscard]] inline bool is_engine_name(std::string_view name) {
   if (name.empty() || name.size() > longest_engine_name) {
     return false;
   }
   for (const char c : name) {
-    const bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-                       c == '-' || c == '_';
-    if (!plain) {
+    const bool is_allowed = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
+                            (c >= '0' && c <= '9') || c == '-' || c == '_';
+    if (!is_allowed) {
       return false;
     }
   }
   return true;
 }
 
-// Without a mark: an engine that does not tell its start. All its lives are then taken for one.
-[[nodiscard]] inline target_id life_of(std::string_view engine, std::optional<std::uint64_t> born) {
+// Without `start_stamp`, as for an engine that does not report it, all incarnations of the engine
+// have the same id.
+[[nodiscard]] inline target_id life_of(std::string_view engine,
+                                       std::optional<std::uint64_t> start_stamp) {
   std::string text(engine);
-  if (born) {
-    text += life_separator + std::to_string(*born);
+  if (start_stamp) {
+    text += life_separator + std::to_string(*start_stamp);
   }
   return target_id{std::move(text)};
 }
 
-// The name of the engine, as it stands on the wire.
+// The engine's name as used on the wire.
 [[nodiscard]] inline std::string_view engine_of(const target_id& life) {
   const std::string_view text = life.str();
   return text.substr(0, text.find(life_separator));
 }
 
-// Of the members of a replica, in any order.
+// Digest of the members of a replica; their order does not matter.
 [[nodiscard]] std::string lives_digest(std::span<const target_id> members);
 
 }  // namespace arbutus
--- a/src/process/target_load.cpp
+++ b/src/process/target_load.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::uint8_t byte(double value) {
+std::uint8_t saturate_to_byte(double value) {
   return static_cast<std::uint8_t>(std::clamp(std::lround(value), 0L, 255L));
 }
 
@@ -15,12 +15,12 @@
 
 target_load quantise(const engine_report& report) {
   target_load load;
-  load.running = byte(report.running);
-  load.queued = byte(report.queued);
-  load.kv_percent = byte(std::clamp(report.kv_used, 0.0, 1.0) * 100.0);
+  load.running = saturate_to_byte(report.running);
+  load.queued = saturate_to_byte(report.queued);
+  load.kv_percent = saturate_to_byte(std::clamp(report.kv_used, 0.0, 1.0) * 100.0);
   if (report.tokens_per_second > 0) {
     const double octaves = std::clamp(std::log2(report.tokens_per_second), -3.0, 27.0);
-    load.tokens_code = byte(std::max(1.0, 8.0 * octaves + 32.0));
+    load.tokens_code = saturate_to_byte(std::max(1.0, 8.0 * octaves + 32.0));
   }
   return load;
 }
--- a/src/process/target_load.h
+++ b/src/process/target_load.h
@@ -1,4 +1,4 @@
-// The part of a report that changes all the time, small enough to be sent every second.
+// The part of a report that changes constantly, compact enough to be sent every second.
 #pragma once
 
 #include <cstdint>
@@ -7,12 +7,12 @@
 
 namespace arbutus {
 
-// Quantised to a byte each; counts saturate.
+// Each value is quantised to a byte; counts saturate.
 struct target_load {
   std::uint8_t running{};
   std::uint8_t queued{};
   std::uint8_t kv_percent{};
-  std::uint8_t tokens_code{};  // logarithmic, 8 steps to an octave
+  std::uint8_t tokens_code{};  // tokens a second: logarithmic, 8 steps per octave; 0 for none
   auto operator<=>(const target_load&) const = default;
 };
 [[nodiscard]] target_load quantise(const engine_report& report);
--- a/tests/core/crash_ledger_test.cpp
+++ b/tests/core/crash_ledger_test.cpp
@@ -1,4 +1,4 @@
-// Evidence against requests and verdicts on them, in virtual time.
+// Tests strikes against requests and quarantines, in virtual time.
 #include "process/crash_ledger.h"
 
 #include <gtest/gtest.h>
@@ -11,19 +11,19 @@
 namespace {
 
 constexpr time_point start{1000s};
-const request_print culprit{workspace_id{"desk"}, 42};
+const request_print poison{workspace_id{"desk"}, 42};
 const request_print bystander{workspace_id{"desk"}, 7};
 
 target_id target(int i) {
   return target_id{"i-" + std::to_string(i)};
 }
 
-// The run of `print` that ended target `i`, a second after the one before.
+// The strike at target `i`: one a second, each run sent after the previous target had ended.
 crash_mark mark_at(int i) {
   return {target(i), start + i * 1s, start + i * 1s + 300ms};
 }
 
-void mark_in_order(crash_ledger& ledger, const request_print& print, int from, int to) {
+void add_strikes(crash_ledger& ledger, const request_print& print, int from, int to) {
   for (int i = from; i < to; ++i) {
     ledger.run_sent(mark_at(i).sent_at, target(i));
     ledger.mark(print, mark_at(i));
@@ -32,109 +32,112 @@
 
 TEST(CrashLedger, FourEndsOneAfterTheOtherMakeAVerdict) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 3);
+  add_strikes(ledger, poison, 0, 3);
   EXPECT_TRUE(ledger.judge(start + 10s).empty());
-  mark_in_order(ledger, culprit, 3, 4);
+  add_strikes(ledger, poison, 3, 4);
   const auto verdicts = ledger.judge(start + 10s);
   ASSERT_EQ(verdicts.size(), 1U);
   EXPECT_EQ(verdicts.front().targets.size(), 4U);
-  EXPECT_TRUE(ledger.is_convicted(culprit));
-  EXPECT_GT(ledger.convicted_for(start + 10s, culprit), std::optional<duration>(3000s));
+  EXPECT_TRUE(ledger.is_convicted(poison));
+  EXPECT_GT(ledger.convicted_for(start + 10s, poison), std::optional<duration>(3000s));
 }
 
-// Guards against evidence that is counted before other nodes have told theirs.
+// Guards against a quarantine before the strikes of other nodes have arrived.
 TEST(CrashLedger, WaitsForWhatOthersKnow) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 4);
+  add_strikes(ledger, poison, 0, 4);
   const time_point last_end = mark_at(3).ended_at;
   EXPECT_TRUE(ledger.judge(last_end + 100ms).empty());
-  EXPECT_TRUE(ledger.held_until(last_end + 100ms, culprit));
-  EXPECT_FALSE(ledger.held_until(last_end + 1s, culprit));
+  EXPECT_TRUE(ledger.held_until(last_end + 100ms, poison));
+  EXPECT_FALSE(ledger.held_until(last_end + 1s, poison));
   EXPECT_EQ(ledger.judge(last_end + 1s).size(), 1U);
 }
 
-// Guards against a verdict on a request of which many run at once when a rack fails.
+// Guards against the quarantine of a request with many concurrent runs when a rack fails.
 TEST(CrashLedger, TargetsThatEndUnderRunsOfOneTimeAreOneEvent) {
   crash_ledger ledger;
   for (int i = 0; i < 8; ++i) {
-    ledger.mark(culprit, {target(i), start, start + 300ms + i * 1ms});
+    ledger.mark(poison, {target(i), start, start + 300ms + i * 1ms});
   }
   EXPECT_TRUE(ledger.judge(start + 10s).empty());
 }
 
-// Guards against ends that look like one, as the target is back before the list tells its new life.
+// Guards against several crashes being counted as one: a target may be back before the list reports
+// its new incarnation.
 TEST(CrashLedger, EndsOfATargetUnderItsEarlierNameAreSeveral) {
   crash_ledger ledger;
   ledger.run_sent(start, target(0));
   for (int i = 0; i < 4; ++i) {
     const crash_mark mark{target(0), start + i * 1s, start + i * 1s + 300ms};
-    EXPECT_TRUE(ledger.mark(culprit, mark));
-    EXPECT_FALSE(ledger.mark(culprit, {mark.target, mark.sent_at + 1ms, mark.ended_at + 1ms}));
+    EXPECT_TRUE(ledger.mark(poison, mark));
+    EXPECT_FALSE(ledger.mark(poison, {mark.target, mark.sent_at + 1ms, mark.ended_at + 1ms}));
   }
   EXPECT_EQ(ledger.judge(start + 10s).size(), 1U);
 }
 
-// Guards against a verdict on what was sent along with the culprit, twice and more.
+// Guards against the quarantine of a harmless request that was repeatedly sent along with a poison
+// request.
 TEST(CrashLedger, WhoSharesAllEndsWithAnotherIsNotTakenForIt) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 5);
-  mark_in_order(ledger, bystander, 0, 4);
+  add_strikes(ledger, poison, 0, 5);
+  add_strikes(ledger, bystander, 0, 4);
   const auto verdicts = ledger.judge(start + 10s);
   ASSERT_EQ(verdicts.size(), 1U);
-  EXPECT_EQ(verdicts.front().print, culprit);
-  // What the culprit explains is no evidence any more.
+  EXPECT_EQ(verdicts.front().print, poison);
+  // Crashes that are attributed to the poison request no longer count against the bystander.
   EXPECT_TRUE(ledger.all().at(bystander).marks.empty());
 }
 
-// Guards against a pair that is always sent together and goes on for ever.
+// Guards against two requests that are always sent together and are never quarantined.
 TEST(CrashLedger, InseparableSuspectsAreConvictedInTheEnd) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 7);
-  mark_in_order(ledger, bystander, 0, 7);
+  add_strikes(ledger, poison, 0, 7);
+  add_strikes(ledger, bystander, 0, 7);
   EXPECT_TRUE(ledger.judge(start + 20s).empty());
-  mark_in_order(ledger, culprit, 7, 8);
-  mark_in_order(ledger, bystander, 7, 8);
+  add_strikes(ledger, poison, 7, 8);
+  add_strikes(ledger, bystander, 7, 8);
   EXPECT_FALSE(ledger.judge(start + 20s).empty());
 }
 
 TEST(CrashLedger, ARunThatEndsWellAcquits) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 3);
-  EXPECT_TRUE(ledger.acquit(start + 3s, culprit));
-  EXPECT_TRUE(ledger.all().at(culprit).marks.empty());
-  // A caller whose engines are killed under what ran well a moment ago.
-  mark_in_order(ledger, culprit, 4, 40);
+  add_strikes(ledger, poison, 0, 3);
+  EXPECT_TRUE(ledger.acquit(start + 3s, poison));
+  EXPECT_TRUE(ledger.all().at(poison).marks.empty());
+  // Engines keep crashing under a request that succeeded a moment ago.
+  add_strikes(ledger, poison, 4, 40);
   EXPECT_TRUE(ledger.judge(start + 50s).empty());
-  // What runs well no longer, as after a change of the engines, is seen all the same.
-  mark_in_order(ledger, culprit, 64, 68);
+  // A request that no longer succeeds, for example after a change of the engines, is still
+  // detected.
+  add_strikes(ledger, poison, 64, 68);
   EXPECT_EQ(ledger.judge(start + 80s).size(), 1U);
 }
 
-// Guards against a verdict that holds beside proof of the opposite.
+// Guards against a quarantine that stays in force after a successful run.
 TEST(CrashLedger, ARunThatEndsWellLiftsAVerdict) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 4);
+  add_strikes(ledger, poison, 0, 4);
   ledger.judge(start + 10s);
-  EXPECT_TRUE(ledger.acquit(start + 11s, culprit));
-  EXPECT_FALSE(ledger.is_convicted(culprit));
+  EXPECT_TRUE(ledger.acquit(start + 11s, poison));
+  EXPECT_FALSE(ledger.is_convicted(poison));
 }
 
 TEST(CrashLedger, AfterAnOperatorLiftedItEvidenceCountsAnew) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 4);
+  add_strikes(ledger, poison, 0, 4);
   ledger.judge(start + 10s);
-  EXPECT_TRUE(ledger.lift(start + 10s, culprit));
-  EXPECT_FALSE(ledger.is_convicted(culprit));
-  mark_in_order(ledger, culprit, 11, 15);
+  EXPECT_TRUE(ledger.lift(start + 10s, poison));
+  EXPECT_FALSE(ledger.is_convicted(poison));
+  add_strikes(ledger, poison, 11, 15);
   EXPECT_EQ(ledger.judge(start + 20s).size(), 1U);
 }
 
-// Guards against marks of another node that arrive after the run that acquits.
+// Guards against strikes of another node that arrive after the run that cleared the request.
 TEST(CrashLedger, MarksOfBeforeAGoodRunDoNotCount) {
   crash_ledger other;
-  mark_in_order(other, culprit, 0, 4);
+  add_strikes(other, poison, 0, 4);
   crash_ledger ledger;
-  ledger.acquit(start + 5s, culprit);
+  ledger.acquit(start + 5s, poison);
   std::uint64_t after = 0;
   for (const crash_row& row : other.changed_since(start + 5s, after, 10)) {
     ledger.take(start + 5s, row);
@@ -142,10 +145,10 @@
   EXPECT_TRUE(ledger.judge(start + 20s).empty());
 }
 
-// Guards against verdicts on an evening when targets end for reasons of their own.
+// Guards against quarantines while many targets end for unrelated reasons.
 TEST(CrashLedger, ManyOtherEndsMakeAnAccidentOfIt) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 4);
+  add_strikes(ledger, poison, 0, 4);
   for (int i = 100; i < 140; ++i) {
     const time_point end = start + (i - 100) * 100ms;
     ledger.mark({workspace_id{"desk"}, static_cast<std::uint64_t>(i)}, {target(i), end - 1s, end});
@@ -155,38 +158,39 @@
 
 TEST(CrashLedger, OneWorkspaceSaysNothingOfAnothers) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 4);
+  add_strikes(ledger, poison, 0, 4);
   ledger.judge(start + 10s);
-  EXPECT_FALSE(ledger.is_convicted({workspace_id{"clerks"}, culprit.hash}));
+  EXPECT_FALSE(ledger.is_convicted({workspace_id{"clerks"}, poison.hash}));
 }
 
-// Guards against a caller who floods the ledger to free a culprit, or to push out another's.
+// Guards against a caller who floods the tracker and so evicts a poison request, its own or that of
+// another workspace.
 TEST(CrashLedger, AFloodFreesNobody) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 2);
+  add_strikes(ledger, poison, 0, 2);
   const request_print other{workspace_id{"clerks"}, 1};
-  mark_in_order(ledger, other, 0, 1);
+  add_strikes(ledger, other, 0, 1);
   for (std::uint64_t i = 0; i < 5000; ++i) {
     ledger.mark({workspace_id{"desk"}, 1000 + i}, mark_at(50));
   }
   EXPECT_LE(ledger.all().size(), 130U);
-  EXPECT_EQ(ledger.all().at(culprit).marks.size(), 2U);
+  EXPECT_EQ(ledger.all().at(poison).marks.size(), 2U);
   EXPECT_EQ(ledger.all().at(other).marks.size(), 1U);
 }
 
 TEST(CrashLedger, VerdictsLapse) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 4);
+  add_strikes(ledger, poison, 0, 4);
   ledger.judge(start + 10s);
-  ledger.set_stored(culprit, true);
+  ledger.set_stored(poison, true);
   ledger.judge(start + 3700s);
-  EXPECT_FALSE(ledger.is_convicted(culprit));
+  EXPECT_FALSE(ledger.is_convicted(poison));
   EXPECT_EQ(ledger.for_store().to_remove.size(), 1U);
 }
 
 TEST(CrashLedger, RowsPassAsBytes) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 4);
+  add_strikes(ledger, poison, 0, 4);
   ledger.judge(start + 10s);
   std::uint64_t after = 0;
   const auto rows = ledger.changed_since(start + 10s, after, 10);
@@ -196,14 +200,14 @@
   ASSERT_TRUE(read);
   crash_ledger other;
   EXPECT_TRUE(other.take(start + 10s, *read));
-  EXPECT_TRUE(other.is_convicted(culprit));
+  EXPECT_TRUE(other.is_convicted(poison));
   EXPECT_FALSE(decode_crash_row("\x96 damaged"));
 }
 
-// Guards against beats that repeat what the peer has, or that never repeat what was lost.
+// Guards against heartbeats that repeat rows the peer has, or never resend lost ones.
 TEST(CrashExchange, TellsAgainUntilAnswered) {
   crash_ledger ledger;
-  mark_in_order(ledger, culprit, 0, 1);
+  add_strikes(ledger, poison, 0, 1);
   crash_exchange exchange("life-a");
   const node_id peer{"edge-2"};
   EXPECT_EQ(exchange.news_for(start, peer, ledger).rows.size(), 1U);
@@ -211,12 +215,12 @@
   EXPECT_EQ(exchange.news_for(start + 1500ms, peer, ledger).rows.size(), 1U);
   exchange.acknowledged(peer, {"life-a", ledger.position()});
   EXPECT_TRUE(exchange.news_for(start + 4s, peer, ledger).rows.empty());
-  // The peer has started again and knows nothing.
+  // The peer has restarted and has no rows.
   exchange.acknowledged(peer, {});
   EXPECT_EQ(exchange.news_for(start + 6s, peer, ledger).rows.size(), 1U);
 }
 
-struct storm {
+struct crash_pattern {
   const char* name;
   poison_world::fault fault;
 };
@@ -231,7 +235,7 @@
   }
 }
 
-// Each `interval`, at one moment.
+// Ends a random share of all heads simultaneously, once per `interval`.
 void end_a_part(poison_world& w, duration interval, double part) {
   if (!is_every(w, interval)) {
     return;
@@ -244,26 +248,26 @@
 }
 
 void end_by_turns(poison_world& w) {
-  constexpr duration turn = 400ms;
-  if (is_every(w, turn)) {
-    w.end_head(static_cast<std::size_t>(w.now().time_since_epoch() / turn) % w.heads());
+  constexpr duration interval = 400ms;
+  if (is_every(w, interval)) {
+    w.end_head(static_cast<std::size_t>(w.now().time_since_epoch() / interval) % w.heads());
   }
 }
 
-// A caller that asks the same again each second, and loses its engine half of the time.
+// A caller sends the same request every second, and its head is often ended for other reasons.
 void end_under_one_caller(poison_world& w) {
   constexpr std::uint64_t hash = 7;
   if (is_every(w, 1s)) {
-    w.ask(w.any_node(), hash);
+    w.submit(w.any_node(), hash);
   }
   if (is_every(w, 500ms) && w.random().unit() < 0.5 && w.head_of(hash) < w.heads()) {
     w.end_head(w.head_of(hash));
   }
 }
 
-// Guards against false accusations: many ends, and no request that is guilty of any.
+// Guards against the quarantine of harmless requests when many targets end for other reasons.
 TEST(PoisonWorld, NobodyIsAccusedWhereTargetsEndByThemselves) {
-  const std::vector<storm> storms = {
+  const std::vector<crash_pattern> patterns = {
       {"one a second", [](poison_world& w) { end_by_chance(w, 1); }},
       {"two a second", [](poison_world& w) { end_by_chance(w, 2); }},
       {"a third each second", [](poison_world& w) { end_a_part(w, 1s, 0.33); }},
@@ -271,7 +275,7 @@
       {"all each six seconds", [](poison_world& w) { end_a_part(w, 6s, 1); }},
       {"by turns", end_by_turns},
       {"under one caller", end_under_one_caller}};
-  for (const storm& s : storms) {
+  for (const crash_pattern& s : patterns) {
     SCOPED_TRACE(s.name);
     poison_world w({});
     w.run(40s, s.fault);
@@ -281,14 +285,14 @@
   }
 }
 
-// Guards against culprits that are found too late: heads ended by each, under repeats at any node.
+// Guards against late detection: a poison request that is repeated at any node ends few heads.
 TEST(PoisonWorld, CulpritsEndFewHeads) {
   poison_world w({});
-  w.culprits = {42, 43};
+  w.poison_hashes = {42, 43};
   w.run(40s, [](poison_world& world) {
-    for (const std::uint64_t hash : world.culprits) {
+    for (const std::uint64_t hash : world.poison_hashes) {
       if (is_every(world, 3s)) {
-        world.ask(world.any_node(), hash, true);
+        world.submit(world.any_node(), hash, true);
       }
     }
   });
@@ -299,30 +303,30 @@
   }
 }
 
-// Guards against culprits that hide behind each other: each one's ends look like targets that end
-// anyway to the evidence against the next.
+// Guards against poison requests that hide each other: the crashes of one raise the base rate of
+// crashes by which the others are evaluated.
 TEST(PoisonWorld, ManyCulpritsAtOnceReachFewHeadsLate) {
-  constexpr std::size_t late_visits_of_bound = 3;
+  constexpr std::size_t max_late_visits = 3;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SCOPED_TRACE(seed);
     poison_world_settings settings;
     settings.seed = seed;
     poison_world w(settings);
-    w.culprits = {42, 43, 44, 45, 46, 47};
+    w.poison_hashes = {42, 43, 44, 45, 46, 47};
     w.run(70s, [](poison_world& world) {
-      for (const std::uint64_t hash : world.culprits) {
+      for (const std::uint64_t hash : world.poison_hashes) {
         if (is_every(world, 3s)) {
-          world.ask(world.any_node(), hash, true);
+          world.submit(world.any_node(), hash, true);
         }
       }
     });
     for (const auto& [hash, visits] : w.late_visits) {
-      EXPECT_LE(visits, late_visits_of_bound);
+      EXPECT_LE(visits, max_late_visits);
     }
   }
 }
 
-// Guards against false accusations where heads end faster than replicas form.
+// Guards against the quarantine of harmless requests when heads end faster than replicas form.
 TEST(PoisonWorld, NobodyIsAccusedInABurstOfEnds) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
@@ -338,33 +342,33 @@
   }
 }
 
-// Guards against a bound that holds only while nodes hear each other: each side of a cut needs its
-// own evidence, and no more.
+// Guards against a bound that holds only while all nodes are connected: each side of a partition
+// needs its own strikes, but no more than that.
 TEST(PoisonWorld, EachSideOfACutNeedsItsOwnEvidence) {
   poison_world w({});
-  w.culprits = {42};
+  w.poison_hashes = {42};
   w.cut_off = {0};
-  const auto visit_everywhere = [](poison_world& world) {
+  const auto submit_repeatedly = [](poison_world& world) {
     if (is_every(world, 2s)) {
-      world.ask(world.any_node(), 42, true);
+      world.submit(world.any_node(), 42, true);
     }
   };
-  w.run(40s, visit_everywhere);
+  w.run(40s, submit_repeatedly);
   EXPECT_LE(w.ended_by[42], 16U);
   w.cut_off = {};
   w.run(2s);
   const std::size_t before = w.ended_by[42];
-  w.run(20s, visit_everywhere);
+  w.run(20s, submit_repeatedly);
   EXPECT_EQ(w.ended_by[42], before);
 }
 
-// Guards against a node that forgets with its process: its hub tells it again.
+// Guards against quarantines that a node loses with its process: its hub sends them again.
 TEST(PoisonWorld, ANodeThatStartsAgainIsTold) {
   poison_world w({});
-  w.culprits = {42};
+  w.poison_hashes = {42};
   w.run(12s, [](poison_world& world) {
     if (is_every(world, 2s)) {
-      world.ask(world.any_node(), 42, true);
+      world.submit(world.any_node(), 42, true);
     }
   });
   const request_print print{workspace_id{"w2"}, 42};
--- a/tests/core/engine_wire_test.cpp
+++ b/tests/core/engine_wire_test.cpp
@@ -1,4 +1,4 @@
-// Reports and orders on the wire: round trips, and numbers that do not fit.
+// Tests the encoding of reports and orders: round trips, and numbers out of range.
 #include "process/engine_wire.h"
 
 #include <gtest/gtest.h>
@@ -51,8 +51,8 @@
   EXPECT_EQ(decoded.valid_for, 1500ms);
 }
 
-// Symptom: a broken target looks idle and draws all requests. Sequence: it reports a number that
-// does not fit the field. Cause: the conversion cuts it, or is undefined (found by fuzzing).
+// Guards against a broken target that looks idle and attracts all requests: it reports a number
+// that does not fit the field, and the conversion truncates it or is undefined.
 TEST(engine_wire, numbers_that_do_not_fit_are_refused) {
   const std::string report = encode(some_report());
   for (const std::string number : {"-20.5", "-1", "4.0", "1e30", "4294967296", "\"4\"", "null"}) {
--- a/tests/core/hosted_values_test.cpp
+++ b/tests/core/hosted_values_test.cpp
@@ -1,4 +1,5 @@
-// Smaller values of a hosted node: silence, instances, shapes of domains, feeds, peers, settings.
+// Tests the smaller value types of a hosted node: stall detection, suspicions, log volume, instance
+// choice, domain layouts, feeds, heartbeats, peers, the fleet view and settings.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,123 +22,123 @@
 
 constexpr time_point start{100s};
 
-// ---- silence ----
+// ---- stalled replicas ----
 
 const model_id streams_model{"m"};
 
 TEST(Silence, NamesAReplicaWhoseStreamsAllStop) {
-  // Symptom: callers give up on streams that nobody moves on for 4 s. Sequence: a member of a
-  // replica dies; its head accepts requests and sends nothing. Cause: only the engine's own word is
-  // trusted.
-  silence_monitor silence;
+  // Guards against streams that hang for 4 s until callers give up: a member of a replica dies, and
+  // the head still accepts requests but sends nothing. The engine's own report is not enough.
+  silence_monitor monitor;
   const target_id head{"h"};
-  silence.sent(start, head, streams_model, 100ms);
-  silence.first_event(head, 100ms, 100ms);
-  silence.event(start + 100ms, head, 50ms);
-  EXPECT_TRUE(silence.silent(start + 250ms).empty());
-  EXPECT_EQ(silence.silent(start + 300ms), std::vector<target_id>{head});
+  monitor.sent(start, head, streams_model, 100ms);
+  monitor.first_event(head, 100ms, 100ms);
+  monitor.event(start + 100ms, head, 50ms);
+  EXPECT_TRUE(monitor.silent(start + 250ms).empty());
+  EXPECT_EQ(monitor.silent(start + 300ms), std::vector<target_id>{head});
 }
 
 TEST(Silence, ALongPromptIsNoSilence) {
-  silence_monitor silence;
+  silence_monitor monitor;
   const target_id head{"h"};
-  silence.sent(start, head, streams_model, 100ms);
-  silence.first_event(head, 100ms, 100ms);
-  silence.event(start + 100ms, head, 350ms);
-  EXPECT_TRUE(silence.silent(start + 500ms).empty());
+  monitor.sent(start, head, streams_model, 100ms);
+  monitor.first_event(head, 100ms, 100ms);
+  monitor.event(start + 100ms, head, 350ms);
+  EXPECT_TRUE(monitor.silent(start + 500ms).empty());
 }
 
 TEST(Silence, AsksNotAgainAtOnceAboutOneThatWorks) {
-  silence_monitor silence;
+  silence_monitor monitor;
   const target_id head{"h"};
-  silence.sent(start, head, streams_model, 10ms);
-  EXPECT_EQ(silence.silent(start + 1s).size(), 1U);
-  silence.found_well(start + 1s, head);
-  EXPECT_TRUE(silence.silent(start + 1200ms).empty());
-  EXPECT_EQ(silence.silent(start + 2s).size(), 1U);
-  silence.ended(start + 2s, head, false);
-  EXPECT_TRUE(silence.silent(start + 3s).empty());
+  monitor.sent(start, head, streams_model, 10ms);
+  EXPECT_EQ(monitor.silent(start + 1s).size(), 1U);
+  monitor.found_well(start + 1s, head);
+  EXPECT_TRUE(monitor.silent(start + 1200ms).empty());
+  EXPECT_EQ(monitor.silent(start + 2s).size(), 1U);
+  monitor.ended(start + 2s, head, false);
+  EXPECT_TRUE(monitor.silent(start + 3s).empty());
 }
 
 TEST(Silence, AFullReplicaThatWorksIsAskedSeldom) {
-  // Symptom: nodes ask engines 1,000 times a second, nearly always of replicas that are well.
-  // Sequence: a replica is fuller than this node knows; its passes take 240 ms where 60 ms are
-  // expected. Cause: only the expected gap is looked at.
-  silence_monitor silence;
+  // Guards against 1,000 checks a second, nearly all of healthy replicas: a replica is fuller than
+  // this node knows, and its passes take 240 ms where 60 ms are expected. The expected gap alone is
+  // not enough.
+  silence_monitor monitor;
   const target_id head{"h"};
-  silence.sent(start, head, streams_model, 100ms);
-  silence.first_event(head, 100ms, 100ms);
+  monitor.sent(start, head, streams_model, 100ms);
+  monitor.first_event(head, 100ms, 100ms);
   int alarms = 0;
   time_point now = start;
   for (int event = 0; event < 100; ++event) {
-    silence.event(now, head, 60ms);
+    monitor.event(now, head, 60ms);
     for (int tick = 0; tick < 12; ++tick) {
       now += 20ms;
-      if (!silence.silent(now).empty()) {
+      if (!monitor.silent(now).empty()) {
         ++alarms;
-        silence.found_well(now, head);
+        monitor.found_well(now, head);
       }
     }
   }
   EXPECT_LE(alarms, 1);
-  // A member dies: still known before the caller's pause is long.
+  // A member dies: this is still noticed before the caller sees a long gap.
   now += 260ms;
-  EXPECT_EQ(silence.silent(now).size(), 1U);
+  EXPECT_EQ(monitor.silent(now).size(), 1U);
 }
 
 TEST(Silence, FirstEventsThatTakeLongerThanExpectedAreLearnedByModel) {
-  // Symptom: nearly each request of a model that is overloaded has its replica's members asked.
-  // Sequence: first events take 500 ms where 100 ms are expected, one stream a head at a time.
-  // Cause: nothing is learned from streams that have ended.
-  silence_monitor silence;
+  // Guards against a check for nearly every request of an overloaded model: first events take
+  // 500 ms where 100 ms are expected, with one stream per head at a time, so the monitor has to
+  // learn from streams that have ended.
+  silence_monitor monitor;
   int alarms = 0;
   for (int i = 0; i < 20; ++i) {
     const target_id head{"h" + std::to_string(i % 5)};
     const time_point sent = start + i * 1s;
-    silence.sent(sent, head, streams_model, 100ms);
+    monitor.sent(sent, head, streams_model, 100ms);
     for (duration waited = 0ms; waited < 550ms; waited += 20ms) {
-      if (!silence.silent(sent + waited).empty()) {
+      if (!monitor.silent(sent + waited).empty()) {
         ++alarms;
-        silence.found_well(sent + waited, head);
+        monitor.found_well(sent + waited, head);
       }
     }
-    silence.first_event(head, 550ms, 100ms);
-    silence.ended(sent + 600ms, head, true);
+    monitor.first_event(head, 550ms, 100ms);
+    monitor.ended(sent + 600ms, head, true);
   }
   EXPECT_LE(alarms, 1);
 }
 
 TEST(Silence, AReplicaThatSaysNothingIsAskedEverMoreSeldom) {
-  silence_monitor silence;
+  silence_monitor monitor;
   const target_id head{"h"};
-  silence.sent(start, head, streams_model, 50ms);
+  monitor.sent(start, head, streams_model, 50ms);
   int alarms = 0;
   for (time_point now = start; now < start + 4s; now += 20ms) {
-    if (!silence.silent(now).empty()) {
+    if (!monitor.silent(now).empty()) {
       ++alarms;
-      silence.found_well(now, head);
+      monitor.found_well(now, head);
     }
   }
   EXPECT_EQ(alarms, 4);
 }
 
-// ---- what peers suspect ----
+// ---- suspicions of peers ----
 
 TEST(Suspicions, LastAsLongAsTheyAreRepeated) {
-  suspicions words;
+  suspicions suspected;
   const node_id hub{"b1"};
-  words.told(start, node_id{"a2"}, false, {target_id{"x"}});
-  words.told(start, hub, true, {target_id{"y"}});
-  EXPECT_TRUE(words.contains(start, target_id{"x"}));
-  EXPECT_TRUE(words.contains_any(start, {target_id{"z"}, target_id{"y"}}));
-  EXPECT_FALSE(words.contains(start, target_id{"z"}));
-  // A node's word goes no further than its hub, or two hubs would keep each other's alive.
-  EXPECT_EQ(words.of_hubs(start), std::set<target_id>{target_id{"y"}});
-  // Taken back.
-  words.told(start + 200ms, hub, true, {});
-  EXPECT_FALSE(words.contains(start + 200ms, target_id{"y"}));
-  // Never repeated, as by a peer that ended.
-  EXPECT_FALSE(words.contains(start + suspicions::remembered, target_id{"x"}));
+  suspected.told(start, node_id{"a2"}, false, {target_id{"x"}});
+  suspected.told(start, hub, true, {target_id{"y"}});
+  EXPECT_TRUE(suspected.contains(start, target_id{"x"}));
+  EXPECT_TRUE(suspected.contains_any(start, {target_id{"z"}, target_id{"y"}}));
+  EXPECT_FALSE(suspected.contains(start, target_id{"z"}));
+  // A node's suspicion is not forwarded by its hub; otherwise two hubs would keep each other's
+  // suspicions alive.
+  EXPECT_EQ(suspected.of_hubs(start), std::set<target_id>{target_id{"y"}});
+  // Withdrawn.
+  suspected.told(start + 200ms, hub, true, {});
+  EXPECT_FALSE(suspected.contains(start + 200ms, target_id{"y"}));
+  // Not repeated, as by a peer that ended.
+  EXPECT_FALSE(suspected.contains(start + suspicions::remembered, target_id{"x"}));
 }
 
 // ---- volume of the log ----
@@ -155,9 +156,8 @@
 }
 
 TEST(LogBudget, LeavesOutWholeRequestsOnceItsRateIsReached) {
-  // Symptom: the story of a request that a caller complains of is half there. Sequence: a node
-  // refuses 2,000 requests a second, with two lines of 300 bytes each; the log holds 64 KB a
-  // second. Cause: lines are dropped one by one.
+  // Guards against incomplete traces of requests: a node refuses 2,000 requests a second with two
+  // lines of 300 bytes each, the log takes 64 KB a second, and lines are dropped individually.
   log_budget budget(64 * 1024);
   std::uint64_t kept = 0;
   std::uint64_t bytes = 0;
@@ -184,7 +184,7 @@
   ASSERT_TRUE(budget.spend(start, 2000));
   EXPECT_FALSE(budget.keeps_request(start, hash_step));
   EXPECT_TRUE(budget.spend(start, 200));
-  // Even these end: a fault that writes in a loop must not fill the disk of whoever collects.
+  // These lines are limited, too: a fault that logs in a loop must not fill the collector's disk.
   while (budget.spend(start, 200)) {
   }
   EXPECT_EQ(budget.lines_left_out(), 1U);
@@ -198,8 +198,8 @@
 }
 
 TEST(InstanceChoice, LeavesOneThatFailsAndComesBack) {
-  // Symptom: an instance that fails a part of its calls while its health check is good keeps
-  // getting its share. Cause: only the load counts.
+  // Guards against an instance that keeps getting its share of calls by its load alone, although it
+  // fails some of them while its health check passes.
   instance_table table;
   const std::vector<service_instance> two = {instance("bad"), instance("good")};
   for (int i = 0; i < 3; ++i) {
@@ -221,7 +221,7 @@
   EXPECT_EQ(table.choose(start + 2s, two, data_centre_id{"a"}, {}), std::size_t{0});
 }
 
-// ---- shapes ----
+// ---- domain layouts ----
 
 std::uint32_t total(const fleet_shape& shape, std::size_t model) {
   return std::accumulate(
@@ -239,9 +239,9 @@
 }
 
 TEST(DomainShape, AModelOfLargeReplicasIsNotStarved) {
-  // Load: a model of 16 engines and one of 4 with equal shares of the engines' time, six domains of
-  // 37. With the sum of work²/replicas the large one got 4 replicas, with that of work x
-  // (work/replicas)^4 it got 5 beside 29 of the small one, and its callers waited for places.
+  // A model of 16 engines and one of 4 have equal shares of the engines' time in six domains of 37.
+  // Minimising the sum of work²/replicas gave the large model 4 replicas; the sum of work x
+  // (work/replicas)^4 gave it 5 beside 29 of the small one, and its callers waited for slots.
   const std::vector<shape_domain> domains(6, {{0, 0}, 37});
   const std::vector<shape_model> models = {{16, 0.5 / 16}, {4, 0.5 / 4}};
   const fleet_shape shape = plan_shape(domains, models);
@@ -261,8 +261,8 @@
 }
 
 TEST(DomainShape, CountsWhatLossesHitOnAverage) {
-  // Five of eight for a model of 4: whole without a loss and with one; of two lost both are the
-  // model's in 10 of 28 cases, and of three at least two are in 40 of 56.
+  // Five of eight engines for a model of 4: one replica without a loss and with one. Of two lost
+  // engines, both are the model's in 10 of 28 cases; of three, at least two are in 40 of 56.
   EXPECT_DOUBLE_EQ(lasting_replicas(5, 8, 4, 0), 1);
   EXPECT_DOUBLE_EQ(lasting_replicas(5, 8, 4, 1), 1);
   EXPECT_NEAR(lasting_replicas(5, 8, 4, 2), (1 + 1 + 18 / 28.0) / 3, 1e-9);
@@ -272,8 +272,8 @@
 }
 
 TEST(DomainShape, EnginesThatAWholeReplicaLeavesOverServeTheOtherModel) {
-  // Load: domains of 8 that have lost an engine, models of 4 and 2. Seven engines ready for the
-  // model of 4 hold one replica and three that do nothing.
+  // Domains of 8 that have lost an engine, models of 4 and 2. Seven engines for the model of 4 form
+  // one replica and leave three idle.
   const std::vector<shape_domain> domains(6, {{0, 0}, 7});
   const std::vector<shape_model> models = {{4, 0.67 / 4}, {2, 0.33 / 2}};
   const fleet_shape shape = plan_shape(domains, models, {.losses = 1});
@@ -303,9 +303,8 @@
 }
 
 TEST(FeedLog, SaysWhenThePastIsNotKnown) {
-  // Symptom: a node routes to targets that left long ago. Sequence: its hub ended, the next one
-  // read the list whole and never saw the rows that were removed before. Cause: only newer rows are
-  // given.
+  // Guards against routing to targets that left long ago: the hub ended, and the next one read the
+  // full list and never saw the rows that had been removed before. Newer rows alone are not enough.
   feed_log log;
   log.replace({{"a", "1", 5, false}}, 10);
   EXPECT_TRUE(log.needs_whole(8));
@@ -313,7 +312,7 @@
   EXPECT_EQ(log.since(8).size(), 1U);
 }
 
-// ---- beats and peers ----
+// ---- heartbeats and peers ----
 
 TEST(NodeBeat, SurvivesTheWireAndRefusesDamage) {
   node_beat beat;
@@ -389,7 +388,7 @@
   peers.set_known(six_nodes());
   EXPECT_FALSE(peers.is_hub(start));
   peers.told(start, node_id{"a1"});
-  // It never answers.
+  // a1 never responds.
   EXPECT_FALSE(peers.is_hub(start + 1s));
   EXPECT_TRUE(peers.is_hub(start + 2s));
   EXPECT_TRUE(peers.duties(start + 2s, three).contains(data_centre_id{"a"}));
@@ -399,10 +398,10 @@
 }
 
 TEST(PeerTable, ASilentHubIsToldUntilItReturns) {
-  // Symptom: three nodes keep one data centre, take each other's replicas apart, and streams are
-  // cut. Sequence: the hub is killed and returns; the next one is the hub meanwhile. Cause: the
-  // silent one is told once a second, over a link that is closed again before it is up, so it is
-  // never heard.
+  // Guards against three nodes that manage one data centre, dissolve each other's replicas and cut
+  // streams: the hub is killed and returns while the next one is the hub. A heartbeat only once a
+  // second would go over a link that is closed again before it is up, so nothing would be received
+  // from the returned hub.
   peer_table peers(node_id{"a3"}, data_centre_id{"a"});
   peers.set_known(six_nodes());
   for (duration at = 0ms; at < 5s; at += 200ms) {
@@ -416,7 +415,8 @@
 }
 
 TEST(PeerTable, ADataCentreWithoutNodesFallsToOneHub) {
-  // Symptom: engines of a data centre whose only node died are ordered by nobody, or by two nodes.
+  // Guards against engines that no node manages, or two nodes manage, after the only node of their
+  // data centre died.
   peer_table a(node_id{"a1"}, data_centre_id{"a"});
   peer_table b(node_id{"b1"}, data_centre_id{"b"});
   a.set_known(six_nodes());
@@ -445,9 +445,9 @@
 }
 
 TEST(PeerTable, AHubThatTheStoreTurnsAwayHandsOver) {
-  // Symptom: all nodes of a data centre ask the store for themselves, for as long as it turns one
-  // away. Sequence: the store refuses the hub and serves the others; the hub hears nothing new, and
-  // its nodes' proofs grow old. Cause: whoever has the lowest name stays the hub.
+  // Guards against all nodes of a data centre querying the store themselves while it refuses the
+  // hub but serves the others: the hub gets no updates, and its nodes' proofs of freshness age. The
+  // lowest name must not stay the hub then.
   peer_table first(node_id{"a1"}, data_centre_id{"a"});
   peer_table second(node_id{"a2"}, data_centre_id{"a"});
   peer_table third(node_id{"a3"}, data_centre_id{"a"});
@@ -461,11 +461,12 @@
   EXPECT_FALSE(first.is_hub(start));
   EXPECT_TRUE(second.is_hub(start));
   EXPECT_EQ(third.hub_of(start, data_centre_id{"a"}), node_id{"a2"});
-  // Two are told that may be the hub, and the first, to be heard when it is served again.
+  // The heartbeats go to two possible hubs and to the first node, which is the hub again as soon as
+  // the store serves it.
   EXPECT_EQ(second.to_tell(start)[0], node_id{"a1"});
   EXPECT_EQ(third.to_tell(start).size(), 2U);
 
-  // It is away from all: the first in the order of names keeps the replicas all the same.
+  // The store refuses all nodes: the one with the lowest name still manages the replicas.
   second.set_turned_away(start, true);
   third.set_turned_away(start, true);
   third.heard(start, node_id{"a2"}, turned_away);
@@ -497,9 +498,10 @@
 }
 
 TEST(PeerTable, AStoreThatServesAllAgainMakesNoCrowdOfHubs) {
-  // Symptom: all nodes of a data centre order its engines at once, on what they knew seconds ago.
-  // Sequence: the store is away from all; the first name keeps the replicas; the store is back, and
-  // each node sees itself served before it hears that others are. Cause: it counts as served alone.
+  // Guards against all nodes of a data centre ordering its engines simultaneously with outdated
+  // state: the store was unavailable to all, and the node with the lowest name managed the
+  // replicas. When the store is back, each node is served before it learns that others are served,
+  // too.
   std::vector<node_record> rows;
   for (const char* name : {"a1", "a2", "a3"}) {
     rows.push_back({node_id{name}, data_centre_id{"a"}, {}, {}});
@@ -512,7 +514,7 @@
   last.heard(start, node_id{"a2"}, away);
   last.set_turned_away(start + 100ms, false);
   EXPECT_EQ(last.hub_of(start + 100ms, data_centre_id{"a"}), node_id{"a1"});
-  // They are turned away as before: it takes the duty.
+  // The store still refuses the others: this node becomes the hub.
   last.heard(start + 600ms, node_id{"a1"}, away);
   last.heard(start + 600ms, node_id{"a2"}, away);
   EXPECT_TRUE(last.is_hub(start + 100ms + peer_table::served_settles));
@@ -521,9 +523,8 @@
 // ---- fleet view ----
 
 TEST(FleetView, AnOldReportDoesNotUndoANewerRecord) {
-  // Symptom: a replica that serves is not routed to every now and then. Sequence: the list says
-  // that its head is open; a report answers a probe with the state of 200 ms ago. Cause: the last
-  // word wins.
+  // Guards against a serving replica that is sometimes not routed to: the list says that its head
+  // is open, and then a probe response arrives with the state of 200 ms earlier.
   fleet_view fleet;
   target_record record;
   record.id = target_id{"x"};
@@ -536,10 +537,10 @@
 }
 
 TEST(FleetView, ARowOfBeforeDoesNotUndoWhatHappenedSince) {
-  // Symptom: a member of a replica that serves is ordered into another one. Sequence: the store is
-  // away, and engines cannot write; a replica is formed meanwhile; the store is back, the list is
-  // read whole, and the head's row says what was so before. Cause: a row is as old as its writing,
-  // not as its reading.
+  // Guards against ordering a member of a serving replica into another one: the store is
+  // unavailable, so engines cannot write their rows while a replica is formed. When the store is
+  // back, the full list has the head's outdated row. A row is as old as its writing, not as its
+  // reading.
   fleet_view fleet;
   target_record record;
   record.id = target_id{"x"};
@@ -549,7 +550,7 @@
   fleet.ordered(start + 3s, record.id, formed);
   fleet.replace_all(start + 8s, {{record, 40}});
   EXPECT_EQ(fleet.find(record.id)->record.member_of, formed);
-  // A newer row that was written before the order is doubted, and one behind it believed.
+  // A newer row that was written before the order is doubted; one written after it is accepted.
   record.slots = 7;
   fleet.listed(start + 8s, record, 41, start + 1s);
   EXPECT_EQ(fleet.find(record.id)->record.member_of, formed);
@@ -607,19 +608,19 @@
     return serving_replicas(fleet, service_id{"s"}, model_id{"m"}, 3).size();
   };
   EXPECT_EQ(serving(), 1U);
-  // The list dropped a member: it works on unless it does not answer.
+  // The list dropped a member: the replica serves as long as the member responds.
   fleet.unlisted(start, target_id{"i2"});
   EXPECT_EQ(serving(), 1U);
   fleet.probe_failed(start, target_id{"i2"});
   fleet.probe_failed(start, target_id{"i2"});
   EXPECT_EQ(serving(), 0U);
-  // Others' word that it is not lost does not bring back what is in no list.
+  // Reports from others that it is not lost do not restore a target that is not in the list.
   fleet.found_by_others(start + 10s, {});
   EXPECT_EQ(serving(), 0U);
 }
 
 TEST(FleetView, AHeadThatLeftTheListGetsNothing) {
-  // It may be about to leave, and what is sent to it later than the bound for that breaks a rule.
+  // It may be leaving, and a request that is sent to it after the allowed delay breaks a rule.
   fleet_view fleet;
   target_record record;
   record.id = target_id{"i0"};
--- a/tests/core/list_budget_test.cpp
+++ b/tests/core/list_budget_test.cpp
@@ -1,4 +1,4 @@
-// Whole lists to many nodes.
+// Tests the limit on full lists that a hub sends to its nodes.
 #include "process/list_budget.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(ListBudget, ASmallListGoesToAll) {
-  // Six nodes before 57 targets.
+  // Six nodes; a list of 57 targets.
   list_budget budget(20);
   budget.begin_round();
   for (int node = 0; node < 6; ++node) {
@@ -16,31 +16,31 @@
 }
 
 TEST(ListBudget, ALargeListGoesToOneNodeARound) {
-  // Symptom: a hub's link is full for seconds after a start, and news of leaving targets are late.
-  // Sequence: 59 nodes read the list before their hub did, and are behind it. Cause: each is passed
-  // the whole list in every beat until it says that it has it.
+  // Guards against a hub whose link is saturated for seconds after a start, so that updates about
+  // leaving targets are late: 59 nodes read the list before their hub and are behind it, and the
+  // hub sends each the full list in every heartbeat until the node acknowledges it.
   list_budget budget(20);
   for (int round = 0; round < 3; ++round) {
     budget.begin_round();
-    int passed = 0;
+    int sent = 0;
     for (int node = 0; node < 59; ++node) {
-      passed += budget.take(1'300'000) ? 1 : 0;
+      sent += budget.take(1'300'000) ? 1 : 0;
     }
-    EXPECT_EQ(passed, 1);
+    EXPECT_EQ(sent, 1);
   }
 }
 
 TEST(ListBudget, AStrongLinkPassesOnToMoreNodesARound) {
-  // 100 nodes are given a list of 120 KB each within a second, by a hub with 200 Mbit/s.
+  // A hub with 200 Mbit/s sends a list of 120 KB to each of 100 nodes within a second.
   list_budget budget(200);
-  int passed = 0;
+  int sent = 0;
   for (int round = 0; round < 5; ++round) {
     budget.begin_round();
     for (int node = 0; node < 100; ++node) {
-      passed += budget.take(120'000) ? 1 : 0;
+      sent += budget.take(120'000) ? 1 : 0;
     }
   }
-  EXPECT_GE(passed, 100);
+  EXPECT_GE(sent, 100);
 }
 
 }  // namespace
--- a/tests/core/poison_world.h
+++ b/tests/core/poison_world.h
@@ -1,5 +1,5 @@
-// A world in virtual time for the crash ledger: nodes of three data centres that send requests to
-// heads of replicas, heads that end, callers that try again, and beats between the nodes.
+// A simulated cluster in virtual time for the poison tracker: nodes of three data centres that send
+// requests to heads of replicas, heads that end, callers that retry, and heartbeats between nodes.
 #pragma once
 
 #include <algorithm>
@@ -22,8 +22,8 @@
   std::size_t heads = 13;
   std::size_t nodes = 6;  // two in each data centre; the first is its hub
   double requests_per_s = 165;
-  double popular_share = 0.05;  // of requests that many callers ask alike
-  duration head_away = 3s;      // until it serves again, as another life
+  double popular_share = 0.05;  // of requests that many callers send identically
+  duration head_away = 3s;      // until an ended head serves again as a new incarnation
   crash_ledger_settings ledger;
   std::uint64_t seed = 1;
 };
@@ -38,7 +38,7 @@
     heads_.resize(settings.heads);
   }
 
-  // Called each step, to end heads or to send requests of its own.
+  // Called in each step to end heads or submit requests.
   using fault = std::function<void(poison_world&)>;
 
   void run(duration length, const fault& each_step = {}) {
@@ -46,10 +46,10 @@
       if (each_step) {
         each_step(*this);
       }
-      arrive();
+      add_arrivals();
       advance_runs();
       tell_of_ends();
-      beat();
+      send_heartbeats();
       judge();
     }
   }
@@ -57,16 +57,16 @@
   [[nodiscard]] time_point now() const { return now_; }
   rng& random() { return random_; }
 
-  // Ends a head as a kill does; its runs break off.
+  // Ends a head as by a kill; its runs are cut off.
   void end_head(std::size_t i) {
     head& h = heads_[i];
-    if (now_ < h.back_at) {
+    if (now_ < h.up_at) {
       return;
     }
     ++ended_heads;
     const target_id target = life_of_head(i);
     ++h.life;
-    h.back_at = now_ + settings_.head_away;
+    h.up_at = now_ + settings_.head_away;
     std::vector<run_state> broken;
     std::erase_if(runs_, [&](const run_state& r) {
       if (r.at_head == i) {
@@ -75,22 +75,22 @@
       return r.at_head == i;
     });
     for (run_state& r : broken) {
-      break_off(r, target);
+      interrupt_run(r, target);
     }
   }
 
-  // A new attempt of a caller at a node.
-  void ask(std::size_t at, std::uint64_t hash, bool culprit = false) {
+  // A caller submits a request to node `at`.
+  void submit(std::size_t at, std::uint64_t hash, bool poison = false) {
     run_state r;
     r.at_node = at;
     r.print = {workspace_id{"w" + std::to_string(hash % 10)}, hash};
-    r.culprit = culprit;
+    r.poison = poison;
     send(std::move(r));
   }
   std::size_t any_node() { return static_cast<std::size_t>(random_.below(nodes_.size())); }
   std::size_t any_head() { return static_cast<std::size_t>(random_.below(heads_.size())); }
-  [[nodiscard]] bool lives(std::size_t i) const { return now_ >= heads_[i].back_at; }
-  // Where a run of this request is; heads() if nowhere.
+  [[nodiscard]] bool is_up(std::size_t i) const { return now_ >= heads_[i].up_at; }
+  // The head that runs this request; heads() if there is none.
   [[nodiscard]] std::size_t head_of(std::uint64_t hash) const {
     for (const run_state& r : runs_) {
       if (r.print.hash == hash) {
@@ -105,27 +105,28 @@
     *nodes_[i] = {settings_.ledger,
                   "life-again-" + std::to_string(now_.time_since_epoch().count())};
   }
-  // Nodes of these data centres hear no others.
+  // Nodes of these data centres exchange no messages with the others.
   std::set<std::size_t> cut_off;
 
-  std::size_t asked = 0;
+  std::size_t submitted = 0;
   std::size_t served = 0;
   std::size_t ended_heads = 0;
-  std::size_t refused_proper = 0;  // sends of proper requests that were refused by a verdict
+  std::size_t refused_proper = 0;  // harmless requests that were refused by a quarantine
   std::size_t held_proper = 0;
   std::set<std::uint64_t> accused_proper;
-  std::map<std::uint64_t, std::size_t> ended_by;  // heads by culprit
+  std::map<std::uint64_t, std::size_t> ended_by;  // number of ended heads by poison request
   std::map<std::uint64_t, time_point> convicted_at;
-  // Visits of a culprit that reached a head later than `contact` after its third end.
+  // Submissions of a poison request that reached a head later than `detection_delay` after the
+  // third head that it ended.
   std::map<std::uint64_t, std::size_t> late_visits;
 
   static constexpr duration step = 10ms;
-  static constexpr duration contact = 3s;
+  static constexpr duration detection_delay = 3s;
 
  private:
   struct head {
     std::uint64_t life = 0;
-    time_point back_at{};
+    time_point up_at{};
   };
   struct node {
     node(const crash_ledger_settings& s, const std::string& l) : ledger(s), life(l), exchange(l) {}
@@ -136,7 +137,7 @@
   struct run_state {
     std::size_t at_node = 0;
     request_print print;
-    bool culprit = false;
+    bool poison = false;
     std::size_t at_head = 0;
     std::size_t sends = 0;
     std::size_t tries = 1;
@@ -144,7 +145,7 @@
     time_point first_event_at{};
     time_point ends_at{};
   };
-  struct evidence {
+  struct pending_strike {
     time_point known_at;
     std::size_t at_node;
     request_print print;
@@ -159,16 +160,16 @@
     return target_id{"i-" + std::to_string(i) + "~" + std::to_string(heads_[i].life)};
   }
 
-  void arrive() {
+  void add_arrivals() {
     const double expected = settings_.requests_per_s * to_seconds(step);
     auto count = static_cast<std::size_t>(expected);
     count += random_.unit() < expected - static_cast<double>(count) ? 1 : 0;
     for (std::size_t i = 0; i < count; ++i) {
       const bool popular = random_.unit() < settings_.popular_share;
-      ask(any_node(), popular ? 1000 + random_.below(20) : 1'000'000 + next_hash_++);
+      submit(any_node(), popular ? 1000 + random_.below(20) : 1'000'000 + next_hash_++);
     }
     std::vector<return_visit> due;
-    std::erase_if(visits_, [&](const return_visit& v) {
+    std::erase_if(scheduled_, [&](const return_visit& v) {
       if (v.at <= now_) {
         due.push_back(v);
       }
@@ -182,36 +183,37 @@
   void send(run_state r) {
     crash_ledger& ledger = nodes_[r.at_node]->ledger;
     if (r.sends == 0 && r.tries == 1) {
-      ++asked;
+      ++submitted;
     }
     if (ledger.is_convicted(r.print)) {
-      refused_proper += r.culprit ? 0 : 1;
+      refused_proper += r.poison ? 0 : 1;
       return;
     }
     if (const auto until = ledger.held_until(now_, r.print)) {
-      held_proper += r.culprit ? 0 : 1;
-      visits_.push_back({*until + 100ms, std::move(r)});
+      held_proper += r.poison ? 0 : 1;
+      scheduled_.push_back({*until + 100ms, std::move(r)});
       return;
     }
     std::vector<std::size_t> usable;
     for (std::size_t i = 0; i < heads_.size(); ++i) {
-      if (lives(i)) {
+      if (is_up(i)) {
         usable.push_back(i);
       }
     }
     if (usable.empty()) {
       return;
     }
-    const auto third = third_end_.find(r.print.hash);
-    if (r.culprit && r.sends == 0 && third != third_end_.end() && now_ - third->second > contact) {
+    const auto third = third_crash_at_.find(r.print.hash);
+    if (r.poison && r.sends == 0 && third != third_crash_at_.end() &&
+        now_ - third->second > detection_delay) {
       ++late_visits[r.print.hash];
     }
     r.at_head = usable[random_.below(usable.size())];
     ++r.sends;
     r.sent_at = now_;
     r.first_event_at = now_ + from_seconds(0.1 + 0.5 * random_.unit());
-    r.ends_at = r.culprit ? r.first_event_at + from_seconds(0.03 + 0.09 * random_.unit())
-                          : r.first_event_at + from_seconds(0.3 + 1.7 * random_.unit());
+    r.ends_at = r.poison ? r.first_event_at + from_seconds(0.03 + 0.09 * random_.unit())
+                         : r.first_event_at + from_seconds(0.3 + 1.7 * random_.unit());
     ledger.run_sent(now_, life_of_head(r.at_head));
     ledger.run_began(r.first_event_at - now_);
     runs_.push_back(std::move(r));
@@ -226,12 +228,12 @@
       return r.ends_at <= now_;
     });
     for (const run_state& r : done) {
-      if (r.culprit) {
-        if (lives(r.at_head)) {
-          runs_.push_back(r);  // breaks off with the others there
-          constexpr std::size_t ends_of_bound = 3;
-          if (++ended_by[r.print.hash] == ends_of_bound) {
-            third_end_[r.print.hash] = now_;
+      if (r.poison) {
+        if (is_up(r.at_head)) {
+          runs_.push_back(r);  // cut off with the others there
+          constexpr std::size_t crashes_before_bound = 3;
+          if (++ended_by[r.print.hash] == crashes_before_bound) {
+            third_crash_at_[r.print.hash] = now_;
           }
           end_head(r.at_head);
         }
@@ -242,27 +244,27 @@
     }
   }
 
-  void break_off(run_state& r, const target_id& target) {
-    const bool began = !r.culprit && r.first_event_at <= now_;
+  void interrupt_run(run_state& r, const target_id& target) {
+    const bool began = !r.poison && r.first_event_at <= now_;
     if (!began || now_ - r.first_event_at < hardly_begun) {
-      pending_.push_back({now_ + 40ms, r.at_node, r.print, {target, r.sent_at, now_}});
+      pending_strikes_.push_back({now_ + 40ms, r.at_node, r.print, {target, r.sent_at, now_}});
     } else if (now_ - r.first_event_at > 1s) {
       nodes_[r.at_node]->ledger.acquit(now_, r.print);
     }
-    constexpr std::size_t most_sends = 3;
-    constexpr std::size_t most_tries = 2;
-    if (r.sends < most_sends) {
-      visits_.push_back({now_, r});
-    } else if (r.tries < most_tries) {
+    constexpr std::size_t max_sends = 3;
+    constexpr std::size_t max_tries = 2;
+    if (r.sends < max_sends) {
+      scheduled_.push_back({now_, r});
+    } else if (r.tries < max_tries) {
       ++r.tries;
       r.sends = 0;
       r.at_node = any_node();
-      visits_.push_back({now_ + 200ms, r});
+      scheduled_.push_back({now_ + 200ms, r});
     }
   }
 
   void tell_of_ends() {
-    std::erase_if(pending_, [&](const evidence& e) {
+    std::erase_if(pending_strikes_, [&](const pending_strike& e) {
       if (e.known_at > now_) {
         return false;
       }
@@ -271,9 +273,10 @@
     });
   }
 
-  void tell(std::size_t from, std::size_t to) {
-    constexpr std::size_t each = 2;
-    if (cut_off.contains(from / each) != cut_off.contains(to / each)) {
+  void send_rows(std::size_t from, std::size_t to) {
+    constexpr std::size_t nodes_per_data_centre = 2;
+    if (cut_off.contains(from / nodes_per_data_centre) !=
+        cut_off.contains(to / nodes_per_data_centre)) {
       return;
     }
     node& sender = *nodes_[from];
@@ -290,18 +293,19 @@
     receiver.exchange.heard(sender_id, {sender.life, news.at});
   }
 
-  // Each node tells its hub, hubs each other and their nodes, five times a second.
-  void beat() {
+  // Five times a second, each node sends to its hub, and hubs send to each other and to their
+  // nodes.
+  void send_heartbeats() {
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now_.time_since_epoch());
     if (ms.count() % 200 != 0) {
       return;
     }
     for (std::size_t i = 0; i < nodes_.size(); i += 2) {
-      tell(i + 1, i);
-      tell(i, i + 1);
+      send_rows(i + 1, i);
+      send_rows(i, i + 1);
       for (std::size_t j = 0; j < nodes_.size(); j += 2) {
         if (i != j) {
-          tell(i, j);
+          send_rows(i, j);
         }
       }
     }
@@ -320,7 +324,7 @@
         if (!entry.convicted_at) {
           continue;
         }
-        if (culprits.contains(print.hash)) {
+        if (poison_hashes.contains(print.hash)) {
           convicted_at.try_emplace(print.hash, now_);
         } else {
           accused_proper.insert(print.hash);
@@ -330,7 +334,7 @@
   }
 
  public:
-  std::set<std::uint64_t> culprits;
+  std::set<std::uint64_t> poison_hashes;
 
  private:
   poison_world_settings settings_;
@@ -339,9 +343,9 @@
   std::vector<std::unique_ptr<node>> nodes_;
   std::vector<head> heads_;
   std::vector<run_state> runs_;
-  std::vector<return_visit> visits_;
-  std::vector<evidence> pending_;
-  std::map<std::uint64_t, time_point> third_end_;
+  std::vector<return_visit> scheduled_;
+  std::vector<pending_strike> pending_strikes_;
+  std::map<std::uint64_t, time_point> third_crash_at_;
   std::uint64_t next_hash_ = 0;
 };
 
--- a/tests/core/send_limits_test.cpp
+++ b/tests/core/send_limits_test.cpp
@@ -1,5 +1,5 @@
-// Targets that name a limit: what a node makes of their answers, and that all nodes together keep
-// it.
+// Tests limits that targets declare: how a node interprets their responses, and that all nodes
+// together respect the limit.
 #include "request/send_limits.h"
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
   EXPECT_FALSE(limits.may_send(start + 2s, target));
   EXPECT_EQ(limits.told(start + 1500ms, start + 3s, target, {}), send_limits::change::gone);
   EXPECT_TRUE(limits.may_send(start + 3s, target));
-  // What a peer heard before that brings it back no more.
+  // An older observation of a peer does not restore the limit.
   limits.heard(target, {2.0, start + 1s});
   EXPECT_TRUE(limits.may_send(start + 3s, target));
 }
@@ -78,11 +78,11 @@
   EXPECT_TRUE(receiver.take(start, start, hub, "a", "me", three).empty());
   EXPECT_TRUE(receiver.take(start, start, hub, "a", "me", {"me", {{target, 2}}}).empty());
   EXPECT_TRUE(receiver.take(start, start, hub, "a", "me-again", three).empty());
-  // Those of a beat that was long on its way have lapsed.
+  // Grants in a heartbeat that was in transit for too long have expired.
   const grant_news five{"me", {{target, 5}}};
   EXPECT_TRUE(receiver.take(start, start + 2s, hub, "a", "me", five).empty());
   EXPECT_TRUE(receiver.take(start + 2s, start + 2s, hub, "a", "me", five).empty());
-  // Another life of the hub counts anew.
+  // Another incarnation of the hub has its own totals.
   EXPECT_EQ(receiver.take(start, start, hub, "b", "me", {"me", {{target, 1}}}).at(target), 1U);
 }
 
@@ -98,22 +98,22 @@
   EXPECT_TRUE(take("b", 1).empty());
 }
 
-// Nodes of several data centres, their hubs, and one target that is limited, in steps of 50 ms.
-// Beats come every 200 ms, are 50 ms on their way and may be lost.
+// Simulates nodes of several data centres, their hubs and one target with a limit, in steps of
+// 50 ms. Heartbeats are sent every 200 ms, take 50 ms and may be lost.
 class limited_world {
  public:
   struct setup {
     std::size_t data_centres = 3;
-    std::size_t nodes_each = 2;
+    std::size_t nodes_per_data_centre = 2;
     double limit = 2;
-    double calls_each = 15;  // a second, of each node
-    double lost = 0.05;      // share of beats
-    bool granted = true;     // false: each node keeps the whole limit for itself
+    double calls_each = 15;        // calls a second of each node
+    double heartbeat_loss = 0.05;  // share of heartbeats that are lost
+    bool granted = true;           // false: each node applies the whole limit to itself alone
     std::uint64_t seed = 1;
   };
 
   explicit limited_world(const setup& s) : setup_(s), random_(s.seed) {
-    for (std::size_t i = 0; i < s.data_centres * s.nodes_each; ++i) {
+    for (std::size_t i = 0; i < s.data_centres * s.nodes_per_data_centre; ++i) {
       nodes_.push_back(std::make_unique<node>());
       restart(i);
     }
@@ -125,33 +125,33 @@
     n.grants = {};
     n.receiver = {};
     n.own_sends.clear();
-    n.life = std::to_string(i) + "-" + std::to_string(++lives_);
+    n.life = std::to_string(i) + "-" + std::to_string(++incarnations_);
   }
 
-  // The hub of a data centre is its first node that is not away.
-  void set_away(std::size_t i, bool away) { nodes_[i]->away = away; }
-  // Two hubs: the second node of the data centre takes itself for one, too.
+  // The hub of a data centre is its first node that is not down.
+  void set_away(std::size_t i, bool down) { nodes_[i]->down = down; }
+  // Makes the second node of the data centre act as a hub, too.
   void set_second_hub(std::size_t data_centre, bool is) {
-    nodes_[data_centre * setup_.nodes_each + 1]->claims = is;
+    nodes_[data_centre * setup_.nodes_per_data_centre + 1]->claims_hub = is;
   }
-  // Its nodes hear nobody outside, and still reach the target.
+  // The data centre's nodes reach no other nodes, but still reach the target.
   void set_cut(std::size_t data_centre, bool cut) {
-    cut_ = cut ? std::optional(data_centre) : std::nullopt;
+    partitioned_ = cut ? std::optional(data_centre) : std::nullopt;
   }
 
   void run(duration time) {
     for (const time_point until = now_ + time; now_ < until; now_ += step) {
       deliver();
       if (++steps_ % 4 == 0) {
-        beat();
+        send_heartbeats();
       }
       for (std::size_t i = 0; i < nodes_.size(); ++i) {
-        call(i);
+        generate_calls(i);
       }
     }
   }
 
-  // The most that reached the target within 4 s, later than `from`.
+  // The highest number of requests that reached the target within any 4 s after `from`.
   [[nodiscard]] std::size_t most_in_four_seconds(time_point from) const {
     std::size_t most = 0;
     for (auto first = std::ranges::lower_bound(sends_, from); first != sends_.end(); ++first) {
@@ -172,12 +172,12 @@
 
   struct node {
     std::string life;
-    bool away = false;
-    bool claims = false;
+    bool down = false;
+    bool claims_hub = false;
     send_limits limits;
     send_grants grants;
     grant_receiver receiver;
-    std::vector<time_point> own_sends;  // without grants
+    std::vector<time_point> own_sends;  // used without grants
   };
   struct message {
     std::size_t from;
@@ -189,47 +189,53 @@
     grant_news grants;
   };
 
-  [[nodiscard]] std::size_t data_centre_of(std::size_t i) const { return i / setup_.nodes_each; }
+  [[nodiscard]] std::size_t data_centre_of(std::size_t i) const {
+    return i / setup_.nodes_per_data_centre;
+  }
   [[nodiscard]] static node_id name_of(std::size_t i) { return node_id{"n" + std::to_string(i)}; }
 
   [[nodiscard]] std::size_t hub_of(std::size_t data_centre) const {
-    std::size_t i = data_centre * setup_.nodes_each;
-    while (nodes_[i]->away && i + 1 < (data_centre + 1) * setup_.nodes_each) {
+    std::size_t i = data_centre * setup_.nodes_per_data_centre;
+    while (nodes_[i]->down && i + 1 < (data_centre + 1) * setup_.nodes_per_data_centre) {
       ++i;
     }
     return i;
   }
   [[nodiscard]] bool is_hub(std::size_t i) const {
-    return hub_of(data_centre_of(i)) == i || nodes_[i]->claims;
+    return hub_of(data_centre_of(i)) == i || nodes_[i]->claims_hub;
   }
-  [[nodiscard]] bool is_cut(std::size_t a, std::size_t b) const {
-    return cut_ && (data_centre_of(a) == *cut_) != (data_centre_of(b) == *cut_);
+  [[nodiscard]] bool is_partitioned(std::size_t a, std::size_t b) const {
+    return partitioned_ &&
+           (data_centre_of(a) == *partitioned_) != (data_centre_of(b) == *partitioned_);
   }
 
-  void beat() {
+  void send_heartbeats() {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      if (!nodes_[i]->away && is_hub(i)) {
+      if (!nodes_[i]->down && is_hub(i)) {
         grant(i);
       }
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       if (!is_hub(i)) {
-        tell(i, hub_of(data_centre_of(i)));
+        send(i, hub_of(data_centre_of(i)));
         continue;
       }
       for (std::size_t to = 0; to < nodes_.size(); ++to) {
-        const bool hears = data_centre_of(to) == data_centre_of(i) ? !is_hub(to) : is_hub(to);
-        if (to != i && hears) {
-          tell(i, to);
+        const bool is_recipient =
+            data_centre_of(to) == data_centre_of(i) ? !is_hub(to) : is_hub(to);
+        if (to != i && is_recipient) {
+          send(i, to);
         }
       }
     }
   }
 
-  // The target is of the first data centre; who is cut off from that keeps it as well.
+  // The target is in the first data centre. The hub of a data centre that is partitioned from it
+  // issues grants as well.
   void grant(std::size_t i) {
     node& n = *nodes_[i];
-    const bool issues = data_centre_of(i) == 0 || (cut_ && data_centre_of(i) == *cut_);
+    const bool issues =
+        data_centre_of(i) == 0 || (partitioned_ && data_centre_of(i) == *partitioned_);
     std::map<target_id, double> issued;
     if (const send_limit* limit = n.limits.find(target); limit != nullptr && issues) {
       issued.emplace(target, limit->per_second.value_or(0));
@@ -242,9 +248,10 @@
     }
   }
 
-  void tell(std::size_t from, std::size_t to) {
+  void send(std::size_t from, std::size_t to) {
     node& n = *nodes_[from];
-    if (n.away || nodes_[to]->away || is_cut(from, to) || random_.unit() < setup_.lost) {
+    if (n.down || nodes_[to]->down || is_partitioned(from, to) ||
+        random_.unit() < setup_.heartbeat_loss) {
       return;
     }
     message m{from, to, now_, is_hub(from), n.life, {}, {}};
@@ -263,7 +270,7 @@
   void deliver() {
     for (; !on_way_.empty() && on_way_.front().sent_at < now_; on_way_.pop_front()) {
       const message& m = on_way_.front();
-      if (!nodes_[m.to]->away) {
+      if (!nodes_[m.to]->down) {
         take(m);
       }
     }
@@ -299,12 +306,12 @@
     return !n.limits.is_limited(target) || static_cast<double>(lately) < setup_.limit;
   }
 
-  void call(std::size_t i) {
+  void generate_calls(std::size_t i) {
     node& n = *nodes_[i];
     const double chance = setup_.calls_each * to_seconds(step);
     const double whole = std::floor(chance);
     const int calls = static_cast<int>(whole) + (random_.unit() < chance - whole ? 1 : 0);
-    for (int k = 0; k < calls && !n.away; ++k) {
+    for (int k = 0; k < calls && !n.down; ++k) {
       if (n.limits.is_limited(target)) {
         n.limits.note_demand(now_, target);
       }
@@ -322,13 +329,13 @@
   std::vector<std::unique_ptr<node>> nodes_;
   std::deque<message> on_way_;
   std::vector<time_point> sends_;
-  std::optional<std::size_t> cut_;
+  std::optional<std::size_t> partitioned_;
   time_point now_ = start;
   std::size_t steps_ = 0;
-  std::size_t lives_ = 0;
+  std::size_t incarnations_ = 0;
 };
 
-// From when all nodes know the limit.
+// From here on all nodes know the limit.
 constexpr time_point counted_from = start + 3s;
 
 TEST(LimitedWorld, AllNodesTogetherKeepALimitAndUseIt) {
@@ -380,7 +387,7 @@
   world.run(6s);
   world.set_cut(2, true);
   world.run(8s);
-  // Both sides reach the target, and neither hears of the other.
+  // Both sides reach the target, but not each other.
   EXPECT_LE(world.most_in_four_seconds(counted_from), 2 * world.allowed());
   world.set_cut(2, false);
   world.run(2s);
--- a/tests/core/target_life_test.cpp
+++ b/tests/core/target_life_test.cpp
@@ -1,5 +1,5 @@
-// Engines that start again under their name: what is known of the one life says nothing of the
-// next.
+// Tests engines that restart under the same name: the state of one incarnation does not apply to
+// the next.
 #include "process/target_life.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 constexpr time_point start{1h};
 const target_id first = life_of("i-7", 1000);
-const target_id second = life_of("i-7", 400);  // the time of day went back meanwhile
+const target_id second = life_of("i-7", 400);  // the wall clock went back meanwhile
 const target_id third = life_of("i-7", 2000);
 
 target_record record_of(const target_id& life) {
@@ -38,9 +38,8 @@
 }
 
 TEST(TargetLife, TheNextLifeTakesThePlaceOfTheOneBefore) {
-  // Symptom: an engine that lost its power is asked in vain for seconds after it is back. Sequence:
-  // it is found lost, starts again under its name, and its record says so. Cause: loss is kept by
-  // name.
+  // Guards against a restarted engine that stays marked as lost for seconds, because the loss is
+  // stored by engine name and not by incarnation.
   fleet_view fleet;
   fleet.listed(start, record_of(first));
   fleet.probe_failed(start, first);
@@ -56,8 +55,8 @@
 }
 
 TEST(TargetLife, WhatAnEndedLifeSaidComesTooLate) {
-  // Symptom: a replica is routed to that is not there. Sequence: an engine starts again; its record
-  // of before, written late, comes behind the one of its new life. Cause: the last record wins.
+  // Guards against routing to a replica that no longer exists: a late record of the previous
+  // incarnation arrives after the record of the new one.
   fleet_view fleet;
   fleet.listed(start, record_of(first));
   fleet.listed(start + 1s, record_of(second));
@@ -66,7 +65,7 @@
   EXPECT_FALSE(fleet.listed(start + 2s, late));
   EXPECT_EQ(fleet.life_now("i-7"), second);
   EXPECT_TRUE(serving_replicas(fleet, service_id{"s"}, model_id{"m"}, 1).empty());
-  // Neither does an answer of it, nor a word about it.
+  // Responses of the ended incarnation and failed probes of it have no effect either.
   EXPECT_FALSE(fleet.reported(start + 3s, start + 3s, second, {first, late.member_of, {}, 1}));
   fleet.probe_failed(start + 3s, first);
   fleet.probe_failed(start + 3s, first);
@@ -88,9 +87,9 @@
 }
 
 TEST(TargetLife, AnAnswerFromBeforeTheNewestLifeIsDropped) {
-  // Symptom: an engine that started twice in a row is taken for its middle life, for ever.
-  // Sequence: it is asked; it answers as its second life; the record of its third comes before that
-  // answer. Cause: a life not heard of before is taken for the newest.
+  // Guards against an engine that is known by an ended incarnation forever: it is queried and
+  // responds as its second incarnation, but the record of its third arrives before that response.
+  // An unknown incarnation is not necessarily the newest.
   fleet_view fleet;
   fleet.listed(start, record_of(first));
   const time_point asked = start + 1s;
@@ -107,9 +106,9 @@
 }
 
 TEST(TargetLife, AReplicaWhoseMemberStartedAgainIsNotWhole) {
-  // Symptom: streams are sent to a replica that moves nothing until it breaks after seconds.
-  // Sequence: a member starts again, and an order to join of before reaches its new life: name,
-  // epoch and rank read as they did. Cause: members are compared by their names.
+  // Guards against streams to a replica that makes no progress and fails after seconds: a member
+  // restarts, and a delayed order to join reaches its new incarnation, so that name, epoch and rank
+  // look unchanged.
   const target_id head = life_of("i-1", 5);
   const std::vector<target_id> members = {head, first};
   const replica_key key{replica_name(model_id{"m"}, "k1", members), 4};
@@ -154,9 +153,9 @@
 }
 
 TEST(TargetAddress, WhoeverHadItIsForgotten) {
-  // Symptom: replicas are taken apart and formed again of the same members, once a second.
-  // Sequence: an engine ends, another starts at its address; the keeper asks the first one, and the
-  // second answers. Cause: a report does not say whose it is.
+  // Guards against replicas that are dissolved and formed again of the same members once a second:
+  // an engine ends, another starts at its address, and the replica controller's queries to the
+  // first are answered by the second.
   fleet_view fleet;
   const target_record before = at_address("i-1", 8000);
   const target_record after = at_address("i-2", 8000);
@@ -166,7 +165,7 @@
   const membership other{{"r.large.0.0.i-3", 4}, 1, member_state::ready};
   fleet.reported(time_point{3s}, time_point{3s}, before.id, {before.id, other, model_id{"large"}});
   EXPECT_EQ(fleet.find(before.id), nullptr);
-  // Its row lapses later; until then it stands in the list.
+  // The row of the ended engine expires later; until then it is in the list.
   fleet.replace_all(time_point{4s}, {{before, 5}, {after, 9}});
   EXPECT_EQ(fleet.find(before.id), nullptr);
   ASSERT_NE(fleet.find(after.id), nullptr);
@@ -174,9 +173,9 @@
 }
 
 TEST(TargetAddress, ATargetThatEndedIsKnownAgainByItsNextRow) {
-  // Symptom: replicas are formed again and again with an engine that is not there. Sequence: it
-  // ended behind a cut, and its row lapses seconds later; orders to it are refused by another
-  // engine at its address. Cause: the refusal is taken for one of the order alone.
+  // Guards against replicas that are repeatedly formed with an engine that has ended: it ended
+  // during a network partition, its row expires seconds later, and another engine at its address
+  // refuses the orders.
   fleet_view fleet;
   const target_record record = at_address("i-1", 8000);
   fleet.listed(time_point{1s}, record, 5);
@@ -189,11 +188,11 @@
 }
 
 TEST(Misdirections, LastUntilTheHeadMayBeOpenAgain) {
-  misdirections said;
+  misdirections tracker;
   const target_id head{"i-1"};
-  said.note(time_point{10s}, head);
-  EXPECT_EQ(said.heads(time_point{10s} + 500ms), std::vector<target_id>{head});
-  EXPECT_TRUE(said.heads(time_point{10s} + misdirections::remembered).empty());
+  tracker.note(time_point{10s}, head);
+  EXPECT_EQ(tracker.heads(time_point{10s} + 500ms), std::vector<target_id>{head});
+  EXPECT_TRUE(tracker.heads(time_point{10s} + misdirections::remembered).empty());
 }
 
 TEST(TargetAddress, TheNewestRowSaysWhoseItIs) {
@@ -201,7 +200,7 @@
   fleet.listed(time_point{1s}, at_address("i-2", 8000), 9);
   EXPECT_FALSE(fleet.listed(time_point{2s}, at_address("i-1", 8000), 5));
   EXPECT_EQ(fleet.find(target_id{"i-1"}), nullptr);
-  // One that moved to another address left its own.
+  // A target that moved to another address no longer owns the previous one.
   fleet.listed(time_point{3s}, at_address("i-2", 8001), 11);
   EXPECT_TRUE(fleet.listed(time_point{4s}, at_address("i-1", 8000), 12));
   EXPECT_NE(fleet.find(target_id{"i-2"}), nullptr);
