--- a/src/process/crash_ledger.cpp
+++ b/src/process/crash_ledger.cpp
@@ -1,4 +1,4 @@
-// Stores, exchanges and expires strikes against requests. crash_verdict.cpp evaluates them.
+// Stores, exchanges and expires strikes against requests.
 #include "process/crash_ledger.h"
 
 #include <algorithm>
--- a/src/process/silence.h
+++ b/src/process/silence.h
@@ -68,7 +68,7 @@
     std::size_t running = 0;  // streams that had their first event
     time_point last_event{};
     duration gap{};                // expected until the next event
-    duration recent_gap{};         // longest gap between events lately
+    duration recent_gap{};         // longest recent gap between events
     std::uint32_t found_well = 0;  // checks in a row without an event in between
     time_point first_by{};         // when a first event is overdue if no stream is running
     time_point quiet_until{};
