--- a/src/connection/fiber_runtime.h
+++ b/src/connection/fiber_runtime.h
@@ -2,8 +2,8 @@
 //
 // Boost.Fiber schedules fibers, Boost.Asio waits for sockets, and neither knows of the other. Each
 // worker here owns one io_context and one scheduler whose idle state *is* waiting in that
-// io_context, so that an idle worker sleeps in the kernel. A fiber stays on its worker for life:
-// state that belongs to one worker needs no lock.
+// io_context, so that an idle worker sleeps in the kernel. A fiber stays on its worker for
+// incarnation: state that belongs to one worker needs no lock.
 #pragma once
 
 #include <cstddef>
--- a/src/connection/frame_queue.cpp
+++ b/src/connection/frame_queue.cpp
@@ -13,7 +13,7 @@
 std::size_t frame_queue::push(std::vector<std::uint8_t> frame, frame_priority priority) {
   const bool is_urgent = priority == frame_priority::urgent;
   std::size_t dropped = 0;
-  const auto too_full = [&] { return bytes_ + frame.size() > most_bytes_; };
+  const auto too_full = [&] { return bytes_ + frame.size() > max_bytes_; };
   for (; too_full() && !state_.empty(); ++dropped) {
     pop(state_);
   }
--- a/src/connection/frame_queue.h
+++ b/src/connection/frame_queue.h
@@ -13,7 +13,7 @@
 // Not synchronised.
 class frame_queue {
  public:
-  explicit frame_queue(std::size_t most_bytes) : most_bytes_(most_bytes) {}
+  explicit frame_queue(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
   // Adds a frame and returns how many were dropped for it: the oldest state first, then, so that
   // memory stays bounded even so, the oldest urgent ones. The newest frame is always kept.
@@ -33,7 +33,7 @@
   using frames = std::deque<std::vector<std::uint8_t>>;
   void pop(frames& from);
 
-  std::size_t most_bytes_;
+  std::size_t max_bytes_;
   std::size_t bytes_{0};  // payloads in both queues
   frames urgent_;
   frames state_;
--- a/src/node/hosted_node.cpp
+++ b/src/node/hosted_node.cpp
@@ -128,8 +128,8 @@
     add("arbutusworks_connections_open", callers->connections());
     add("arbutusworks_ready", is_ready() ? 1 : 0);
     add("arbutusworks_poison_suspects", state.poison.ledger.all().size());
-    add("arbutusworks_poison_convicted", state.poison.ledger.convicted());
-    add("arbutusworks_poison_turned_away", state.poison.ledger.turned_away());
+    add("arbutusworks_poison_convicted", state.poison.ledger.quarantined());
+    add("arbutusworks_poison_turned_away", state.poison.ledger.rejected_strikes());
     add("arbutusworks_log_lines_dropped", dropped_log_lines());
     add("arbutusworks_log_requests_left_out", requests_without_log());
     return text;
--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -28,7 +28,7 @@
 #include "process/node_heartbeat.h"
 #include "process/peer_table.h"
 #include "process/serving_feed.h"
-#include "process/silence.h"
+#include "process/stall_monitor.h"
 #include "request/instance_choice.h"
 #include "request/replica_choice.h"
 #include "request/retry_window.h"
@@ -41,7 +41,7 @@
   hosted_state(hosted_settings s, fiber_runtime& r);
 
   hosted_settings settings;
-  std::string origin;  // of this life of the process: differs after every start
+  std::string origin;  // of this incarnation of the process: differs after every start
   fiber_runtime& runtime;
   http_client targets;  // requests that are passed on
   http_client control;  // reports and orders: a target that does not answer at once is a finding
@@ -62,7 +62,7 @@
   load_table loads;
   instance_table instances;
   std::map<service_id, retry_window> retries;
-  silence_monitor silence;
+  stall_monitor silence;
   lost_target_reports suspected;  // by peers
   misdirected_heads misdirected;
   send_limits limits;
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -119,11 +119,11 @@
     return heads;
   }
 
-  // Those that have gone silent here or are not meant, and those of which a peer takes a member for
-  // lost.
+  // Those that have gone stalled here or are not meant, and those of which a peer takes a member
+  // for lost.
   [[nodiscard]] std::vector<target_id> suspected_heads(
       time_point now, const std::vector<serving_replica>& replicas) const {
-    std::vector<target_id> heads = node_.silence.silent(now);
+    std::vector<target_id> heads = node_.silence.stalled(now);
     const std::vector<target_id> misdirected = node_.misdirected.heads(now);
     heads.insert(heads.end(), misdirected.begin(), misdirected.end());
     for (const serving_replica& replica : replicas) {
@@ -256,7 +256,7 @@
     if (!had_first_) {
       had_first_ = true;
       first_event_at_ = now;
-      node_.poison.ledger.run_began(now - sent_at_);
+      node_.poison.ledger.first_event_received(now - sent_at_);
       node_.loads.first_event(head_, call_.head.size);
       node_.silence.first_event(head_, now - sent_at_, expected_.to_first_event);
       if (call_.first_event == time_point{}) {
--- a/src/node/hosted_whole.cpp
+++ b/src/node/hosted_whole.cpp
@@ -159,7 +159,7 @@
         return;
       case answer_kind::own:
         node_.instances.ended(now, instance.id, call_end::answered);
-        node_.poison.ledger.run_began(now - sent_at_);
+        node_.poison.ledger.first_event_received(now - sent_at_);
         note_harmless(node_, call_);
         pass_on(instance, response);
         return;
--- a/src/node/keeper_beats.cpp
+++ b/src/node/keeper_beats.cpp
@@ -5,7 +5,7 @@
 #include "node/keeper_loop.h"
 #include "node/log.h"
 #include "node/poison_watch.h"
-#include "process/crash_wire.h"
+#include "process/poison_wire.h"
 
 namespace arbutus {
 
@@ -65,7 +65,7 @@
 
 feed_update keeper_loop::served_news(time_point now, const serving_follower::position& after) {
   const feed_log& rows = node_.served.rows();
-  const std::uint64_t from = after.life == node_.origin ? after.at : 0;
+  const std::uint64_t from = after.incarnation == node_.origin ? after.at : 0;
   feed_update news{rows.since(from),          rows.needs_whole(from),
                    rows.position(),           from,
                    now - node_.fleet_read_at, false};
@@ -129,7 +129,7 @@
   beat.echo_us = node_.peers.newest_stamp(peer);
   beat.targets_position = watch_.records_position();
   beat.follows_records = watch_.follows_records();
-  beat.life = node_.origin;
+  beat.incarnation = node_.origin;
   beat.serving = node_.followed.at();
   beat.configuration_position = node_.configuration_rows.position();
   beat.configuration_row = node_.configurations.newest();
@@ -156,9 +156,9 @@
     pass_on(now, peer, beat);
   }
   if (hears_crashes(now, peer)) {
-    beat.crashes = crashes_.news_for(now, peer, node_.poison.ledger);
+    beat.crashes = crashes_.update_for(now, peer, node_.poison.ledger);
   }
-  beat.received_poison_position = crashes_.heard_from(peer);
+  beat.received_poison_position = crashes_.received_position(peer);
   add_limits(now, peer, beat);
   return beat;
 }
@@ -179,7 +179,7 @@
   const node_id& self = node_.settings.id;
   grants_.set_demand(now, self, node_.origin, false, node_.limits.demand(now));
   grants_.round(now, random_, issued);
-  const grant_news own = grants_.news_for(now, self);
+  const grant_update own = grants_.update_for(now, self);
   for (const auto& [target, count] :
        granted_.take(now, now, self, node_.origin, node_.origin, own)) {
     node_.limits.granted(now, target, count);
@@ -192,7 +192,7 @@
   if (!beat.hub && node_.peers.hub_of(now, node_.settings.data_centre) != peer) {
     return;
   }
-  const auto demand = beat.hub ? (same ? std::map<target_id, double>{} : grants_.demand_here(now))
+  const auto demand = beat.hub ? (same ? std::map<target_id, double>{} : grants_.local_demand(now))
                                : node_.limits.demand(now);
   for (const auto& [target, limit] : node_.limits.all()) {
     const auto found = demand.find(target);
@@ -200,7 +200,7 @@
         {target, limit.per_second, now - limit.seen_at, found == demand.end() ? 0 : found->second});
   }
   if (beat.hub) {
-    beat.grants = grants_.news_for(now, peer);
+    beat.grants = grants_.update_for(now, peer);
   }
 }
 
@@ -210,7 +210,7 @@
   }
   const time_point asked{duration{beat.echo_us}};
   std::map<target_id, double> demand;
-  for (const limit_news& news : beat.limits) {
+  for (const limit_update& news : beat.limits) {
     node_.limits.heard(news.target, {news.per_second, asked - news.age});
     if (news.demand > 0) {
       demand.emplace(news.target, news.demand);
@@ -219,9 +219,9 @@
   const bool same = beat.data_centre == node_.settings.data_centre;
   const bool hub = node_.peers.is_hub(now);
   if (hub && same != beat.hub) {
-    grants_.set_demand(now, peer, beat.life, beat.hub, std::move(demand));
+    grants_.set_demand(now, peer, beat.incarnation, beat.hub, std::move(demand));
   }
-  const auto fresh = granted_.take(asked, now, peer, beat.life, node_.origin, beat.grants);
+  const auto fresh = granted_.take(asked, now, peer, beat.incarnation, node_.origin, beat.grants);
   for (const auto& [target, count] : fresh) {
     if (same) {
       node_.limits.granted(now, target, count);
@@ -240,14 +240,14 @@
 void keeper_loop::take_crashes(time_point now, const node_id& peer, const node_heartbeat& beat) {
   crashes_.acknowledged(peer, beat.received_poison_position);
   for (const std::string& bytes : beat.crashes.rows) {
-    if (const auto row = decode_crash_row(bytes)) {
+    if (const auto row = decode_poison_row(bytes)) {
       take_crash_row(node_, now, *row, "peer");
     } else {
       log_line(log_level::warning, "poison", "unreadable evidence", {{"peer", peer}});
     }
   }
   if (!beat.crashes.rows.empty()) {
-    crashes_.heard(peer, {beat.life, beat.crashes.at});
+    crashes_.heard(peer, {beat.incarnation, beat.crashes.at});
   }
 }
 
--- a/src/node/keeper_loop.cpp
+++ b/src/node/keeper_loop.cpp
@@ -209,10 +209,10 @@
   const endpoint address = view == nullptr ? endpoint{} : view->record.address;
   const bool same =
       node_.fleet.reported(asked, asked - lag - lag / 4, id,
-                           {report.life, report.member_of, report.loaded, report.pace});
+                           {report.incarnation, report.member_of, report.loaded, report.pace});
   if (!same) {
     log_line(log_level::info, "fleet", "started again",
-             {{"target", report.life}, {"before", id}, {"told_by", "report"}});
+             {{"target", report.incarnation}, {"before", id}, {"told_by", "report"}});
     node_.forget_connections(address);
   }
   return same;
--- a/src/node/keeper_loop.h
+++ b/src/node/keeper_loop.h
@@ -12,8 +12,8 @@
 #include "node/peer_links.h"
 #include "node/store_watch.h"
 #include "process/config_passing.h"
-#include "process/crash_exchange.h"
 #include "process/list_budget.h"
+#include "process/poison_exchange.h"
 #include "process/replica_keeper.h"
 #include "process/send_grants.h"
 
@@ -58,7 +58,7 @@
   void count_question(std::string_view why);
   // `why` is for the metrics: each question to a target has its price.
   bool probe(const target_id& id, duration timeout, std::string_view why);
-  // False: another life of the engine answered.
+  // False: another incarnation of the engine answered.
   bool take_report(time_point asked, const target_id& id, const target_report& report);
   void doubt(const target_id& id);
   [[nodiscard]] feed_update configuration_news(time_point now, const positions& at);
@@ -88,7 +88,7 @@
   std::set<target_id> checking_;  // heads whose replicas are being asked
   std::set<target_id> probing_;
   std::map<node_id, positions> positions_;
-  crash_exchange crashes_;
+  poison_exchange crashes_;
   // Of targets that name a limit.
   send_grants grants_;
   grant_receiver granted_;
--- a/src/node/keeper_losses.cpp
+++ b/src/node/keeper_losses.cpp
@@ -1,4 +1,4 @@
-// Who is lost: silent replicas, targets that do not answer, and what peers suspect.
+// Who is lost: stalled replicas, targets that do not answer, and what peers suspect.
 #include <algorithm>
 #include <boost/fiber/condition_variable.hpp>
 #include <mutex>
@@ -15,9 +15,9 @@
 // answer within 3 ms; the rest is room for a node that is short of processor time.
 constexpr duration probe_timeout = 90ms;
 // While the platform's list cannot be read, engines are asked themselves so often. The list itself
-// drops a silent one after three heartbeats.
+// drops a stalled one after three heartbeats.
 constexpr double heartbeats_between_questions = 3;
-// Members of a silent replica that a node asks: all of the usual 3 to 4; of 16, about five nodes
+// Members of a stalled replica that a node asks: all of the usual 3 to 4; of 16, about five nodes
 // have streams there and find the dead one together.
 constexpr std::size_t most_asked = 6;
 // A lost engine that lives serves again within this; one that is dead is asked some ten times until
@@ -29,7 +29,7 @@
 }  // namespace
 
 void keeper_loop::watch_silence(time_point now) {
-  for (const target_id& head : node_.silence.silent(now)) {
+  for (const target_id& head : node_.silence.stalled(now)) {
     if (checking_.insert(head).second) {
       node_.runtime.post(0, [this, head] {
         check_replica(head);
@@ -116,16 +116,17 @@
   if (service == nullptr || !service->engine) {
     return false;
   }
-  const auto& replicas = node_.replicas(*service, model_in(head.record.member_of->replica.name));
+  const auto& replicas =
+      node_.replicas(*service, model_of_name(head.record.member_of->replica.name));
   return std::any_of(replicas.begin(), replicas.end(),
                      [&](const serving_replica& r) { return r.head == head.record.id; });
 }
 
-// Asks every member of a silent replica at once; one that does not answer is asked again.
+// Asks every member of a stalled replica at once; one that does not answer is asked again.
 void keeper_loop::check_replica(const target_id& head) {
   const target_view* view = node_.fleet.find(head);
   if (view == nullptr || !view->record.member_of) {
-    node_.silence.found_well(monotonic_now(), head);
+    node_.silence.found_healthy(monotonic_now(), head);
     node_.attempts.move_away(head);
     return;
   }
@@ -133,7 +134,7 @@
     const std::size_t moved = node_.attempts.move_away(head);
     log_line(log_level::info, "fleet", "suspected",
              {{"head", head}, {"told_by", "list"}, {"streams_moved", std::uint64_t{moved}}});
-    node_.silence.found_well(monotonic_now(), head);
+    node_.silence.found_healthy(monotonic_now(), head);
     return;
   }
   const replica_key key = view->record.member_of->replica;
@@ -148,7 +149,7 @@
     const std::size_t moved = node_.attempts.move_away(head);
     log_line(log_level::info, "fleet", "suspected",
              {{"head", head}, {"told_by", "peer"}, {"streams_moved", std::uint64_t{moved}}});
-    node_.silence.found_well(monotonic_now(), head);
+    node_.silence.found_healthy(monotonic_now(), head);
     return;
   }
   choose_asked(head, members);
@@ -181,7 +182,7 @@
   }
   std::unique_lock guard(state->lock);
   state->done.wait(guard, [&state] { return state->pending == 0; });
-  node_.silence.found_well(monotonic_now(), head);
+  node_.silence.found_healthy(monotonic_now(), head);
   node_.metrics.count("arbutusworks_silent_replicas",
                       state->failed ? "found=\"lost\"" : "found=\"well\"");
 }
--- a/src/node/log.cpp
+++ b/src/node/log.cpp
@@ -208,12 +208,12 @@
 
 bool log_keeps_request(time_point now, std::string_view request) {
   const std::lock_guard guard(budget_lock());
-  return !state().budget || state().budget->keeps_request(now, stable_hash(request));
+  return !state().budget || state().budget->should_log_request(now, stable_hash(request));
 }
 
 std::uint64_t requests_without_log() {
   const std::lock_guard guard(budget_lock());
-  return state().budget ? state().budget->requests_left_out() : 0;
+  return state().budget ? state().budget->requests_suppressed() : 0;
 }
 
 std::uint64_t dropped_log_lines() {
--- a/src/node/model_gate.h
+++ b/src/node/model_gate.h
@@ -101,7 +101,7 @@
   bool pumping_ = false;  // a fiber looks after hopeless requests while any wait
 };
 
-// The gates of all models; made on first use, kept for the process's life.
+// The gates of all models; made on first use, kept for the process's incarnation.
 class model_gates {
  public:
   model_gates(fiber_runtime& runtime, std::uint64_t seed) : runtime_(runtime), seed_(seed) {}
--- a/src/node/poison_state.h
+++ b/src/node/poison_state.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "base/id.h"
-#include "process/crash_ledger.h"
+#include "process/poison_tracker.h"
 #include "request/request_print.h"
 #include "version/inventory.h"
 
@@ -30,7 +30,7 @@
 };
 
 struct poison_state {
-  crash_ledger ledger;
+  poison_tracker ledger;
   std::map<target_id, target_end> ends;
   time_point judged_at{};
 };
--- a/src/node/poison_watch.cpp
+++ b/src/node/poison_watch.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A run that has lasted so long acquits its request: longer by far than hardly_begun.
+// A run that has lasted so long acquits its request: longer by far than strike_window.
 constexpr duration shown_harmless_after = 1s;
 // A connection may break a moment before its process has gone.
 constexpr duration end_delay = 20ms;
@@ -36,11 +36,12 @@
 
 std::size_t marks_of(const hosted_state& node, const request_print& print) {
   const auto found = node.poison.ledger.all().find(print);
-  return found == node.poison.ledger.all().end() ? 0 : found->second.marks.size();
+  return found == node.poison.ledger.all().end() ? 0 : found->second.strikes.size();
 }
 
 void note_evidence(hosted_state& node, const broken_run& run) {
-  const bool is_new = node.poison.ledger.mark(run.print, {run.target, run.sent_at, run.broken_at});
+  const bool is_new =
+      node.poison.ledger.strike(run.print, {run.target, run.sent_at, run.broken_at});
   node.metrics.count("arbutusworks_poison_evidence", is_new ? "counts=\"yes\"" : "counts=\"no\"");
   // Under another name than "request", so that it is found for all that have this print.
   log_line(log_level::info, "poison", "evidence",
@@ -53,7 +54,7 @@
             {"marks", std::uint64_t{marks_of(node, run.print)}}});
 }
 
-// The address refuses, or another life answers there.
+// The address refuses, or another incarnation answers there.
 life_sign ask(hosted_state& node, const target_id& target, const endpoint& address) {
   const target_view* view = node.fleet.find(target);
   if (view == nullptr) {
@@ -94,7 +95,7 @@
 }
 
 void tell_verdict(hosted_state& node, const request_print& print, std::string_view told_by,
-                  std::size_t events, double chance, const std::vector<target_id>& targets) {
+                  std::size_t events, double probability, const std::vector<target_id>& targets) {
   node.metrics.count("arbutusworks_poison_verdicts", "told_by=\"" + std::string(told_by) + "\"");
   log_line(log_level::warning, "poison", "convicted",
            {{"print", hash_text(print)},
@@ -103,13 +104,13 @@
             {"marks", std::uint64_t{targets.size()}},
             {"targets", list_of(targets)},
             {"events", std::uint64_t{events}},
-            {"chance", chance}});
+            {"chance", probability}});
 }
 
 }  // namespace
 
 bool had_hardly_begun(time_point now, time_point first_event_at) {
-  return first_event_at == time_point{} || now - first_event_at < hardly_begun;
+  return first_event_at == time_point{} || now - first_event_at < strike_window;
 }
 
 bool has_gone_on(time_point first_event_at, time_point last_event_at) {
@@ -137,7 +138,7 @@
 }
 
 void note_harmless(hosted_state& node, const hosted_request& call) {
-  if (!node.poison.ledger.acquit(monotonic_now(), call.print)) {
+  if (!node.poison.ledger.clear_request(monotonic_now(), call.print)) {
     return;
   }
   node.metrics.count("arbutusworks_poison_acquitted", "by=\"run\"");
@@ -149,7 +150,7 @@
 }
 
 bool may_run(hosted_state& node, const hosted_request& call) {
-  const crash_ledger& ledger = node.poison.ledger;
+  const poison_tracker& ledger = node.poison.ledger;
   for (;;) {
     const time_point now = monotonic_now();
     const auto until = ledger.held_until(now, call.print);
@@ -162,12 +163,12 @@
               {"print", hash_text(call.print)},
               {"marks", std::uint64_t{marks_of(node, call.print)}},
               {"for_ms", to_milliseconds(*until - now)}});
-    // The judge looks shortly after.
+    // The evaluate looks shortly after.
     if (!sleep_until(std::min(*until + 2 * judge_interval, call.deadline))) {
       break;
     }
   }
-  if (!ledger.is_convicted(call.print)) {
+  if (!ledger.is_quarantined(call.print)) {
     return true;
   }
   node.metrics.count("arbutusworks_poison_refused");
@@ -180,7 +181,7 @@
 }
 
 duration retry_after_poison(const hosted_state& node, const hosted_request& call) {
-  return node.poison.ledger.convicted_for(monotonic_now(), call.print).value_or(0ms);
+  return node.poison.ledger.quarantine_remaining(monotonic_now(), call.print).value_or(0ms);
 }
 
 void judge_poison(hosted_state& node, time_point now) {
@@ -188,22 +189,22 @@
     return;
   }
   node.poison.judged_at = now;
-  for (const crash_verdict& v : node.poison.ledger.judge(now)) {
-    tell_verdict(node, v.print, "evidence", v.events, v.chance, v.targets);
+  for (const quarantine_decision& v : node.poison.ledger.evaluate(now)) {
+    tell_verdict(node, v.print, "evidence", v.events, v.probability, v.targets);
   }
 }
 
-void take_crash_row(hosted_state& node, time_point now, const crash_row& row,
+void take_crash_row(hosted_state& node, time_point now, const poison_row& row,
                     std::string_view told_by) {
-  const bool was = node.poison.ledger.is_convicted(row.print);
-  const bool convicted = node.poison.ledger.take(now, row);
-  if (convicted) {
+  const bool was = node.poison.ledger.is_quarantined(row.print);
+  const bool quarantined = node.poison.ledger.merge_row(now, row);
+  if (quarantined) {
     std::vector<target_id> targets;
-    for (const crash_row::mark& m : row.marks) {
+    for (const poison_row::strike& m : row.strikes) {
       targets.push_back(m.target);
     }
     tell_verdict(node, row.print, told_by, 0, 0, targets);
-  } else if (was && !node.poison.ledger.is_convicted(row.print)) {
+  } else if (was && !node.poison.ledger.is_quarantined(row.print)) {
     node.metrics.count("arbutusworks_poison_acquitted", "by=\"peer\"");
     log_line(
         log_level::info, "poison", "acquitted",
@@ -214,16 +215,16 @@
 std::string poison_text(const hosted_state& node, time_point now) {
   std::string text;
   for (const auto& [print, entry] : node.poison.ledger.all()) {
-    if (entry.marks.empty() && !entry.convicted_at) {
+    if (entry.strikes.empty() && !entry.quarantined_at) {
       continue;
     }
-    const auto left = node.poison.ledger.convicted_for(now, print);
+    const auto left = node.poison.ledger.quarantine_remaining(now, print);
     text += hash_text(print) + ' ' + std::string(name_of(print)) + ' ' +
             (left ? "refused for " + std::to_string(static_cast<std::int64_t>(to_seconds(*left))) +
                         " s, "
                   : "suspected, ");
-    text += std::to_string(entry.marks.size()) + " ended:";
-    for (const crash_mark& m : entry.marks) {
+    text += std::to_string(entry.strikes.size()) + " ended:";
+    for (const poison_strike& m : entry.strikes) {
       text += ' ' + m.target.str();
     }
     text += '\n';
@@ -240,7 +241,7 @@
   }
   bool any = false;
   for (const request_print& print : prints) {
-    any = node.poison.ledger.lift(now, print) || any;
+    any = node.poison.ledger.release(now, print) || any;
     node.metrics.count("arbutusworks_poison_acquitted", "by=\"operator\"");
     log_line(log_level::warning, "poison", "acquitted",
              {{"print", hash_text(print)},
--- a/src/node/poison_watch.h
+++ b/src/node/poison_watch.h
@@ -31,12 +31,12 @@
 // Judges what is known; each tick.
 void judge_poison(hosted_state& node, time_point now);
 // What a peer told.
-void take_crash_row(hosted_state& node, time_point now, const crash_row& row,
+void take_crash_row(hosted_state& node, time_point now, const poison_row& row,
                     std::string_view told_by);
 // Keeps verdicts in the store, in a fiber of its own until the runtime stops.
 void keep_verdicts(hosted_state& node);
 
-// For people: one line for each request that is suspected or convicted.
+// For people: one line for each request that is suspected or quarantined.
 [[nodiscard]] std::string poison_text(const hosted_state& node, time_point now);
 // An operator lifts the verdict on all requests of this hash. False: there is none.
 bool lift_verdict(hosted_state& node, time_point now, std::uint64_t hash);
--- a/src/node/store_poison.cpp
+++ b/src/node/store_poison.cpp
@@ -6,7 +6,7 @@
 #include "node/log.h"
 #include "node/poison_watch.h"
 #include "node/store_timing.h"
-#include "process/crash_wire.h"
+#include "process/poison_wire.h"
 
 namespace arbutus {
 
@@ -36,13 +36,13 @@
     return false;
   }
   for (const store_row& stored : rows->rows) {
-    auto row = decode_crash_row(stored.value);
-    if (!row || !row->convicted_ago) {
+    auto row = decode_poison_row(stored.value);
+    if (!row || !row->quarantined_ago) {
       log_line(log_level::warning, "poison", "unreadable verdict", {{"row", stored.version}});
       continue;
     }
-    row->convicted_ago = 0ms;
-    row->acquitted_ago.reset();
+    row->quarantined_ago = 0ms;
+    row->cleared_ago.reset();
     row->stored = true;
     take_crash_row(node, monotonic_now(), *row, "store");
   }
@@ -51,11 +51,11 @@
 
 // False: the store did not take them.
 bool write_changes(hosted_state& node) {
-  const crash_ledger::store_changes changes = node.poison.ledger.for_store();
+  const poison_tracker::store_changes changes = node.poison.ledger.pending_store_changes();
   transaction t;
   const time_point now = monotonic_now();
   for (const request_print& print : changes.to_write) {
-    if (const auto row = node.poison.ledger.row_of(now, print)) {
+    if (const auto row = node.poison.ledger.quarantine_row(now, print)) {
       t.writes.push_back({std::string(poison_table), key_of(print), encode(*row)});
     }
   }
--- a/src/node/store_targets.cpp
+++ b/src/node/store_targets.cpp
@@ -6,7 +6,7 @@
 #include "node/store_timing.h"
 #include "node/store_watch.h"
 #include "platform/documents.h"
-#include "process/target_life.h"
+#include "process/target_incarnation.h"
 
 namespace arbutus {
 
@@ -84,8 +84,8 @@
     return;
   }
   const bool first = !node_.fleet_known;
-  const bool taken = node_.followed.take(asked, beat.life, news.after, news.whole, news.position,
-                                         news.rows, node_.fleet);
+  const bool taken = node_.followed.take(asked, beat.incarnation, news.after, news.whole,
+                                         news.position, news.rows, node_.fleet);
   if (!taken) {
     return;
   }
@@ -170,7 +170,7 @@
     node_.metrics.count("arbutusworks_unreadable_records");
     // Once for each version of a row; a name may be anything.
     log_line(log_level::warning, "fleet", "unreadable record",
-             {{"target", row.key.substr(0, longest_engine_name)},
+             {{"target", row.key.substr(0, max_engine_name_length)},
               {"version", row.version},
               {"reason", problem.substr(0, longest_reason)}});
   }
--- a/src/node/store_watch.h
+++ b/src/node/store_watch.h
@@ -92,10 +92,11 @@
   std::uint32_t failures_ = 0;  // of such questions in a row
   bool withheld_ = false;       // the hub has a newer configuration than it passes on
   service_map_reader reader_;
-  config_receiver receiver_;                                 // of what it passes on in parts
-  time_point part_taken_at_{};                               // the newest of them
-  std::map<std::string, std::uint64_t, std::less<>> calls_;  // by what they ask, in this life
-  std::uint64_t calls_told_ = 0;                             // of them in the log
+  config_receiver receiver_;    // of what it passes on in parts
+  time_point part_taken_at_{};  // the newest of them
+  std::map<std::string, std::uint64_t, std::less<>>
+      calls_;                     // by what they ask, in this incarnation
+  std::uint64_t calls_told_ = 0;  // of them in the log
   time_point told_calls_at_{};
   bool configuration_up_ = true;
   bool targets_up_ = true;
--- a/src/process/config_passing.h
+++ b/src/process/config_passing.h
@@ -37,7 +37,7 @@
       return {};
     }
     const std::size_t bytes = from.delta_for(to.held).size();
-    const bool too_long = bytes * listeners > budget_.most_bytes() * most_rounds;
+    const bool too_long = bytes * listeners > budget_.max_bytes() * most_rounds;
     if (too_long && !to.refused_by_store) {
       return {true, std::nullopt};
     }
--- a/src/process/control_timing.h
+++ b/src/process/control_timing.h
@@ -20,8 +20,8 @@
   // probes and has no rank.
   duration peer_suspect_after = 2500ms;
   duration peer_dead_after = 4500ms;
-  // A peer that was marked dead twice within the half-life counts as alive again only after its
-  // heartbeats have arrived for this long, doubled with each further death up to the limit.
+  // A peer that was marked dead twice within the half-incarnation counts as alive again only after
+  // its heartbeats have arrived for this long, doubled with each further death up to the limit.
   duration peer_damping = 2s;
   duration damping_limit = 30s;
   duration damping_half_life = 60s;
--- a/src/process/engine_wire.cpp
+++ b/src/process/engine_wire.cpp
@@ -1,4 +1,5 @@
-// Reports and orders as JSON. Keys are short since every target is probed about once a second.
+// Encodes reports and orders as JSON. Keys are short, since every target is probed about once a
+// second.
 #include "process/engine_wire.h"
 
 #include <nlohmann/json.hpp>
@@ -11,10 +12,10 @@
 
 using json = nlohmann::json;
 
-// Runs a decoder that may throw on missing or mistyped fields; a bad answer must never take the
-// process down, and is refused with its reason.
+// Runs a decoder that may throw on missing or mistyped fields. A malformed message is refused with
+// the reason instead of ending the process.
 template <class T, class Decode>
-outcome<T> guarded(std::string_view text, Decode decode) {
+outcome<T> decode_guarded(std::string_view text, Decode decode) {
   try {
     return decode(json::parse(text));
   } catch (const std::exception& e) {
@@ -30,10 +31,10 @@
   return *parsed;
 }
 
-// The library's own conversion takes any number: -20.5 or 2^40 into 32 bits would be undefined or
-// silently cut, and a load of 0 that is none draws requests to a broken target.
+// The library's conversion accepts any number: converting -20.5 or 2^40 to 32 bits is undefined or
+// truncates. A load that is wrongly read as 0 would attract requests to a broken target.
 template <class T>
-T decode_whole(const json& j) {
+T decode_integer(const json& j) {
   if (!j.is_number_integer()) {
     throw std::invalid_argument("expected a whole number");
   }
@@ -47,7 +48,7 @@
 
 template <class Enum>
 Enum decode_enum(const json& j, Enum last) {
-  const auto value = decode_whole<unsigned>(j);
+  const auto value = decode_integer<unsigned>(j);
   if (value > static_cast<unsigned>(last)) {
     throw std::out_of_range("enumerator");
   }
@@ -70,17 +71,17 @@
 }
 
 outcome<engine_report> decode_report(std::string_view text) {
-  return guarded<engine_report>(text, [](const json& j) {
+  return decode_guarded<engine_report>(text, [](const json& j) {
     engine_report r;
     r.vm = vm_id{j.at("vm").get<std::string>()};
-    r.incarnation = decode_whole<std::uint64_t>(j.at("inc"));
+    r.incarnation = decode_integer<std::uint64_t>(j.at("inc"));
     r.replica = replica_id{j.at("rep").get<std::string>()};
     r.gen = decode_generation(j.at("gen"));
     r.model_version = j.at("ver").get<std::string>();
     r.state = decode_enum(j.at("st"), engine_state::failed);
-    r.running = decode_whole<std::uint32_t>(j.at("run"));
-    r.queued = decode_whole<std::uint32_t>(j.at("q"));
-    r.slots = decode_whole<std::uint32_t>(j.at("slots"));
+    r.running = decode_integer<std::uint32_t>(j.at("run"));
+    r.queued = decode_integer<std::uint32_t>(j.at("q"));
+    r.slots = decode_integer<std::uint32_t>(j.at("slots"));
     r.tokens_per_second = j.at("tps").get<double>();
     r.kv_used = j.at("kv").get<double>();
     r.leaving = j.value("leaving", false);
@@ -106,7 +107,7 @@
 }
 
 outcome<order> decode_order(std::string_view text) {
-  return guarded<order>(text, [](const json& j) {
+  return decode_guarded<order>(text, [](const json& j) {
     order o;
     o.kind = decode_enum(j.at("kind"), order_kind::drain);
     o.vm = vm_id{j.at("vm").get<std::string>()};
@@ -117,8 +118,8 @@
     }
     o.model = model_id{j.at("model").get<std::string>()};
     o.model_version = j.at("ver").get<std::string>();
-    o.expected_incarnation = decode_whole<std::uint64_t>(j.at("inc"));
-    o.validity_period = duration{decode_whole<std::int64_t>(j.at("ttl_us"))};
+    o.expected_incarnation = decode_integer<std::uint64_t>(j.at("inc"));
+    o.validity_period = duration{decode_integer<std::int64_t>(j.at("ttl_us"))};
     return o;
   });
 }
--- a/src/process/feed_log.h
+++ b/src/process/feed_log.h
@@ -65,8 +65,8 @@
   [[nodiscard]] std::uint64_t position() const { return position_; }
 
   // Whether rows behind `after` complete what is known here. Goes wrong: a node that has just
-  // started again is answered on what its earlier life had asked for, takes the sender's position
-  // for its own, and lacks for ever what came before. One would see a node that knows no
+  // started again is answered on what its earlier incarnation had asked for, takes the sender's
+  // position for its own, and lacks for ever what came before. One would see a node that knows no
   // configuration, or no replicas, while all others serve.
   [[nodiscard]] bool can_follow(std::uint64_t after) const { return after <= position_; }
 
--- a/src/process/fleet_view.cpp
+++ b/src/process/fleet_view.cpp
@@ -7,7 +7,7 @@
 #include <string_view>
 
 #include "process/replica_name.h"
-#include "process/target_life.h"
+#include "process/target_incarnation.h"
 
 namespace arbutus {
 
@@ -25,12 +25,12 @@
   return names[static_cast<std::size_t>(state)];
 }
 
-bool fleet_view::take_life(time_point now, const target_id& life) {
-  engine_lives& known = lives_[std::string(engine_of(life))];
-  if (known.now == life) {
+bool fleet_view::take_life(time_point now, const target_id& incarnation) {
+  engine_lives& known = lives_[std::string(engine_of(incarnation))];
+  if (known.now == incarnation) {
     return true;
   }
-  if (std::find(known.ended.begin(), known.ended.end(), life) != known.ended.end()) {
+  if (std::find(known.ended.begin(), known.ended.end(), incarnation) != known.ended.end()) {
     return false;
   }
   if (!known.now.empty()) {
@@ -41,8 +41,8 @@
     }
     ++revision_;
   }
-  known.now = life;
-  targets_[life].life_seen = now;
+  known.now = incarnation;
+  targets_[incarnation].life_seen = now;
   return true;
 }
 
@@ -161,7 +161,7 @@
 
 bool fleet_view::reported(time_point asked, time_point as_of, const target_id& id,
                           const target_answer& answer) {
-  if (answer.life != id) {
+  if (answer.incarnation != id) {
     replace_by_answer(asked, as_of, id, answer);
     return false;
   }
@@ -193,18 +193,18 @@
   return true;
 }
 
-// The answer is newer than the life that was asked only if that one was known when the question was
-// sent: else the engine has started once more since it answered.
+// The answer is newer than the incarnation that was asked only if that one was known when the
+// question was sent: else the engine has started once more since it answered.
 void fleet_view::replace_by_answer(time_point asked, time_point as_of, const target_id& id,
                                    const target_answer& answer) {
   const target_view* before = find(id);
-  const bool is_newer =
-      before != nullptr && engine_of(answer.life) == engine_of(id) && before->life_seen <= asked;
+  const bool is_newer = before != nullptr && engine_of(answer.incarnation) == engine_of(id) &&
+                        before->life_seen <= asked;
   if (!is_newer) {
     return;
   }
   target_view next = *before;
-  next.record.id = answer.life;
+  next.record.id = answer.incarnation;
   next.record.member_of = answer.member_of;
   next.record.loaded = answer.loaded;
   next.record.draining = false;
@@ -217,8 +217,8 @@
   next.failed_probes = 0;
   next.lost = false;
   next.pace = answer.pace;
-  if (take_life(asked, answer.life)) {
-    targets_[answer.life] = std::move(next);
+  if (take_life(asked, answer.incarnation)) {
+    targets_[answer.incarnation] = std::move(next);
     ++revision_;
   }
 }
@@ -330,8 +330,8 @@
       continue;
     }
     // One of them started again, and an order of before put it back under the same name: the head
-    // does not work with this life of it.
-    if (!is_of_lives(key.name, replica.members)) {
+    // does not work with this incarnation of it.
+    if (!matches_incarnations(key.name, replica.members)) {
       continue;
     }
     replica.key = key;
--- a/src/process/fleet_view.h
+++ b/src/process/fleet_view.h
@@ -1,8 +1,8 @@
 // What a node knows of the targets: a live inventory, fed by the platform's list of targets and by
 // the targets' own reports.
 //
-// A value: fed with (now, observation). A target_id names one life of an engine (target_life.h);
-// engines start again under their name, and addresses are given to others.
+// A value: fed with (now, observation). A target_id names one incarnation of an engine
+// (target_life.h); engines start again under their name, and addresses are given to others.
 #pragma once
 
 #include <cstdint>
@@ -41,7 +41,7 @@
   auto operator<=>(const membership&) const = default;
 };
 
-// One life of a target, as it tells of itself.
+// One incarnation of a target, as it tells of itself.
 struct target_record {
   target_id id;
   service_id service;
@@ -68,7 +68,7 @@
   std::uint64_t row_version{};  // of its newest row
   bool listed = true;           // in the platform's list; false: kept for what may still run there
   time_point unlisted_at{};
-  time_point life_seen{};           // when this life was first heard of
+  time_point life_seen{};           // when this incarnation was first heard of
   std::uint32_t failed_probes = 0;  // in a row
   bool lost = false;                // does not answer; nothing is sent there
   time_point lost_at{};
@@ -77,7 +77,7 @@
 
 // What a target said of itself when it was asked.
 struct target_answer {
-  target_id life;  // which may be another one than the one that was asked
+  target_id incarnation;  // which may be another one than the one that was asked
   std::optional<membership> member_of;
   model_id loaded;
   double pace = 1;
@@ -91,12 +91,13 @@
  public:
   // From the platform's list. `observed_at`: when the question was sent. `written_after`: a time
   // that its writing is known to be behind; by default the same, as for a list that is followed.
-  // False: the record is of a life that has ended, or its address is another target's by a newer
-  // row (row_version), and was dropped.
+  // False: the record is of a incarnation that has ended, or its address is another target's by a
+  // newer row (row_version), and was dropped.
   bool listed(time_point observed_at, target_record record, std::uint64_t row_version = 0,
               std::optional<time_point> written_after = std::nullopt);
   void unlisted(time_point now, const target_id& id);
-  // The list has nothing under this engine's name that could be used, whichever life it knew.
+  // The list has nothing under this engine's name that could be used, whichever incarnation it
+  // knew.
   void unlisted_engine(time_point now, std::string_view engine);
   struct listed_row {
     target_record record;
@@ -108,7 +109,8 @@
 
   // A target's own report, to a question sent at `asked`. What it says was so at `as_of`: reports
   // lag, so that the list or an order's answer may be newer, and is then kept. False: it was
-  // another life than `id` that answered; if it is a newer one, it has taken the place of `id`.
+  // another incarnation than `id` that answered; if it is a newer one, it has taken the place of
+  // `id`.
   bool reported(time_point asked, time_point as_of, const target_id& id,
                 const target_answer& answer);
   // Another target answers at its address: it has ended. Its row may stand in the list until it
@@ -131,7 +133,7 @@
 
   [[nodiscard]] const std::map<target_id, target_view>& all() const { return targets_; }
   [[nodiscard]] const target_view* find(const target_id& id) const;
-  // The life of the engine that is known now; empty: none.
+  // The incarnation of the engine that is known now; empty: none.
   [[nodiscard]] target_id life_now(std::string_view engine) const;
   // Rises with each change that may alter what is routed to.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
@@ -152,8 +154,8 @@
     std::vector<target_id> ended;  // the newest last
   };
 
-  // Whether `life` is, or has now become, the engine's life.
-  bool take_life(time_point now, const target_id& life);
+  // Whether `incarnation` is, or has now become, the engine's incarnation.
+  bool take_life(time_point now, const target_id& incarnation);
   // Whether the address is the target's by its row of this version; whoever had it is forgotten.
   bool take_address(const target_record& record, std::uint64_t row_version);
   void forget(const target_id& id);
--- a/src/process/hub_cost.cpp
+++ b/src/process/hub_cost.cpp
@@ -108,7 +108,7 @@
       if (const auto* question = std::get_if<report_question>(&e)) {
         const target_view* view = fleet_.find(question->to);
         target_report report;
-        report.life = question->to;
+        report.incarnation = question->to;
         report.member_of = view->record.member_of;
         report.loaded = view->record.loaded;
         keeper_.on_report(now_, question->to, report);
--- a/src/process/node_heartbeat.cpp
+++ b/src/process/node_heartbeat.cpp
@@ -54,19 +54,19 @@
           json::binary({part->bytes.begin(), part->bytes.end()})};
 }
 
-json limits_to_json(const std::vector<limit_news>& limits) {
+json limits_to_json(const std::vector<limit_update>& limits) {
   json rows = json::array();
-  for (const limit_news& l : limits) {
+  for (const limit_update& l : limits) {
     json rate = l.per_second ? json(*l.per_second) : json();
     rows.push_back(json::array({l.target.str(), std::move(rate), l.age.count(), l.demand}));
   }
   return rows;
 }
 
-std::vector<limit_news> limits_from_json(const json& from) {
-  std::vector<limit_news> limits;
+std::vector<limit_update> limits_from_json(const json& from) {
+  std::vector<limit_update> limits;
   for (const json& row : from) {
-    limit_news update;
+    limit_update update;
     update.target = target_id{row.at(0).get<std::string>()};
     if (!row.at(1).is_null()) {
       update.per_second = row.at(1).get<double>();
@@ -81,17 +81,17 @@
   return limits;
 }
 
-json grants_to_json(const grant_news& grants) {
+json grants_to_json(const grant_update& grants) {
   json rows = json::array();
   for (const auto& [target, total] : grants.totals) {
     rows.push_back(json::array({target.str(), total}));
   }
-  return json::array({grants.receiver_life, std::move(rows)});
+  return json::array({grants.receiver_incarnation, std::move(rows)});
 }
 
-grant_news grants_from_json(const json& from) {
-  grant_news grants;
-  grants.receiver_life = from.at(0).get<std::string>();
+grant_update grants_from_json(const json& from) {
+  grant_update grants;
+  grants.receiver_incarnation = from.at(0).get<std::string>();
   for (const json& row : from.at(1)) {
     grants.totals.emplace_back(target_id{row.at(0).get<std::string>()},
                                row.at(1).get<std::uint64_t>());
@@ -151,13 +151,13 @@
                          message.strength.processor_permille,
                          message.strength.link_mbps,
                          message.follows_records,
-                         message.life,
-                         message.serving.life,
+                         message.incarnation,
+                         message.serving.incarnation,
                          message.serving.at,
                          update_to_json(message.served),
                          message.crashes.at,
                          message.crashes.rows,
-                         message.received_poison_position.life,
+                         message.received_poison_position.incarnation,
                          message.received_poison_position.at,
                          message.configuration_row,
                          message.configuration_progress.row,
@@ -200,7 +200,7 @@
     message.link = parse_endpoint(document.at(13).get<std::string>()).value_or(endpoint{});
     message.strength = {document.at(14).get<std::uint32_t>(), document.at(15).get<std::uint32_t>()};
     message.follows_records = document.at(16).get<bool>();
-    message.life = document.at(17).get<std::string>();
+    message.incarnation = document.at(17).get<std::string>();
     message.serving = {document.at(18).get<std::string>(), document.at(19).get<std::uint64_t>()};
     message.served = update_from_json(document.at(20));
     message.crashes = {document.at(21).get<std::uint64_t>(),
--- a/src/process/node_heartbeat.h
+++ b/src/process/node_heartbeat.h
@@ -18,8 +18,8 @@
 #include "base/id.h"
 #include "base/units.h"
 #include "process/config_transfer.h"
-#include "process/crash_exchange.h"
 #include "process/feed_log.h"
+#include "process/poison_exchange.h"
 #include "process/send_grants.h"
 #include "process/serving_feed.h"
 #include "request/replica_choice.h"
@@ -59,7 +59,7 @@
   std::uint64_t targets_position{};
   // Whether the sender follows the records of all targets, or only the serving replicas.
   bool follows_records = true;
-  std::string life;                    // incarnation of the sender, to which its positions belong
+  std::string incarnation;             // incarnation of the sender, to which its positions belong
   serving_follower::position serving;  // in the rows of serving replicas, as received from the hub
   std::uint64_t configuration_position{};
   std::uint64_t configuration_row{};  // newest row of the configuration that the sender holds
@@ -67,11 +67,11 @@
   std::map<target_id, replica_load> loads;
   std::vector<target_id> lost;
   // Updates about poison requests, and the sender's position in those of the receiver.
-  crash_news crashes;
-  crash_position received_poison_position;
+  poison_update crashes;
+  poison_position received_poison_position;
   // Send limits of targets, and grants to send to them.
-  std::vector<limit_news> limits;
-  grant_news grants;
+  std::vector<limit_update> limits;
+  grant_update grants;
   // From a hub to a node of its data centre.
   std::optional<feed_update> targets;  // records of targets; or instead of them:
   std::optional<feed_update> served;  // serving replicas; positions are of the sender's incarnation
--- /dev/null
+++ b/src/process/poison_tracker.cpp
@@ -0,0 +1,334 @@
+// Stores, exchanges and expires strikes against requests.
+#include "process/poison_tracker.h"
+
+#include <algorithm>
+
+namespace arbutus {
+
+namespace {
+
+// Whether the entry has a strike for the same crash already. The target_id alone does not tell: a
+// target that restarts within a second keeps its old id here until the list is updated, so its
+// successive crashes would look like one. Runs in one incarnation overlap in time; a run that was
+// sent after another one broke off reached a later incarnation. The slack covers ages in messages,
+// which are truncated to milliseconds and do not include the time in transit.
+bool is_known_end(const poison_entry& entry, const poison_strike& strike) {
+  constexpr duration slack = 50ms;
+  return std::any_of(entry.strikes.begin(), entry.strikes.end(), [&](const poison_strike& m) {
+    return m.target == strike.target && m.sent_at < strike.ended_at + slack &&
+           strike.sent_at < m.ended_at + slack;
+  });
+}
+
+// Time of the newest event that is recorded in the entry.
+time_point newest_time(const poison_entry& entry) {
+  time_point newest = entry.strikes.empty() ? time_point{} : entry.strikes.back().ended_at;
+  newest = std::max(newest, entry.cleared_at.value_or(time_point{}));
+  return std::max(newest, entry.quarantined_at.value_or(time_point{}));
+}
+
+}  // namespace
+
+void poison_tracker::run_sent(time_point now, const target_id& target) {
+  last_sent_to_[target] = now;
+}
+
+void poison_tracker::first_event_received(duration waited) {
+  constexpr double weight = 0.02;
+  mean_first_event_s_ += weight * (to_seconds(waited) - mean_first_event_s_);
+}
+
+bool poison_tracker::has_known_cause(const request_print& print, const target_id& target) const {
+  const auto found = known_causes_.find(target);
+  return found != known_causes_.end() && found->second != print;
+}
+
+// Evicts the entry with the fewest strikes, the oldest among equals. Entries with several strikes
+// are never evicted: otherwise a caller who sends thousands of different requests would push out
+// the one that crashes the engines.
+bool poison_tracker::make_room(const request_print& print) {
+  const auto count = entries_of_workspace_.find(print.workspace);
+  const bool own_full =
+      count != entries_of_workspace_.end() && count->second >= settings_.max_entries_per_workspace;
+  if (!own_full && entries_.size() < settings_.max_entries) {
+    return true;
+  }
+  auto weakest = entries_.end();
+  const auto weight = [](const poison_entry& e) {
+    return std::pair(e.quarantined_at ? std::size_t{1} << 32U : e.strikes.size(), e.changed);
+  };
+  for (auto i = entries_.begin(); i != entries_.end(); ++i) {
+    const bool may_evict = !own_full || i->first.workspace == print.workspace;
+    if (may_evict && (weakest == entries_.end() || weight(i->second) < weight(weakest->second))) {
+      weakest = i;
+    }
+  }
+  if (weakest == entries_.end() || weakest->second.strikes.size() > 1 ||
+      weakest->second.quarantined_at) {
+    return false;
+  }
+  --entries_of_workspace_[weakest->first.workspace];
+  entries_.erase(weakest);
+  return true;
+}
+
+poison_entry* poison_tracker::entry_for(const request_print& print) {
+  const auto found = entries_.find(print);
+  if (found != entries_.end()) {
+    return &found->second;
+  }
+  if (!make_room(print)) {
+    ++rejected_strikes_;
+    return nullptr;
+  }
+  ++entries_of_workspace_[print.workspace];
+  return &entries_[print];
+}
+
+bool poison_tracker::add_strike(const request_print& print, poison_entry& entry,
+                                const poison_strike& strike) {
+  const bool acquitted =
+      entry.cleared_at && strike.ended_at <= *entry.cleared_at + settings_.cleared_duration;
+  if (acquitted || is_known_end(entry, strike) || has_known_cause(print, strike.target) ||
+      entry.strikes.size() >= settings_.max_strikes_per_request) {
+    return false;
+  }
+  const auto place =
+      std::upper_bound(entry.strikes.begin(), entry.strikes.end(), strike, ended_before);
+  entry.strikes.insert(place, strike);
+  if (entry.quarantined_at) {
+    known_causes_[strike.target] = print;
+  }
+  touch(entry);
+  return true;
+}
+
+bool poison_tracker::strike(const request_print& print, const poison_strike& strike) {
+  const cleared_run& cleared = cleared_runs_[print.hash % cleared_slots];
+  if (cleared.print == print && cleared.at != time_point{} &&
+      strike.ended_at <= cleared.at + settings_.cleared_duration) {
+    return false;
+  }
+  poison_entry* entry = entry_for(print);
+  return entry != nullptr && add_strike(print, *entry, strike);
+}
+
+void poison_tracker::clear_entry(poison_entry& entry, time_point cleared_at) {
+  const time_point covered = cleared_at + settings_.cleared_duration;
+  entry.cleared_at = cleared_at;
+  std::erase_if(entry.strikes, [&](const poison_strike& m) {
+    if (m.ended_at > covered) {
+      return false;
+    }
+    known_causes_.erase(m.target);
+    return true;
+  });
+  if (entry.strikes.empty() || (entry.quarantined_at && *entry.quarantined_at <= covered)) {
+    entry.quarantined_at.reset();
+  }
+  touch(entry);
+}
+
+bool poison_tracker::clear_request(time_point now, const request_print& print) {
+  cleared_runs_[print.hash % cleared_slots] = {print, now};
+  const auto found = entries_.find(print);
+  if (found == entries_.end()) {
+    return false;
+  }
+  poison_entry& entry = found->second;
+  const bool suspected = !entry.strikes.empty() || entry.quarantined_at;
+  if (suspected) {
+    clear_entry(entry, now);
+  }
+  return suspected;
+}
+
+bool poison_tracker::release(time_point now, const request_print& print) {
+  const auto found = entries_.find(print);
+  if (found == entries_.end()) {
+    return false;
+  }
+  clear_entry(found->second, now - settings_.cleared_duration);
+  return true;
+}
+
+bool poison_tracker::is_quarantined(const request_print& print) const {
+  const auto found = entries_.find(print);
+  return found != entries_.end() && found->second.quarantined_at;
+}
+
+std::optional<duration> poison_tracker::quarantine_remaining(time_point now,
+                                                             const request_print& print) const {
+  const auto found = entries_.find(print);
+  if (found == entries_.end() || !found->second.quarantined_at) {
+    return std::nullopt;
+  }
+  return std::max<duration>(newest_time(found->second) + settings_.quarantine_duration - now, 0ms);
+}
+
+std::size_t poison_tracker::quarantined() const {
+  return static_cast<std::size_t>(
+      std::count_if(entries_.begin(), entries_.end(),
+                    [](const auto& entry) { return entry.second.quarantined_at.has_value(); }));
+}
+
+// Expired quarantines are cleared, not erased: the store still has their rows, and peers may still
+// hold them.
+void poison_tracker::expire_quarantines(time_point now) {
+  for (auto& [print, entry] : entries_) {
+    if (entry.quarantined_at && now - newest_time(entry) > settings_.quarantine_duration) {
+      clear_entry(entry, now - settings_.cleared_duration);
+    }
+  }
+}
+
+void poison_tracker::remove_expired(time_point now) {
+  constexpr duration interval = 1s;
+  if (now - last_expiry_at_ < interval) {
+    return;
+  }
+  last_expiry_at_ = now;
+  expire_quarantines(now);
+  std::erase_if(entries_, [&](const entry_map::value_type& known) {
+    const auto& [print, entry] = known;
+    if (entry.quarantined_at || now - newest_time(entry) <= settings_.suspect_duration) {
+      return false;
+    }
+    --entries_of_workspace_[print.workspace];
+    for (const poison_strike& m : entry.strikes) {
+      known_causes_.erase(m.target);
+    }
+    return true;
+  });
+  std::erase_if(entries_of_workspace_, [](const auto& entry) { return entry.second == 0; });
+  std::erase_if(last_sent_to_,
+                [&](const auto& entry) { return now - entry.second > settings_.lookback_window; });
+}
+
+// The crashes of its targets now have a known cause, so they no longer count as strikes against the
+// other requests that ran there.
+void poison_tracker::quarantine(const request_print& print, poison_entry& entry, time_point at) {
+  entry.quarantined_at = at;
+  entry.stored = false;
+  for (const poison_strike& m : entry.strikes) {
+    known_causes_.try_emplace(m.target, print);
+  }
+  for (entry_map::value_type& other : entries_) {
+    if (other.first != print && !other.second.quarantined_at) {
+      std::erase_if(other.second.strikes,
+                    [&](const poison_strike& m) { return has_known_cause(other.first, m.target); });
+    }
+  }
+  touch(entry);
+}
+
+bool poison_tracker::merge_row(time_point now, const poison_row& row) {
+  poison_entry* entry = entry_for(row.print);
+  if (entry == nullptr) {
+    return false;
+  }
+  const cleared_run& cleared = cleared_runs_[row.print.hash % cleared_slots];
+  std::optional<time_point> cleared_at;
+  if (row.cleared_ago) {
+    cleared_at = now - *row.cleared_ago;
+  }
+  const bool cleared_here = cleared.print == row.print && cleared.at != time_point{};
+  if (cleared_here && (!cleared_at || *cleared_at < cleared.at)) {
+    cleared_at = cleared.at;
+  }
+  // An age in a message is slightly short: it does not include the time in transit.
+  constexpr duration tolerance = 50ms;
+  const bool newer =
+      cleared_at && (!entry->cleared_at || *cleared_at > *entry->cleared_at + tolerance);
+  if (newer) {
+    clear_entry(*entry, *cleared_at);
+  }
+  for (const poison_row::strike& m : row.strikes) {
+    add_strike(row.print, *entry, {m.target, now - m.sent_ago, now - m.ended_ago});
+  }
+  bool quarantined = false;
+  if (row.quarantined_ago && !entry->quarantined_at) {
+    const time_point at = now - *row.quarantined_ago;
+    if (!entry->cleared_at || at > *entry->cleared_at + settings_.cleared_duration) {
+      quarantine(row.print, *entry, at);
+      quarantined = true;
+    }
+  }
+  if (row.stored && entry->quarantined_at && !entry->stored) {
+    entry->stored = true;
+    touch(*entry);
+  }
+  return quarantined;
+}
+
+poison_row poison_tracker::to_row(time_point now, const entry_map::value_type& known) {
+  const auto& [print, entry] = known;
+  poison_row row;
+  row.print = print;
+  for (const poison_strike& m : entry.strikes) {
+    row.strikes.push_back({m.target, now - m.sent_at, now - m.ended_at});
+  }
+  if (entry.cleared_at) {
+    row.cleared_ago = now - *entry.cleared_at;
+  }
+  if (entry.quarantined_at) {
+    row.quarantined_ago = now - *entry.quarantined_at;
+  }
+  row.stored = entry.stored;
+  return row;
+}
+
+std::vector<poison_row> poison_tracker::changed_since(time_point now, std::uint64_t& after,
+                                                      std::size_t max_rows) const {
+  std::vector<const entry_map::value_type*> changed;
+  for (const entry_map::value_type& known : entries_) {
+    if (known.second.changed > after) {
+      changed.push_back(&known);
+    }
+  }
+  std::sort(changed.begin(), changed.end(),
+            [](const auto* a, const auto* b) { return a->second.changed < b->second.changed; });
+  if (changed.size() > max_rows) {
+    changed.resize(max_rows);
+  }
+  std::vector<poison_row> rows;
+  for (const entry_map::value_type* known : changed) {
+    rows.push_back(to_row(now, *known));
+    after = known->second.changed;
+  }
+  if (rows.size() < max_rows) {
+    after = position_;
+  }
+  return rows;
+}
+
+poison_tracker::store_changes poison_tracker::pending_store_changes() const {
+  store_changes changes;
+  for (const auto& [print, entry] : entries_) {
+    if (entry.quarantined_at && !entry.stored) {
+      changes.to_write.push_back(print);
+    } else if (!entry.quarantined_at && entry.stored) {
+      changes.to_remove.push_back(print);
+    }
+  }
+  return changes;
+}
+
+void poison_tracker::set_stored(const request_print& print, bool stored) {
+  const auto found = entries_.find(print);
+  if (found != entries_.end() && found->second.stored != stored) {
+    found->second.stored = stored;
+    touch(found->second);
+  }
+}
+
+std::optional<poison_row> poison_tracker::quarantine_row(time_point now,
+                                                         const request_print& print) const {
+  const auto found = entries_.find(print);
+  if (found == entries_.end() || !found->second.quarantined_at) {
+    return std::nullopt;
+  }
+  return to_row(now, *found);
+}
+
+}  // namespace arbutus
--- /dev/null
+++ b/src/process/poison_tracker.h
@@ -0,0 +1,214 @@
+// Detects requests that crash the targets that run them (poison requests, or queries of death) from
+// the observations of all nodes. A value type in virtual time.
+//
+// Without this, a request that crashes its engine is retried on the next one, is sent again by its
+// caller to any node under a new id, and crashes engine after engine. Each crash cuts off all other
+// requests of the engine and its whole replica. The symptom: engines that end one by one, with the
+// same fingerprint among the attempts that broke off at each of them.
+//
+// A crash also cuts off harmless requests, so a single one proves little. The rules are:
+// - A strike is recorded when a target's incarnation ends before or shortly after the first event
+//   of a run; one for each target. A run that lasted longer has shown that it is harmless.
+// - Strikes count as separate events only if each run was sent after the previous target had ended.
+//   A signal to many processes or a failing rack is one event, however many runs it cut off.
+// - A successful run clears the request on every node, for all earlier strikes and for the next
+//   minute: a poison request never succeeds.
+// - Several targets that end simultaneously with no request in common give no evidence.
+// - A quarantine needs `min_events` in which no other suspect has as many strikes. A harmless
+//   request that was sent along with a poison request does not share all of its crashes.
+// - A coincidence must be improbable: while targets fail for other reasons, some request is cut off
+//   several times in a row. The base rate is estimated from crashes that no suspect explains.
+//
+// While strikes from other nodes may still be in transit, a request with enough events is held: it
+// is neither sent nor refused.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <vector>
+
+#include "base/id.h"
+#include "base/units.h"
+#include "request/request_print.h"
+
+namespace arbutus {
+
+// A run counts as a strike if its target ends earlier than this after the run's first event.
+inline constexpr duration strike_window = 150ms;
+
+struct poison_tracker_settings {
+  // Events needed for a quarantine. A request with one less is held before each run until the
+  // strikes of other nodes have arrived.
+  std::size_t min_events = 4;
+  // Suspects that were always sent together cannot be told apart. With so many events all of them
+  // are quarantined, since none of them ever succeeded.
+  std::size_t min_events_inseparable = 8;
+  // A mass failure: at least this many targets end within this window with no request in common.
+  // It gives no evidence.
+  std::size_t mass_failure_min_targets = 3;
+  duration mass_failure_window = 20ms;
+  // Strikes of other nodes for the same crashes arrive within this time: a query to the target and
+  // three heartbeats.
+  duration settle_time = 700ms;
+  // Highest accepted probability that a harmless request is cut off in so many events in a row.
+  // With some million requests, none should be quarantined by coincidence.
+  double max_false_positive_probability = 1e-8;
+  // Unrelated crashes count towards the base rate from so long before a suspect's first strike.
+  duration lookback_window = 3s;
+  duration cleared_duration = 60s;       // after a successful run
+  duration suspect_duration = 300s;      // after the newest strike
+  duration quarantine_duration = 3600s;  // after the newest strike
+  std::size_t max_entries = 1024;
+  // Keeps one workspace from evicting the entries of others.
+  std::size_t max_entries_per_workspace = 128;
+  std::size_t max_strikes_per_request = 16;  // of one request
+};
+
+struct poison_strike {
+  target_id target;
+  time_point sent_at;   // when the run was sent
+  time_point ended_at;  // when the target ended, as observed by the node that sent the run
+};
+
+[[nodiscard]] inline bool ended_before(const poison_strike& a, const poison_strike& b) {
+  return a.ended_at < b.ended_at;
+}
+
+struct poison_entry {
+  std::vector<poison_strike> strikes;    // at most one for a crash, ordered by ended_at
+  std::optional<time_point> cleared_at;  // strikes are newer than this plus cleared_duration
+  std::optional<time_point> quarantined_at;
+  // The platform's store has a row of this quarantine. If the request is no longer quarantined, the
+  // row has to be removed.
+  bool stored = false;
+  std::uint64_t changed = 0;  // position of the newest change
+};
+
+// What a node sends to peers about one request. Times are sent as ages, since the clocks of nodes
+// differ.
+struct poison_row {
+  request_print print;
+  struct strike {
+    target_id target;
+    duration sent_ago{};
+    duration ended_ago{};
+  };
+  std::vector<strike> strikes;
+  std::optional<duration> cleared_ago;
+  std::optional<duration> quarantined_ago;
+  bool stored = false;
+};
+
+struct quarantine_decision {
+  request_print print;
+  std::vector<target_id> targets;  // that ended under the request
+  std::size_t events = 0;          // number of separate events
+  double probability = 0;          // that a harmless request is cut off in so many events
+};
+
+class poison_tracker {
+ public:
+  explicit poison_tracker(const poison_tracker_settings& settings = {}) : settings_(settings) {}
+
+  // This node sent a request to `target`.
+  void run_sent(time_point now, const target_id& target);
+  // A run that this node sent had its first event after `waited`.
+  void first_event_received(duration waited);
+  // Records that a target ended before or shortly after the first event of a run that this node
+  // sent. False if the strike is known already, the crash is attributed to a quarantined request,
+  // the request was cleared, or there is no room.
+  bool strike(const request_print& print, const poison_strike& strike);
+  // A run succeeded, or delivered events for a long time. True if the request was a suspect.
+  bool clear_request(time_point now, const request_print& print);
+  // An operator releases the request; strikes from now on count again. True if there was an entry.
+  bool release(time_point now, const request_print& print);
+
+  [[nodiscard]] bool is_quarantined(const request_print& print) const;
+  // Until when the request is held, since strikes of other nodes may still arrive; empty if it may
+  // be sent now.
+  [[nodiscard]] std::optional<time_point> held_until(time_point now,
+                                                     const request_print& print) const;
+  // Time until the quarantine expires if no new strike comes; empty if there is no quarantine.
+  [[nodiscard]] std::optional<duration> quarantine_remaining(time_point now,
+                                                             const request_print& print) const;
+  // Removes expired entries and quarantines requests with sufficient strikes. Returns the new
+  // quarantines.
+  std::vector<quarantine_decision> evaluate(time_point now);
+
+  // Merges strikes from a peer, or a quarantine from the platform's store. True if the request
+  // became quarantined by it.
+  bool merge_row(time_point now, const poison_row& row);
+  // Rows that changed after position `after`, oldest first; `after` is moved to the last one.
+  [[nodiscard]] std::vector<poison_row> changed_since(time_point now, std::uint64_t& after,
+                                                      std::size_t max_rows) const;
+  [[nodiscard]] std::uint64_t position() const { return position_; }
+
+  // Quarantines that the platform's store lacks, and rows whose quarantine is no longer in force.
+  struct store_changes {
+    std::vector<request_print> to_write;
+    std::vector<request_print> to_remove;
+  };
+  [[nodiscard]] store_changes pending_store_changes() const;
+  void set_stored(const request_print& print, bool stored);
+  // The row to store for a request; empty if it is not quarantined.
+  [[nodiscard]] std::optional<poison_row> quarantine_row(time_point now,
+                                                         const request_print& print) const;
+
+  [[nodiscard]] const std::map<request_print, poison_entry>& all() const { return entries_; }
+  [[nodiscard]] std::size_t quarantined() const;
+  // Strikes and rows that were dropped for lack of room.
+  [[nodiscard]] std::uint64_t rejected_strikes() const { return rejected_strikes_; }
+
+ private:
+  using entry_map = std::map<request_print, poison_entry>;
+  // Suspects by the targets that ended while running them.
+  using suspects_by_target = std::map<target_id, std::vector<const entry_map::value_type*>>;
+
+  poison_entry* entry_for(const request_print& print);
+  bool make_room(const request_print& print);
+  void touch(poison_entry& entry) { entry.changed = ++position_; }
+  bool add_strike(const request_print& print, poison_entry& entry, const poison_strike& strike);
+  // Drops the strikes that a successful run at this time covers, and a quarantine based on them.
+  void clear_entry(poison_entry& entry, time_point cleared_at);
+  void quarantine(const request_print& print, poison_entry& entry, time_point at);
+  void expire_quarantines(time_point now);
+  void remove_expired(time_point now);
+  [[nodiscard]] static poison_row to_row(time_point now, const entry_map::value_type& known);
+  [[nodiscard]] bool has_known_cause(const request_print& print, const target_id& target) const;
+  [[nodiscard]] suspects_by_target index_by_target(time_point settled) const;
+  [[nodiscard]] std::set<target_id> mass_failures(const suspects_by_target& ended) const;
+  [[nodiscard]] bool has_likelier_cause(const suspects_by_target& ended,
+                                        const target_id& target) const;
+  [[nodiscard]] std::size_t unrelated_ends(const entry_map::value_type& suspect,
+                                           const suspects_by_target& ended, time_point from,
+                                           time_point to) const;
+  [[nodiscard]] double accident_probability(const entry_map::value_type& suspect,
+                                            std::size_t events,
+                                            const suspects_by_target& ended) const;
+  [[nodiscard]] std::optional<quarantine_decision> evaluate_suspect(
+      const entry_map::value_type& suspect, const suspects_by_target& ended,
+      const std::set<target_id>& mass_failed) const;
+
+  // Requests that recently succeeded here, indexed by part of their hash. A strike from another
+  // node may arrive after the run that cleared the request.
+  static constexpr std::size_t cleared_slots = 4096;
+  struct cleared_run {
+    request_print print;
+    time_point at{};
+  };
+
+  poison_tracker_settings settings_;
+  entry_map entries_;
+  std::map<workspace_id, std::size_t> entries_of_workspace_;
+  std::map<target_id, request_print> known_causes_;  // ended targets, and the quarantined cause
+  std::uint64_t position_ = 0;
+  std::uint64_t rejected_strikes_ = 0;
+  std::map<target_id, time_point> last_sent_to_;  // when this node last sent to each target
+  double mean_first_event_s_ = 0.5;               // moving average of the time to the first event
+  time_point last_expiry_at_{};
+  std::vector<cleared_run> cleared_runs_ = std::vector<cleared_run>(cleared_slots);
+};
+
+}  // namespace arbutus
--- a/src/process/replica_keeper.cpp
+++ b/src/process/replica_keeper.cpp
@@ -314,7 +314,8 @@
                                            const target_view* head) const {
   const bool head_in =
       head != nullptr && head->record.member_of && head->record.member_of->replica == replica.key;
-  const model_shape* model = head_in ? r.engine.find_model(model_in(replica.key.name)) : nullptr;
+  const model_shape* model =
+      head_in ? r.engine.find_model(model_of_name(replica.key.name)) : nullptr;
   if (model == nullptr) {
     return head_in ? "its model is not configured" : "its head is gone";
   }
@@ -338,7 +339,7 @@
     return "its head is not listed";
   }
   // With a member that started again since it was formed it serves nobody.
-  if (!is_of_lives(replica.key.name, lives)) {
+  if (!matches_incarnations(replica.key.name, lives)) {
     return "a member started again";
   }
   const member_state state = head->record.member_of->state;
@@ -383,7 +384,7 @@
                                  [](const target_view* m) { return !m->lost; }) &&
                      (state == member_state::open || state == member_state::closing);
   // A member that only leaves stays as long as the head has work: let that finish.
-  const model_shape* model = r.engine.find_model(model_in(replica.key.name));
+  const model_shape* model = r.engine.find_model(model_of_name(replica.key.name));
   // A replica across domains is slow: its requests end sooner if they go on elsewhere.
   const bool graceful = works && model != nullptr && replica.members.size() == model->size &&
                         !spans_domains(replica.members);
--- a/src/process/replica_keeper.h
+++ b/src/process/replica_keeper.h
@@ -68,10 +68,10 @@
 };
 
 struct target_report {
-  target_id life;  // that answered
+  target_id incarnation;  // that answered
   std::optional<membership> member_of;
   model_id loaded;
-  std::uint64_t orders{};  // obeyed in this life
+  std::uint64_t orders{};  // obeyed in this incarnation
   bool busy = false;       // an order is being carried out
   double pace = 1;
   std::uint32_t queued{};
--- a/src/process/replica_keeper_form.cpp
+++ b/src/process/replica_keeper_form.cpp
@@ -19,7 +19,7 @@
   std::map<model_id, double> replicas;
   for (const auto& [key, group] : r.standing_all) {
     if (!is_spare_name(key.name)) {
-      replicas[model_in(key.name)] += 1;
+      replicas[model_of_name(key.name)] += 1;
     }
   }
   std::stable_sort(models.begin(), models.end(), [&](const auto* a, const auto* b) {
@@ -154,7 +154,7 @@
 void replica_keeper::form_across_data_centres(round& r, const model_shape& model) {
   // What is left of one whose members ended stands in the records for a while.
   const auto near = [&](const standing_replica& replica) {
-    return model_in(replica.key.name) == model.id && !is_spare_name(replica.key.name) &&
+    return model_of_name(replica.key.name) == model.id && !is_spare_name(replica.key.name) &&
            replica.members.size() == model.size &&
            std::all_of(replica.members.begin(), replica.members.end(), [&](const target_view* m) {
              return round::alive(m) &&
@@ -220,8 +220,8 @@
     const auto here =
         std::count_if(far.members.begin(), far.members.end(),
                       [&](const target_view* member) { return member->record.domain == domain; });
-    const bool fits =
-        model_in(far.key.name) == model.id && ready + static_cast<std::size_t>(here) >= model.size;
+    const bool fits = model_of_name(far.key.name) == model.id &&
+                      ready + static_cast<std::size_t>(here) >= model.size;
     if (fits && !closing_since_.contains(far.key)) {
       closing_since_.emplace(far.key, r.now);
       return;
--- a/src/process/replica_keeper_load.cpp
+++ b/src/process/replica_keeper_load.cpp
@@ -70,7 +70,7 @@
     return memory.load_for;
   }
   if (memory.ready_for.empty() && view.record.member_of) {
-    return model_in(view.record.member_of->replica.name);
+    return model_of_name(view.record.member_of->replica.name);
   }
   return memory.ready_for;
 }
--- a/src/process/replica_keeper_orders.cpp
+++ b/src/process/replica_keeper_orders.cpp
@@ -88,7 +88,7 @@
   engine_memory& memory = found->second;
   memory.report_pending = false;
   memory.ask_after = now + settings_.report_retry;
-  if (!report || report->life != id || memory.order_pending) {
+  if (!report || report->incarnation != id || memory.order_pending) {
     return;
   }
   memory.orders = report->orders;
--- a/src/process/replica_name.cpp
+++ b/src/process/replica_name.cpp
@@ -1,7 +1,8 @@
-// "s.MODEL.HEAD" of a spare, "r.MODEL.ORIGIN.DIGEST.HEAD" of a replica that may be opened.
+// Formats: "s.MODEL.HEAD" for a spare, "r.MODEL.ORIGIN.DIGEST.HEAD" for a replica that may be
+// opened.
 #include "process/replica_name.h"
 
-#include "process/target_life.h"
+#include "process/target_incarnation.h"
 
 namespace arbutus {
 
@@ -14,7 +15,7 @@
 constexpr std::size_t digest_part = 3;
 constexpr std::size_t replica_parts = 5;
 
-// Empty when there are fewer parts.
+// Empty if the name has fewer parts.
 std::string_view part_of(std::string_view name, std::size_t index) {
   for (; index > 0; --index) {
     const auto next = name.find(separator);
@@ -35,7 +36,7 @@
 std::string replica_name(const model_id& model, std::string_view origin,
                          std::span<const target_id> members) {
   return std::string(replica_prefix) + model.str() + separator + std::string(origin) + separator +
-         lives_digest(members) + separator + members.front().str();
+         incarnations_digest(members) + separator + members.front().str();
 }
 
 bool is_spare_name(std::string_view name) {
@@ -46,15 +47,15 @@
   return target_id{name.substr(name.rfind(separator) + 1)};
 }
 
-model_id model_in(std::string_view name) {
+model_id model_of_name(std::string_view name) {
   const bool has_head = !part_of(name, model_part + 1).empty();
   return has_head ? model_id{part_of(name, model_part)} : model_id{};
 }
 
-bool is_of_lives(std::string_view name, std::span<const target_id> members) {
+bool matches_incarnations(std::string_view name, std::span<const target_id> members) {
   const bool has_digest =
       name.starts_with(replica_prefix) && !part_of(name, replica_parts - 1).empty();
-  return !has_digest || part_of(name, digest_part) == lives_digest(members);
+  return !has_digest || part_of(name, digest_part) == incarnations_digest(members);
 }
 
 }  // namespace arbutus
--- a/src/process/send_grants.cpp
+++ b/src/process/send_grants.cpp
@@ -1,4 +1,4 @@
-// Drawing and counting grants.
+// Distributes and counts grants.
 #include "process/send_grants.h"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A hub that was paused does not make up for it.
-constexpr duration longest_round = 500ms;
+// A hub that was paused does not issue the grants of the missed time later.
+constexpr duration max_round_interval = 500ms;
 
 double demand_of(const std::map<target_id, double>& demand, const target_id& target) {
   const auto found = demand.find(target);
@@ -17,43 +17,44 @@
 
 }  // namespace
 
-void send_grants::set_demand(time_point now, const node_id& peer, const std::string& life,
-                             bool is_other_hub, std::map<target_id, double> demand) {
+void send_grants::set_demand(time_point now, const node_id& peer, const std::string& incarnation,
+                             bool is_remote_hub, std::map<target_id, double> demand) {
   receiver& r = receivers_[peer];
-  if (r.life != life) {
+  if (r.incarnation != incarnation) {
     r.granted.clear();
   }
-  r.told_at = now;
-  r.life = life;
-  r.is_other_hub = is_other_hub;
+  r.reported_at = now;
+  r.incarnation = incarnation;
+  r.is_remote_hub = is_remote_hub;
   r.demand = std::move(demand);
 }
 
 void send_grants::received(const target_id& target, std::uint64_t count) {
-  passing_[target] += static_cast<double>(count);
+  to_forward_[target] += static_cast<double>(count);
 }
 
 void send_grants::round(time_point now, rng& random, const std::map<target_id, double>& issued) {
-  const duration since = round_at_ == time_point{} ? duration{} : now - round_at_;
-  round_at_ = now;
-  std::erase_if(issuing_, [&](const auto& entry) { return !issued.contains(entry.first); });
+  const duration elapsed = last_round_at_ == time_point{} ? duration{} : now - last_round_at_;
+  last_round_at_ = now;
+  std::erase_if(to_issue_, [&](const auto& entry) { return !issued.contains(entry.first); });
   for (const auto& [target, per_second] : issued) {
-    double& stock = issuing_[target];
-    stock += std::max(per_second, least_per_second) * to_seconds(std::min(since, longest_round));
-    hand_out(now, random, target, true, stock);
+    double& credit = to_issue_[target];
+    credit +=
+        std::max(per_second, min_per_second) * to_seconds(std::min(elapsed, max_round_interval));
+    distribute(now, random, target, true, credit);
   }
-  for (auto& [target, stock] : passing_) {
-    hand_out(now, random, target, false, stock);
+  for (auto& [target, credit] : to_forward_) {
+    distribute(now, random, target, false, credit);
   }
-  passing_.clear();
+  to_forward_.clear();
 }
 
-void send_grants::hand_out(time_point now, rng& random, const target_id& target, bool to_other_hubs,
-                           double& stock) {
-  for (; stock >= 1; stock -= 1) {
-    receiver* to = draw(now, random, target, to_other_hubs);
+void send_grants::distribute(time_point now, rng& random, const target_id& target,
+                             bool to_other_hubs, double& credit) {
+  for (; credit >= 1; credit -= 1) {
+    receiver* to = pick_receiver(now, random, target, to_other_hubs);
     if (to == nullptr) {
-      stock = std::min(stock, 1.0);
+      credit = std::min(credit, 1.0);
       return;
     }
     grant_count& count = to->granted[target];
@@ -62,17 +63,18 @@
   }
 }
 
-send_grants::receiver* send_grants::draw(time_point now, rng& random, const target_id& target,
-                                         bool to_other_hubs) {
+send_grants::receiver* send_grants::pick_receiver(time_point now, rng& random,
+                                                  const target_id& target, bool to_other_hubs) {
   const auto weight = [&](const receiver& r) {
-    const bool may = now - r.told_at < demand_memory && (to_other_hubs || !r.is_other_hub);
-    return may ? demand_of(r.demand, target) : 0.0;
+    const bool is_eligible =
+        now - r.reported_at < demand_validity && (to_other_hubs || !r.is_remote_hub);
+    return is_eligible ? demand_of(r.demand, target) : 0.0;
   };
-  double left = 0;
+  double remaining = 0;
   for (const auto& [id, r] : receivers_) {
-    left += weight(r);
+    remaining += weight(r);
   }
-  left *= random.unit();
+  remaining *= random.unit();
   receiver* last = nullptr;
   for (auto& [id, r] : receivers_) {
     const double own = weight(r);
@@ -80,32 +82,32 @@
       continue;
     }
     last = &r;
-    left -= own;
-    if (left < 0) {
+    remaining -= own;
+    if (remaining < 0) {
       break;
     }
   }
   return last;
 }
 
-grant_news send_grants::news_for(time_point now, const node_id& peer) const {
+grant_update send_grants::update_for(time_point now, const node_id& peer) const {
   const auto found = receivers_.find(peer);
   if (found == receivers_.end()) {
     return {};
   }
-  grant_news news{found->second.life, {}};
+  grant_update news{found->second.incarnation, {}};
   for (const auto& [target, count] : found->second.granted) {
-    if (now - count.granted_at < told_for) {
+    if (now - count.granted_at < resend_duration) {
       news.totals.emplace_back(target, count.total);
     }
   }
   return news;
 }
 
-std::map<target_id, double> send_grants::demand_here(time_point now) const {
+std::map<target_id, double> send_grants::local_demand(time_point now) const {
   std::map<target_id, double> sum;
   for (const auto& [id, r] : receivers_) {
-    if (r.is_other_hub || now - r.told_at >= demand_memory) {
+    if (r.is_remote_hub || now - r.reported_at >= demand_validity) {
       continue;
     }
     for (const auto& [target, demand] : r.demand) {
@@ -115,37 +117,38 @@
   return sum;
 }
 
-grant_receiver::sender_life& grant_receiver::find_life(const node_id& from,
-                                                       const std::string& life) {
-  std::deque<sender_life>& lives = senders_[from];
-  const auto found = std::ranges::find(lives, life, &sender_life::life);
-  if (found != lives.end()) {
+grant_receiver::sender_totals& grant_receiver::find_sender(const node_id& from,
+                                                           const std::string& incarnation) {
+  std::deque<sender_totals>& known_incarnations = senders_[from];
+  const auto found =
+      std::ranges::find(known_incarnations, incarnation, &sender_totals::incarnation);
+  if (found != known_incarnations.end()) {
     return *found;
   }
-  if (lives.size() == most_lives) {
-    lives.pop_front();
+  if (known_incarnations.size() == max_incarnations_per_sender) {
+    known_incarnations.pop_front();
   }
-  return lives.emplace_back(sender_life{life, {}});
+  return known_incarnations.emplace_back(sender_totals{incarnation, {}});
 }
 
-std::map<target_id, std::uint64_t> grant_receiver::take(time_point asked, time_point now,
+std::map<target_id, std::uint64_t> grant_receiver::take(time_point valid_from, time_point now,
                                                         const node_id& from,
-                                                        const std::string& life_of_sender,
-                                                        const std::string& own_life,
-                                                        const grant_news& news) {
-  std::map<target_id, std::uint64_t> fresh;
-  if (news.receiver_life != own_life) {
-    return fresh;
+                                                        const std::string& sender_incarnation,
+                                                        const std::string& own_incarnation,
+                                                        const grant_update& news) {
+  std::map<target_id, std::uint64_t> new_grants;
+  if (news.receiver_incarnation != own_incarnation) {
+    return new_grants;
   }
-  std::map<target_id, std::uint64_t>& totals = find_life(from, life_of_sender).totals;
+  std::map<target_id, std::uint64_t>& totals = find_sender(from, sender_incarnation).totals;
   for (const auto& [target, total] : news.totals) {
     std::uint64_t& before = totals[target];
-    if (total > before && now - asked <= longest_way) {
-      fresh[target] = total - before;
+    if (total > before && now - valid_from <= max_transit_time) {
+      new_grants[target] = total - before;
     }
     before = std::max(before, total);
   }
-  return fresh;
+  return new_grants;
 }
 
 }  // namespace arbutus
--- a/src/process/serving_feed.cpp
+++ b/src/process/serving_feed.cpp
@@ -178,19 +178,19 @@
   return result;
 }
 
-bool serving_follower::take(time_point asked, const std::string& life, std::uint64_t after,
+bool serving_follower::take(time_point asked, const std::string& incarnation, std::uint64_t after,
                             bool whole, std::uint64_t at, const std::vector<feed_row>& rows,
                             fleet_view& fleet) {
   if (whole) {
-    // An answer to an older beat may come late: of one life the positions only rise.
-    if (life == position_.life && at < position_.at) {
+    // An answer to an older beat may come late: of one incarnation the positions only rise.
+    if (incarnation == position_.incarnation && at < position_.at) {
       return true;
     }
     take_all(asked, rows, fleet);
-    position_ = {life, at};
+    position_ = {incarnation, at};
     return true;
   }
-  if (life != position_.life || position_.at == 0 || after > position_.at) {
+  if (incarnation != position_.incarnation || position_.at == 0 || after > position_.at) {
     return false;
   }
   for (const feed_row& row : rows) {
--- a/src/process/serving_feed.h
+++ b/src/process/serving_feed.h
@@ -36,7 +36,8 @@
 [[nodiscard]] std::optional<serving_entry> decode_serving_entry(std::string_view bytes);
 
 // The hub's side: keeps the rows of what serves, by the records that it follows. A row's key is the
-// head or the instance; versions and positions count the changes seen by this life of the hub.
+// head or the instance; versions and positions count the changes seen by this incarnation of the
+// hub.
 class serving_feed {
  public:
   // Brings the rows up to date; does nothing while neither records nor services have changed.
@@ -65,16 +66,16 @@
 // The other side: applies a hub's rows to the fleet view of a node that keeps no replicas.
 class serving_follower {
  public:
-  // How far this node is in the rows of which life of a hub.
+  // How far this node is in the rows of which incarnation of a hub.
   struct position {
-    std::string life;
+    std::string incarnation;
     std::uint64_t at = 0;  // 0: at none, to be given all rows
     bool operator==(const position&) const = default;
   };
 
   // False: the rows do not follow on what is known here, and were left. `asked`: what they say was
   // so at that time or later.
-  bool take(time_point asked, const std::string& life, std::uint64_t after, bool whole,
+  bool take(time_point asked, const std::string& incarnation, std::uint64_t after, bool whole,
             std::uint64_t at, const std::vector<feed_row>& rows, fleet_view& fleet);
 
   [[nodiscard]] const position& at() const { return position_; }
--- /dev/null
+++ b/src/process/stall_monitor.cpp
@@ -0,0 +1,110 @@
+// Detects stalled replicas.
+#include "process/stall_monitor.h"
+
+#include <algorithm>
+
+namespace arbutus {
+
+namespace {
+
+duration scaled(duration d, double by) {
+  return duration{static_cast<duration::rep>(static_cast<double>(d.count()) * by)};
+}
+
+}  // namespace
+
+void stall_monitor::remove_idle(time_point now) {
+  std::erase_if(heads_, [&](const auto& entry) {
+    const state& s = entry.second;
+    return s.running == 0 && s.waiting == 0 && now - s.idle_since > settings_.idle_retention;
+  });
+}
+
+void stall_monitor::sent(time_point now, const target_id& head, const model_id& model,
+                         duration expected_first) {
+  remove_idle(now);
+  state& s = heads_[head];
+  s.model = model;
+  if (s.waiting == 0) {
+    const auto known = first_ratio_.find(model);
+    const double ratio = known == first_ratio_.end() ? 1 : known->second;
+    constexpr double min_factor = 2;
+    s.first_event_due =
+        now + scaled(expected_first, std::clamp(ratio * settings_.first_event_factor, min_factor,
+                                                settings_.max_first_event_factor));
+  }
+  ++s.waiting;
+}
+
+void stall_monitor::event(time_point now, const target_id& head, duration expected_gap) {
+  state& s = heads_[head];
+  const duration before = scaled(s.recent_gap, settings_.recent_gap_decay);
+  // The first event after a time without running streams gives no meaningful gap.
+  const bool follows = s.running > 0 && s.last_event != time_point{};
+  s.recent_gap =
+      follows ? std::max(before, std::min(now - s.last_event, settings_.max_recent_gap)) : before;
+  s.last_event = now;
+  s.gap = expected_gap;
+  s.found_healthy = 0;
+  s.first_event_due = std::max(s.first_event_due, now + expected_gap);
+}
+
+void stall_monitor::first_event(const target_id& head, duration waited, duration expected_first) {
+  state& s = heads_[head];
+  s.waiting -= s.waiting > 0 ? 1 : 0;
+  ++s.running;
+  double& ratio = first_ratio_[s.model];
+  const double observed_ratio = to_seconds(waited) / std::max(to_seconds(expected_first), 1e-3);
+  ratio = std::clamp(observed_ratio, ratio * settings_.first_ratio_decay,
+                     settings_.max_first_event_factor);
+}
+
+void stall_monitor::ended(time_point now, const target_id& head, bool had_first_event) {
+  const auto found = heads_.find(head);
+  if (found == heads_.end()) {
+    return;
+  }
+  state& s = found->second;
+  std::size_t& count = had_first_event ? s.running : s.waiting;
+  count -= count > 0 ? 1 : 0;
+  if (s.running == 0) {
+    s.last_event = {};
+  }
+  if (s.running == 0 && s.waiting == 0) {
+    s.idle_since = now;
+    s.found_healthy = 0;
+  }
+}
+
+void stall_monitor::found_healthy(time_point now, const target_id& head) {
+  if (const auto found = heads_.find(head); found != heads_.end()) {
+    constexpr std::uint32_t max_doublings = 3;
+    state& s = found->second;
+    s.no_check_before =
+        now + settings_.recheck_interval * (1U << std::min(s.found_healthy, max_doublings));
+    ++s.found_healthy;
+  }
+}
+
+duration stall_monitor::gap_limit(const state& s) const {
+  return std::max({settings_.min_gap, s.gap + settings_.gap_margin,
+                   scaled(s.recent_gap, settings_.recent_gap_factor) + settings_.gap_margin});
+}
+
+std::vector<target_id> stall_monitor::stalled(time_point now) const {
+  std::vector<target_id> result;
+  for (const auto& [head, s] : heads_) {
+    if (now < s.no_check_before) {
+      continue;
+    }
+    const bool stopped = s.running > 0 && now - s.last_event > gap_limit(s);
+    const bool never_started = s.running == 0 && s.waiting > 0 &&
+                               now > s.first_event_due + settings_.min_first_event_delay;
+    if (stopped || never_started) {
+      result.push_back(head);
+    }
+  }
+  return result;
+}
+
+}  // namespace arbutus
--- a/src/process/target_life.cpp
+++ b/src/process/target_incarnation.cpp
@@ -1,13 +1,13 @@
-// Digest of a replica's members.
-#include "process/target_life.h"
+// Digest of the incarnations of a replica's members.
+#include "process/target_incarnation.h"
 
 #include <array>
 #include <cstdio>
 
 namespace arbutus {
 
-std::string lives_digest(std::span<const target_id> members) {
-  std::uint64_t sum = 0;  // so that the order does not matter
+std::string incarnations_digest(std::span<const target_id> members) {
+  std::uint64_t sum = 0;  // a sum does not depend on the order of members
   for (const target_id& member : members) {
     sum += stable_hash(member.str());
   }
--- a/src/request/instance_choice.h
+++ b/src/request/instance_choice.h
@@ -35,7 +35,7 @@
   // Weight of the newest call in the share of failed calls. At 0.25 three failures in a row push an
   // instance behind one with a full queue, and four good calls bring it back.
   double failure_weight = 0.25;
-  // A failed instance is tried again as its share of failures fades with this half-life.
+  // A failed instance is tried again as its share of failures fades with this half-incarnation.
   duration failure_half_life = 2s;
   // Calls' worth of load that an instance with only failures counts as having more.
   double failure_cost = 24;
--- a/src/standin/hosted_engine.cpp
+++ b/src/standin/hosted_engine.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "process/target_life.h"
+#include "process/target_incarnation.h"
 
 namespace arbutus::standin {
 
@@ -100,7 +100,7 @@
 
 target_report hosted_engine::report(time_point now) const {
   target_report result;
-  result.life = record_.id;
+  result.incarnation = record_.id;
   for (const snapshot& s : past_) {
     if (s.at > now - settings_.report_lag) {
       break;
@@ -112,9 +112,9 @@
   return result;
 }
 
-void hosted_engine::start_again(const target_id& life) {
+void hosted_engine::start_again(const target_id& incarnation) {
   target_record fresh = record_;
-  fresh.id = life;
+  fresh.id = incarnation;
   fresh.loaded = {};
   fresh.member_of.reset();
   fresh.draining = false;
--- a/src/standin/hosted_engine.h
+++ b/src/standin/hosted_engine.h
@@ -51,8 +51,8 @@
 
   void set_draining() { record_.draining = true; }
 
-  // Starts again as another life: it knows nothing of before but the weights on its host.
-  void start_again(const target_id& life);
+  // Starts again as another incarnation: it knows nothing of before but the weights on its host.
+  void start_again(const target_id& incarnation);
 
  private:
   struct snapshot {
--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -8,7 +8,7 @@
 
 #include "connection/clock.h"
 #include "platform/base64.h"
-#include "process/target_life.h"
+#include "process/target_incarnation.h"
 #include "standin/standin_http.h"
 
 namespace arbutus::standin {
@@ -39,10 +39,10 @@
           {"state", std::string(to_string(own->state))}};
 }
 
-// The mark of a life, as a whole number; engines without one tell none.
-void add_life(json& document, const target_id& life) {
-  const std::string& text = life.str();
-  if (const auto at = text.find(life_separator); at != std::string::npos) {
+// The mark of a incarnation, as a whole number; engines without one tell none.
+void add_life(json& document, const target_id& incarnation) {
+  const std::string& text = incarnation.str();
+  if (const auto at = text.find(incarnation_separator); at != std::string::npos) {
     document["born"] = std::stoull(text.substr(at + 1));
   }
 }
@@ -74,7 +74,7 @@
     std::unique_ptr<restartable_server> server;
   };
 
-  // A process that a request has ended: its server closes, and opens again as another life.
+  // A process that a request has ended: its server closes, and opens again as another incarnation.
   struct process_end {
     restartable_server* server;
     engine_process* engine;  // null: the plain service
@@ -237,7 +237,7 @@
     const target_report report = e.engine.report(monotonic_now());
     json document = {{"sequence", report.orders}, {"busy", false}, {"pace", 1.0}};
     add_state(document, report.member_of, report.loaded);
-    add_life(document, report.life);
+    add_life(document, report.incarnation);
     return document.dump();
   }
 
@@ -326,7 +326,7 @@
     }
     note_run(request);
     note_engine(e, id);
-    const target_id life = life_of_engine(e);
+    const target_id incarnation = life_of_engine(e);
     if (is_poison(request)) {
       begin_to_end(e, request, writer);
       return;
@@ -336,13 +336,13 @@
     writer.start(200, headers);
     const int from = static_cast<int>(header_number(request, "Last-Event-Id", 0));
     for (int i = from + 1; i <= settings.events; ++i) {
-      if (life_of_engine(e) != life) {
+      if (life_of_engine(e) != incarnation) {
         return;  // it has started again, and its connections are gone
       }
       // A head without a member moves nothing, and does not say so.
       const bool stalls = !wait_while(writer, [&] {
         const std::lock_guard guard(mutex);
-        return e.engine.record().id == life && !is_whole(e);
+        return e.engine.record().id == incarnation && !is_whole(e);
       });
       if (stalls || !wait_for(writer, settings.event_gap)) {
         return;
@@ -419,7 +419,7 @@
       }
       if (p.engine != nullptr) {
         hosted_engine& engine = p.engine->engine;
-        engine.start_again(life_of(engine_of(engine.record().id), ++newest_life));
+        engine.start_again(incarnation_of(engine_of(engine.record().id), ++newest_life));
         p.engine->dead = false;
       } else {
         list_plain(++newest_life);
@@ -432,12 +432,12 @@
 
   // ---- plain service ----
 
-  void list_plain(std::uint64_t life) {
+  void list_plain(std::uint64_t incarnation) {
     const json record = {{"service", "api"},
                          {"address", settings.ip + ":" + std::to_string(plain->port())},
                          {"zone", settings.data_centres.front()},
                          {"slots", 6},
-                         {"born", life},
+                         {"born", incarnation},
                          {"state", "ready"}};
     put("servers", plain_name, record.dump());
   }
@@ -566,7 +566,7 @@
   for (const std::string& data_centre : settings.data_centres) {
     for (std::size_t i = 0; i < settings.engines_each; ++i) {
       target_record record;
-      record.id = life_of("i-" + data_centre + "-" + std::to_string(i), first_life);
+      record.id = incarnation_of("i-" + data_centre + "-" + std::to_string(i), first_life);
       record.service = service_id{"llm"};
       record.data_centre = data_centre_id{data_centre};
       record.domain = fabric_domain_id{data_centre + "-d0"};
@@ -644,7 +644,7 @@
 void hosted_platform::restart_engine(const std::string& id) {
   const std::lock_guard guard(state_->mutex);
   hosted_engine& engine = state_->engines.at(id)->engine;
-  engine.start_again(life_of(id, ++state_->newest_life));
+  engine.start_again(incarnation_of(id, ++state_->newest_life));
 }
 
 void hosted_platform::write_entry(const std::string& key, const std::string& value) {
--- a/tests/core/config_transfer_test.cpp
+++ b/tests/core/config_transfer_test.cpp
@@ -127,7 +127,7 @@
   }
 
   [[nodiscard]] std::size_t read_at_the_store() const { return reads_; }
-  [[nodiscard]] std::size_t most_bytes_of_a_round() const { return most_bytes_; }
+  [[nodiscard]] std::size_t most_bytes_of_a_round() const { return max_bytes_; }
 
  private:
   struct node {
@@ -167,7 +167,7 @@
         n.held.take(2, text);
       }
     }
-    most_bytes_ = std::max(most_bytes_, bytes);
+    max_bytes_ = std::max(max_bytes_, bytes);
   }
 
   [[nodiscard]] bool all_have() const {
@@ -181,7 +181,7 @@
   std::vector<node> nodes_;
   time_point now_{};
   std::size_t reads_ = 0;
-  std::size_t most_bytes_ = 0;
+  std::size_t max_bytes_ = 0;
 };
 
 // The operators' bound, less what a proof, a beat and decoding may take.
--- /dev/null
+++ b/tests/core/poison_simulation.h
@@ -0,0 +1,353 @@
+// A simulated cluster in virtual time for the poison tracker: nodes of three data centres that send
+// requests to heads of replicas, heads that end, callers that retry, and heartbeats between nodes.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "base/rng.h"
+#include "process/poison_exchange.h"
+#include "process/poison_tracker.h"
+#include "process/poison_wire.h"
+
+namespace arbutus::testing_support {
+
+struct poison_simulation_settings {
+  std::size_t heads = 13;
+  std::size_t nodes = 6;  // two in each data centre; the first is its hub
+  double requests_per_s = 165;
+  double popular_share = 0.05;  // of requests that many callers send identically
+  duration head_downtime = 3s;  // until an ended head serves again as a new incarnation
+  poison_tracker_settings ledger;
+  std::uint64_t seed = 1;
+};
+
+class poison_simulation {
+ public:
+  explicit poison_simulation(const poison_simulation_settings& settings)
+      : settings_(settings), random_(settings.seed) {
+    for (std::size_t i = 0; i < settings.nodes; ++i) {
+      nodes_.push_back(std::make_unique<node>(settings.ledger, "life-" + std::to_string(i)));
+    }
+    heads_.resize(settings.heads);
+  }
+
+  // Called in each step to end heads or submit requests.
+  using fault = std::function<void(poison_simulation&)>;
+
+  void run(duration length, const fault& each_step = {}) {
+    for (const time_point end = now_ + length; now_ < end; now_ += step) {
+      if (each_step) {
+        each_step(*this);
+      }
+      add_arrivals();
+      advance_runs();
+      record_strikes();
+      send_heartbeats();
+      evaluate();
+    }
+  }
+
+  [[nodiscard]] time_point now() const { return now_; }
+  rng& random() { return random_; }
+
+  // Ends a head as by a kill; its runs are cut off.
+  void end_head(std::size_t i) {
+    head& h = heads_[i];
+    if (now_ < h.up_at) {
+      return;
+    }
+    ++ended_heads;
+    const target_id target = head_incarnation(i);
+    ++h.incarnation;
+    h.up_at = now_ + settings_.head_downtime;
+    std::vector<run_state> broken;
+    std::erase_if(runs_, [&](const run_state& r) {
+      if (r.at_head == i) {
+        broken.push_back(r);
+      }
+      return r.at_head == i;
+    });
+    for (run_state& r : broken) {
+      interrupt_run(r, target);
+    }
+  }
+
+  // A caller submits a request to node `at`.
+  void submit(std::size_t at, std::uint64_t hash, bool poison = false) {
+    run_state r;
+    r.at_node = at;
+    r.print = {workspace_id{"w" + std::to_string(hash % 10)}, hash};
+    r.poison = poison;
+    send(std::move(r));
+  }
+  std::size_t any_node() { return static_cast<std::size_t>(random_.below(nodes_.size())); }
+  std::size_t any_head() { return static_cast<std::size_t>(random_.below(heads_.size())); }
+  [[nodiscard]] bool is_up(std::size_t i) const { return now_ >= heads_[i].up_at; }
+  // The head that runs this request; heads() if there is none.
+  [[nodiscard]] std::size_t head_of(std::uint64_t hash) const {
+    for (const run_state& r : runs_) {
+      if (r.print.hash == hash) {
+        return r.at_head;
+      }
+    }
+    return heads_.size();
+  }
+  [[nodiscard]] std::size_t heads() const { return heads_.size(); }
+  [[nodiscard]] const poison_tracker& ledger(std::size_t i) const { return nodes_[i]->ledger; }
+  void restart_node(std::size_t i) {
+    *nodes_[i] = {settings_.ledger,
+                  "life-again-" + std::to_string(now_.time_since_epoch().count())};
+  }
+  // Nodes of these data centres exchange no messages with the others.
+  std::set<std::size_t> cut_off;
+
+  std::size_t submitted = 0;
+  std::size_t served = 0;
+  std::size_t ended_heads = 0;
+  std::size_t refused_harmless = 0;  // harmless requests that were refused by a quarantine
+  std::size_t held_harmless = 0;
+  std::set<std::uint64_t> quarantined_harmless;
+  std::map<std::uint64_t, std::size_t> heads_ended_by;  // number of ended heads by poison request
+  std::map<std::uint64_t, time_point> quarantined_at;
+  // Submissions of a poison request that reached a head later than `detection_delay` after the
+  // third head that it ended.
+  std::map<std::uint64_t, std::size_t> late_visits;
+
+  static constexpr duration step = 10ms;
+  static constexpr duration detection_delay = 3s;
+
+ private:
+  struct head {
+    std::uint64_t incarnation = 0;
+    time_point up_at{};
+  };
+  struct node {
+    node(const poison_tracker_settings& s, const std::string& l)
+        : ledger(s), incarnation(l), exchange(l) {}
+    poison_tracker ledger;
+    std::string incarnation;
+    poison_exchange exchange;
+  };
+  struct run_state {
+    std::size_t at_node = 0;
+    request_print print;
+    bool poison = false;
+    std::size_t at_head = 0;
+    std::size_t sends = 0;
+    std::size_t tries = 1;
+    time_point sent_at{};
+    time_point first_event_at{};
+    time_point ends_at{};
+  };
+  struct pending_strike {
+    time_point known_at;
+    std::size_t at_node;
+    request_print print;
+    poison_strike strike;
+  };
+  struct scheduled_attempt {
+    time_point at;
+    run_state run;
+  };
+
+  target_id head_incarnation(std::size_t i) const {
+    return target_id{"i-" + std::to_string(i) + "~" + std::to_string(heads_[i].incarnation)};
+  }
+
+  void add_arrivals() {
+    const double expected = settings_.requests_per_s * to_seconds(step);
+    auto count = static_cast<std::size_t>(expected);
+    count += random_.unit() < expected - static_cast<double>(count) ? 1 : 0;
+    for (std::size_t i = 0; i < count; ++i) {
+      const bool popular = random_.unit() < settings_.popular_share;
+      submit(any_node(), popular ? 1000 + random_.below(20) : 1'000'000 + next_hash_++);
+    }
+    std::vector<scheduled_attempt> due;
+    std::erase_if(scheduled_, [&](const scheduled_attempt& v) {
+      if (v.at <= now_) {
+        due.push_back(v);
+      }
+      return v.at <= now_;
+    });
+    for (scheduled_attempt& v : due) {
+      send(std::move(v.run));
+    }
+  }
+
+  void send(run_state r) {
+    poison_tracker& ledger = nodes_[r.at_node]->ledger;
+    if (r.sends == 0 && r.tries == 1) {
+      ++submitted;
+    }
+    if (ledger.is_quarantined(r.print)) {
+      refused_harmless += r.poison ? 0 : 1;
+      return;
+    }
+    if (const auto until = ledger.held_until(now_, r.print)) {
+      held_harmless += r.poison ? 0 : 1;
+      scheduled_.push_back({*until + 100ms, std::move(r)});
+      return;
+    }
+    std::vector<std::size_t> usable;
+    for (std::size_t i = 0; i < heads_.size(); ++i) {
+      if (is_up(i)) {
+        usable.push_back(i);
+      }
+    }
+    if (usable.empty()) {
+      return;
+    }
+    const auto third = third_crash_at_.find(r.print.hash);
+    if (r.poison && r.sends == 0 && third != third_crash_at_.end() &&
+        now_ - third->second > detection_delay) {
+      ++late_visits[r.print.hash];
+    }
+    r.at_head = usable[random_.below(usable.size())];
+    ++r.sends;
+    r.sent_at = now_;
+    r.first_event_at = now_ + from_seconds(0.1 + 0.5 * random_.unit());
+    r.ends_at = r.poison ? r.first_event_at + from_seconds(0.03 + 0.09 * random_.unit())
+                         : r.first_event_at + from_seconds(0.3 + 1.7 * random_.unit());
+    ledger.run_sent(now_, head_incarnation(r.at_head));
+    ledger.first_event_received(r.first_event_at - now_);
+    runs_.push_back(std::move(r));
+  }
+
+  void advance_runs() {
+    std::vector<run_state> done;
+    std::erase_if(runs_, [&](const run_state& r) {
+      if (r.ends_at <= now_) {
+        done.push_back(r);
+      }
+      return r.ends_at <= now_;
+    });
+    for (const run_state& r : done) {
+      if (r.poison) {
+        if (is_up(r.at_head)) {
+          runs_.push_back(r);  // cut off with the others there
+          constexpr std::size_t crashes_before_bound = 3;
+          if (++heads_ended_by[r.print.hash] == crashes_before_bound) {
+            third_crash_at_[r.print.hash] = now_;
+          }
+          end_head(r.at_head);
+        }
+      } else {
+        ++served;
+        nodes_[r.at_node]->ledger.clear_request(now_, r.print);
+      }
+    }
+  }
+
+  void interrupt_run(run_state& r, const target_id& target) {
+    const bool began = !r.poison && r.first_event_at <= now_;
+    if (!began || now_ - r.first_event_at < strike_window) {
+      pending_strikes_.push_back({now_ + 40ms, r.at_node, r.print, {target, r.sent_at, now_}});
+    } else if (now_ - r.first_event_at > 1s) {
+      nodes_[r.at_node]->ledger.clear_request(now_, r.print);
+    }
+    constexpr std::size_t max_sends = 3;
+    constexpr std::size_t max_tries = 2;
+    if (r.sends < max_sends) {
+      scheduled_.push_back({now_, r});
+    } else if (r.tries < max_tries) {
+      ++r.tries;
+      r.sends = 0;
+      r.at_node = any_node();
+      scheduled_.push_back({now_ + 200ms, r});
+    }
+  }
+
+  void record_strikes() {
+    std::erase_if(pending_strikes_, [&](const pending_strike& e) {
+      if (e.known_at > now_) {
+        return false;
+      }
+      nodes_[e.at_node]->ledger.strike(e.print, e.strike);
+      return true;
+    });
+  }
+
+  void send_rows(std::size_t from, std::size_t to) {
+    constexpr std::size_t nodes_per_data_centre = 2;
+    if (cut_off.contains(from / nodes_per_data_centre) !=
+        cut_off.contains(to / nodes_per_data_centre)) {
+      return;
+    }
+    node& sender = *nodes_[from];
+    node& receiver = *nodes_[to];
+    const node_id sender_id{std::to_string(from)};
+    const node_id receiver_id{std::to_string(to)};
+    sender.exchange.acknowledged(receiver_id, receiver.exchange.received_position(sender_id));
+    const poison_update news = sender.exchange.update_for(now_, receiver_id, sender.ledger);
+    for (const std::string& bytes : news.rows) {
+      if (const auto row = decode_poison_row(bytes)) {
+        receiver.ledger.merge_row(now_, *row);
+      }
+    }
+    receiver.exchange.heard(sender_id, {sender.incarnation, news.at});
+  }
+
+  // Five times a second, each node sends to its hub, and hubs send to each other and to their
+  // nodes.
+  void send_heartbeats() {
+    const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now_.time_since_epoch());
+    if (ms.count() % 200 != 0) {
+      return;
+    }
+    for (std::size_t i = 0; i < nodes_.size(); i += 2) {
+      send_rows(i + 1, i);
+      send_rows(i, i + 1);
+      for (std::size_t j = 0; j < nodes_.size(); j += 2) {
+        if (i != j) {
+          send_rows(i, j);
+        }
+      }
+    }
+  }
+
+  void evaluate() {
+    const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(now_.time_since_epoch());
+    if (ms.count() % 50 != 0) {
+      return;
+    }
+    for (const auto& n : nodes_) {
+      n->ledger.evaluate(now_);
+    }
+    for (const auto& n : nodes_) {
+      for (const auto& [print, entry] : n->ledger.all()) {
+        if (!entry.quarantined_at) {
+          continue;
+        }
+        if (poison_hashes.contains(print.hash)) {
+          quarantined_at.try_emplace(print.hash, now_);
+        } else {
+          quarantined_harmless.insert(print.hash);
+        }
+      }
+    }
+  }
+
+ public:
+  std::set<std::uint64_t> poison_hashes;
+
+ private:
+  poison_simulation_settings settings_;
+  rng random_;
+  time_point now_{1000s};
+  std::vector<std::unique_ptr<node>> nodes_;
+  std::vector<head> heads_;
+  std::vector<run_state> runs_;
+  std::vector<scheduled_attempt> scheduled_;
+  std::vector<pending_strike> pending_strikes_;
+  std::map<std::uint64_t, time_point> third_crash_at_;
+  std::uint64_t next_hash_ = 0;
+};
+
+}  // namespace arbutus::testing_support
--- /dev/null
+++ b/tests/core/poison_tracker_test.cpp
@@ -0,0 +1,384 @@
+// Tests strikes against requests and quarantines, in virtual time.
+#include "process/poison_tracker.h"
+
+#include <gtest/gtest.h>
+
+#include "poison_world.h"
+#include "process/poison_exchange.h"
+#include "process/poison_wire.h"
+
+namespace arbutus::testing_support {
+namespace {
+
+constexpr time_point start{1000s};
+const request_print poison{workspace_id{"desk"}, 42};
+const request_print bystander{workspace_id{"desk"}, 7};
+
+target_id target(int i) {
+  return target_id{"i-" + std::to_string(i)};
+}
+
+// The strike at target `i`: one a second, each run sent after the previous target had ended.
+poison_strike strike_at(int i) {
+  return {target(i), start + i * 1s, start + i * 1s + 300ms};
+}
+
+void add_strikes(poison_tracker& ledger, const request_print& print, int from, int to) {
+  for (int i = from; i < to; ++i) {
+    ledger.run_sent(strike_at(i).sent_at, target(i));
+    ledger.strike(print, strike_at(i));
+  }
+}
+
+TEST(PoisonTracker, QuarantinesAfterFourSequentialCrashes) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 3);
+  EXPECT_TRUE(ledger.evaluate(start + 10s).empty());
+  add_strikes(ledger, poison, 3, 4);
+  const auto verdicts = ledger.evaluate(start + 10s);
+  ASSERT_EQ(verdicts.size(), 1U);
+  EXPECT_EQ(verdicts.front().targets.size(), 4U);
+  EXPECT_TRUE(ledger.is_quarantined(poison));
+  EXPECT_GT(ledger.quarantine_remaining(start + 10s, poison), std::optional<duration>(3000s));
+}
+
+// Guards against a quarantine before the strikes of other nodes have arrived.
+TEST(PoisonTracker, WaitsForStrikesOfOtherNodes) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 4);
+  const time_point last_end = strike_at(3).ended_at;
+  EXPECT_TRUE(ledger.evaluate(last_end + 100ms).empty());
+  EXPECT_TRUE(ledger.held_until(last_end + 100ms, poison));
+  EXPECT_FALSE(ledger.held_until(last_end + 1s, poison));
+  EXPECT_EQ(ledger.evaluate(last_end + 1s).size(), 1U);
+}
+
+// Guards against the quarantine of a request with many concurrent runs when a rack fails.
+TEST(PoisonTracker, CrashesUnderConcurrentRunsAreOneEvent) {
+  poison_tracker ledger;
+  for (int i = 0; i < 8; ++i) {
+    ledger.strike(poison, {target(i), start, start + 300ms + i * 1ms});
+  }
+  EXPECT_TRUE(ledger.evaluate(start + 10s).empty());
+}
+
+// Guards against several crashes being counted as one: a target may be back before the list reports
+// its new incarnation.
+TEST(PoisonTracker, CrashesUnderAStaleTargetIdCountSeparately) {
+  poison_tracker ledger;
+  ledger.run_sent(start, target(0));
+  for (int i = 0; i < 4; ++i) {
+    const poison_strike strike{target(0), start + i * 1s, start + i * 1s + 300ms};
+    EXPECT_TRUE(ledger.strike(poison, strike));
+    EXPECT_FALSE(
+        ledger.strike(poison, {strike.target, strike.sent_at + 1ms, strike.ended_at + 1ms}));
+  }
+  EXPECT_EQ(ledger.evaluate(start + 10s).size(), 1U);
+}
+
+// Guards against the quarantine of a harmless request that was repeatedly sent along with a poison
+// request.
+TEST(PoisonTracker, BystanderOfManyCrashesIsNotQuarantined) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 5);
+  add_strikes(ledger, bystander, 0, 4);
+  const auto verdicts = ledger.evaluate(start + 10s);
+  ASSERT_EQ(verdicts.size(), 1U);
+  EXPECT_EQ(verdicts.front().print, poison);
+  // Crashes that are attributed to the poison request no longer count against the bystander.
+  EXPECT_TRUE(ledger.all().at(bystander).strikes.empty());
+}
+
+// Guards against two requests that are always sent together and are never quarantined.
+TEST(PoisonTracker, InseparableSuspectsAreQuarantinedEventually) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 7);
+  add_strikes(ledger, bystander, 0, 7);
+  EXPECT_TRUE(ledger.evaluate(start + 20s).empty());
+  add_strikes(ledger, poison, 7, 8);
+  add_strikes(ledger, bystander, 7, 8);
+  EXPECT_FALSE(ledger.evaluate(start + 20s).empty());
+}
+
+TEST(PoisonTracker, SuccessfulRunClearsTheRequest) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 3);
+  EXPECT_TRUE(ledger.clear_request(start + 3s, poison));
+  EXPECT_TRUE(ledger.all().at(poison).strikes.empty());
+  // Engines keep crashing under a request that succeeded a moment ago.
+  add_strikes(ledger, poison, 4, 40);
+  EXPECT_TRUE(ledger.evaluate(start + 50s).empty());
+  // A request that no longer succeeds, for example after a change of the engines, is still
+  // detected.
+  add_strikes(ledger, poison, 64, 68);
+  EXPECT_EQ(ledger.evaluate(start + 80s).size(), 1U);
+}
+
+// Guards against a quarantine that stays in force after a successful run.
+TEST(PoisonTracker, SuccessfulRunReleasesAQuarantine) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 4);
+  ledger.evaluate(start + 10s);
+  EXPECT_TRUE(ledger.clear_request(start + 11s, poison));
+  EXPECT_FALSE(ledger.is_quarantined(poison));
+}
+
+TEST(PoisonTracker, StrikesCountAgainAfterOperatorRelease) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 4);
+  ledger.evaluate(start + 10s);
+  EXPECT_TRUE(ledger.release(start + 10s, poison));
+  EXPECT_FALSE(ledger.is_quarantined(poison));
+  add_strikes(ledger, poison, 11, 15);
+  EXPECT_EQ(ledger.evaluate(start + 20s).size(), 1U);
+}
+
+// Guards against strikes of another node that arrive after the run that cleared the request.
+TEST(PoisonTracker, StrikesBeforeASuccessfulRunDoNotCount) {
+  poison_tracker other;
+  add_strikes(other, poison, 0, 4);
+  poison_tracker ledger;
+  ledger.clear_request(start + 5s, poison);
+  std::uint64_t after = 0;
+  for (const poison_row& row : other.changed_since(start + 5s, after, 10)) {
+    ledger.merge_row(start + 5s, row);
+  }
+  EXPECT_TRUE(ledger.evaluate(start + 20s).empty());
+}
+
+// Guards against quarantines while many targets end for unrelated reasons.
+TEST(PoisonTracker, ManyUnrelatedCrashesPreventQuarantine) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 4);
+  for (int i = 100; i < 140; ++i) {
+    const time_point end = start + (i - 100) * 100ms;
+    ledger.strike({workspace_id{"desk"}, static_cast<std::uint64_t>(i)},
+                  {target(i), end - 1s, end});
+  }
+  EXPECT_TRUE(ledger.evaluate(start + 10s).empty());
+}
+
+TEST(PoisonTracker, QuarantineIsPerWorkspace) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 4);
+  ledger.evaluate(start + 10s);
+  EXPECT_FALSE(ledger.is_quarantined({workspace_id{"clerks"}, poison.hash}));
+}
+
+// Guards against a caller who floods the tracker and so evicts a poison request, its own or that of
+// another workspace.
+TEST(PoisonTracker, FloodOfRequestsEvictsNoSuspect) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 2);
+  const request_print other{workspace_id{"clerks"}, 1};
+  add_strikes(ledger, other, 0, 1);
+  for (std::uint64_t i = 0; i < 5000; ++i) {
+    ledger.strike({workspace_id{"desk"}, 1000 + i}, strike_at(50));
+  }
+  EXPECT_LE(ledger.all().size(), 130U);
+  EXPECT_EQ(ledger.all().at(poison).strikes.size(), 2U);
+  EXPECT_EQ(ledger.all().at(other).strikes.size(), 1U);
+}
+
+TEST(PoisonTracker, QuarantineExpires) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 4);
+  ledger.evaluate(start + 10s);
+  ledger.set_stored(poison, true);
+  ledger.evaluate(start + 3700s);
+  EXPECT_FALSE(ledger.is_quarantined(poison));
+  EXPECT_EQ(ledger.pending_store_changes().to_remove.size(), 1U);
+}
+
+TEST(PoisonTracker, RowsSurviveEncoding) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 4);
+  ledger.evaluate(start + 10s);
+  std::uint64_t after = 0;
+  const auto rows = ledger.changed_since(start + 10s, after, 10);
+  ASSERT_EQ(rows.size(), 1U);
+  EXPECT_EQ(after, ledger.position());
+  const auto read = decode_poison_row(encode(rows.front()));
+  ASSERT_TRUE(read);
+  poison_tracker other;
+  EXPECT_TRUE(other.merge_row(start + 10s, *read));
+  EXPECT_TRUE(other.is_quarantined(poison));
+  EXPECT_FALSE(decode_poison_row("\x96 damaged"));
+}
+
+// Guards against heartbeats that repeat rows the peer has, or never resend lost ones.
+TEST(PoisonExchange, ResendsUntilAcknowledged) {
+  poison_tracker ledger;
+  add_strikes(ledger, poison, 0, 1);
+  poison_exchange exchange("life-a");
+  const node_id peer{"edge-2"};
+  EXPECT_EQ(exchange.update_for(start, peer, ledger).rows.size(), 1U);
+  EXPECT_TRUE(exchange.update_for(start + 200ms, peer, ledger).rows.empty());
+  EXPECT_EQ(exchange.update_for(start + 1500ms, peer, ledger).rows.size(), 1U);
+  exchange.acknowledged(peer, {"life-a", ledger.position()});
+  EXPECT_TRUE(exchange.update_for(start + 4s, peer, ledger).rows.empty());
+  // The peer has restarted and has no rows.
+  exchange.acknowledged(peer, {});
+  EXPECT_EQ(exchange.update_for(start + 6s, peer, ledger).rows.size(), 1U);
+}
+
+struct crash_pattern {
+  const char* name;
+  poison_simulation::fault fault;
+};
+
+bool is_multiple_of(const poison_simulation& w, duration d) {
+  return (w.now().time_since_epoch() % d).count() == 0;
+}
+
+void end_random_heads(poison_simulation& w, double heads_per_s) {
+  if (w.random().unit() < heads_per_s * to_seconds(poison_simulation::step)) {
+    w.end_head(w.any_head());
+  }
+}
+
+// Ends a random share of all heads simultaneously, once per `interval`.
+void end_share_of_heads(poison_simulation& w, duration interval, double part) {
+  if (!is_multiple_of(w, interval)) {
+    return;
+  }
+  for (std::size_t i = 0; i < w.heads(); ++i) {
+    if (w.random().unit() < part) {
+      w.end_head(i);
+    }
+  }
+}
+
+void end_round_robin(poison_simulation& w) {
+  constexpr duration interval = 400ms;
+  if (is_multiple_of(w, interval)) {
+    w.end_head(static_cast<std::size_t>(w.now().time_since_epoch() / interval) % w.heads());
+  }
+}
+
+// A caller sends the same request every second, and its head is often ended for other reasons.
+void end_under_one_caller(poison_simulation& w) {
+  constexpr std::uint64_t hash = 7;
+  if (is_multiple_of(w, 1s)) {
+    w.submit(w.any_node(), hash);
+  }
+  if (is_multiple_of(w, 500ms) && w.random().unit() < 0.5 && w.head_of(hash) < w.heads()) {
+    w.end_head(w.head_of(hash));
+  }
+}
+
+// Guards against the quarantine of harmless requests when many targets end for other reasons.
+TEST(PoisonWorld, HarmlessRequestsAreNotQuarantinedWhenTargetsCrashByChance) {
+  const std::vector<crash_pattern> patterns = {
+      {"one a second", [](poison_simulation& w) { end_random_heads(w, 1); }},
+      {"two a second", [](poison_simulation& w) { end_random_heads(w, 2); }},
+      {"a third each second", [](poison_simulation& w) { end_share_of_heads(w, 1s, 0.33); }},
+      {"half each four seconds", [](poison_simulation& w) { end_share_of_heads(w, 4s, 0.5); }},
+      {"all each six seconds", [](poison_simulation& w) { end_share_of_heads(w, 6s, 1); }},
+      {"by turns", end_round_robin},
+      {"under one caller", end_under_one_caller}};
+  for (const crash_pattern& s : patterns) {
+    SCOPED_TRACE(s.name);
+    poison_simulation w({});
+    w.run(40s, s.fault);
+    EXPECT_GT(w.ended_heads, 10U);
+    EXPECT_TRUE(w.quarantined_harmless.empty());
+    EXPECT_EQ(w.refused_harmless, 0U);
+  }
+}
+
+// Guards against late detection: a poison request that is repeated at any node ends few heads.
+TEST(PoisonWorld, CulpritsCrashFewHeads) {
+  poison_simulation w({});
+  w.poison_hashes = {42, 43};
+  w.run(40s, [](poison_simulation& world) {
+    for (const std::uint64_t hash : world.poison_hashes) {
+      if (is_multiple_of(world, 3s)) {
+        world.submit(world.any_node(), hash, true);
+      }
+    }
+  });
+  EXPECT_EQ(w.quarantined_at.size(), 2U);
+  EXPECT_EQ(w.refused_harmless, 0U);
+  for (const auto& [hash, heads] : w.heads_ended_by) {
+    EXPECT_LE(heads, 8U);
+  }
+}
+
+// Guards against poison requests that hide each other: the crashes of one raise the base rate of
+// crashes by which the others are evaluated.
+TEST(PoisonWorld, ManyCulpritsAtOnceReachFewHeadsLate) {
+  constexpr std::size_t max_late_visits = 3;
+  for (std::uint64_t seed = 1; seed <= 4; ++seed) {
+    SCOPED_TRACE(seed);
+    poison_simulation_settings settings;
+    settings.seed = seed;
+    poison_simulation w(settings);
+    w.poison_hashes = {42, 43, 44, 45, 46, 47};
+    w.run(70s, [](poison_simulation& world) {
+      for (const std::uint64_t hash : world.poison_hashes) {
+        if (is_multiple_of(world, 3s)) {
+          world.submit(world.any_node(), hash, true);
+        }
+      }
+    });
+    for (const auto& [hash, visits] : w.late_visits) {
+      EXPECT_LE(visits, max_late_visits);
+    }
+  }
+}
+
+// Guards against the quarantine of harmless requests when heads end faster than replicas form.
+TEST(PoisonWorld, NobodyIsAccusedInABurstOfEnds) {
+  for (std::uint64_t seed = 1; seed <= 3; ++seed) {
+    SCOPED_TRACE(seed);
+    poison_simulation_settings settings;
+    settings.seed = seed;
+    poison_simulation w(settings);
+    w.run(60s, [](poison_simulation& world) {
+      if (world.now().time_since_epoch() % 10s < 2s) {
+        end_random_heads(world, 5);
+      }
+    });
+    EXPECT_TRUE(w.quarantined_harmless.empty());
+  }
+}
+
+// Guards against a bound that holds only while all nodes are connected: each side of a partition
+// needs its own strikes, but no more than that.
+TEST(PoisonWorld, EachSideOfAPartitionNeedsItsOwnStrikes) {
+  poison_simulation w({});
+  w.poison_hashes = {42};
+  w.cut_off = {0};
+  const auto submit_repeatedly = [](poison_simulation& world) {
+    if (is_multiple_of(world, 2s)) {
+      world.submit(world.any_node(), 42, true);
+    }
+  };
+  w.run(40s, submit_repeatedly);
+  EXPECT_LE(w.heads_ended_by[42], 16U);
+  w.cut_off = {};
+  w.run(2s);
+  const std::size_t before = w.heads_ended_by[42];
+  w.run(20s, submit_repeatedly);
+  EXPECT_EQ(w.heads_ended_by[42], before);
+}
+
+// Guards against quarantines that a node loses with its process: its hub sends them again.
+TEST(PoisonWorld, RestartedNodeReceivesQuarantinesFromItsHub) {
+  poison_simulation w({});
+  w.poison_hashes = {42};
+  w.run(12s, [](poison_simulation& world) {
+    if (is_multiple_of(world, 2s)) {
+      world.submit(world.any_node(), 42, true);
+    }
+  });
+  const request_print print{workspace_id{"w2"}, 42};
+  ASSERT_TRUE(w.ledger(1).is_quarantined(print));
+  w.restart_node(1);
+  w.run(2s);
+  EXPECT_TRUE(w.ledger(1).is_quarantined(print));
+}
+
+}  // namespace
+}  // namespace arbutus::testing_support
--- a/tests/core/serving_feed_test.cpp
+++ b/tests/core/serving_feed_test.cpp
@@ -67,7 +67,7 @@
   // A beat of the hub to the node; bytes of its rows.
   std::size_t pass_on() {
     feed.update(known_to_hub, services(size));
-    const std::uint64_t after = follower.at().life == "hub" ? follower.at().at : 0;
+    const std::uint64_t after = follower.at().incarnation == "hub" ? follower.at().at : 0;
     const auto rows = feed.rows().since(after);
     std::size_t bytes = 0;
     for (const feed_row& row : rows) {
@@ -188,8 +188,8 @@
 
 TEST(ServingFeed, AnotherLifeOfTheHubPassesOnAllRows) {
   // Symptom: a node sends to a replica that ended long ago. Sequence: its hub starts again and
-  // counts its changes anew; the node's position happens to be one of the new life. Cause: a
-  // position without the life that it is of.
+  // counts its changes anew; the node's position happens to be one of the new incarnation. Cause: a
+  // position without the incarnation that it is of.
   hub_and_node both{4};
   add_replica(both.known_to_hub, 0, 4, 1);
   both.pass_on();
--- a/tests/shell/hosted_node_test.cpp
+++ b/tests/shell/hosted_node_test.cpp
@@ -147,8 +147,8 @@
 TEST_F(HostedNode, NewsForAnEarlierLifeAreNotTaken) {
   // Symptom: a node that was started again knows no configuration, or no replicas, for ever, while
   // all others serve. Sequence: it starts while the store is away from it; its hub still answers on
-  // the position that its earlier life had told, with no rows, and so with a proof. Cause: the node
-  // takes the hub's position for its own.
+  // the position that its earlier incarnation had told, with no rows, and so with a proof. Cause:
+  // the node takes the hub's position for its own.
   hosted_settings settings = nodes_[0]->settings;
   fiber_runtime own_runtime(1);
   hosted_state state(settings, own_runtime);
@@ -188,7 +188,7 @@
   node_heartbeat beat;
   beat.data_centre = nodes_[0]->settings.data_centre;
   beat.hub = true;
-  beat.life = "0a1b2c3d";
+  beat.incarnation = "0a1b2c3d";
   beat.targets_position = 90;
   beat.served = feed_update{{{"i-7", encode(instance), 1, false}}, true, 1, 0, 0ms, false};
   const time_point now = monotonic_now();
@@ -200,8 +200,8 @@
   EXPECT_FALSE(state.fleet_complete);
   EXPECT_EQ(watch.records_position(), 0U);
   EXPECT_EQ(state.target_rows.position(), 90U);
-  // Rows of another life of the hub do not follow on these.
-  beat.life = "4e5f6a7b";
+  // Rows of another incarnation of the hub do not follow on these.
+  beat.incarnation = "4e5f6a7b";
   beat.served = feed_update{{{"i-7", {}, 2, true}}, false, 2, 1, 0ms, false};
   watch.take_news(now, now, beat);
   EXPECT_TRUE(state.fleet.find(target_id{"i-7"})->listed);
--- a/tests/shell/keeper_world.h
+++ b/tests/shell/keeper_world.h
@@ -15,7 +15,7 @@
 
 #include "base/rng.h"
 #include "process/replica_keeper.h"
-#include "process/target_life.h"
+#include "process/target_incarnation.h"
 #include "standin/hosted_engine.h"
 
 namespace arbutus::testing_support {
@@ -55,7 +55,7 @@
   target_id add_engine(const std::string& domain, const std::string& data_centre = "a",
                        std::optional<endpoint> address = std::nullopt) {
     target_record record;
-    record.id = life_of("i-" + std::to_string(next_id_++), 1);
+    record.id = incarnation_of("i-" + std::to_string(next_id_++), 1);
     record.service = llm;
     record.address =
         address.value_or(endpoint{"10.0.0.1", static_cast<std::uint16_t>(1000 + next_id_)});
@@ -90,9 +90,9 @@
   void drop_from_list(const target_id& id) { drop_from_list_[id] = now_; }
   // The node keeps deciding on what it saw before.
   void cut_from_list(std::size_t node, bool cut) { nodes_[node]->hears_list = !cut; }
-  // Starts again under its name. Orders for its earlier life may still be on their way.
+  // Starts again under its name. Orders for its earlier incarnation may still be on their way.
   target_id restart(const target_id& id) {
-    const target_id next = life_of(engine_of(id), ++newest_life_);
+    const target_id next = incarnation_of(engine_of(id), ++newest_life_);
     auto node = engines_.extract(id);
     node.mapped().start_again(next);
     node.key() = next;
@@ -140,7 +140,8 @@
   [[nodiscard]] std::size_t serving(const model_id& model) const {
     std::size_t count = 0;
     for (const auto& [id, engine] : engines_) {
-      count += engine.is_open() && model_in(engine.record().member_of->replica.name) == model &&
+      count += engine.is_open() &&
+                       model_of_name(engine.record().member_of->replica.name) == model &&
                        is_whole(engine)
                    ? 1
                    : 0;
@@ -153,7 +154,7 @@
     std::vector<target_id> result;
     for (const auto& [id, engine] : engines_) {
       if (engine.is_open() && !dead_.contains(id) && is_whole(engine) &&
-          model_in(engine.record().member_of->replica.name) == model) {
+          model_of_name(engine.record().member_of->replica.name) == model) {
         result.push_back(id);
       }
     }
@@ -168,14 +169,14 @@
   [[nodiscard]] target_id head_with_spare() const {
     for (const model_id& model : {large, small}) {
       for (const auto& [id, engine] : engines_) {
-        if (!engine.is_open() || model_in(engine.record().member_of->replica.name) != model) {
+        if (!engine.is_open() || model_of_name(engine.record().member_of->replica.name) != model) {
           continue;
         }
         for (const auto& [other, spare] : engines_) {
           const auto& own = spare.record().member_of;
           if (spare.record().domain == engine.record().domain && own &&
               is_spare_name(own->replica.name) && own->state == member_state::ready &&
-              model_in(own->replica.name) == model) {
+              model_of_name(own->replica.name) == model) {
             return id;
           }
         }
@@ -321,7 +322,7 @@
     }
     const target_report report = engine->second.report(now_);
     nodes_[n]->fleet.reported(now_, now_ - 250ms, id,
-                              {report.life, report.member_of, report.loaded, 1});
+                              {report.incarnation, report.member_of, report.loaded, 1});
   }
 
   void carry_out(std::size_t n, const keeper_effect& e) {
@@ -340,7 +341,7 @@
       later(way, [this, n, id, asked] {
         const target_report report = by_name(id).report(now_);
         nodes_[n]->fleet.reported(asked, asked - 250ms, id,
-                                  {report.life, report.member_of, report.loaded, 1});
+                                  {report.incarnation, report.member_of, report.loaded, 1});
         nodes_[n]->keeper.on_report(now_, id, report);
       });
       return;
@@ -394,7 +395,7 @@
     return outcome;
   }
 
-  // Whatever its life is: orders and questions reach who has the name.
+  // Whatever its incarnation is: orders and questions reach who has the name.
   [[nodiscard]] standin::hosted_engine& by_name(const target_id& id) {
     const auto found = std::find_if(engines_.begin(), engines_.end(), [&id](const auto& entry) {
       return engine_of(entry.first) == engine_of(id);
--- a/tests/shell/platform_mutation_test.cpp
+++ b/tests/shell/platform_mutation_test.cpp
@@ -6,7 +6,7 @@
 #include "base/rng.h"
 #include "platform/base64.h"
 #include "platform/documents.h"
-#include "process/target_life.h"
+#include "process/target_incarnation.h"
 
 namespace arbutus {
 namespace {
--- a/tests/shell/platform_test.cpp
+++ b/tests/shell/platform_test.cpp
@@ -6,7 +6,7 @@
 #include "platform/base64.h"
 #include "platform/dialect.h"
 #include "platform/documents.h"
-#include "process/target_life.h"
+#include "process/target_incarnation.h"
 
 namespace arbutus {
 namespace {
@@ -82,7 +82,7 @@
                  "born":1764722262000,"group":null,"models":[],"staged":[]})",
       problem);
   ASSERT_TRUE(record) << problem;
-  EXPECT_EQ(record->id, life_of("i-1", 1764722262000));
+  EXPECT_EQ(record->id, incarnation_of("i-1", 1764722262000));
 }
 
 TEST(PlatformDocuments, AnEntryOfAnotherWriterNamesNoTarget) {
--- a/tests/shell/replica_keeper_test.cpp
+++ b/tests/shell/replica_keeper_test.cpp
@@ -27,7 +27,7 @@
   world.run(1s);
   const target_id head = world.head_with_spare();
   ASSERT_FALSE(head.empty()) << "no domain has a spare";
-  const model_id model = model_in(world.engine(head).record().member_of->replica.name);
+  const model_id model = model_of_name(world.engine(head).record().member_of->replica.name);
   const std::size_t before = world.serving(model);
   world.kill(world.engine(head).members().back());
   world.run(100ms);
@@ -212,7 +212,7 @@
   world.run(1s);
   const target_id head = world.head_with_spare();
   ASSERT_FALSE(head.empty());
-  const model_id model = model_in(world.engine(head).record().member_of->replica.name);
+  const model_id model = model_of_name(world.engine(head).record().member_of->replica.name);
   const std::size_t before = world.serving(model);
   world.restart(world.engine(head).members().back());
   EXPECT_LT(world.serving(model), before);
@@ -236,7 +236,7 @@
 TEST(ReplicaKeeper, LateOrdersOfAnEarlierLifeDoNoHarm) {
   // Symptom: an engine leaves a replica that serves. Sequence: an order to join is late; its engine
   // starts again, obeys as many orders as it had before, and is a member when the late one comes.
-  // Cause: counts of orders start anew with each life.
+  // Cause: counts of orders start anew with each incarnation.
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     keeper_world world(seed, 2);
@@ -315,7 +315,7 @@
   }
   world.run(8s);
   for (const target_id& id : world.living()) {
-    EXPECT_EQ(model_in(world.engine(id).record().member_of->replica.name), before[id]) << id;
+    EXPECT_EQ(model_of_name(world.engine(id).record().member_of->replica.name), before[id]) << id;
   }
 }
 
