--- a/src/process/domain_shape.cpp
+++ b/src/process/domain_shape.cpp
@@ -1,5 +1,5 @@
-// Planning by local search: one domain at a time is shaped anew, given the others, until nothing
-// improves. Domains are few (6 to 16) and have some dozen engines.
+// Local search: re-plans one domain at a time with the others fixed until no domain improves.
+// There are 6 to 16 domains with a few dozen engines each.
 #include "process/domain_shape.h"
 
 #include <algorithm>
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Stands for "no replica at all": worse than any plan that has one of each model.
+// Added to a model's replica count so that a model without replicas has a finite cost, higher than
+// that of any plan with a replica of each model.
 constexpr double least_replicas = 0.05;
 constexpr int most_rounds = 8;
 
@@ -50,7 +51,7 @@
     return sum;
   }
 
-  // What is ready stays; blanks go to the model with most work until the search says otherwise.
+  // Keeps loaded engines and gives engines without a model to the model with the most work.
   [[nodiscard]] split first_shape(const shape_domain& domain) const {
     split result = domain.ready;
     result.resize(models_.size(), 0);
@@ -71,7 +72,7 @@
     return result;
   }
 
-  // Engines of a domain that would have to be made ready for another model.
+  // Number of engines of a domain that would have to switch to another model.
   [[nodiscard]] double changes(std::size_t d, const split& s) const {
     double count = 0;
     for (std::size_t m = 0; m < models_.size(); ++m) {
@@ -81,7 +82,8 @@
     return count;
   }
 
-  // Of the models' replicas, without those of domain `away` (none: the number of domains).
+  // Cost of the given replica totals without the replicas of domain `excluded`; pass the number of
+  // domains to exclude none.
   [[nodiscard]] double cost_without(const std::vector<double>& totals, std::size_t away) const {
     double sum = 0;
     for (std::size_t m = 0; m < models_.size(); ++m) {
@@ -134,7 +136,7 @@
   void judge(std::size_t d, const split& trial) {
     replicas_[d] = replicas_of(d, trial);
     const double c = cost() + scale_ * settings_.change_cost * changes(d, trial);
-    constexpr double least_gain = 1e-6;  // as a part of the cost, whatever its unit
+    constexpr double least_gain = 1e-6;  // as a fraction of the cost
     if (c < best_ * (1 - least_gain)) {
       best_ = c;
       best_split_ = trial;
@@ -145,22 +147,22 @@
   std::span<const shape_model> models_;
   shape_settings settings_;
   fleet_shape shape_;
-  std::vector<std::vector<double>> replicas_;  // lasting ones, by domain and model
+  std::vector<std::vector<double>> replicas_;  // expected after losses, by domain and model
   double scale_ = 0;
   double best_ = 0;
   split best_split_;
 };
 
-// Replicas of `size` that the model's `own` of `all` engines form on average when any `lost` of
-// them all are lost: the lost fall on the model's in a hypergeometric number.
+// Expected number of replicas of `size` that the model's `own` of `all` engines form when `lost` of
+// all engines fail. The number of failures among the model's engines is hypergeometric.
 double expected_replicas(std::uint32_t own, std::uint32_t all, std::uint32_t size,
                          std::uint32_t lost) {
   double sum = 0;
-  // Chance that none of the lost is the model's, then one more at a time.
+  // Sums over the possible numbers of failures among the model's engines.
   const std::uint32_t others = all - own;
   for (std::uint32_t hit = lost > others ? lost - others : 0; hit <= std::min(own, lost); ++hit) {
     double chance = 1;
-    // C(own, hit) C(others, lost - hit) / C(all, lost), as a product of small factors.
+    // C(own, own_lost) * C(others, lost - own_lost) / C(all, lost), as a product of small factors.
     for (std::uint32_t i = 0; i < hit; ++i) {
       chance *= static_cast<double>(own - i) / (i + 1);
     }
--- a/src/process/far_shape.cpp
+++ b/src/process/far_shape.cpp
@@ -1,4 +1,4 @@
-// One model after the other; the rest of the engines is shaped by domain.
+// Reserves engines model by model; the remaining engines are planned domain by domain.
 #include "process/far_shape.h"
 
 #include <algorithm>
@@ -8,9 +8,10 @@
 
 namespace {
 
-constexpr std::uint32_t room_for_losses = 8;  // one engine beyond the size for so many of it
-// With spares for a quarter of its members a replica of 16 outlives the loss of a few engines at
-// once without a load, which takes 12 to 16 s.
+// A domain has to have one engine beyond the replica's size for every 8 members.
+constexpr std::uint32_t room_for_losses = 8;
+// With one spare per four members, a replica of 16 can be repaired after the simultaneous loss of a
+// few engines without loading weights, which takes 12 to 16 s.
 constexpr std::uint32_t members_for_a_spare = 4;
 
 std::uint32_t engines_of(const shape_domain& domain) {
@@ -52,10 +53,10 @@
   }
 
  private:
-  // As many replicas as the model's share of the engines' time makes of them, fewer by the
-  // slowdown: each breaks with the first of its members, and holds the engines of several near ones
-  // of others. At least one, for its callers have no other; and spares, since it is formed anew
-  // after each loss.
+  // The engines for the model's share of engine time, divided by the slowdown, because a
+  // cross-domain replica ends with any of its members and takes the engines of several smaller
+  // replicas of other models. At least one replica, since the model's callers have no alternative,
+  // plus spares, since the replica is formed again after each loss.
   [[nodiscard]] std::uint32_t engines_wanted(std::size_t m) const {
     double time_of_all = 0;
     for (const shape_model& model : models_) {
@@ -84,8 +85,8 @@
     }
   }
 
-  // Those that are ready for the model first, then blank ones, then others. What is ready for it
-  // and is not needed counts as blank.
+  // Takes engines that are ready for the model first, then those without a model, then others.
+  // Engines that are ready for the model but not needed count as having no model.
   static void take_from(shape_domain& domain, std::size_t m, std::uint32_t count) {
     domain.blank += domain.ready[m];
     domain.ready[m] = 0;
@@ -98,7 +99,7 @@
     }
   }
 
-  std::vector<shape_domain> left_;  // engines that are not set apart
+  std::vector<shape_domain> left_;  // engines that are not reserved
   std::span<const shape_model> models_;
   double slowdown_;
   shape_settings settings_;
--- a/src/process/far_shape.h
+++ b/src/process/far_shape.h
@@ -1,9 +1,9 @@
-// Engines for models that no fabric domain can hold: their replicas span domains, and data centres
-// where they must.
+// Plans engines for models that are too large for any fabric domain. Their replicas span domains,
+// and data centres if necessary.
 //
-// Such a replica is slower by the operators' factor, but without it the model's callers are refused
-// all day. So engines are set apart for it, before each domain is shaped for the other models, out
-// of as few domains as can be, those first that are ready for the model already.
+// Such a replica is slower by a configured factor, but without it all requests for the model are
+// refused. Engines are reserved for it before the layout of the other models is planned, from as
+// few domains as possible, starting with those that have most engines ready for the model.
 #pragma once
 
 #include <span>
@@ -12,15 +12,14 @@
 
 namespace arbutus {
 
-// As plan_shape(), with engines set apart for the models that no domain can hold. `slowdown`: of a
-// replica across domains, 1 or more. Deterministic.
+// Like plan_shape(), with engines reserved for the models that no domain can hold. `slowdown` is
+// the factor by which a cross-domain replica is slower, at least 1. Deterministic.
 [[nodiscard]] fleet_shape plan_fleet(std::span<const shape_domain> domains,
                                      std::span<const shape_model> models, double slowdown,
                                      const shape_settings& settings = {});
 
-// Whether some domain has the engines for a replica of `size`, with room for a loss or two: one
-// that just fits has no replica as soon as any engine of it is lost, and the plan would go to and
-// fro.
+// Whether some domain has enough engines for a replica of `size` and a margin for losses. In a
+// domain without a margin, any loss would end the replica and the plan would oscillate.
 [[nodiscard]] bool fits_a_domain(std::span<const shape_domain> domains, std::uint32_t size);
 
 }  // namespace arbutus
--- a/src/process/feed_log.h
+++ b/src/process/feed_log.h
@@ -1,9 +1,8 @@
-// The newest rows of a table that is followed, to be passed on to nodes that do not follow it
-// themselves.
+// The latest rows of a watched table, for forwarding to nodes that do not watch it themselves.
 //
-// The store charges each question and bounds their rate for all nodes together. So one node of a
-// data centre follows the store, and the others ask it by the same positions: whoever stops hearing
-// it goes on at the store where it was.
+// The store charges for each query and limits the query rate of all nodes together. So one node of
+// a data centre watches the store and the others query that node. Both use the same positions: a
+// node that loses its hub continues at the store from its current position.
 #pragma once
 
 #include <algorithm>
@@ -27,7 +26,7 @@
 
 class feed_log {
  public:
-  // A row of the feed, or of the whole table.
+  // Applies a row of the feed or of a read of the whole table.
   void take(const feed_row& row) {
     feed_row& known = rows_[row.key];
     if (row.version >= known.version) {
@@ -35,7 +34,7 @@
     }
   }
 
-  // The table was read whole at `position`: what it does not hold is gone since then.
+  // Applies a read of the whole table at `position`: rows that are not in it count as removed.
   void replace(const std::vector<feed_row>& rows, std::uint64_t position) {
     std::set<std::string_view> present;
     for (const feed_row& row : rows) {
@@ -54,27 +53,27 @@
   }
 
   void advance(std::uint64_t position) { position_ = std::max(position_, position); }
-  // Holds no rows, and goes on from a position up to which another node knows the table.
+  // Drops all rows and continues from a position up to which another node has the table.
   void go_on_from(std::uint64_t position) {
     rows_.clear();
     position_ = position;
     complete_from_ = position + 1;
   }
 
-  // Everything up to this position is in the log.
+  // The log contains all changes up to this position.
   [[nodiscard]] std::uint64_t position() const { return position_; }
 
-  // Whether rows behind `after` complete what is known here. Goes wrong: a node that has just
-  // started again is answered on what its earlier life had asked for, takes the sender's position
-  // for its own, and lacks for ever what came before. One would see a node that knows no
-  // configuration, or no replicas, while all others serve.
+  // Whether the log can be extended by rows after position `after`. Without this check, a node that
+  // has just restarted could receive the answer to a query of its previous incarnation, adopt the
+  // sender's position, and never get the earlier rows: it would have no configuration or no
+  // replicas while all other nodes serve.
   [[nodiscard]] bool can_follow(std::uint64_t after) const { return after <= position_; }
 
-  // What was removed before this position may be missing: whoever is behind it needs the whole
-  // table.
+  // Removals before the last read of the whole table may be missing from the log: a node whose
+  // position is before it needs all rows.
   [[nodiscard]] bool needs_whole(std::uint64_t after) const { return after < complete_from_; }
 
-  // Rows behind `after`, oldest first; the whole table if that is needed.
+  // Rows after position `after`, oldest first; all rows if needs_whole(after).
   [[nodiscard]] std::vector<feed_row> since(std::uint64_t after) const {
     std::vector<feed_row> result;
     if (after >= position_) {
@@ -92,9 +91,9 @@
   }
 
  private:
-  std::map<std::string, feed_row> rows_;  // removed ones stay, as those behind must hear of them
+  std::map<std::string, feed_row> rows_;  // removed rows stay, to be forwarded as removals
   std::uint64_t position_ = 0;
-  std::uint64_t complete_from_ = 1;  // of the last whole read; 1: none yet
+  std::uint64_t complete_from_ = 1;  // position of the last read of the whole table; 1: none yet
 };
 
 }  // namespace arbutus
--- a/src/process/fleet_view.cpp
+++ b/src/process/fleet_view.cpp
@@ -1,4 +1,4 @@
-// The live inventory.
+// Updates of the target inventory, and the replicas that can serve.
 #include "process/fleet_view.h"
 
 #include <algorithm>
@@ -46,8 +46,9 @@
   return true;
 }
 
-// Goes wrong: while the store is away nobody can write, and replicas are formed all the same. When
-// it is back, rows are read that are older than what the targets answered since.
+// Keeps membership and model from the target's answers if they are newer than the row. While the
+// store is unavailable, no rows are written but replicas are still formed, so the rows read after it
+// returns can be older than the answers.
 void fleet_view::take_row_state(target_view& view, const target_record& record, time_point as_of) {
   if (as_of >= view.state_at) {
     view.record = record;
@@ -72,15 +73,16 @@
   }
   target_view& view = targets_[record.id];
   const bool changed = !view.listed || view.record != record || view.lost;
-  // A record that arrives was written by a living process; one that is repeated in a whole list was
-  // not.
+  // A new record was written by a running process. Unchanged rows of a complete list do not prove
+  // that; replace_all() skips them.
   view.listed = true;
   view.lost = false;
   view.failed_probes = 0;
   view.heard_at = std::max(view.heard_at, observed_at);
   view.row_version = std::max(view.row_version, row_version);
   if (!written_after) {
-    // Followed without a gap: written since the last look, and newer than any answer before that.
+    // Watched without a gap: the row was written after the last query, so it is newer than any
+    // answer before that.
     view.state_at = std::max(view.state_at, observed_at);
     view.doubted = false;
     view.record = std::move(record);
@@ -91,11 +93,11 @@
   return true;
 }
 
-// Goes wrong without it: an engine ends, and another one starts at its address under another name.
-// A report does not say whose it is, so that the keeper that asks the one which ended is told the
-// replica of the other: a member too many, for which the replica is taken apart, formed again of
-// the same members, and so on for as long as the old name is remembered. One would see capacity
-// that goes up and down once a second. Until its row lapses the old one is sent requests, too.
+// Without this, when an engine ends and another one starts at its address under another name, a
+// probe of the ended engine returns the membership of the new one, because reports do not name
+// their sender. The replica then has a surplus member and is dissolved and formed again about once
+// per second for as long as the old name is stored. The ended engine would also receive requests
+// until its row expires.
 bool fleet_view::take_address(const target_record& record, std::uint64_t row_version) {
   if (row_version == 0) {
     return true;
@@ -193,8 +195,8 @@
   return true;
 }
 
-// The answer is newer than the life that was asked only if that one was known when the question was
-// sent: else the engine has started once more since it answered.
+// The answering incarnation is newer than `id` only if `id` was already known when the probe was
+// sent; otherwise the engine has restarted again since it answered.
 void fleet_view::replace_by_answer(time_point asked, time_point as_of, const target_id& id,
                                    const target_answer& answer) {
   const target_view* before = find(id);
@@ -264,7 +266,7 @@
 
 void fleet_view::found_by_others(time_point now, const std::vector<target_id>& still_lost) {
   for (auto& [id, view] : targets_) {
-    // What left the list and was lost does not come back but by the list.
+    // A lost target that is also unlisted becomes reachable again only through a new record.
     if (!view.lost || !view.listed || now - view.lost_at <= hub_knows_within) {
       continue;
     }
@@ -329,8 +331,8 @@
     if (head == nullptr || ranks.size() != size) {
       continue;
     }
-    // One of them started again, and an order of before put it back under the same name: the head
-    // does not work with this life of it.
+    // A member has restarted, and a late order made it join again under the same replica name. The
+    // head does not work with the new incarnation.
     if (!is_of_lives(key.name, replica.members)) {
       continue;
     }
--- a/src/process/fleet_view.h
+++ b/src/process/fleet_view.h
@@ -1,8 +1,9 @@
-// What a node knows of the targets: a live inventory, fed by the platform's list of targets and by
-// the targets' own reports.
+// A node's view of the targets: an inventory updated from the platform's target list and from the
+// targets' own reports.
 //
-// A value: fed with (now, observation). A target_id names one life of an engine (target_life.h);
-// engines start again under their name, and addresses are given to others.
+// A plain value without I/O; each update gets the current time and an observation. A target_id
+// names one incarnation of an engine (target_life.h): engines restart under the same name, and
+// addresses are reused by other engines.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +19,16 @@
 namespace arbutus {
 
 enum class member_state : std::uint8_t {
-  joining,  // gets the model's weights ready
-  ready,    // a member that may be opened (the head), or that works for its head
-  open,     // the head serves
-  closing,  // the head finishes what it has
-  broken,   // the head lost a member and gave up
+  joining,  // prepares the model's weights
+  ready,    // head: may be opened; other members: work for their head
+  open,     // head: serves
+  closing,  // head: finishes its requests and accepts no new ones
+  broken,   // head: lost a member and stopped serving
 };
 
 [[nodiscard]] std::string_view to_string(member_state state);
 
-// A replica is known by its name and epoch; a greater epoch is a later composition.
+// Identifies a replica; a higher epoch means a later composition.
 struct replica_key {
   std::string name;
   std::uint64_t epoch{};
@@ -36,125 +37,134 @@
 
 struct membership {
   replica_key replica;
-  std::uint32_t rank{};  // 0: the head, which gets the requests
+  std::uint32_t rank{};  // 0: the head, which receives the requests
   member_state state = member_state::joining;
   auto operator<=>(const membership&) const = default;
 };
 
-// One life of a target, as it tells of itself.
+// One incarnation of a target, as described by the target itself.
 struct target_record {
   target_id id;
   service_id service;
   endpoint address;
   data_centre_id data_centre;
   std::uint32_t slots = 1;
-  bool draining = false;  // leaves soon; gets nothing new
+  bool draining = false;  // stops soon; receives no new requests
   fabric_domain_id domain;
   std::vector<model_id> staged;  // weights on its host
-  model_id loaded;               // the model it runs or last ran; empty: none
+  model_id loaded;               // model that it runs or ran last; empty: none
   std::optional<membership> member_of;
   bool operator==(const target_record&) const = default;
 };
 
-// What is known of a target beside its own words.
+// A target's record and this node's own observations of it.
 struct target_view {
   target_record record;
-  time_point heard_at{};  // its record last changed or it answered
-  time_point state_at{};  // what it says of its replica was so at this time or later
-  // Of the newest answer of its own, to a question or an order; a row may be older than it looks.
+  time_point heard_at{};  // last change of its record or last answer
+  time_point state_at{};  // the membership in `record` was true at this time or later
+  // From the target's last answer to a probe or an order. A row may be older than its arrival
+  // suggests, so rows do not change these.
   std::optional<replica_key> told_replica;
   time_point told_at{};
-  bool doubted = false;         // its row and its answers differ, and neither is known to be newer
+  bool doubted = false;         // row and answers differ, and neither is known to be newer
   std::uint64_t row_version{};  // of its newest row
-  bool listed = true;           // in the platform's list; false: kept for what may still run there
+  bool listed = true;           // false: not in the list, kept because it may still run
   time_point unlisted_at{};
-  time_point life_seen{};           // when this life was first heard of
-  std::uint32_t failed_probes = 0;  // in a row
-  bool lost = false;                // does not answer; nothing is sent there
+  time_point life_seen{};           // when this incarnation was first observed
+  std::uint32_t failed_probes = 0;  // consecutive
+  bool lost = false;                // does not answer; receives no requests
   time_point lost_at{};
-  double pace = 1;  // above 1: slower than it should be
+  double pace = 1;  // above 1: slower than expected
 };
 
-// What a target said of itself when it was asked.
+// A target's answer to a probe.
 struct target_answer {
-  target_id life;  // which may be another one than the one that was asked
+  target_id life;  // may differ from the target that was probed
   std::optional<membership> member_of;
   model_id loaded;
   double pace = 1;
 };
 
-// Of two lives of one engine that are both known, the one heard of first has ended, and never comes
-// back: records and answers of it that arrive late change nothing. Goes wrong otherwise: a load, a
-// suspicion or a count of orders of the one is taken for the other's, and a replica whose member
-// started again looks whole.
+// When a second incarnation of an engine is observed, the first one has ended and never returns;
+// late records and answers of it are ignored. Otherwise load, suspicions or order counts of one
+// incarnation would be attributed to the other, and a replica with a restarted member would look
+// complete.
 class fleet_view {
  public:
-  // From the platform's list. `observed_at`: when the question was sent. `written_after`: a time
-  // that its writing is known to be behind; by default the same, as for a list that is followed.
-  // False: the record is of a life that has ended, or its address is another target's by a newer
-  // row (row_version), and was dropped.
+  // Applies a record of the platform's list. `observed_at`: when the query was sent.
+  // `written_after`: the record is known to have been written after this time; by default
+  // `observed_at`, which is right for a list that is watched without a gap.
+  // Returns false if the record was dropped, because its incarnation has ended or because a newer
+  // row (by row_version) gives its address to another target.
   bool listed(time_point observed_at, target_record record, std::uint64_t row_version = 0,
               std::optional<time_point> written_after = std::nullopt);
   void unlisted(time_point now, const target_id& id);
-  // The list has nothing under this engine's name that could be used, whichever life it knew.
+  // The list has no usable record of this engine, for any incarnation.
   void unlisted_engine(time_point now, std::string_view engine);
   struct listed_row {
     target_record record;
     std::uint64_t version{};
   };
-  // A whole list: what it does not hold is unlisted. A row that was known says nothing new.
+  // Applies a complete list: targets that are not in it become unlisted. Rows whose version is
+  // already known are skipped.
   void replace_all(time_point now, const std::vector<listed_row>& rows,
                    std::optional<time_point> written_after = std::nullopt);
 
-  // A target's own report, to a question sent at `asked`. What it says was so at `as_of`: reports
-  // lag, so that the list or an order's answer may be newer, and is then kept. False: it was
-  // another life than `id` that answered; if it is a newer one, it has taken the place of `id`.
+  // Applies a target's answer to a probe that was sent at `asked`. The answer describes the state at
+  // `as_of`: reports lag behind, so newer state from the list or from an order is kept. Returns
+  // false if another incarnation than `id` answered; if that one is newer, it replaces `id`.
   bool reported(time_point asked, time_point as_of, const target_id& id,
                 const target_answer& answer);
-  // Another target answers at its address: it has ended. Its row may stand in the list until it
-  // lapses; from a newer one on it is known again.
+  // Another target answers at this target's address, so this one has ended. Its row may stay in the
+  // list until it expires; a newer row of it adds it again.
   void ended(const target_id& id) { forget(id); }
-  // The target obeyed an order of this node's.
+  // The target has carried out an order of this node.
   void ordered(time_point now, const target_id& id, const std::optional<membership>& member_of);
-  // It did not answer a probe in time. Lost after `probes_until_lost` in a row.
+  // The target did not answer a probe in time. It is lost after `probes_until_lost` consecutive
+  // failures.
   void probe_failed(time_point now, const target_id& id);
 
-  // The hub, which asks lost targets again and again, names those that are still lost. Others are
-  // back, unless this node lost them so lately that the hub may not know.
+  // Applies the hub's list of lost targets. The hub keeps probing lost targets, so all others are
+  // reachable again, unless this node lost them so recently that the hub may not know yet.
   void found_by_others(time_point now, const std::vector<target_id>& still_lost);
 
-  // Slower than it should be, as another node measured.
+  // Slowdown factor measured by another node.
   void set_pace(const target_id& id, double pace);
 
-  // Targets that left the list are forgotten after `remembered`.
+  // Removes targets that have been unlisted for longer than `unlisted_retention`.
   void forget_old(time_point now);
 
   [[nodiscard]] const std::map<target_id, target_view>& all() const { return targets_; }
   [[nodiscard]] const target_view* find(const target_id& id) const;
-  // The life of the engine that is known now; empty: none.
+  // The current incarnation of the engine; empty: none is known.
   [[nodiscard]] target_id life_now(std::string_view engine) const;
-  // Rises with each change that may alter what is routed to.
+  // Increases with each change that may affect routing.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
-  // One lost datagram or a busy link is no death: two probes in a row have to fail.
+  // Two consecutive probes have to fail, since one can fail because of a lost datagram or a busy
+  // link.
   static constexpr std::uint32_t probes_until_lost = 2;
-  // A hub hears of a loss within a beat, asks twice and answers within another one.
+  // The hub learns of a loss within one heartbeat, probes twice and reports within another
+  // heartbeat.
   static constexpr duration hub_knows_within = 1s;
-  // Longer than a target goes on after it left the list (a drain and its grace, seconds).
+  // Longer than a target runs on after it left the list: a drain and its grace period, which take
+  // seconds.
   static constexpr duration remembered = 60s;
-  // Ended lives of an engine that are remembered. One that starts again every few seconds is at its
-  // ninth after the longest time that a record or an answer was seen to be late (12 s).
+  // Ended incarnations stored per engine. An engine that restarts every few seconds reaches its
+  // ninth incarnation only after 12 s, the longest observed delay of a record or an answer.
   static constexpr std::size_t most_ended = 8;
 
  private:
   struct engine_lives {
     target_id now;
-    std::vector<target_id> ended;  // the newest last
+    std::vector<target_id> ended;  // newest last
   };
 
-  // Whether `life` is, or has now become, the engine's life.
+  // Makes `life` the engine's current incarnation unless it has ended. Returns whether it is the
+  // current one.
   bool take_life(time_point now, const target_id& life);
-  // Whether the address is the target's by its row of this version; whoever had it is forgotten.
+  // Assigns the record's address to its target and removes the previous owner. Returns false if the
+  // owner has a newer row.
   bool take_address(const target_record& record, std::uint64_t row_version);
   void forget(const target_id& id);
   static void take_row_state(target_view& view, const target_record& record, time_point as_of);
@@ -163,11 +173,11 @@
 
   std::map<target_id, target_view> targets_;
   std::map<std::string, engine_lives, std::less<>> lives_;
-  std::map<endpoint, target_id> owners_;  // of addresses, by the newest row of a version
+  std::map<endpoint, target_id> owners_;  // of addresses, by the row with the highest version
   std::uint64_t revision_{1};
 };
 
-// A replica that may be sent requests.
+// A replica that can receive requests.
 struct serving_replica {
   replica_key key;
   service_id service;
@@ -177,19 +187,20 @@
   data_centre_id data_centre;
   std::vector<target_id> members;
   bool crosses_domains = false;
-  double pace = 1;  // of its slowest member, beyond that of the model
+  double pace = 1;  // of its slowest member, on top of the model's factor
 };
 
-// Whether replicas with a member that this node takes for lost are named.
+// Whether serving_replicas() includes replicas with members that this node has marked as lost.
 enum class lost_targets : std::uint8_t { left_out, kept };
 
-// Replicas whose head is open, listed and not leaving, and whose members are all present and
-// neither lost nor leaving.
+// Replicas whose head is open, listed and not draining, and whose other members are all present and
+// neither lost nor draining.
 //
-// A member that is not the head need not be listed: the list drops an engine that is cut off from
-// it, and one that serves well then. With a fifth of the engines dropped at once, hardly a replica
-// of 16 would be left. Nothing is sent to such a member; if it is really about to end, its replica
-// falls silent and is found. The keeper asks it meanwhile.
+// Members other than the head need not be listed. The list also drops engines that have only lost
+// their connection to the list and still work; if it dropped a fifth of the engines at once, hardly
+// any replica of 16 would remain. Requests go only to the head, so an unlisted member receives
+// none. If it does end, its replica stalls and is detected; until then the replica controller
+// probes the member.
 [[nodiscard]] std::vector<serving_replica> serving_replicas(
     const fleet_view& fleet, const service_id& service, const model_id& model, std::uint32_t size,
     lost_targets lost = lost_targets::left_out);
--- a/src/process/replica_keeper.cpp
+++ b/src/process/replica_keeper.cpp
@@ -1,4 +1,4 @@
-// Forming, opening and taking apart replicas.
+// Forms, opens and dissolves replicas.
 #include "process/replica_keeper.h"
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Engines that leave do so one or two at a time. When the list drops more at once they are cut off
-// from it, and to take their replicas apart would cost those as well that stand in.
+// Engines leave one or two at a time. If the list drops more, they have probably lost their
+// connection to it and still work; dissolving their replicas would use up the spares as well.
 constexpr std::size_t few_dropped = 2;
 
 bool spans_domains(const std::vector<const target_view*>& members) {
@@ -46,10 +46,10 @@
   return std::move(r.out);
 }
 
-// Goes wrong: an order of the keeper before this one arrives seconds late, at an engine that has
-// started again meanwhile. Its count fits, as counts start anew, and the engine leaves a replica
-// that serves. So the first epoch of a keeper for a data centre is beyond all that the one before
-// it can have used, and engines refuse to join under a lower one than they know.
+// A new controller of a data centre starts with an epoch above all that its predecessor can have
+// used, and engines refuse to join at a lower epoch than they know. Without this, an order of the
+// predecessor could arrive seconds late at an engine that has restarted; the count of orders starts
+// again with each incarnation and could match, and the engine would leave a serving replica.
 void replica_keeper::note_duties(const duties& own) {
   const bool is_new =
       std::any_of(own.data_centres.begin(), own.data_centres.end(),
@@ -60,10 +60,11 @@
   }
 }
 
-// Goes wrong: a hub that is cut off takes all other data centres over, whose nodes it does not
-// hear, and finds their engines lost. In the instant in which the cut heals its orders to take
-// their replicas apart arrive; it took 0.2 s, with 5 and 7 replicas, and a second until they served
-// again. The other side does the same with what was behind the cut.
+// Finds unreachable data centres, whose engines get no orders. Without this, a hub that is
+// partitioned takes responsibility for all other data centres, as it receives nothing from their
+// nodes, and marks their engines as lost. When the partition heals, its orders to dissolve their
+// replicas arrive: 5 and 7 replicas were dissolved within 0.2 s and did not serve for 1 s. The other
+// side does the same to the partitioned engines.
 void replica_keeper::note_dark(round& r) {
   std::map<data_centre_id, std::pair<double, double>> away_of;  // away, all
   for (const auto& [id, view] : r.fleet.all()) {
@@ -88,7 +89,7 @@
 
 void replica_keeper::note_engines(round& r) {
   for (auto& [id, memory] : memory_) {
-    // An order to load that was lost leaves the engine as it was.
+    // The order to load was probably lost, which leaves the engine unchanged.
     if (!memory.load_for.empty() && r.now - memory.load_begun > settings_.load_timeout) {
       memory.load_for = {};
     }
@@ -118,8 +119,9 @@
       r.dropped += view.listed || view.lost || is_spare_name(own.replica.name) ? 0 : 1;
     } else if (engine_memory& memory = memory_[id];
                memory.ready_for.empty() && memory.load_for.empty()) {
-      // This keeper never saw it in a replica, another did: it joins one of that model at once, or
-      // within the 1 to 2 s of warming up. Taken for blank, it would get ready a second time first.
+      // This controller has not seen the engine in a replica, but another one has. The engine joins
+      // a replica of its loaded model immediately or after 1 to 2 s of warm-up. Without this, it
+      // would load the model a second time first.
       memory.ready_for = view.record.loaded;
     }
   }
@@ -143,7 +145,7 @@
   }
 }
 
-// The count of obeyed orders stands only in an engine's own report.
+// Requests reports of engines whose count of orders is not current; only reports contain the count.
 void replica_keeper::ask_reports(round& r) {
   for (const auto& [id, view] : r.fleet.all()) {
     if (view.record.service != r.service.id || !r.is_own(view) || !round::alive(&view)) {
@@ -155,7 +157,7 @@
   }
 }
 
-// Whether the count of orders was seen together with what the fleet view says of the engine now.
+// Whether the count of orders belongs to the engine's membership in the fleet view.
 bool replica_keeper::is_current(const target_view& view, const engine_memory& memory) {
   return memory.orders && memory.at_that_count == replica_of(view) && !view.doubted;
 }
@@ -165,9 +167,9 @@
   const target_view* view = r.fleet.find(id);
   const bool fits = found != memory_.end() && view != nullptr && is_current(*view, found->second) &&
                     !found->second.order_pending && r.now >= found->second.ask_after;
-  // Goes wrong: this node hears nothing of the list, the engine has started again and joined a
-  // replica of another keeper, and its new count is by chance the one of before. An engine takes
-  // seconds from its start until it serves; so without news a count is good for less.
+  // With a stale list, the engine may have restarted unnoticed and joined a replica of another
+  // controller, and its new count may equal the old one by chance. It takes seconds from its start
+  // until it serves, so a count that was confirmed more recently than that is safe.
   if (fits && r.own.list_age > settings_.list_is_old &&
       r.now - found->second.counted_at > settings_.count_good_for) {
     ask(r, *view);
@@ -192,8 +194,8 @@
   return view.record.member_of->replica;
 }
 
-// Goes wrong: another node used a member meanwhile; told to join after all, it would leave a
-// replica that serves.
+// Whether no other node has used a member since it was chosen. Such a member would leave a serving
+// replica if it were ordered to join this one.
 bool replica_keeper::is_still_chosen(const round& r, const forming_replica& f) const {
   return std::all_of(f.members.begin(), f.members.end(), [&](const target_id& id) {
     const auto in = replica_of(*r.fleet.find(id));
@@ -201,8 +203,8 @@
   });
 }
 
-// Replicas that this node has begun to form: members that have not joined are told again, a whole
-// one is opened.
+// Advances the replicas that this node is forming: repeats the orders to members that have not
+// joined, and opens complete replicas.
 void replica_keeper::advance_forming(round& r) {
   for (forming_replica& f : forming_) {
     bool whole = true;
@@ -223,7 +225,7 @@
       const auto& own = view.record.member_of;
       const bool joined = own && own->replica == f.key;
       const bool is_head = id == f.members.front();
-      // Members after their head, see mend_standing.
+      // Members join after their head, see mend_standing().
       if (!joined && !f.told.contains(id) && (is_head || f.head_joined) && may_order(r, id)) {
         send(r, view, order_action::join, f.key, "forms", f.model, f.members);
       }
@@ -235,7 +237,7 @@
       send(r, head, order_action::open, f.key, "whole");
     }
     if (whole && head.record.member_of->state == member_state::open) {
-      f.failed = true;  // done: from now on it is one that stands
+      f.failed = true;  // formed: mend_standing() handles it from now on
     }
   }
   std::erase_if(forming_, [](const forming_replica& f) { return f.failed; });
@@ -244,7 +246,7 @@
   }
 }
 
-// Replicas that stand, whoever formed them.
+// Checks all formed replicas, whichever node formed them, and opens or dissolves them as needed.
 void replica_keeper::mend_standing(round& r) {
   std::erase_if(closing_since_,
                 [&](const auto& entry) { return !r.standing_all.contains(entry.first); });
@@ -270,14 +272,15 @@
     const target_view* head = r.fleet.find(head_id);
     const bool head_in =
         head != nullptr && head->record.member_of && head->record.member_of->replica == key;
-    // Its own word alone: its row may be one of before, see fleet_view.
+    // Only the head's own answer counts here; its row may be older, see fleet_view.
     const bool head_out = head != nullptr && head->told_replica != key;
     if (head_out && !head_in && head->told_at > first_seen_.at(key)) {
-      r.left.insert(key);  // its head has left since: the members are free
+      r.left.insert(key);  // the head has left the replica, so its members are free
       continue;
     }
     if (head != nullptr && !head_in && round::alive(head)) {
-      // Members join after their head, so that it was inside before they said so.
+      // Members join after their head, so the head was in the replica before they reported it and
+      // may have left since. Queries it before the members are reused.
       ask(r, *head);
       for (const target_view* member : group.members) {
         r.taken.insert(member->record.id);
@@ -301,7 +304,7 @@
     const bool all_ready = std::all_of(
         group.members.begin(), group.members.end(),
         [](const target_view* m) { return m->record.member_of->state != member_state::joining; });
-    // Formed by a node that ended before it could open it.
+    // The node that formed the replica stopped before it opened it.
     if (all_ready && head->record.member_of->state == member_state::ready && r.is_own(*head) &&
         may_order(r, head_id)) {
       send(r, *head, order_action::open, key, "whole");
@@ -309,7 +312,7 @@
   }
 }
 
-// Empty: the replica serves, or will. Otherwise why it has to be taken apart.
+// Returns why the replica has to be dissolved, or an empty text if it serves or will serve.
 std::string_view replica_keeper::why_apart(const round& r, const standing_replica& replica,
                                            const target_view* head) const {
   const bool head_in =
@@ -331,13 +334,13 @@
     if (member->record.draining) {
       return "a member leaves";
     }
-    // A member that the list dropped may be cut off from the list alone, see serving_replicas.
+    // An unlisted member may only have lost its connection to the list, see serving_replicas().
     dropped += member->listed ? 0 : 1;
   }
   if (!head->listed) {
     return "its head is not listed";
   }
-  // With a member that started again since it was formed it serves nobody.
+  // A replica does not work with a member that has restarted since it was formed.
   if (!is_of_lives(replica.key.name, lives)) {
     return "a member started again";
   }
@@ -350,7 +353,7 @@
                                                               : "";
 }
 
-// Whether so many engines of the head's domain are ready for its model and in no real replica.
+// Whether the head's domain has at least `required` spares that are ready for its model.
 bool replica_keeper::has_spares(const round& r, const target_view& head, const model_shape& model,
                                 std::size_t wanted) const {
   std::size_t count = 0;
@@ -365,7 +368,7 @@
   return count >= wanted;
 }
 
-// Head first. Until it is out, the members stay where they are.
+// Removes the head first; the members stay in the replica until the head has left.
 void replica_keeper::take_apart(round& r, const standing_replica& replica,
                                 std::string_view reason) {
   const target_view* head = r.fleet.find(head_of(replica.key.name));
@@ -382,13 +385,14 @@
   const bool works = std::all_of(replica.members.begin(), replica.members.end(),
                                  [](const target_view* m) { return !m->lost; }) &&
                      (state == member_state::open || state == member_state::closing);
-  // A member that only leaves stays as long as the head has work: let that finish.
+  // A draining member stays while the head has requests, so the head can finish them.
   const model_shape* model = r.engine.find_model(model_in(replica.key.name));
-  // A replica across domains is slow: its requests end sooner if they go on elsewhere.
+  // A cross-domain replica is slow: its requests finish sooner if they continue elsewhere.
   const bool graceful = works && model != nullptr && replica.members.size() == model->size &&
                         !spans_domains(replica.members);
-  // Goes wrong: the keepers of two data centres have members each; while the one forms the replica,
-  // the other takes it for one that is not whole, and tells its head to leave.
+  // Only the controller of the head's data centre dissolves a replica, unless the replica is being
+  // reclaimed. Otherwise, while one controller forms a replica across data centres, the other one
+  // would find it incomplete and order its head to leave.
   const bool reclaimed = closing_since_.contains(replica.key);
   if (!r.is_own(*head) && !reclaimed) {
     return;
@@ -409,13 +413,14 @@
   send(r, *head, order_action::leave, replica.key, reason);
 }
 
-// The head does not answer, and may serve all the same: it may be cut off from this node alone.
-// What goes wrong: its members join another replica and are still counted on by the old head. So
-// they are first ordered to leave, and used only once they were seen outside: an engine without a
-// replica works for nobody, and a head without a member moves nothing.
+// Orders the members of a replica whose head does not answer to leave. The head may still serve, if
+// only this node cannot reach it, and would go on using its members. So the members are reused only
+// after they were seen outside of the replica: an engine without a replica works for no head, and a
+// head without all members makes no progress.
 void replica_keeper::orphan(round& r, const standing_replica& replica, std::string_view reason) {
   const target_view* head = r.fleet.find(head_of(replica.key.name));
-  // Another data centre's keeper sees more of its head; this node may have lost it alone.
+  // The controller of the head's data centre observes it more closely; possibly only this node has
+  // lost it.
   const bool judged_too_soon = head != nullptr && !r.is_own(*head) && head->listed &&
                                r.now - head->lost_at < settings_.back_within;
   if (judged_too_soon) {
@@ -443,7 +448,7 @@
   }
 }
 
-// Engines that belong to no replica and may join one.
+// Collects the engines that can join a new replica.
 void replica_keeper::find_free(round& r) {
   for (const auto& [id, view] : r.fleet.all()) {
     const bool usable = view.record.service == r.service.id && r.is_own(view) &&
--- a/src/process/replica_keeper.h
+++ b/src/process/replica_keeper.h
@@ -1,17 +1,17 @@
-// Keeps replicas of a data centre's engines whole: makes spare engines ready for a model, forms
-// replicas of them, opens them, and takes apart those that lost a member.
+// Replica controller: prepares spare engines of its data centres for a model, forms replicas of
+// them, opens these, and dissolves replicas that lost a member.
 //
-// There is no row that says who belongs to whom. The truth is in the engines: each keeps the
-// replica it joined, with its epoch, and counts the orders it obeyed. Every order names the count
-// it was decided on, so that of two nodes that order the same engine one is refused, and an order
-// that arrives late finds another count. Two rules make that safe:
+// No table row stores which engine belongs to which replica; the engines are the source of truth.
+// Each engine stores the replica it joined, with its epoch, and counts the orders it has carried
+// out. An order names the count that it is based on. If two nodes order the same engine, one order
+// is refused, and a late order does not match the count any more. Two rules make this safe:
 //
-// - A replica is opened only after each member reported ready in it, at that epoch.
-// - A replica is taken apart head first: its members are used elsewhere only once the head was
-//   seen outside of it, or cannot serve any more. The order that took the head out also voids
-//   every order to open it that may still be on its way.
+// - A replica is opened only after each member has reported ready in it, at that epoch.
+// - A replica is dissolved head first: its members are reused only after the head was seen outside
+//   of the replica or cannot serve any more. The order that removes the head also invalidates every
+//   pending order to open it, because it changes the head's count.
 //
-// A value: fed with (now, what is known), returns orders and questions.
+// A plain value without I/O: it gets the time and the node's view, and returns orders and queries.
 #pragma once
 
 #include <cstdint>
@@ -43,11 +43,11 @@
   replica_key replica;
   model_id model;                   // join
   std::vector<target_id> members;   // join; the first is the head
-  std::uint64_t expected_orders{};  // orders that the target must have obeyed so far
+  std::uint64_t expected_orders{};  // number of orders that the target must have carried out so far
   std::string_view reason;          // for logs
 };
 
-// Asks a target for its report.
+// Requests a report from a target.
 struct report_question {
   target_id to;
   endpoint address;
@@ -57,68 +57,75 @@
 using keeper_effects = std::vector<keeper_effect>;
 
 enum class order_outcome : std::uint8_t {
-  begun,      // obeyed; the count of orders rose
-  holds,      // the state was there already
-  conflict,   // another count, or it does not fit the target's state
-  outdated,   // the epoch is lower than one the target knows
-  another,    // the address belongs to another target now
-  refused,    // not understood
-  no_answer,  // may or may not be obeyed, now or later
-  not_sent,   // no connection: not obeyed
+  begun,      // carried out; the target's count of orders increased
+  holds,      // the target was already in the requested state
+  conflict,   // the count differs, or the order does not fit the target's state
+  outdated,   // the epoch is lower than one that the target knows
+  another,    // the address now belongs to a different target
+  refused,    // the target does not understand the order
+  no_answer,  // may or may not be carried out, now or later
+  not_sent,   // no connection: not carried out
 };
 
 struct target_report {
-  target_id life;  // that answered
+  target_id life;  // incarnation that answered
   std::optional<membership> member_of;
   model_id loaded;
-  std::uint64_t orders{};  // obeyed in this life
-  bool busy = false;       // an order is being carried out
+  std::uint64_t orders{};  // number of orders carried out in this incarnation
+  bool busy = false;       // an order is in progress
   double pace = 1;
   std::uint32_t queued{};
   std::uint32_t active{};
 };
 
 struct keeper_settings {
-  // A member that was told to join a replica, and neither did nor refused, is asked again.
+  // The join order is repeated after this time if the member has neither joined nor refused.
   duration order_retry = 250ms;
-  // A head that was told to open takes 300 ms, and its record some more to say so.
+  // A head takes 300 ms to open, and its record takes longer to reflect that.
   duration open_retry = 600ms;
-  // A replica of ready spares forms in 0.2 s (join) and 0.3 s (open); one that has not after this
-  // is taken apart, so that its members are not held by one that does not answer.
+  // Ready spares take 0.2 s to join and 0.3 s to open. A replica that is not formed after this time
+  // is dissolved, so that a member that does not answer does not block the others.
   duration form_timeout = 3s;
-  // A closing head may go on with its requests so long before its replica is taken apart. Longest
-  // usual generation: 80 events of 50 ms.
+  // Time that a closing head has to finish its requests before its replica is dissolved. Long
+  // generations have 80 events of 50 ms, 4 s in total.
   duration close_timeout = 6s;
   duration report_retry = 100ms;
-  // The list is asked for changes that it waits a second for, and its hub tells within a beat.
+  // The list of targets is stale after this time. A query for changes waits for up to 1 s, and the
+  // hub forwards them within one heartbeat.
   duration list_is_old = 1500ms;
-  // Counts of orders rest on the list while that is new, and else on a report as old as this. An
-  // engine that starts again serves in no replica before 1.6 s, the least time of warming up.
+  // While the list is stale, a count of orders is used only for this time after a report confirmed
+  // it. A restarted engine does not serve in a replica within 1.6 s, the minimum warm-up time.
   duration count_good_for = 500ms;
-  // A load takes 12 to 16 s, and longer while many load; after this it is taken for lost.
+  // A load takes 12 to 16 s, and longer while many engines load. After this time the order to load
+  // counts as lost.
   duration load_timeout = 40s;
-  // A data centre whose engines are nearly all away is cut off from this node, or the list has lost
-  // them while it could not be written; what is away comes back one by one, within 2 s by the
-  // list. So long nothing of it is ordered.
+  // If nearly all engines of a data centre are unavailable, it is probably unreachable from this
+  // node, or the list dropped the engines while it could not be written. After such an outage
+  // engines reappear one by one, within 2 s through the list. Until then the data centre gets no
+  // orders.
   duration back_within = 2s;
-  double dark_share = 2.0 / 3;  // away; a lost fabric domain is half of a data centre at most
-  // Engines that left the list longer ago than a cut and its return take are not counted as away.
+  // Share of unavailable engines above which a data centre counts as unreachable. Losing one fabric
+  // domain makes at most half of a data centre's engines unavailable.
+  double dark_share = 2.0 / 3;
+  // Engines unlisted for longer than this do not count as unavailable. Longer than a network
+  // partition and the recovery from it take.
   duration away_counts_for = 20s;
-  // An engine that is ready for a model is made ready for another only when the plan has wanted
-  // that for so long: domains that go dark are mostly back within 8 s, and a load takes 12 to 16 s.
+  // A ready engine switches to a different model only after the plan has asked for that for this
+  // time: most domain outages end within 8 s, and a load takes 12 to 16 s.
   duration change_after = 10s;
-  // A model without a replica within one data centre is given one across data centres after this.
-  // Less than callers wait; more than a replica takes to form again once its members were seen
+  // A model without a replica inside one data centre gets one across data centres after this time.
+  // Less than callers wait, and more than it takes to form a replica again once its members are
   // free.
   duration across_after = 1500ms;
-  // While the replicas of the start are loading the store's share is used for those of whole
-  // replicas; after this the rest is ordered at once, as loads are cheap until the first request.
+  // At a cold start, the limit on loads applies for this time, so that the first complete replicas
+  // load at full speed. After that all other loads are ordered immediately, as loads are cheap
+  // until the first request.
   duration cold_start_rush = 8500ms;
 };
 
 class replica_keeper {
  public:
-  // `origin` without dots, see replica_name().
+  // `origin` contains no dots, see replica_name().
   replica_keeper(const keeper_settings& settings, std::string origin, time_point started,
                  bool cold_start)
       : settings_(settings),
@@ -127,26 +134,28 @@
         cold_start_(cold_start) {}
 
   struct duties {
-    std::set<data_centre_id> data_centres;  // whose engines this node orders
-    std::size_t all_data_centres = 1;       // that have engines: the load limits are shared
-    bool requests_seen = false;             // loads cost their full time from then on
-    duration list_age{};                    // since the list of targets was last known to be new
+    std::set<data_centre_id> data_centres;  // whose engines this node controls
+    std::size_t all_data_centres = 1;  // number that have engines and share the limit on loads
+    bool requests_seen = false;        // from the first request on, loads take their full time
+    duration list_age{};               // since the list of targets was last up to date
   };
 
-  // What to do now for the engines of `service`. Call every few tens of ms.
+  // Returns the orders and queries to send now for the engines of `service`. Call every few tens of
+  // ms.
   [[nodiscard]] keeper_effects tick(time_point now, const fleet_view& fleet,
                                     const service_shape& service, const duties& own);
 
-  // The fleet view is told what an obeyed order has made of its target.
+  // Handles the outcome of an order, and updates the fleet view if it was carried out.
   void on_order(time_point now, fleet_view& fleet, const replica_order& order,
                 order_outcome outcome);
   // `report` is empty when there was no answer.
   void on_report(time_point now, const target_id& id, const std::optional<target_report>& report);
-  // Epochs that a keeper may have used beyond those that others can see: its orders of the last
-  // second or two, some dozens at the start of a data centre of 81 engines. Far more than that.
+  // More than the number of epochs that a controller can have used without others having seen them:
+  // those of its orders of the last 1 to 2 s, a few dozen at the start of a data centre of 81
+  // engines.
   static constexpr std::uint64_t epoch_leap = 1000;
 
-  // What each domain has and should have, by model; for logs.
+  // Current and planned engines of a domain by model; for logs.
   struct domain_plan {
     fabric_domain_id domain;
     std::vector<std::uint32_t> ready;
@@ -157,22 +166,22 @@
   };
   [[nodiscard]] const std::vector<domain_plan>& plan() const { return plan_; }
 
-  // Replicas being formed by this node, for status and tests.
+  // Number of replicas that this node is forming; for status and tests.
   [[nodiscard]] std::size_t forming() const { return forming_.size(); }
 
  private:
-  // What this node knows of an engine beyond the fleet view.
+  // State of an engine that is known to this node only, beside the fleet view.
   struct engine_memory {
-    // Orders obeyed, and the replica it was in at that count: what is ordered on one is refused
-    // unless the other still holds. Empty: ask first.
+    // Number of orders carried out, and the engine's replica at that count. An order is based on
+    // both, and sent only while the fleet view confirms the replica. Empty: query the engine first.
     std::optional<std::uint64_t> orders;
     std::optional<replica_key> at_that_count;
-    time_point counted_at{};  // when the engine was last known to have that count
+    time_point counted_at{};  // when the count was last confirmed
     bool order_pending = false;
     bool report_pending = false;
-    time_point ask_after{};  // next question or repeated order, not earlier
-    model_id ready_for;      // joins a replica of this model in 0.2 s
-    model_id load_for;       // told to get ready for this one; empty: nothing is under way
+    time_point ask_after{};  // no query or repeated order before this time
+    model_id ready_for;      // model that is loaded: joins a replica of it in 0.2 s
+    model_id load_for;       // model that the engine was ordered to load; empty: none
     time_point load_begun{};
   };
   struct forming_replica {
@@ -180,11 +189,12 @@
     model_id model;
     std::vector<target_id> members;
     time_point begun;
-    bool head_joined = false;  // the others are told only then
-    std::set<target_id> told;  // obeyed the order to join
-    // What each member was in when it was chosen: the choice holds only as long as that does.
+    bool head_joined = false;  // the other members get their orders only after the head joined
+    std::set<target_id> told;  // members that carried out the order to join
+    // Each member's replica when it was chosen. A member that has changed its replica since then
+    // cannot be used.
     std::map<target_id, std::optional<replica_key>> chosen_from;
-    bool failed = false;  // done or given up
+    bool failed = false;  // formed or abandoned
   };
   struct standing_replica {
     replica_key key;
@@ -192,7 +202,7 @@
   };
 
   struct domain_state;
-  struct round;  // one tick
+  struct round;  // state of one tick
 
   void note_duties(const duties& own);
   void note_dark(round& r);
@@ -253,22 +263,22 @@
   time_point started_;
   bool cold_start_;
   std::uint64_t last_epoch_ = 0;
-  std::set<data_centre_id> kept_data_centres_;    // in the last tick
-  std::map<data_centre_id, time_point> dark_at_;  // when it was last seen dark
+  std::set<data_centre_id> kept_data_centres_;    // as of the last tick
+  std::map<data_centre_id, time_point> dark_at_;  // when it was last found unreachable
   std::map<target_id, engine_memory> memory_;
   std::vector<forming_replica> forming_;
   std::vector<domain_plan> plan_;
-  // The last plan and what it was made of: it is costly at some hundred engines, and most ticks
-  // change nothing.
+  // The last plan and its input. Planning is costly with several hundred engines, and the input
+  // rarely changes between ticks.
   std::vector<shape_domain> planned_domains_;
   std::vector<shape_model> planned_models_;
   fleet_shape planned_;
-  // Since when a domain has had fewer engines of a model than the plan wants.
+  // Since when a domain has had fewer engines of a model than planned.
   std::map<std::pair<fabric_domain_id, model_id>, time_point> short_since_;
-  // Since when a model has had no replica within one data centre.
+  // Since when a model has had no replica inside a single data centre.
   std::map<model_id, time_point> no_near_since_;
-  std::map<replica_key, time_point> first_seen_;  // when an engine was first seen in it
-  // When this node began to close a head, so that it is not waited for endlessly.
+  std::map<replica_key, time_point> first_seen_;  // when an engine was first seen in the replica
+  // When this node started to close the replica's head; bounds the time that it waits for that.
   std::map<replica_key, time_point> closing_since_;
 };
 
--- a/src/process/replica_keeper_form.cpp
+++ b/src/process/replica_keeper_form.cpp
@@ -1,5 +1,5 @@
-// Which free engines form which replica: within a domain first, across domains of a data centre
-// next, across data centres last.
+// Chooses free engines for new replicas: first within a domain, then across the domains of a data
+// centre, then across data centres.
 #include <algorithm>
 
 #include "process/replica_keeper_round.h"
@@ -11,7 +11,7 @@
   for (const auto& entry : r.free) {
     domains.push_back(entry.first);
   }
-  // The model with the fewest replicas for its work first.
+  // The model with the fewest replicas relative to its work comes first.
   std::vector<const model_shape*> models;
   for (const model_shape& model : r.engine.models) {
     models.push_back(&model);
@@ -31,7 +31,7 @@
       form_in(r, domain, *model);
     }
   }
-  // While the first replicas load, what is ready waits for the rest of its domain.
+  // At a cold start, ready engines wait for the engines of their domain that are still loading.
   for (const model_shape* model : models) {
     const bool fits = std::any_of(r.engines_of.begin(), r.engines_of.end(),
                                   [&](const auto& e) { return e.second >= model->size; });
@@ -42,7 +42,7 @@
   }
 }
 
-// Free engines that join a replica of the model at once.
+// Free engines that can join a replica of the model immediately.
 std::vector<const target_view*> replica_keeper::ready_engines(
     const std::vector<const target_view*>& free, const model_shape& model) const {
   std::vector<const target_view*> ready;
@@ -91,8 +91,8 @@
   forming_.push_back(std::move(f));
 }
 
-// What is left over in the domains of a data centre still makes a replica, a slow one: callers are
-// served late by it rather than refused.
+// Forms a replica of engines that remain in several domains of a data centre. It is slow, but its
+// callers are served late rather than refused.
 void replica_keeper::form_across(round& r, const model_shape& model) {
   for (const data_centre_id& data_centre : r.own.data_centres) {
     std::vector<const target_view*> ready = free_in(r, data_centre, model);
@@ -117,9 +117,9 @@
   return ready;
 }
 
-// Engines of data centres that other nodes keep, ready for the model and in no replica as far as
-// can be seen here. Whoever keeps them may use them in the same instant: then the count of one
-// order does not fit, and that replica is given up.
+// Engines in data centres of other controllers that are ready for the model and, as far as this
+// node knows, in no replica. Their own controller may use them simultaneously: then the count in
+// one of the orders does not match, and the replica of that order is abandoned.
 std::vector<const target_view*> replica_keeper::free_elsewhere(const round& r,
                                                                const model_shape& model) const {
   std::map<data_centre_id, std::vector<const target_view*>> by_data_centre;
@@ -139,7 +139,7 @@
   }
   std::vector<const target_view*> result;
   for (const auto& [data_centre, ready] : by_data_centre) {
-    // One that can form a replica of its own does so.
+    // A data centre with enough engines forms a replica of its own.
     if (ready.size() < model.size) {
       result.insert(result.end(), ready.begin(), ready.end());
     }
@@ -147,12 +147,13 @@
   return result;
 }
 
-// Goes wrong without it: data centres of 13 engines each and a model of 16; its callers are refused
-// all day, beside 65 engines that work. So the keeper of the data centre with the most free engines
-// of the model takes those of others in. The head is its own: only the head's keeper opens and
-// takes apart.
+// Forms a replica across data centres for a model that none of them can hold. Without this, five
+// data centres of 13 engines each refuse all requests for a model of size 16 although 65 engines
+// work. The controller of the data centre with the most free engines of the model uses those of
+// other data centres as well. The head is one of its own engines, because only the controller of
+// the head opens and dissolves the replica.
 void replica_keeper::form_across_data_centres(round& r, const model_shape& model) {
-  // What is left of one whose members ended stands in the records for a while.
+  // Records of a replica whose members have ended remain for a while, so all members are checked.
   const auto near = [&](const standing_replica& replica) {
     return model_in(replica.key.name) == model.id && !is_spare_name(replica.key.name) &&
            replica.members.size() == model.size &&
@@ -196,8 +197,8 @@
   }
 }
 
-// Whether no other data centre has more of the engines, or as many and a lower name: all keepers
-// see the same one first.
+// Whether no other data centre has more of the engines, or equally many and a lower name. This way
+// all controllers agree on the one that forms the replica.
 bool replica_keeper::has_most(const std::vector<const target_view*>& own,
                               const std::vector<const target_view*>& others) {
   std::map<data_centre_id, std::size_t> counts;
@@ -210,7 +211,7 @@
   });
 }
 
-// A domain that lacks members which a slow replica across domains holds gets them back.
+// Dissolves a cross-domain replica if the domain could form a replica with its members.
 void replica_keeper::reclaim(round& r, const fabric_domain_id& domain, const model_shape& model,
                              std::size_t ready) {
   if (ready == 0) {
--- a/src/process/replica_keeper_load.cpp
+++ b/src/process/replica_keeper_load.cpp
@@ -1,4 +1,4 @@
-// Which engine gets ready for which model.
+// Decides which engine loads which model.
 #include <algorithm>
 #include <cmath>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Weights on the host: no load from the weight store is needed.
+// Whether the weights are on the engine's host, so that no load from the weight store is needed.
 bool is_staged(const target_view& view, const model_id& model) {
   const auto& staged = view.record.staged;
   return std::find(staged.begin(), staged.end(), model) != staged.end();
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-// What each domain has, of all data centres, so that every keeper plans the same.
+// Counts the engines of all data centres by domain and model and updates the plan. Every controller
+// computes the same plan from them.
 void replica_keeper::survey(round& r) {
   for (const auto& [id, view] : r.fleet.all()) {
     if (view.record.service != r.service.id || !round::alive(&view) || view.record.draining) {
@@ -44,7 +45,7 @@
   }
   std::vector<shape_model> models;
   for (const model_shape& model : r.engine.models) {
-    // The share is one of engines' time: a replica of twice the size does twice the work.
+    // work_share is a share of engine time: a replica of twice the size does twice the work.
     models.push_back({model.size, model.work_share / model.size});
   }
   if (domains != planned_domains_ || models != planned_models_) {
@@ -64,7 +65,7 @@
   note_shortages(r);
 }
 
-// The model that an engine is ready for or gets ready for.
+// The model that the engine has loaded or is loading.
 model_id replica_keeper::model_for(const target_view& view, const engine_memory& memory) const {
   if (!memory.load_for.empty()) {
     return memory.load_for;
@@ -94,9 +95,9 @@
   return !memory.load_for.empty() || (joining && memory.ready_for.empty());
 }
 
-// Whether engines that form no whole replica of their model would complete one of another: nothing
-// is lost by that but spares. Goes wrong otherwise: 15 engines wait for a 16th for ten seconds and
-// a load, beside 3 that no replica of 4 has a use for.
+// Whether the surplus engines of one model, which cannot form a replica of it, would complete a
+// replica of the other model. Switching them costs only spares. Without this, 15 engines would wait
+// 10 s and a load for the 16th one while 3 engines of a model of size 4 stay unused.
 bool replica_keeper::completes_with_surplus(const round& r, const domain_state& domain,
                                             std::size_t from, std::size_t to) {
   const std::uint32_t surplus = domain.ready[from] % r.engine.models[from].size;
@@ -105,7 +106,7 @@
   return begun > 0 && size - begun <= surplus;
 }
 
-// How much is gained by making this engine ready for this model; empty: nothing.
+// The gain of loading the model on this engine; empty if it should not be loaded.
 std::optional<double> replica_keeper::gain_of_load(const round& r, const target_view& view,
                                                    std::size_t model) const {
   const engine_memory& memory = memory_.at(view.record.id);
@@ -115,8 +116,8 @@
     return std::nullopt;
   }
   const auto current = r.model_index(memory.ready_for);
-  // An engine that is ready for a model is given up only where the plan has too many of it, and has
-  // wanted the other for some time.
+  // A ready engine switches to a different model only if its domain has a surplus of its current
+  // model, and has been short of the other one for some time or can complete a replica of it.
   const auto since = short_since_.find({view.record.domain, shape.id});
   const bool lasts = since != short_since_.end() && r.now - since->second >= settings_.change_after;
   if (current && (domain.ready[*current] <= domain.wanted[*current] ||
@@ -124,22 +125,22 @@
     return std::nullopt;
   }
   const bool staged = is_staged(view, shape.id);
-  // Whole replicas first, those that take the fewest loads to complete; the model that has fewest
-  // replicas for its work before others.
+  // Prefers replicas that need the fewest loads to be complete, and models with the fewest replicas
+  // relative to their work.
   const std::uint32_t missing = shape.size - domain.ready[model] % shape.size;
   double replicas = 0;
   for (const auto& [id, other] : r.domains) {
     replicas += std::floor(static_cast<double>(other.ready[model]) / shape.size);
   }
   constexpr double weight_of_share = 10;
-  constexpr double weight_of_staged = 5;  // 1 to 2 s in place of 12 to 16 s
+  constexpr double weight_of_staged = 5;  // 1 to 2 s instead of 12 to 16 s
   constexpr double weight_of_blank = 2;
   return weight_of_share * shape.work_share / shape.size / (replicas + 1) -
          static_cast<double>(missing) / shape.size + (staged ? weight_of_staged : 0) +
          (current ? 0 : weight_of_blank);
 }
 
-// Makes engines ready for the models that the plan wants, within what the weight store allows.
+// Loads the planned models on free engines, within the limit on loads from the weight store.
 void replica_keeper::prepare(round& r) {
   const bool rush =
       cold_start_ && !r.own.requests_seen && r.now - started_ >= settings_.cold_start_rush;
@@ -147,7 +148,7 @@
       1, r.engine.loads_at_once * std::max<std::size_t>(1, r.own.data_centres.size()) /
              std::max<std::size_t>(1, r.own.all_data_centres));
   for (;;) {
-    // Each data centre has its share of the store's rate, and all may use what others leave.
+    // Each data centre may use its share of the store's loads, and any part that others leave.
     const bool may_load = rush || r.loading_own < share || r.loading < r.engine.loads_at_once;
     const target_view* best = nullptr;
     std::size_t best_model = 0;
--- a/src/process/replica_keeper_orders.cpp
+++ b/src/process/replica_keeper_orders.cpp
@@ -1,12 +1,12 @@
-// What the keeper learns from the answers of engines.
+// Handles the outcomes of orders and the reports of engines.
 #include <algorithm>
 
 #include "process/replica_keeper.h"
 
 namespace arbutus {
 
-// An order that was refused shows that the engine is not as this node thought: what was planned
-// with it is void, since another node may have used it meanwhile.
+// Abandons a replica because an order for it was refused: the engine is not in the state that this
+// node assumed, as a different node may have used it.
 void replica_keeper::give_up(const replica_key& key) {
   std::erase_if(forming_, [&](const forming_replica& f) { return f.key == key; });
 }
@@ -55,8 +55,9 @@
   }
 }
 
-// The engine compared the count first, so that it was in the replica that the order was based on.
-// What it says was so before counts no order; leaving is done at once and answered alike.
+// The engine has compared the count, so it was in the replica that the order was based on. Its count
+// does not increase if it was already in the requested state. Leaving takes effect immediately and
+// is answered in the same way, but does increase the count.
 void replica_keeper::obeyed(time_point now, fleet_view& fleet, engine_memory& memory,
                             const replica_order& order, order_outcome outcome) {
   const target_view* view = fleet.find(order.to);
--- a/src/process/replica_keeper_round.h
+++ b/src/process/replica_keeper_round.h
@@ -1,4 +1,4 @@
-// One tick of the keeper. Only for the replica_keeper*.cpp files.
+// State of one tick of the replica controller. Private to the replica_keeper*.cpp files.
 #pragma once
 
 #include <map>
@@ -10,14 +10,14 @@
 
 namespace arbutus {
 
-// Engines of a domain by what they are ready for, beside what they should be.
+// Current and planned engines of a domain by model.
 struct replica_keeper::domain_state {
   std::vector<std::uint32_t> ready;
   std::uint32_t blank = 0;
   std::vector<std::uint32_t> wanted;
 };
 
-// What one tick works on.
+// Inputs, intermediate results and effects of one tick.
 struct replica_keeper::round {
   time_point now;
   const fleet_view& fleet;
@@ -25,20 +25,21 @@
   const engine_parameters& engine;
   const duties& own;
   keeper_effects out = {};
-  std::map<replica_key, standing_replica> standing = {};      // of this node's data centres
-  std::map<replica_key, standing_replica> standing_all = {};  // of all
-  std::set<data_centre_id> dark = {};                         // nothing of them is ordered
-  std::set<target_id> taken = {};          // members of a replica that stands or forms
-  std::vector<standing_replica> far = {};  // whole ones that span domains
-  std::set<replica_key> left = {};         // whose head was seen outside: the members are free
-  // Engines that may be used for a replica, by domain.
+  // Replicas with members in this node's data centres.
+  std::map<replica_key, standing_replica> standing = {};
+  std::map<replica_key, standing_replica> standing_all = {};  // in all data centres
+  std::set<data_centre_id> dark = {};      // unreachable, their engines get no orders
+  std::set<target_id> taken = {};          // members of a replica that is formed or being formed
+  std::vector<standing_replica> far = {};  // complete replicas that span domains
+  std::set<replica_key> left = {};  // replicas whose head was seen outside, so members are free
+  // Engines that can be used for a new replica, by domain.
   std::map<fabric_domain_id, std::vector<const target_view*>> free = {};
-  std::map<fabric_domain_id, domain_state> domains = {};  // of all data centres
-  // Living engines of the service, of all data centres.
+  std::map<fabric_domain_id, domain_state> domains = {};  // in all data centres
+  // Number of reachable engines of the service in all data centres.
   std::map<fabric_domain_id, std::size_t> engines_of = {};
   std::map<data_centre_id, std::size_t> engines_in = {};
-  std::size_t dropped = 0;  // members of real replicas that the list dropped and nobody lost
-  // Engines that load a model from the weight store.
+  std::size_t dropped = 0;  // unlisted members of replicas, without spares, that are not lost
+  // Engines that load a model from the weight store: all, and those of this node's data centres.
   std::size_t loading = 0;
   std::size_t loading_own = 0;
 
--- a/src/process/serving_feed.cpp
+++ b/src/process/serving_feed.cpp
@@ -1,4 +1,4 @@
-// Rows of what serves.
+// Encodes, updates and applies the rows of serving replicas and plain instances.
 #include "process/serving_feed.h"
 
 #include <algorithm>
@@ -15,9 +15,9 @@
 
 using nlohmann::json;
 
-// Document, domains, a domain, its members, a member, what it holds.
+// Nesting: document, domains, domain, members, member, fields of the member.
 constexpr std::size_t entry_depth = 6;
-constexpr double pace_unit = 1000;  // a pace is told in thousandths
+constexpr double pace_unit = 1000;  // the slowdown factor is encoded in thousandths
 
 json members_by_domain(const serving_entry& entry) {
   json domains = json::array();
@@ -30,7 +30,7 @@
   return domains;
 }
 
-// The head first, then by domain, so that each domain is named once.
+// The members with the head first, then by domain, so that each domain is encoded only once.
 std::vector<target_record> in_order(const serving_replica& replica, const fleet_view& fleet) {
   std::vector<target_record> members;
   for (const target_id& id : replica.members) {
@@ -46,7 +46,7 @@
   return members;
 }
 
-// What stands in a replica's row once, as each member has it.
+// Sets the membership of a decoded member; the replica is encoded only once per row.
 void complete_member(target_record& member, const serving_entry& entry, const replica_key& key) {
   const auto rank = static_cast<std::uint32_t>(entry.members.size());
   member.member_of = membership{key, rank, rank == 0 ? member_state::open : member_state::ready};
@@ -147,7 +147,7 @@
       entries[id.str()] = {{view.record}, 1};
     }
   }
-  // What ended first: a member may be in another replica by now.
+  // Removals come first, since their members may be in another replica now.
   for (auto known = encoded_.begin(); known != encoded_.end();) {
     if (entries.contains(known->first)) {
       ++known;
@@ -182,7 +182,7 @@
                             bool whole, std::uint64_t at, const std::vector<feed_row>& rows,
                             fleet_view& fleet) {
   if (whole) {
-    // An answer to an older beat may come late: of one life the positions only rise.
+    // A late answer to an older heartbeat: positions of one incarnation only increase.
     if (life == position_.life && at < position_.at) {
       return true;
     }
@@ -222,13 +222,14 @@
   }
 }
 
-// Whether what is known of the target is still of this row: it may be in another replica by now.
+// Whether the target still belongs to this row according to the fleet view; it may have joined
+// another replica.
 bool serving_follower::is_of_row(const target_view& view, const target_record& member) {
   const auto& now = view.record.member_of;
   return !now || (member.member_of && now->replica == member.member_of->replica);
 }
 
-// Members that are in this row no more.
+// Unlists the members that are no longer in this row.
 void serving_follower::drop_members(time_point asked, const std::string& key,
                                     const serving_entry* next, fleet_view& fleet) {
   const auto known = entries_.find(key);
--- a/src/process/serving_feed.h
+++ b/src/process/serving_feed.h
@@ -1,11 +1,12 @@
-// What a node has to know to send requests, as rows that a hub passes on: the replicas that serve
-// and the instances of plain services.
+// The data that nodes need to send requests, as rows that a hub forwards to them: the serving
+// replicas and the instances of plain services.
 //
-// Only the nodes that keep replicas, or are next to do so, need the record of every target. Passed
-// on to every node, the records cost targets x nodes: at 300 nodes before 3,000 engines each change
-// of an engine goes to 100 nodes of a data centre, 430 bytes each, and fills the hub's link while
-// replicas form. One would see leaving targets that are still used, and proofs that come too late.
-// A replica is a row of some 40 bytes a member, which changes only when the replica does.
+// Only the nodes that control replicas, or are next in line to do so, need the record of every
+// target. The cost of sending all records to all nodes grows with targets x nodes: with 300 nodes
+// and 3,000 engines, each change of an engine goes to the 100 nodes of a data centre, 430 bytes
+// each. While replicas form, that saturates the hub's link, so that nodes still use draining targets
+// and liveness proofs arrive too late. The row of a replica has about 40 bytes per member and
+// changes only with the replica.
 #pragma once
 
 #include <cstdint>
@@ -24,61 +25,63 @@
 
 namespace arbutus {
 
-// A replica with its members, the head first, or an instance of a plain service alone.
+// The members of a replica, head first, or a single instance of a plain service.
 struct serving_entry {
   std::vector<target_record> members;
-  double pace = 1;  // of the slowest member, beyond that of the model
+  double pace = 1;  // of the slowest member, on top of the model's factor
   bool operator==(const serving_entry&) const = default;
 };
 
 [[nodiscard]] std::string encode(const serving_entry& entry);
-// Empty when the bytes are damaged.
+// Returns nothing if the bytes are damaged.
 [[nodiscard]] std::optional<serving_entry> decode_serving_entry(std::string_view bytes);
 
-// The hub's side: keeps the rows of what serves, by the records that it follows. A row's key is the
-// head or the instance; versions and positions count the changes seen by this life of the hub.
+// The sending side, on the hub: maintains the rows from the target records that the hub watches. The
+// key of a row is the head or the instance. Versions and positions count the changes observed by
+// this incarnation of the hub.
 class serving_feed {
  public:
-  // Brings the rows up to date; does nothing while neither records nor services have changed.
+  // Updates the rows; does nothing if neither records nor services have changed.
   //
-  // Targets that this node alone takes for lost are kept. Goes wrong otherwise: the hub's link is
-  // choked, it loses every target within half a second, and no node of its data centre has any
-  // replica left. What it takes for lost is told as a suspicion.
+  // Replicas with targets that only this node has marked as lost stay among the rows. Without this,
+  // a hub with a congested link loses every target within 0.5 s, and no node of its data centre has
+  // any replica left. Lost targets are reported as suspects instead.
   void update(const fleet_view& fleet, const service_map& services);
 
   [[nodiscard]] const feed_log& rows() const { return rows_; }
 
-  // Of each row the first member among `suspects`: enough to make a replica the last choice. The
-  // members of a dark data centre would be a thousand names in every beat.
+  // The first member of each row that is among `suspects`. One suspect is enough to make a replica
+  // the last choice, while all members of an unreachable data centre would add a thousand names to
+  // every heartbeat.
   [[nodiscard]] std::vector<target_id> first_of_each(const std::set<target_id>& suspects) const;
 
  private:
   void put(const std::string& key, const serving_entry& entry);
 
   std::uint64_t revision_ = 0;                  // of the fleet view at the last update
-  std::uint64_t version_ = 0;                   // of the services
+  std::uint64_t version_ = 0;                   // of the services at the last update
   std::map<std::string, std::string> encoded_;  // by key
   std::map<std::string, std::vector<target_id>> members_;
   feed_log rows_;
 };
 
-// The other side: applies a hub's rows to the fleet view of a node that keeps no replicas.
+// The receiving side: applies a hub's rows to the fleet view of a node that controls no replicas.
 class serving_follower {
  public:
-  // How far this node is in the rows of which life of a hub.
+  // Position up to which this node has the rows of an incarnation of a hub.
   struct position {
     std::string life;
-    std::uint64_t at = 0;  // 0: at none, to be given all rows
+    std::uint64_t at = 0;  // 0: none, all rows are needed
     bool operator==(const position&) const = default;
   };
 
-  // False: the rows do not follow on what is known here, and were left. `asked`: what they say was
-  // so at that time or later.
+  // Applies rows that describe the state at `asked` or later. Returns false and ignores them if they
+  // do not continue from this node's position.
   bool take(time_point asked, const std::string& life, std::uint64_t after, bool whole,
             std::uint64_t at, const std::vector<feed_row>& rows, fleet_view& fleet);
 
   [[nodiscard]] const position& at() const { return position_; }
-  // The fleet view was fed by something else since: the next rows have to be all.
+  // To be called when the fleet view was updated from another source: all rows are needed next.
   void forget_position() { position_ = {}; }
 
  private:
--- a/tests/core/serving_feed_test.cpp
+++ b/tests/core/serving_feed_test.cpp
@@ -1,4 +1,4 @@
-// What serves, passed on by a hub to the nodes that keep no replicas.
+// Rows of serving replicas that a hub forwards to the nodes that control no replicas.
 #include "process/serving_feed.h"
 
 #include <gtest/gtest.h>
@@ -43,7 +43,7 @@
   return record;
 }
 
-// `size` engines from `first` on, the first as an open head.
+// Adds a replica of `size` engines starting with number `first`, which is the open head.
 void add_replica(fleet_view& fleet, int first, std::uint32_t size, std::uint64_t epoch) {
   std::vector<target_id> members;
   for (std::uint32_t i = 0; i < size; ++i) {
@@ -64,7 +64,7 @@
   fleet_view known_to_node = {};
   serving_follower follower = {};
 
-  // A beat of the hub to the node; bytes of its rows.
+  // Sends a heartbeat from the hub to the node; returns the bytes of its rows.
   std::size_t pass_on() {
     feed.update(known_to_hub, services(size));
     const std::uint64_t after = follower.at().life == "hub" ? follower.at().at : 0;
@@ -102,13 +102,13 @@
 TEST(ServingFeed, ANodeSendsToWhatItsHubSees) {
   hub_and_node both{12};
   add_replica(both.known_to_hub, 0, 12, 7);
-  add_replica(both.known_to_hub, 20, 12, 8);    // of two domains
+  add_replica(both.known_to_hub, 20, 12, 8);    // spans two domains
   both.known_to_hub.listed(start, engine(70));  // a spare
   both.known_to_hub.set_pace(engine(3).id, 1.5);
   both.pass_on();
   expect_same(both);
   EXPECT_EQ(both.known_to_node.find(engine(70).id), nullptr);
-  // What repeats costs nothing.
+  // Without changes nothing is sent.
   EXPECT_EQ(both.pass_on(), 0U);
 }
 
@@ -130,8 +130,8 @@
 }
 
 TEST(ServingFeed, AReplicaWithALeavingMemberIsSentNothingMore) {
-  // Symptom: a leaving engine gets new work. Sequence: a member of a replica says that it leaves;
-  // the node keeps the row that it was told. Cause: rows are told again only when they come anew.
+  // Guards against new requests to a draining engine: the change of one member has to update or
+  // remove the row that the node already has.
   hub_and_node both{4};
   add_replica(both.known_to_hub, 0, 4, 1);
   both.pass_on();
@@ -144,15 +144,15 @@
 }
 
 TEST(ServingFeed, AMemberThatMovedBelongsToItsNewReplica) {
-  // Symptom: a repaired replica is not sent anything. Sequence: a member of one that ended is used
-  // for another; both changes come in one beat. Cause: the end of the one unlists the member of
-  // the other.
+  // Guards against a repaired replica that gets no requests: a member of an ended replica joins
+  // another one, both changes arrive in one heartbeat, and removing the ended replica's row unlists
+  // the member of the new one.
   hub_and_node both{4};
   add_replica(both.known_to_hub, 0, 4, 1);
   add_replica(both.known_to_hub, 10, 4, 2);
   both.pass_on();
   ASSERT_EQ(both.at_node().size(), 2U);
-  // Engine 10 ends; 11 to 13 join engine 5 under it as the head, which sorts before them.
+  // Engine 10 ends; 11 to 13 join a replica with engine 5 as its head, which sorts before them.
   both.known_to_hub.unlisted(start + 1s, engine(10).id);
   std::vector<target_id> members = {engine(5).id, engine(11).id, engine(12).id, engine(13).id};
   const replica_key key{replica_name(large, "0a1b2c3d", members), 3};
@@ -169,8 +169,8 @@
 }
 
 TEST(ServingFeed, WhatTheHubAloneTakesForLostStaysAmongTheRows) {
-  // Symptom: all nodes of a data centre refuse every call. Sequence: the hub's link is choked and
-  // its questions to engines go unanswered. Cause: what it takes for lost is passed on as a fact.
+  // Guards against a data centre whose nodes refuse every call: the hub's link is congested, its
+  // probes of engines get no answer, and the nodes drop all replicas that the hub marks as lost.
   hub_and_node both{4};
   add_replica(both.known_to_hub, 0, 4, 1);
   add_replica(both.known_to_hub, 10, 4, 2);
@@ -181,15 +181,14 @@
   }
   both.pass_on();
   EXPECT_EQ(both.at_node().size(), 2U);
-  // It is told as a suspicion, one member a replica.
+  // The hub reports one suspect per replica.
   const std::set<target_id> lost = {engine(1).id, engine(2).id, engine(11).id};
   EXPECT_EQ(both.feed.first_of_each(lost), (std::vector<target_id>{engine(1).id, engine(11).id}));
 }
 
 TEST(ServingFeed, AnotherLifeOfTheHubPassesOnAllRows) {
-  // Symptom: a node sends to a replica that ended long ago. Sequence: its hub starts again and
-  // counts its changes anew; the node's position happens to be one of the new life. Cause: a
-  // position without the life that it is of.
+  // Guards against requests to a replica that ended long ago: the hub restarts and counts its
+  // changes from zero, and the node's old position happens to be valid in the new incarnation.
   hub_and_node both{4};
   add_replica(both.known_to_hub, 0, 4, 1);
   both.pass_on();
@@ -231,8 +230,8 @@
 }
 
 TEST(ServingFeed, ThreeThousandEnginesAreWithinANodesBytes) {
-  // The load: 3,000 engines in replicas of 12 before 100 nodes of a data centre, whose hub has 200
-  // Mbit/s. All start at once; then a member is lost each second and its replica formed again.
+  // 3,000 engines in replicas of 12 and 100 nodes in a data centre whose hub has 200 Mbit/s. All
+  // nodes start simultaneously; then one replica per second loses a member and is formed again.
   constexpr std::uint32_t size = 12;
   constexpr int replicas = 250;
   constexpr std::size_t nodes = 100;
@@ -242,7 +241,7 @@
   }
   const std::size_t whole = both.pass_on();
   EXPECT_EQ(both.at_node().size(), static_cast<std::size_t>(replicas));
-  // All nodes have their rows within a second.
+  // All nodes get all rows within a second.
   list_budget budget(200);
   std::size_t served = 0;
   for (int round = 0; round < 5; ++round) {
@@ -251,7 +250,8 @@
     }
   }
   EXPECT_EQ(served, nodes);
-  // A changed replica a second costs a node a tenth of its 7 KB a second for control at most.
+  // One changed replica per second uses at most a tenth of the 7 KB/s that a node has for control
+  // traffic.
   std::size_t changes = 0;
   for (int second = 0; second < 10; ++second) {
     const int first = second * static_cast<int>(size);
@@ -270,7 +270,7 @@
   EXPECT_FALSE(duty.follows_records());
   duty.update(start + 100ms, false, true);
   EXPECT_FALSE(duty.follows_records());
-  // A beat that was late: not for this.
+  // A single late heartbeat does not make it follow the records.
   duty.update(start + 200ms, false, false);
   duty.update(start + 300ms, false, true);
   duty.update(start + 300ms + record_duty::take_after, false, true);
--- a/tests/shell/far_replica_test.cpp
+++ b/tests/shell/far_replica_test.cpp
@@ -1,4 +1,4 @@
-// Replicas across fabric domains and data centres, by keepers that have members each.
+// Replicas across fabric domains and data centres, with controllers that own some members each.
 #include <gtest/gtest.h>
 
 #include "keeper_world.h"
@@ -10,7 +10,7 @@
 constexpr int engines_of_hall = 13;
 constexpr std::uint32_t large_size = 16;
 
-// A model that none of the data centres can hold, beside a small one.
+// A service with a model that is too large for any data centre, and a small model.
 service_shape one_too_large() {
   service_shape service = two_models();
   service.engine->models = {{large, large_size, 0.5, 1.0, 4s, 1s}, {small, 4, 0.5, 0.6, 4s, 1s}};
@@ -31,8 +31,8 @@
 };
 
 TEST(FarReplica, AModelThatNoDataCentreCanHoldIsServed) {
-  // Symptom: all callers of a model are refused all day beside 65 engines that work. Sequence: five
-  // data centres of 13 engines, a model of 16. Cause: members were sought in one data centre alone.
+  // Five data centres of 13 engines each and a model of size 16: without replicas across data
+  // centres, all requests for the model are refused although 65 engines work.
   five_halls world(1);
   EXPECT_TRUE(
       world.run_until([&] { return world.serving(large) >= 1 && world.serving(small) >= 4; }, 40s));
@@ -48,7 +48,7 @@
   world.kill(world.engine(world.head(large)).members().back());
   world.run(100ms);
   EXPECT_LT(world.serving(large), before);
-  // 3.6 s until the list drops the engine, a second to take the replica apart and form it.
+  // It takes 3.6 s until the list drops the engine and 1 s to dissolve the replica and form it again.
   EXPECT_TRUE(world.run_until([&] { return world.serving(large) >= before; }, 6s));
 }
 
@@ -62,8 +62,8 @@
 }
 
 TEST(FarReplica, LostAndLateOrdersOfTwoKeepersDoNoHarm) {
-  // The checks of the world after each step: no engine joins another replica while its head serves,
-  // and no head opens whose member never was ready in its replica.
+  // The simulation checks after each step that no engine joins another replica while its head
+  // serves, and that no head opens before every member was ready in its replica.
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     five_halls world(seed);
     world.run(20s);
--- a/tests/shell/keeper_world.h
+++ b/tests/shell/keeper_world.h
@@ -1,5 +1,6 @@
-// A fleet of stand-in engines and several keepers in virtual time, and a check after every step
-// that no engine serves two replicas and no replica serves that is not whole.
+// Simulates stand-in engines and several replica controllers in virtual time. Checks after every
+// step that no engine serves in two replicas and that every serving replica was complete when it
+// opened.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -38,8 +39,8 @@
 class keeper_world {
  public:
   struct faults {
-    double order_lost = 0;  // obeyed, and the answer is lost
-    double order_late = 0;  // obeyed seconds later; no answer
+    double order_lost = 0;  // probability that an order is carried out and its answer is lost
+    double order_late = 0;  // probability that an order is carried out seconds later, unanswered
     duration longest_late = 6s;
   };
 
@@ -70,27 +71,27 @@
       add_engine(domain, data_centre);
     }
   }
-  // Whose engines this keeper orders; all of "a" by default.
+  // Sets the data centre whose engines this node controls; by default "a".
   void keep(std::size_t node, const std::string& data_centre) {
     nodes_[node]->keeps = {data_centre_id{data_centre}};
   }
 
-  // Dies without a word; the list drops it after three heartbeats.
+  // The engine dies without notice; the list drops it after three heartbeats.
   void kill(const target_id& id) {
     dead_.insert(id);
     drop_from_list_[id] = now_ + 3600ms;
   }
-  // Dies, and another engine starts at its address; reports do not say whose they are.
+  // The engine dies, and another one starts at its address. Reports do not name their sender.
   target_id replace(const target_id& id) {
     kill(id);
     const target_record& old = engines_.at(id).record();
     return add_engine(old.domain.str(), old.data_centre.str(), old.address);
   }
-  // Cut off from the list, which drops it; it works on.
+  // The engine loses its connection to the list, which drops it, but continues to work.
   void drop_from_list(const target_id& id) { drop_from_list_[id] = now_; }
-  // The node keeps deciding on what it saw before.
+  // The node receives no list updates and goes on deciding on its last view.
   void cut_from_list(std::size_t node, bool cut) { nodes_[node]->hears_list = !cut; }
-  // Starts again under its name. Orders for its earlier life may still be on their way.
+  // The engine restarts under its name. Orders for its previous incarnation may still arrive.
   target_id restart(const target_id& id) {
     const target_id next = life_of(engine_of(id), ++newest_life_);
     auto node = engines_.extract(id);
@@ -101,12 +102,12 @@
     drop_from_list_.erase(id);
     return next;
   }
-  // Neither reaches engines nor hears the list; it goes on deciding.
+  // The node reaches no engines and receives no list updates, but goes on deciding.
   void cut_off(std::size_t node, bool cut) {
     nodes_[node]->hears_list = !cut;
     nodes_[node]->cut_off = cut;
   }
-  // The node has asked the engine in vain.
+  // The node marks the engine as lost after failed probes.
   void lose(std::size_t node, const target_id& id) {
     for (std::uint32_t i = 0; i < fleet_view::probes_until_lost; ++i) {
       nodes_[node]->fleet.probe_failed(now_, id);
@@ -136,7 +137,7 @@
     return holds();
   }
 
-  // Open heads whose members are all there and alive.
+  // Number of open heads whose members are all present and alive.
   [[nodiscard]] std::size_t serving(const model_id& model) const {
     std::size_t count = 0;
     for (const auto& [id, engine] : engines_) {
@@ -148,7 +149,7 @@
     return count;
   }
 
-  // The heads of the replicas of the model that serve.
+  // Heads of the serving replicas of the model.
   [[nodiscard]] std::vector<target_id> heads(const model_id& model) const {
     std::vector<target_id> result;
     for (const auto& [id, engine] : engines_) {
@@ -159,12 +160,12 @@
     }
     return result;
   }
-  // Of one of them.
+  // Head of one serving replica of the model; empty if there is none.
   [[nodiscard]] target_id head(const model_id& model) const {
     const auto all = heads(model);
     return all.empty() ? target_id{} : all.front();
   }
-  // One in whose domain an engine is ready for its model and in no real replica.
+  // An open head in whose domain a spare is ready for its model; empty if there is none.
   [[nodiscard]] target_id head_with_spare() const {
     for (const model_id& model : {large, small}) {
       for (const auto& [id, engine] : engines_) {
@@ -206,7 +207,7 @@
     replica_keeper keeper;
     bool hears_list = true;
     bool cut_off = false;
-    std::map<target_id, target_record> told = {};  // as the list last said
+    std::map<target_id, target_record> told = {};  // last records received from the list
     std::set<data_centre_id> keeps = {data_centre_id{"a"}};
   };
   struct event {
@@ -271,7 +272,7 @@
     }
   }
 
-  // As keeper_loop does: who is in a replica and in no list may work on, or be dead.
+  // Like keeper_loop: probes unlisted members of replicas, which may still work or be dead.
   void ask_dropped() {
     for (const auto& n : nodes_) {
       for (const auto& [id, engine] : engines_) {
@@ -290,7 +291,7 @@
     }
   }
 
-  // Who answers now where a dead engine was.
+  // The engine that now answers at the address of a dead one; null if there is none.
   [[nodiscard]] const standin::hosted_engine* at_address_of(const target_id& dead) const {
     for (const auto& [id, engine] : engines_) {
       const bool same = engine.record().address == engines_.at(dead).record().address;
@@ -301,8 +302,8 @@
     return nullptr;
   }
 
-  // As keeper_loop does: a lost engine that answers is back. Those of a cut come back one by one,
-  // as connections to them are tried again.
+  // Like keeper_loop: a lost engine that answers a probe is reachable again. After a partition
+  // engines become reachable one by one, as connections are retried at different times.
   void ask_lost() {
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       for (const auto& [id, engine] : engines_) {
@@ -394,7 +395,7 @@
     return outcome;
   }
 
-  // Whatever its life is: orders and questions reach who has the name.
+  // Orders and queries reach the engine of that name in any incarnation.
   [[nodiscard]] standin::hosted_engine& by_name(const target_id& id) {
     const auto found = std::find_if(engines_.begin(), engines_.end(), [&id](const auto& entry) {
       return engine_of(entry.first) == engine_of(id);
@@ -407,7 +408,7 @@
     for (const target_id& id : head.members()) {
       const auto engine = engines_.find(id);
       if (engine == engines_.end()) {
-        return false;  // it has started again
+        return false;  // the member has restarted
       }
       const auto& own = engine->second.record().member_of;
       if (dead_.contains(id) || !own || own->replica != key) {
@@ -417,7 +418,7 @@
     return true;
   }
 
-  // An open head whose replica never was whole would begin requests that nobody can run.
+  // An open head whose replica was never complete would accept requests that cannot run.
   void check() {
     for (const auto& [id, engine] : engines_) {
       if (dead_.contains(id) || !engine.is_open()) {
@@ -427,7 +428,7 @@
       ASSERT_FALSE(is_spare_name(key.name)) << "a spare serves";
       for (const target_id& member : engine.members()) {
         const auto found = engines_.find(member);
-        // One that was ready and has started again is lost, which is no fault of the keeper's.
+        // A member that has restarted since it was ready is a loss, not an error of the controller.
         ASSERT_TRUE(found == engines_.end() || found->second.was_ready_in(key))
             << member << " was never ready in " << key.name << " epoch " << key.epoch;
       }
--- a/tests/shell/replica_keeper_test.cpp
+++ b/tests/shell/replica_keeper_test.cpp
@@ -1,4 +1,5 @@
-// Keepers over stand-in engines, in virtual time. What must hold is checked after every step.
+// Replica controllers with stand-in engines in virtual time. The simulation checks its invariants
+// after every step.
 #include <gtest/gtest.h>
 
 #include "keeper_world.h"
@@ -15,9 +16,9 @@
 }
 
 TEST(ReplicaKeeper, RepairsWithASpareWithinASecond) {
-  // Symptom: a replica that lost a member is down for the load of a model. Sequence: a domain of
-  // ten holds two or three replicas and a spare; a member dies and is found lost. Cause: spares are
-  // not made ready, or the survivors are not used again.
+  // Guards against a replica that is down for the load of a model after it lost a member, because
+  // spares were not prepared or the remaining members were not reused. A domain of ten engines has
+  // two or three replicas and a spare.
   keeper_world world(2);
   for (const char* domain : {"d0", "d1", "d2", "d3"}) {
     world.add_domain(domain, 10);
@@ -37,10 +38,9 @@
 }
 
 TEST(ReplicaKeeper, FormsReplicasOnceWhereEnginesTookTheAddressOfOthers) {
-  // Symptom: the same replicas are taken apart and formed again once a second, for as long as the
-  // day lasts. Sequence: engines end, and others start at their addresses under other names; the
-  // keeper asks those that ended, and the others answer. Cause: their replicas have a member too
-  // many, the name of the one that ended.
+  // Guards against replicas that are dissolved and formed again once per second: engines end, others
+  // start at their addresses under new names and answer probes of the ended ones, so that their
+  // replicas seem to have a surplus member.
   keeper_world world(7);
   for (const char* domain : {"d0", "d1"}) {
     world.add_domain(domain, 10);
@@ -62,9 +62,8 @@
 }
 
 TEST(ReplicaKeeper, KeepsReplicasWhoseMembersTheListDropped) {
-  // Symptom: a fleet that serves well loses nearly all its replicas within a second. Sequence: a
-  // fifth of the engines is cut off from the list, which drops them after three heartbeats;
-  // requests reach them as before. Cause: who is not in the list is taken for gone, and every
+  // Guards against losing nearly all replicas within a second: a fifth of the engines lose their
+  // connection to the list, which drops them after three heartbeats although they still work. Every
   // replica has such a member.
   keeper_world world(5);
   world.add_domain("d0", 8);
@@ -82,14 +81,14 @@
     }
   }
   world.run(5s);
-  // A spare may stand in where there is one.
+  // A spare may replace the member where there is one.
   EXPECT_GE(world.serving(large) + world.serving(small), before);
   EXPECT_GE(dropped, 4U);
 }
 
 TEST(ReplicaKeeper, TakesNoReplicaApartWhenManyMembersAreDropped) {
-  // Symptom: spares are used up for members that work, and replicas are down meanwhile. Sequence:
-  // the list drops a member of each replica at once. Cause: each is replaced as if it were alone.
+  // Guards against using up spares for members that still work, with replicas down meanwhile: the
+  // list drops a member of each replica simultaneously, and each is replaced independently.
   keeper_world world(6);
   for (const char* domain : {"d0", "d1", "d2"}) {
     world.add_domain(domain, 10);
@@ -111,8 +110,8 @@
 }
 
 TEST(ReplicaKeeper, UsesSurvivorsOfALostHead) {
-  // Symptom: engines of a replica whose head died are used by nobody. Cause: nothing tells them to
-  // leave, and none may join elsewhere before it left.
+  // Guards against engines that stay unused after their head died: members may join another replica
+  // only after they left the old one, so they have to be ordered to leave.
   keeper_world world(3);
   world.add_domain("d0", 9);
   world.add_domain("d1", 9);
@@ -133,7 +132,7 @@
 }
 
 TEST(ReplicaKeeper, LeavesADrainingMemberInTime) {
-  // Symptom: requests are cut when an engine is taken away. Cause: its replica serves on with it.
+  // Guards against aborted requests when an engine stops because its replica kept serving with it.
   keeper_world world(4);
   world.add_domain("d0", 9);
   ASSERT_TRUE(
@@ -152,10 +151,11 @@
 }
 
 TEST(ReplicaKeeper, StaleKeeperTakesNoEngineOfAServingReplica) {
-  // Symptom: an engine joins a replica while the head of its own serves. Sequence: a keeper loses
-  // the list and goes on with what it knew; another one forms a replica anew. The stale one orders
-  // the head out of the old replica, is told that this holds, and takes its members for free.
-  // Cause: the count of orders was guessed, and not seen together with the engine's state.
+  // Guards against an engine that joins a replica while the head of its own one serves. A controller
+  // loses the list and goes on with its old view while another one forms a replica again. The stale
+  // one orders the head out of the old replica, is told that it has already left, and considers its
+  // members free. This happens if the count of orders is guessed instead of read together with the
+  // engine's state.
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     keeper_world world(seed, 2);
     world.add_domain("d0", 9);
@@ -176,9 +176,10 @@
 }
 
 TEST(ReplicaKeeper, LateAndLostOrdersDoNoHarm) {
-  // Symptom: an engine leaves or joins seconds after the order was given up. Sequence: a third of
-  // the orders are obeyed up to 6 s later without an answer, a tenth lose their answer, engines die
-  // and come, two keepers work on the same engines. Cause: orders that name no state they rest on.
+  // Guards against engines that leave or join seconds after an order was abandoned, which happens if
+  // orders do not name the state that they are based on. A third of the orders are carried out up to
+  // 6 s later without an answer, a tenth lose their answer, engines die and start, and two
+  // controllers order the same engines.
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     keeper_world world(seed, 2);
     world.add_domain("d0", 9);
@@ -200,9 +201,9 @@
 }
 
 TEST(ReplicaKeeper, AMemberThatStartsAgainIsReplaced) {
-  // Symptom: a replica serves nobody until its head breaks after seconds. Sequence: a member starts
-  // again within the three heartbeats after which the list would drop it. Cause: the list never
-  // said that it was gone.
+  // Guards against a replica that is stuck for seconds until its head breaks: a member restarts
+  // within the three heartbeats after which the list would drop it, so the list never reports the
+  // loss.
   keeper_world world(8);
   for (const char* domain : {"d0", "d1", "d2"}) {
     world.add_domain(domain, 10);
@@ -234,9 +235,9 @@
 }
 
 TEST(ReplicaKeeper, LateOrdersOfAnEarlierLifeDoNoHarm) {
-  // Symptom: an engine leaves a replica that serves. Sequence: an order to join is late; its engine
-  // starts again, obeys as many orders as it had before, and is a member when the late one comes.
-  // Cause: counts of orders start anew with each life.
+  // Guards against an engine that leaves a serving replica because of a late order to join: counts
+  // of orders start again with each incarnation, so a restarted engine can reach the count that the
+  // late order expects.
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     keeper_world world(seed, 2);
@@ -249,7 +250,7 @@
       const auto living = world.living();
       world.restart(living[world.random().below(living.size())]);
       if (i % 3 == 0) {
-        // Twice in a row, or with its own orders still on their way.
+        // Restarts an engine twice in a row, or one with pending orders.
         const auto again = world.living();
         world.restart(again[world.random().below(again.size())]);
       }
@@ -266,9 +267,9 @@
 }
 
 TEST(ReplicaKeeper, AKeeperThatWasCutOffTakesNothingApartWhenItIsBack) {
-  // Symptom: a cut of six seconds costs most as it ends: no replica serves for a second, on either
-  // side. Sequence: a keeper is cut off and finds all engines lost; it wants their replicas apart,
-  // and its orders arrive as the cut heals. Cause: what could not be seen was taken for dead.
+  // Guards against an outage when a partition of 6 s heals, in which no replica serves for a second
+  // on either side: the partitioned controller marks all engines as lost, and its orders to dissolve
+  // their replicas arrive as soon as it is reconnected.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     keeper_world world(seed, 2);
@@ -281,7 +282,7 @@
     ASSERT_GE(before, 4U);
     world.cut_off(1, true);
     for (const target_id& id : world.living()) {
-      world.lose(1, id);  // its streams went silent, and nobody answered
+      world.lose(1, id);  // its streams stalled, and probes got no answer
     }
     world.run(6s);
     world.cut_off(1, false);
@@ -293,9 +294,8 @@
 }
 
 TEST(ReplicaKeeper, ChangesNoModelForADomainThatIsAwayForSeconds) {
-  // Symptom: engines load another model for 12 to 16 s because a domain is dark for 8 s, and then
-  // too many have it. Sequence: a domain of one model dies; the plan wants others in its place.
-  // Cause: the plan is followed at once.
+  // Guards against following a changed plan immediately: a domain of one model is down for 8 s, and
+  // engines of other domains load its model for 12 to 16 s, so that too many have it afterwards.
   keeper_world world(6);
   for (const char* domain : {"d0", "d1", "d2", "d3"}) {
     world.add_domain(domain, 9);
@@ -320,8 +320,8 @@
 }
 
 TEST(ReplicaKeeper, SettlesAndThenOrdersNothing) {
-  // Symptom: orders go on although nothing happens, and each is paid for. Cause: a plan that never
-  // holds still.
+  // Guards against a plan that oscillates: it would cause orders, each of which costs, although
+  // nothing happens.
   keeper_world world(5, 1);
   world.add_domain("d0", 9);
   world.add_domain("d1", 9);
