--- a/src/process/domain_shape.cpp
+++ b/src/process/domain_shape.cpp
@@ -13,31 +13,31 @@
 // Added to a model's replica count so that a model without replicas has a finite cost, higher than
 // that of any plan with a replica of each model.
 constexpr double least_replicas = 0.05;
-constexpr int most_rounds = 8;
+constexpr int max_rounds = 8;
 
-class search {
+class layout_search {
  public:
-  search(std::span<const shape_domain> domains, std::span<const shape_model> models,
-         const shape_settings& settings)
+  layout_search(std::span<const shape_domain> domains, std::span<const shape_model> models,
+                const shape_settings& settings)
       : domains_(domains), models_(models), settings_(settings) {}
 
   fleet_shape run() {
     for (const shape_domain& domain : domains_) {
-      shape_.push_back(first_shape(domain));
+      layout_.push_back(first_shape(domain));
     }
     replicas_.resize(domains_.size());
     for (std::size_t d = 0; d < domains_.size(); ++d) {
-      replicas_[d] = replicas_of(d, shape_[d]);
+      replicas_[d] = replicas_of(d, layout_[d]);
     }
-    scale_ = cost();
+    initial_cost_ = cost();
     bool improved = true;
-    for (int round = 0; improved && round < most_rounds; ++round) {
+    for (int round = 0; improved && round < max_rounds; ++round) {
       improved = false;
       for (std::size_t d = 0; d < domains_.size(); ++d) {
         improved = reshape(d) || improved;
       }
     }
-    return shape_;
+    return layout_;
   }
 
  private:
@@ -73,7 +73,7 @@
   }
 
   // Number of engines of a domain that would have to switch to another model.
-  [[nodiscard]] double changes(std::size_t d, const split& s) const {
+  [[nodiscard]] double model_changes(std::size_t d, const split& s) const {
     double count = 0;
     for (std::size_t m = 0; m < models_.size(); ++m) {
       const std::uint32_t have = m < domains_[d].ready.size() ? domains_[d].ready[m] : 0;
@@ -84,10 +84,10 @@
 
   // Cost of the given replica totals without the replicas of domain `excluded`; pass the number of
   // domains to exclude none.
-  [[nodiscard]] double cost_without(const std::vector<double>& totals, std::size_t away) const {
+  [[nodiscard]] double cost_without(const std::vector<double>& totals, std::size_t excluded) const {
     double sum = 0;
     for (std::size_t m = 0; m < models_.size(); ++m) {
-      const double lost = away < replicas_.size() ? replicas_[away][m] : 0;
+      const double lost = excluded < replicas_.size() ? replicas_[excluded][m] : 0;
       const double use = models_[m].work / (totals[m] - lost + least_replicas);
       sum += models_[m].work * models_[m].size * use * use * use * use;
     }
@@ -111,31 +111,31 @@
   }
 
   bool reshape(std::size_t d) {
-    best_ = cost() + scale_ * settings_.change_cost * changes(d, shape_[d]);
-    best_split_ = shape_[d];
-    const split before = shape_[d];
+    best_ = cost() + initial_cost_ * settings_.change_cost * model_changes(d, layout_[d]);
+    best_split_ = layout_[d];
+    const split before = layout_[d];
     split trial(models_.size(), 0);
     try_model(d, 0, engines(d), trial);
-    shape_[d] = best_split_;
+    layout_[d] = best_split_;
     replicas_[d] = replicas_of(d, best_split_);
     return best_split_ != before;
   }
 
-  void try_model(std::size_t d, std::size_t model, std::uint32_t left, split& trial) {
+  void try_model(std::size_t d, std::size_t model, std::uint32_t remaining, split& trial) {
     if (model + 1 == models_.size()) {
-      trial[model] = left;
-      judge(d, trial);
+      trial[model] = remaining;
+      evaluate(d, trial);
       return;
     }
-    for (std::uint32_t n = 0; n <= left; ++n) {
+    for (std::uint32_t n = 0; n <= remaining; ++n) {
       trial[model] = n;
-      try_model(d, model + 1, left - n, trial);
+      try_model(d, model + 1, remaining - n, trial);
     }
   }
 
-  void judge(std::size_t d, const split& trial) {
+  void evaluate(std::size_t d, const split& trial) {
     replicas_[d] = replicas_of(d, trial);
-    const double c = cost() + scale_ * settings_.change_cost * changes(d, trial);
+    const double c = cost() + initial_cost_ * settings_.change_cost * model_changes(d, trial);
     constexpr double least_gain = 1e-6;  // as a fraction of the cost
     if (c < best_ * (1 - least_gain)) {
       best_ = c;
@@ -146,9 +146,9 @@
   std::span<const shape_domain> domains_;
   std::span<const shape_model> models_;
   shape_settings settings_;
-  fleet_shape shape_;
+  fleet_shape layout_;
   std::vector<std::vector<double>> replicas_;  // expected after losses, by domain and model
-  double scale_ = 0;
+  double initial_cost_ = 0;
   double best_ = 0;
   split best_split_;
 };
@@ -160,20 +160,21 @@
   double sum = 0;
   // Sums over the possible numbers of failures among the model's engines.
   const std::uint32_t others = all - own;
-  for (std::uint32_t hit = lost > others ? lost - others : 0; hit <= std::min(own, lost); ++hit) {
+  for (std::uint32_t own_lost = lost > others ? lost - others : 0; own_lost <= std::min(own, lost);
+       ++own_lost) {
     double chance = 1;
     // C(own, own_lost) * C(others, lost - own_lost) / C(all, lost), as a product of small factors.
-    for (std::uint32_t i = 0; i < hit; ++i) {
+    for (std::uint32_t i = 0; i < own_lost; ++i) {
       chance *= static_cast<double>(own - i) / (i + 1);
     }
-    for (std::uint32_t i = 0; i < lost - hit; ++i) {
+    for (std::uint32_t i = 0; i < lost - own_lost; ++i) {
       chance *= static_cast<double>(others - i) / (i + 1);
     }
     for (std::uint32_t i = 0; i < lost; ++i) {
       chance *= static_cast<double>(i + 1) / (all - i);
     }
-    const std::uint32_t whole = (own - hit) / size;
-    sum += chance * whole;
+    const std::uint32_t formed = (own - own_lost) / size;
+    sum += chance * formed;
   }
   return sum;
 }
@@ -197,7 +198,7 @@
   if (models.empty()) {
     return fleet_shape(domains.size());
   }
-  return search(domains, models, settings).run();
+  return layout_search(domains, models, settings).run();
 }
 
 }  // namespace arbutus
--- a/src/process/far_shape.cpp
+++ b/src/process/far_shape.cpp
@@ -14,7 +14,7 @@
 // few engines without loading weights, which takes 12 to 16 s.
 constexpr std::uint32_t members_for_a_spare = 4;
 
-std::uint32_t engines_of(const shape_domain& domain) {
+std::uint32_t engine_count(const shape_domain& domain) {
   return std::accumulate(domain.ready.begin(), domain.ready.end(), domain.blank);
 }
 
@@ -22,34 +22,34 @@
  public:
   far_plan(std::span<const shape_domain> domains, std::span<const shape_model> models,
            double slowdown, const shape_settings& settings)
-      : left_(domains.begin(), domains.end()),
+      : remaining_(domains.begin(), domains.end()),
         models_(models),
         slowdown_(std::max(slowdown, 1.0)),
         settings_(settings),
         apart_(domains.size(), std::vector<std::uint32_t>(models.size(), 0)) {
-    for (shape_domain& domain : left_) {
+    for (shape_domain& domain : remaining_) {
       domain.ready.resize(models.size(), 0);
     }
   }
 
   fleet_shape run() {
     std::vector<shape_model> others(models_.begin(), models_.end());
-    bool any = false;
+    bool any_reserved = false;
     for (std::size_t m = 0; m < models_.size(); ++m) {
-      if (!fits_a_domain(left_, models_[m].size) && models_[m].work > 0) {
+      if (!fits_a_domain(remaining_, models_[m].size) && models_[m].work > 0) {
         set_apart(m, engines_wanted(m));
         others[m].work = 0;
-        any = true;
+        any_reserved = true;
       }
     }
-    fleet_shape shape =
-        plan_shape(left_, any ? others : std::vector(models_.begin(), models_.end()), settings_);
-    for (std::size_t d = 0; d < shape.size(); ++d) {
+    fleet_shape layout = plan_shape(
+        remaining_, any_reserved ? others : std::vector(models_.begin(), models_.end()), settings_);
+    for (std::size_t d = 0; d < layout.size(); ++d) {
       for (std::size_t m = 0; m < models_.size(); ++m) {
-        shape[d][m] += apart_[d][m];
+        layout[d][m] += apart_[d][m];
       }
     }
-    return shape;
+    return layout;
   }
 
  private:
@@ -63,25 +63,25 @@
       time_of_all += model.work * model.size;
     }
     const std::uint32_t all = std::accumulate(
-        left_.begin(), left_.end(), 0U,
-        [](std::uint32_t sum, const shape_domain& d) { return sum + engines_of(d); });
+        remaining_.begin(), remaining_.end(), 0U,
+        [](std::uint32_t sum, const shape_domain& d) { return sum + engine_count(d); });
     const double replicas = models_[m].work / time_of_all * all / slowdown_;
     const std::uint32_t size = models_[m].size;
-    const auto whole = std::max(1U, static_cast<std::uint32_t>(replicas));
-    return all < size ? 0 : std::min(all, whole * size + size / members_for_a_spare);
+    const auto full = std::max(1U, static_cast<std::uint32_t>(replicas));
+    return all < size ? 0 : std::min(all, full * size + size / members_for_a_spare);
   }
 
-  void set_apart(std::size_t m, std::uint32_t wanted) {
-    std::vector<std::size_t> order(left_.size());
+  void set_apart(std::size_t m, std::uint32_t desired) {
+    std::vector<std::size_t> order(remaining_.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-      return left_[a].ready[m] > left_[b].ready[m];
+      return remaining_[a].ready[m] > remaining_[b].ready[m];
     });
     for (const std::size_t d : order) {
-      const std::uint32_t taken = std::min(wanted, engines_of(left_[d]));
-      take_from(left_[d], m, taken);
+      const std::uint32_t taken = std::min(desired, engine_count(remaining_[d]));
+      take_from(remaining_[d], m, taken);
       apart_[d][m] += taken;
-      wanted -= taken;
+      desired -= taken;
     }
   }
 
@@ -99,7 +99,7 @@
     }
   }
 
-  std::vector<shape_domain> left_;  // engines that are not reserved
+  std::vector<shape_domain> remaining_;  // engines that are not reserved
   std::span<const shape_model> models_;
   double slowdown_;
   shape_settings settings_;
@@ -110,7 +110,7 @@
 
 bool fits_a_domain(std::span<const shape_domain> domains, std::uint32_t size) {
   return std::any_of(domains.begin(), domains.end(), [size](const shape_domain& d) {
-    return engines_of(d) >= size + size / room_for_losses;
+    return engine_count(d) >= size + size / room_for_losses;
   });
 }
 
--- a/src/process/fleet_view.cpp
+++ b/src/process/fleet_view.cpp
@@ -26,7 +26,7 @@
 }
 
 bool fleet_view::take_life(time_point now, const target_id& life) {
-  engine_lives& known = lives_[std::string(engine_of(life))];
+  engine_lives& known = incarnations_by_engine_[std::string(engine_of(life))];
   if (known.now == life) {
     return true;
   }
@@ -47,8 +47,8 @@
 }
 
 // Keeps membership and model from the target's answers if they are newer than the row. While the
-// store is unavailable, no rows are written but replicas are still formed, so the rows read after it
-// returns can be older than the answers.
+// store is unavailable, no rows are written but replicas are still formed, so the rows read after
+// it returns can be older than the answers.
 void fleet_view::take_row_state(target_view& view, const target_record& record, time_point as_of) {
   if (as_of >= view.state_at) {
     view.record = record;
@@ -110,15 +110,15 @@
       return false;
     }
     if (is_there) {
-      forget(owner);
+      remove_target(owner);
     }
   }
   owner = record.id;
   return true;
 }
 
-void fleet_view::forget(const target_id& id) {
-  lives_.erase(std::string(engine_of(id)));
+void fleet_view::remove_target(const target_id& id) {
+  incarnations_by_engine_.erase(std::string(engine_of(id)));
   targets_.erase(id);
   ++revision_;
 }
@@ -128,8 +128,8 @@
 }
 
 target_id fleet_view::life_now(std::string_view engine) const {
-  const auto found = lives_.find(engine);
-  return found == lives_.end() ? target_id{} : found->second.now;
+  const auto found = incarnations_by_engine_.find(engine);
+  return found == incarnations_by_engine_.end() ? target_id{} : found->second.now;
 }
 
 void fleet_view::unlisted(time_point now, const target_id& id) {
@@ -148,9 +148,9 @@
   for (const auto& [record, version] : rows) {
     present.insert(record.id);
     const auto known = targets_.find(record.id);
-    const bool is_news = known == targets_.end() || !known->second.listed ||
-                         known->second.row_version < version || version == 0;
-    if (is_news) {
+    const bool is_new_row = known == targets_.end() || !known->second.listed ||
+                            known->second.row_version < version || version == 0;
+    if (is_new_row) {
       listed(now, record, version, written_after);
     }
   }
@@ -280,9 +280,10 @@
 
 void fleet_view::forget_old(time_point now) {
   std::erase_if(targets_, [now](const auto& entry) {
-    return !entry.second.listed && now - entry.second.unlisted_at > remembered;
+    return !entry.second.listed && now - entry.second.unlisted_at > unlisted_retention;
   });
-  std::erase_if(lives_, [this](const auto& entry) { return !targets_.contains(entry.second.now); });
+  std::erase_if(incarnations_by_engine_,
+                [this](const auto& entry) { return !targets_.contains(entry.second.now); });
   std::erase_if(owners_, [this](const auto& entry) { return !targets_.contains(entry.second); });
 }
 
@@ -293,14 +294,14 @@
 
 std::vector<serving_replica> serving_replicas(const fleet_view& fleet, const service_id& service,
                                               const model_id& model, std::uint32_t size,
-                                              lost_targets lost) {
+                                              lost_target_policy lost) {
   std::map<replica_key, std::vector<const target_view*>> groups;
   for (const auto& [id, view] : fleet.all()) {
     if (view.record.service != service || !view.record.member_of) {
       continue;
     }
     const bool is_head = view.record.member_of->rank == 0;
-    const bool present = lost == lost_targets::kept || !view.lost;
+    const bool present = lost == lost_target_policy::include || !view.lost;
     if ((view.listed || !is_head) && present && !view.record.draining) {
       groups[view.record.member_of->replica].push_back(&view);
     }
--- a/src/process/fleet_view.h
+++ b/src/process/fleet_view.h
@@ -110,14 +110,14 @@
   void replace_all(time_point now, const std::vector<listed_row>& rows,
                    std::optional<time_point> written_after = std::nullopt);
 
-  // Applies a target's answer to a probe that was sent at `asked`. The answer describes the state at
-  // `as_of`: reports lag behind, so newer state from the list or from an order is kept. Returns
+  // Applies a target's answer to a probe that was sent at `asked`. The answer describes the state
+  // at `as_of`: reports lag behind, so newer state from the list or from an order is kept. Returns
   // false if another incarnation than `id` answered; if that one is newer, it replaces `id`.
   bool reported(time_point asked, time_point as_of, const target_id& id,
                 const target_answer& answer);
   // Another target answers at this target's address, so this one has ended. Its row may stay in the
   // list until it expires; a newer row of it adds it again.
-  void ended(const target_id& id) { forget(id); }
+  void ended(const target_id& id) { remove_target(id); }
   // The target has carried out an order of this node.
   void ordered(time_point now, const target_id& id, const std::optional<membership>& member_of);
   // The target did not answer a probe in time. It is lost after `probes_until_lost` consecutive
@@ -149,7 +149,7 @@
   static constexpr duration hub_knows_within = 1s;
   // Longer than a target runs on after it left the list: a drain and its grace period, which take
   // seconds.
-  static constexpr duration remembered = 60s;
+  static constexpr duration unlisted_retention = 60s;
   // Ended incarnations stored per engine. An engine that restarts every few seconds reaches its
   // ninth incarnation only after 12 s, the longest observed delay of a record or an answer.
   static constexpr std::size_t most_ended = 8;
@@ -166,13 +166,13 @@
   // Assigns the record's address to its target and removes the previous owner. Returns false if the
   // owner has a newer row.
   bool take_address(const target_record& record, std::uint64_t row_version);
-  void forget(const target_id& id);
+  void remove_target(const target_id& id);
   static void take_row_state(target_view& view, const target_record& record, time_point as_of);
   void replace_by_answer(time_point asked, time_point as_of, const target_id& id,
                          const target_answer& answer);
 
   std::map<target_id, target_view> targets_;
-  std::map<std::string, engine_lives, std::less<>> lives_;
+  std::map<std::string, engine_lives, std::less<>> incarnations_by_engine_;
   std::map<endpoint, target_id> owners_;  // of addresses, by the row with the highest version
   std::uint64_t revision_{1};
 };
@@ -191,7 +191,7 @@
 };
 
 // Whether serving_replicas() includes replicas with members that this node has marked as lost.
-enum class lost_targets : std::uint8_t { left_out, kept };
+enum class lost_target_policy : std::uint8_t { exclude, include };
 
 // Replicas whose head is open, listed and not draining, and whose other members are all present and
 // neither lost nor draining.
@@ -203,6 +203,6 @@
 // probes the member.
 [[nodiscard]] std::vector<serving_replica> serving_replicas(
     const fleet_view& fleet, const service_id& service, const model_id& model, std::uint32_t size,
-    lost_targets lost = lost_targets::left_out);
+    lost_target_policy lost = lost_target_policy::exclude);
 
 }  // namespace arbutus
--- a/src/process/replica_keeper.cpp
+++ b/src/process/replica_keeper.cpp
@@ -32,18 +32,18 @@
   if (!service.engine) {
     return {};
   }
-  round r{now, fleet, service, *service.engine, own};
-  note_engines(r);
+  tick_context ctx{now, fleet, service, *service.engine, own};
+  note_engines(ctx);
   note_duties(own);
-  note_dark(r);
-  ask_reports(r);
-  advance_forming(r);
-  mend_standing(r);
-  find_free(r);
-  form(r);
-  survey(r);
-  prepare(r);
-  return std::move(r.out);
+  note_dark(ctx);
+  ask_reports(ctx);
+  advance_forming(ctx);
+  mend_standing(ctx);
+  find_free(ctx);
+  form(ctx);
+  survey(ctx);
+  assign_models(ctx);
+  return std::move(ctx.out);
 }
 
 // A new controller of a data centre starts with an epoch above all that its predecessor can have
@@ -63,128 +63,128 @@
 // Finds unreachable data centres, whose engines get no orders. Without this, a hub that is
 // partitioned takes responsibility for all other data centres, as it receives nothing from their
 // nodes, and marks their engines as lost. When the partition heals, its orders to dissolve their
-// replicas arrive: 5 and 7 replicas were dissolved within 0.2 s and did not serve for 1 s. The other
-// side does the same to the partitioned engines.
-void replica_keeper::note_dark(round& r) {
+// replicas arrive: 5 and 7 replicas were dissolved within 0.2 s and did not serve for 1 s. The
+// other side does the same to the partitioned engines.
+void replica_keeper::note_dark(tick_context& ctx) {
   std::map<data_centre_id, std::pair<double, double>> away_of;  // away, all
-  for (const auto& [id, view] : r.fleet.all()) {
-    const bool counts = view.listed || r.now - view.unlisted_at < settings_.away_counts_for;
-    if (view.record.service == r.service.id && counts) {
+  for (const auto& [id, view] : ctx.fleet.all()) {
+    const bool counts = view.listed || ctx.now - view.unlisted_at < settings_.away_counts_for;
+    if (view.record.service == ctx.service.id && counts) {
       auto& [away, all] = away_of[view.record.data_centre];
-      away += round::alive(&view) ? 0 : 1;
+      away += tick_context::alive(&view) ? 0 : 1;
       all += 1;
     }
   }
   for (const auto& [data_centre, counts] : away_of) {
     if (counts.first > counts.second * settings_.dark_share) {
-      dark_at_[data_centre] = r.now;
+      dark_at_[data_centre] = ctx.now;
     }
   }
   std::erase_if(dark_at_,
-                [&](const auto& entry) { return r.now - entry.second >= settings_.back_within; });
+                [&](const auto& entry) { return ctx.now - entry.second >= settings_.back_within; });
   for (const auto& [data_centre, at] : dark_at_) {
-    r.dark.insert(data_centre);
+    ctx.unreachable.insert(data_centre);
   }
 }
 
-void replica_keeper::note_engines(round& r) {
-  for (auto& [id, memory] : memory_) {
+void replica_keeper::note_engines(tick_context& ctx) {
+  for (auto& [id, local] : memory_) {
     // The order to load was probably lost, which leaves the engine unchanged.
-    if (!memory.load_for.empty() && r.now - memory.load_begun > settings_.load_timeout) {
-      memory.load_for = {};
+    if (!local.load_for.empty() && ctx.now - local.load_begun > settings_.load_timeout) {
+      local.load_for = {};
     }
   }
-  std::erase_if(memory_, [&](const auto& entry) { return r.fleet.find(entry.first) == nullptr; });
-  for (const auto& [id, view] : r.fleet.all()) {
-    if (view.record.service != r.service.id) {
+  std::erase_if(memory_, [&](const auto& entry) { return ctx.fleet.find(entry.first) == nullptr; });
+  for (const auto& [id, view] : ctx.fleet.all()) {
+    if (view.record.service != ctx.service.id) {
       continue;
     }
-    if (round::alive(&view)) {
-      ++r.engines_of[view.record.domain];
-      ++r.engines_in[view.record.data_centre];
+    if (tick_context::alive(&view)) {
+      ++ctx.engines_by_domain[view.record.domain];
+      ++ctx.engines_by_data_centre[view.record.data_centre];
     }
     if (view.record.member_of) {
       const membership& own = *view.record.member_of;
       last_epoch_ = std::max(last_epoch_, own.replica.epoch);
-      standing_replica& group = r.standing_all[own.replica];
+      standing_replica& group = ctx.standing_all[own.replica];
       group.key = own.replica;
       group.members.push_back(&view);
-      engine_memory& memory = memory_[id];
+      engine_memory& local = memory_[id];
       if (own.state != member_state::joining && !view.record.loaded.empty()) {
-        memory.ready_for = view.record.loaded;
-        if (memory.load_for == view.record.loaded) {
-          memory.load_for = {};
+        local.ready_for = view.record.loaded;
+        if (local.load_for == view.record.loaded) {
+          local.load_for = {};
         }
       }
-      r.dropped += view.listed || view.lost || is_spare_name(own.replica.name) ? 0 : 1;
-    } else if (engine_memory& memory = memory_[id];
-               memory.ready_for.empty() && memory.load_for.empty()) {
+      ctx.unlisted += view.listed || view.lost || is_spare_name(own.replica.name) ? 0 : 1;
+    } else if (engine_memory& local = memory_[id];
+               local.ready_for.empty() && local.load_for.empty()) {
       // This controller has not seen the engine in a replica, but another one has. The engine joins
       // a replica of its loaded model immediately or after 1 to 2 s of warm-up. Without this, it
       // would load the model a second time first.
-      memory.ready_for = view.record.loaded;
+      local.ready_for = view.record.loaded;
     }
   }
   std::erase_if(first_seen_,
-                [&](const auto& entry) { return !r.standing_all.contains(entry.first); });
-  for (const auto& [key, group] : r.standing_all) {
-    first_seen_.emplace(key, r.now);
+                [&](const auto& entry) { return !ctx.standing_all.contains(entry.first); });
+  for (const auto& [key, group] : ctx.standing_all) {
+    first_seen_.emplace(key, ctx.now);
     const bool own = std::any_of(group.members.begin(), group.members.end(),
-                                 [&](const target_view* v) { return r.is_own(*v); });
+                                 [&](const target_view* v) { return ctx.is_own(*v); });
     if (own) {
-      r.standing.emplace(key, group);
+      ctx.formed.emplace(key, group);
     }
   }
 }
 
-void replica_keeper::ask(round& r, const target_view& view) {
-  engine_memory& memory = memory_[view.record.id];
-  if (!memory.report_pending && r.now >= memory.ask_after) {
-    memory.report_pending = true;
-    r.out.emplace_back(report_question{view.record.id, view.record.address});
+void replica_keeper::request_report(tick_context& ctx, const target_view& view) {
+  engine_memory& local = memory_[view.record.id];
+  if (!local.report_pending && ctx.now >= local.ask_after) {
+    local.report_pending = true;
+    ctx.out.emplace_back(report_question{view.record.id, view.record.address});
   }
 }
 
 // Requests reports of engines whose count of orders is not current; only reports contain the count.
-void replica_keeper::ask_reports(round& r) {
-  for (const auto& [id, view] : r.fleet.all()) {
-    if (view.record.service != r.service.id || !r.is_own(view) || !round::alive(&view)) {
+void replica_keeper::ask_reports(tick_context& ctx) {
+  for (const auto& [id, view] : ctx.fleet.all()) {
+    if (view.record.service != ctx.service.id || !ctx.is_own(view) || !tick_context::alive(&view)) {
       continue;
     }
     if (!is_current(view, memory_[id])) {
-      ask(r, view);
+      request_report(ctx, view);
     }
   }
 }
 
 // Whether the count of orders belongs to the engine's membership in the fleet view.
-bool replica_keeper::is_current(const target_view& view, const engine_memory& memory) {
-  return memory.orders && memory.at_that_count == replica_of(view) && !view.doubted;
+bool replica_keeper::is_current(const target_view& view, const engine_memory& local) {
+  return local.orders && local.at_that_count == replica_of(view) && !view.doubted;
 }
 
-bool replica_keeper::may_order(round& r, const target_id& id) {
+bool replica_keeper::may_order(tick_context& ctx, const target_id& id) {
   const auto found = memory_.find(id);
-  const target_view* view = r.fleet.find(id);
+  const target_view* view = ctx.fleet.find(id);
   const bool fits = found != memory_.end() && view != nullptr && is_current(*view, found->second) &&
-                    !found->second.order_pending && r.now >= found->second.ask_after;
+                    !found->second.order_pending && ctx.now >= found->second.ask_after;
   // With a stale list, the engine may have restarted unnoticed and joined a replica of another
   // controller, and its new count may equal the old one by chance. It takes seconds from its start
   // until it serves, so a count that was confirmed more recently than that is safe.
-  if (fits && r.own.list_age > settings_.list_is_old &&
-      r.now - found->second.counted_at > settings_.count_good_for) {
-    ask(r, *view);
+  if (fits && ctx.own.list_age > settings_.list_is_old &&
+      ctx.now - found->second.counted_at > settings_.count_good_for) {
+    request_report(ctx, *view);
     return false;
   }
   return fits;
 }
 
-void replica_keeper::send(round& r, const target_view& to, order_action action,
+void replica_keeper::send(tick_context& ctx, const target_view& to, order_action action,
                           const replica_key& replica, std::string_view reason,
                           const model_id& model, const std::vector<target_id>& members) {
-  engine_memory& memory = memory_[to.record.id];
-  memory.order_pending = true;
-  r.out.emplace_back(replica_order{to.record.id, to.record.address, action, replica, model, members,
-                                   *memory.orders, reason});
+  engine_memory& local = memory_[to.record.id];
+  local.order_pending = true;
+  ctx.out.emplace_back(replica_order{to.record.id, to.record.address, action, replica, model,
+                                     members, *local.orders, reason});
 }
 
 std::optional<replica_key> replica_keeper::replica_of(const target_view& view) {
@@ -196,61 +196,63 @@
 
 // Whether no other node has used a member since it was chosen. Such a member would leave a serving
 // replica if it were ordered to join this one.
-bool replica_keeper::is_still_chosen(const round& r, const forming_replica& f) const {
+bool replica_keeper::is_still_chosen(const tick_context& ctx, const forming_replica& f) const {
   return std::all_of(f.members.begin(), f.members.end(), [&](const target_id& id) {
-    const auto in = replica_of(*r.fleet.find(id));
-    return in == f.key || (!f.told.contains(id) && in == f.chosen_from.at(id));
+    const auto in = replica_of(*ctx.fleet.find(id));
+    return in == f.key || (!f.ordered_members.contains(id) && in == f.chosen_from.at(id));
   });
 }
 
 // Advances the replicas that this node is forming: repeats the orders to members that have not
 // joined, and opens complete replicas.
-void replica_keeper::advance_forming(round& r) {
+void replica_keeper::advance_forming(tick_context& ctx) {
   for (forming_replica& f : forming_) {
-    bool whole = true;
-    bool any_gone = false;
+    bool complete = true;
+    bool member_unavailable = false;
     for (const target_id& id : f.members) {
-      const target_view* view = r.fleet.find(id);
-      if (!round::alive(view) || view->record.draining) {
-        any_gone = true;
+      const target_view* view = ctx.fleet.find(id);
+      if (!tick_context::alive(view) || view->record.draining) {
+        member_unavailable = true;
         break;
       }
     }
-    if (any_gone || r.now - f.begun > settings_.form_timeout || !is_still_chosen(r, f)) {
-      f.failed = true;
+    if (member_unavailable || ctx.now - f.started_at > settings_.form_timeout ||
+        !is_still_chosen(ctx, f)) {
+      f.finished = true;
       continue;
     }
     for (const target_id& id : f.members) {
-      const target_view& view = *r.fleet.find(id);
+      const target_view& view = *ctx.fleet.find(id);
       const auto& own = view.record.member_of;
       const bool joined = own && own->replica == f.key;
       const bool is_head = id == f.members.front();
       // Members join after their head, see mend_standing().
-      if (!joined && !f.told.contains(id) && (is_head || f.head_joined) && may_order(r, id)) {
-        send(r, view, order_action::join, f.key, "forms", f.model, f.members);
+      if (!joined && !f.ordered_members.contains(id) && (is_head || f.head_joined) &&
+          may_order(ctx, id)) {
+        send(ctx, view, order_action::join, f.key, "forms", f.model, f.members);
       }
-      whole = whole && joined && own->state != member_state::joining;
+      complete = complete && joined && own->state != member_state::joining;
     }
-    const target_view& head = *r.fleet.find(f.members.front());
-    if (whole && head.record.member_of->state == member_state::ready &&
-        may_order(r, head.record.id)) {
-      send(r, head, order_action::open, f.key, "whole");
+    const target_view& head = *ctx.fleet.find(f.members.front());
+    if (complete && head.record.member_of->state == member_state::ready &&
+        may_order(ctx, head.record.id)) {
+      send(ctx, head, order_action::open, f.key, "whole");
     }
-    if (whole && head.record.member_of->state == member_state::open) {
-      f.failed = true;  // formed: mend_standing() handles it from now on
+    if (complete && head.record.member_of->state == member_state::open) {
+      f.finished = true;  // formed: mend_standing() handles it from now on
     }
   }
-  std::erase_if(forming_, [](const forming_replica& f) { return f.failed; });
+  std::erase_if(forming_, [](const forming_replica& f) { return f.finished; });
   for (const forming_replica& f : forming_) {
-    r.taken.insert(f.members.begin(), f.members.end());
+    ctx.in_use.insert(f.members.begin(), f.members.end());
   }
 }
 
 // Checks all formed replicas, whichever node formed them, and opens or dissolves them as needed.
-void replica_keeper::mend_standing(round& r) {
+void replica_keeper::mend_standing(tick_context& ctx) {
   std::erase_if(closing_since_,
-                [&](const auto& entry) { return !r.standing_all.contains(entry.first); });
-  for (const auto& [key, group] : r.standing) {
+                [&](const auto& entry) { return !ctx.standing_all.contains(entry.first); });
+  for (const auto& [key, group] : ctx.formed) {
     if (is_spare_name(key.name)) {
       continue;
     }
@@ -259,72 +261,73 @@
     if (is_forming) {
       continue;
     }
-    const bool dark =
-        std::any_of(group.members.begin(), group.members.end(),
-                    [&](const target_view* m) { return r.dark.contains(m->record.data_centre); });
-    if (dark) {
+    const bool unreachable = std::any_of(
+        group.members.begin(), group.members.end(),
+        [&](const target_view* m) { return ctx.unreachable.contains(m->record.data_centre); });
+    if (unreachable) {
       for (const target_view* member : group.members) {
-        r.taken.insert(member->record.id);
+        ctx.in_use.insert(member->record.id);
       }
       continue;
     }
     const target_id head_id = head_of(key.name);
-    const target_view* head = r.fleet.find(head_id);
-    const bool head_in =
+    const target_view* head = ctx.fleet.find(head_id);
+    const bool head_is_inside =
         head != nullptr && head->record.member_of && head->record.member_of->replica == key;
     // Only the head's own answer counts here; its row may be older, see fleet_view.
-    const bool head_out = head != nullptr && head->told_replica != key;
-    if (head_out && !head_in && head->told_at > first_seen_.at(key)) {
-      r.left.insert(key);  // the head has left the replica, so its members are free
+    const bool head_is_outside = head != nullptr && head->told_replica != key;
+    if (head_is_outside && !head_is_inside && head->told_at > first_seen_.at(key)) {
+      ctx.vacated.insert(key);  // the head has left the replica, so its members are free
       continue;
     }
-    if (head != nullptr && !head_in && round::alive(head)) {
+    if (head != nullptr && !head_is_inside && tick_context::alive(head)) {
       // Members join after their head, so the head was in the replica before they reported it and
       // may have left since. Queries it before the members are reused.
-      ask(r, *head);
+      request_report(ctx, *head);
       for (const target_view* member : group.members) {
-        r.taken.insert(member->record.id);
+        ctx.in_use.insert(member->record.id);
       }
       continue;
     }
-    if (const std::string_view reason = why_apart(r, group, head); !reason.empty()) {
-      take_apart(r, group, reason);
+    if (const std::string_view reason = why_apart(ctx, group, head); !reason.empty()) {
+      take_apart(ctx, group, reason);
       continue;
     }
     if (spans_domains(group.members)) {
-      r.far.push_back(group);
+      ctx.cross_domain.push_back(group);
       if (const auto since = closing_since_.find(key); since != closing_since_.end()) {
-        take_apart(r, group, "a domain needs its members");
+        take_apart(ctx, group, "a fabric domain can use its members");
         continue;
       }
     }
     for (const target_view* member : group.members) {
-      r.taken.insert(member->record.id);
+      ctx.in_use.insert(member->record.id);
     }
     const bool all_ready = std::all_of(
         group.members.begin(), group.members.end(),
         [](const target_view* m) { return m->record.member_of->state != member_state::joining; });
     // The node that formed the replica stopped before it opened it.
-    if (all_ready && head->record.member_of->state == member_state::ready && r.is_own(*head) &&
-        may_order(r, head_id)) {
-      send(r, *head, order_action::open, key, "whole");
+    if (all_ready && head->record.member_of->state == member_state::ready && ctx.is_own(*head) &&
+        may_order(ctx, head_id)) {
+      send(ctx, *head, order_action::open, key, "whole");
     }
   }
 }
 
 // Returns why the replica has to be dissolved, or an empty text if it serves or will serve.
-std::string_view replica_keeper::why_apart(const round& r, const standing_replica& replica,
+std::string_view replica_keeper::why_apart(const tick_context& ctx, const standing_replica& replica,
                                            const target_view* head) const {
-  const bool head_in =
+  const bool head_is_inside =
       head != nullptr && head->record.member_of && head->record.member_of->replica == replica.key;
-  const model_shape* model = head_in ? r.engine.find_model(model_in(replica.key.name)) : nullptr;
+  const model_shape* model =
+      head_is_inside ? ctx.engine.find_model(model_in(replica.key.name)) : nullptr;
   if (model == nullptr) {
-    return head_in ? "its model is not configured" : "its head is gone";
+    return head_is_inside ? "its model is not configured" : "its head has left";
   }
   if (replica.members.size() != model->size) {
-    return "a member is in another replica or gone";
+    return "a member has left or is in another replica";
   }
-  std::size_t dropped = 0;
+  std::size_t unlisted = 0;
   std::vector<target_id> lives;
   for (const target_view* member : replica.members) {
     lives.push_back(member->record.id);
@@ -332,10 +335,10 @@
       return "a member is lost";
     }
     if (member->record.draining) {
-      return "a member leaves";
+      return "a member is draining";
     }
     // An unlisted member may only have lost its connection to the list, see serving_replicas().
-    dropped += member->listed ? 0 : 1;
+    unlisted += member->listed ? 0 : 1;
   }
   if (!head->listed) {
     return "its head is not listed";
@@ -346,47 +349,48 @@
   }
   const member_state state = head->record.member_of->state;
   if (state == member_state::broken || state == member_state::closing) {
-    return state == member_state::broken ? "its head gave up" : "its head closes";
+    return state == member_state::broken ? "its head is broken" : "its head is closing";
   }
-  const bool replaceable = dropped > 0 && r.dropped <= few_dropped;
-  return replaceable && has_spares(r, *head, *model, dropped) ? "spares replace an unlisted member"
-                                                              : "";
+  const bool replaceable = unlisted > 0 && ctx.unlisted <= few_dropped;
+  return replaceable && has_spares(ctx, *head, *model, unlisted)
+             ? "spares replace an unlisted member"
+             : "";
 }
 
 // Whether the head's domain has at least `required` spares that are ready for its model.
-bool replica_keeper::has_spares(const round& r, const target_view& head, const model_shape& model,
-                                std::size_t wanted) const {
+bool replica_keeper::has_spares(const tick_context& ctx, const target_view& head,
+                                const model_shape& model, std::size_t required) const {
   std::size_t count = 0;
-  for (const auto& [id, view] : r.fleet.all()) {
+  for (const auto& [id, view] : ctx.fleet.all()) {
     const auto& own = view.record.member_of;
     const bool spare = own && is_spare_name(own->replica.name) && own->state == member_state::ready;
-    const auto memory = memory_.find(id);
-    const bool ready = memory != memory_.end() && memory->second.ready_for == model.id;
+    const auto local = memory_.find(id);
+    const bool ready = local != memory_.end() && local->second.ready_for == model.id;
     const bool here = view.record.domain == head.record.domain;
-    count += spare && ready && here && round::alive(&view) && !view.record.draining ? 1 : 0;
+    count += spare && ready && here && tick_context::alive(&view) && !view.record.draining ? 1 : 0;
   }
-  return count >= wanted;
+  return count >= required;
 }
 
 // Removes the head first; the members stay in the replica until the head has left.
-void replica_keeper::take_apart(round& r, const standing_replica& replica,
+void replica_keeper::take_apart(tick_context& ctx, const standing_replica& replica,
                                 std::string_view reason) {
-  const target_view* head = r.fleet.find(head_of(replica.key.name));
-  const bool head_in =
+  const target_view* head = ctx.fleet.find(head_of(replica.key.name));
+  const bool head_is_inside =
       head != nullptr && head->record.member_of && head->record.member_of->replica == replica.key;
-  if (!head_in || !round::alive(head)) {
-    orphan(r, replica, reason);
+  if (!head_is_inside || !tick_context::alive(head)) {
+    orphan(ctx, replica, reason);
     return;
   }
   for (const target_view* member : replica.members) {
-    r.taken.insert(member->record.id);
+    ctx.in_use.insert(member->record.id);
   }
   const member_state state = head->record.member_of->state;
   const bool works = std::all_of(replica.members.begin(), replica.members.end(),
                                  [](const target_view* m) { return !m->lost; }) &&
                      (state == member_state::open || state == member_state::closing);
   // A draining member stays while the head has requests, so the head can finish them.
-  const model_shape* model = r.engine.find_model(model_in(replica.key.name));
+  const model_shape* model = ctx.engine.find_model(model_in(replica.key.name));
   // A cross-domain replica is slow: its requests finish sooner if they continue elsewhere.
   const bool graceful = works && model != nullptr && replica.members.size() == model->size &&
                         !spans_domains(replica.members);
@@ -394,46 +398,47 @@
   // reclaimed. Otherwise, while one controller forms a replica across data centres, the other one
   // would find it incomplete and order its head to leave.
   const bool reclaimed = closing_since_.contains(replica.key);
-  if (!r.is_own(*head) && !reclaimed) {
+  if (!ctx.is_own(*head) && !reclaimed) {
     return;
   }
-  const auto since = closing_since_.emplace(replica.key, r.now).first->second;
-  if (!may_order(r, head->record.id)) {
-    if (!r.is_own(*head)) {
-      ask(r, *head);
+  const auto since = closing_since_.emplace(replica.key, ctx.now).first->second;
+  if (!may_order(ctx, head->record.id)) {
+    if (!ctx.is_own(*head)) {
+      request_report(ctx, *head);
     }
     return;
   }
-  if (graceful && r.now - since < settings_.close_timeout) {
+  if (graceful && ctx.now - since < settings_.close_timeout) {
     if (state == member_state::open) {
-      send(r, *head, order_action::close, replica.key, reason);
+      send(ctx, *head, order_action::close, replica.key, reason);
     }
     return;
   }
-  send(r, *head, order_action::leave, replica.key, reason);
+  send(ctx, *head, order_action::leave, replica.key, reason);
 }
 
 // Orders the members of a replica whose head does not answer to leave. The head may still serve, if
 // only this node cannot reach it, and would go on using its members. So the members are reused only
 // after they were seen outside of the replica: an engine without a replica works for no head, and a
 // head without all members makes no progress.
-void replica_keeper::orphan(round& r, const standing_replica& replica, std::string_view reason) {
-  const target_view* head = r.fleet.find(head_of(replica.key.name));
+void replica_keeper::orphan(tick_context& ctx, const standing_replica& replica,
+                            std::string_view reason) {
+  const target_view* head = ctx.fleet.find(head_of(replica.key.name));
   // The controller of the head's data centre observes it more closely; possibly only this node has
   // lost it.
-  const bool judged_too_soon = head != nullptr && !r.is_own(*head) && head->listed &&
-                               r.now - head->lost_at < settings_.back_within;
+  const bool judged_too_soon = head != nullptr && !ctx.is_own(*head) && head->listed &&
+                               ctx.now - head->lost_at < settings_.back_within;
   if (judged_too_soon) {
     for (const target_view* member : replica.members) {
-      r.taken.insert(member->record.id);
+      ctx.in_use.insert(member->record.id);
     }
     return;
   }
   if (head != nullptr) {
-    if (may_order(r, head->record.id)) {
-      send(r, *head, order_action::leave, replica.key, reason);
+    if (may_order(ctx, head->record.id)) {
+      send(ctx, *head, order_action::leave, replica.key, reason);
     } else if (!is_current(*head, memory_[head->record.id])) {
-      ask(r, *head);
+      request_report(ctx, *head);
     }
   }
   for (const target_view* member : replica.members) {
@@ -441,23 +446,24 @@
     if (member == head) {
       continue;
     }
-    r.taken.insert(id);
-    if (round::alive(member) && r.is_own(*member) && may_order(r, id)) {
-      send(r, *member, order_action::leave, replica.key, reason);
+    ctx.in_use.insert(id);
+    if (tick_context::alive(member) && ctx.is_own(*member) && may_order(ctx, id)) {
+      send(ctx, *member, order_action::leave, replica.key, reason);
     }
   }
 }
 
 // Collects the engines that can join a new replica.
-void replica_keeper::find_free(round& r) {
-  for (const auto& [id, view] : r.fleet.all()) {
-    const bool usable = view.record.service == r.service.id && r.is_own(view) &&
-                        round::alive(&view) && !view.record.draining && !r.taken.contains(id) &&
-                        !r.dark.contains(view.record.data_centre);
+void replica_keeper::find_free(tick_context& ctx) {
+  for (const auto& [id, view] : ctx.fleet.all()) {
+    const bool usable = view.record.service == ctx.service.id && ctx.is_own(view) &&
+                        tick_context::alive(&view) && !view.record.draining &&
+                        !ctx.in_use.contains(id) &&
+                        !ctx.unreachable.contains(view.record.data_centre);
     if (!usable) {
       continue;
     }
-    r.free[view.record.domain].push_back(&view);
+    ctx.free[view.record.domain].push_back(&view);
   }
 }
 
--- a/src/process/replica_keeper.h
+++ b/src/process/replica_keeper.h
@@ -135,9 +135,9 @@
 
   struct duties {
     std::set<data_centre_id> data_centres;  // whose engines this node controls
-    std::size_t all_data_centres = 1;  // number that have engines and share the limit on loads
-    bool requests_seen = false;        // from the first request on, loads take their full time
-    duration list_age{};               // since the list of targets was last up to date
+    std::size_t all_data_centres = 1;       // number that have engines and share the limit on loads
+    bool requests_seen = false;             // from the first request on, loads take their full time
+    duration list_age{};                    // since the list of targets was last up to date
   };
 
   // Returns the orders and queries to send now for the engines of `service`. Call every few tens of
@@ -188,13 +188,13 @@
     replica_key key;
     model_id model;
     std::vector<target_id> members;
-    time_point begun;
+    time_point started_at;
     bool head_joined = false;  // the other members get their orders only after the head joined
-    std::set<target_id> told;  // members that carried out the order to join
+    std::set<target_id> ordered_members;  // members that carried out the order to join
     // Each member's replica when it was chosen. A member that has changed its replica since then
     // cannot be used.
     std::map<target_id, std::optional<replica_key>> chosen_from;
-    bool failed = false;  // formed or abandoned
+    bool finished = false;  // formed or abandoned
   };
   struct standing_replica {
     replica_key key;
@@ -202,60 +202,61 @@
   };
 
   struct domain_state;
-  struct round;  // state of one tick
+  struct tick_context;  // state of one tick
 
   void note_duties(const duties& own);
-  void note_dark(round& r);
-  void note_engines(round& r);
-  void ask(round& r, const target_view& view);
-  void ask_reports(round& r);
-  void advance_forming(round& r);
-  void mend_standing(round& r);
-  [[nodiscard]] bool has_spares(const round& r, const target_view& head, const model_shape& model,
-                                std::size_t wanted) const;
-  [[nodiscard]] std::string_view why_apart(const round& r, const standing_replica& replica,
+  void note_dark(tick_context& ctx);
+  void note_engines(tick_context& ctx);
+  void request_report(tick_context& ctx, const target_view& view);
+  void ask_reports(tick_context& ctx);
+  void advance_forming(tick_context& ctx);
+  void mend_standing(tick_context& ctx);
+  [[nodiscard]] bool has_spares(const tick_context& ctx, const target_view& head,
+                                const model_shape& model, std::size_t required) const;
+  [[nodiscard]] std::string_view why_apart(const tick_context& ctx, const standing_replica& replica,
                                            const target_view* head) const;
-  void take_apart(round& r, const standing_replica& replica, std::string_view reason);
-  void orphan(round& r, const standing_replica& replica, std::string_view reason);
-  void find_free(round& r);
-  void form(round& r);
-  void form_in(round& r, const fabric_domain_id& domain, const model_shape& model);
-  void form_across(round& r, const model_shape& model);
-  void form_across_data_centres(round& r, const model_shape& model);
-  [[nodiscard]] std::vector<const target_view*> free_in(const round& r,
+  void take_apart(tick_context& ctx, const standing_replica& replica, std::string_view reason);
+  void orphan(tick_context& ctx, const standing_replica& replica, std::string_view reason);
+  void find_free(tick_context& ctx);
+  void form(tick_context& ctx);
+  void form_in(tick_context& ctx, const fabric_domain_id& domain, const model_shape& model);
+  void form_across(tick_context& ctx, const model_shape& model);
+  void form_across_data_centres(tick_context& ctx, const model_shape& model);
+  [[nodiscard]] std::vector<const target_view*> free_in(const tick_context& ctx,
                                                         const data_centre_id& data_centre,
                                                         const model_shape& model) const;
-  [[nodiscard]] std::vector<const target_view*> free_elsewhere(const round& r,
+  [[nodiscard]] std::vector<const target_view*> free_elsewhere(const tick_context& ctx,
                                                                const model_shape& model) const;
   [[nodiscard]] static bool has_most(const std::vector<const target_view*>& own,
                                      const std::vector<const target_view*>& others);
-  void begin_forming(round& r, const model_shape& model,
+  void begin_forming(tick_context& ctx, const model_shape& model,
                      const std::vector<const target_view*>& members);
-  void reclaim(round& r, const fabric_domain_id& domain, const model_shape& model,
+  void reclaim(tick_context& ctx, const fabric_domain_id& domain, const model_shape& model,
                std::size_t ready);
   [[nodiscard]] std::vector<const target_view*> ready_engines(
       const std::vector<const target_view*>& free, const model_shape& model) const;
-  void survey(round& r);
-  void note_shortages(const round& r);
-  void prepare(round& r);
-  void load(round& r, const target_view& view, std::size_t model);
-  [[nodiscard]] bool is_loading(const target_view& view, const engine_memory& memory) const;
-  [[nodiscard]] static bool completes_with_surplus(const round& r, const domain_state& domain,
-                                                   std::size_t from, std::size_t to);
-  [[nodiscard]] std::optional<double> gain_of_load(const round& r, const target_view& view,
+  void survey(tick_context& ctx);
+  void note_shortages(const tick_context& ctx);
+  void assign_models(tick_context& ctx);
+  void start_loading(tick_context& ctx, const target_view& view, std::size_t model);
+  [[nodiscard]] bool is_loading(const target_view& view, const engine_memory& local) const;
+  [[nodiscard]] static bool completes_with_surplus(const tick_context& ctx,
+                                                   const domain_state& domain, std::size_t from,
+                                                   std::size_t to);
+  [[nodiscard]] std::optional<double> gain_of_load(const tick_context& ctx, const target_view& view,
                                                    std::size_t model) const;
-  void send(round& r, const target_view& to, order_action action, const replica_key& replica,
-            std::string_view reason, const model_id& model = {},
+  void send(tick_context& ctx, const target_view& to, order_action action,
+            const replica_key& replica, std::string_view reason, const model_id& model = {},
             const std::vector<target_id>& members = {});
-  [[nodiscard]] bool may_order(round& r, const target_id& id);
-  [[nodiscard]] model_id model_for(const target_view& view, const engine_memory& memory) const;
+  [[nodiscard]] bool may_order(tick_context& ctx, const target_id& id);
+  [[nodiscard]] model_id model_for(const target_view& view, const engine_memory& local) const;
   [[nodiscard]] std::uint64_t next_epoch() { return ++last_epoch_; }
   [[nodiscard]] static std::optional<replica_key> replica_of(const target_view& view);
-  [[nodiscard]] bool is_still_chosen(const round& r, const forming_replica& f) const;
-  [[nodiscard]] static bool is_current(const target_view& view, const engine_memory& memory);
-  void obeyed(time_point now, fleet_view& fleet, engine_memory& memory, const replica_order& order,
-              order_outcome outcome);
-  void give_up(const replica_key& key);
+  [[nodiscard]] bool is_still_chosen(const tick_context& ctx, const forming_replica& f) const;
+  [[nodiscard]] static bool is_current(const target_view& view, const engine_memory& local);
+  void on_order_obeyed(time_point now, fleet_view& fleet, engine_memory& local,
+                       const replica_order& order, order_outcome outcome);
+  void abandon_forming(const replica_key& key);
   void note_joined(const replica_order& order);
 
   keeper_settings settings_;
--- a/src/process/replica_keeper_form.cpp
+++ b/src/process/replica_keeper_form.cpp
@@ -6,18 +6,18 @@
 
 namespace arbutus {
 
-void replica_keeper::form(round& r) {
+void replica_keeper::form(tick_context& ctx) {
   std::vector<fabric_domain_id> domains;
-  for (const auto& entry : r.free) {
+  for (const auto& entry : ctx.free) {
     domains.push_back(entry.first);
   }
   // The model with the fewest replicas relative to its work comes first.
   std::vector<const model_shape*> models;
-  for (const model_shape& model : r.engine.models) {
+  for (const model_shape& model : ctx.engine.models) {
     models.push_back(&model);
   }
   std::map<model_id, double> replicas;
-  for (const auto& [key, group] : r.standing_all) {
+  for (const auto& [key, group] : ctx.standing_all) {
     if (!is_spare_name(key.name)) {
       replicas[model_in(key.name)] += 1;
     }
@@ -28,16 +28,16 @@
   });
   for (const fabric_domain_id& domain : domains) {
     for (const model_shape* model : models) {
-      form_in(r, domain, *model);
+      form_in(ctx, domain, *model);
     }
   }
   // At a cold start, ready engines wait for the engines of their domain that are still loading.
   for (const model_shape* model : models) {
-    const bool fits = std::any_of(r.engines_of.begin(), r.engines_of.end(),
+    const bool fits = std::any_of(ctx.engines_by_domain.begin(), ctx.engines_by_domain.end(),
                                   [&](const auto& e) { return e.second >= model->size; });
-    if (!fits || !cold_start_ || r.own.requests_seen) {
-      form_across(r, *model);
-      form_across_data_centres(r, *model);
+    if (!fits || !cold_start_ || ctx.own.requests_seen) {
+      form_across(ctx, *model);
+      form_across_data_centres(ctx, *model);
     }
   }
 }
@@ -47,67 +47,68 @@
     const std::vector<const target_view*>& free, const model_shape& model) const {
   std::vector<const target_view*> ready;
   for (const target_view* view : free) {
-    const engine_memory& memory = memory_.at(view->record.id);
+    const engine_memory& local = memory_.at(view->record.id);
     const auto& own = view->record.member_of;
     const bool loading = own && own->state == member_state::joining;
-    if (memory.ready_for == model.id && !loading && memory.load_for.empty() &&
-        is_current(*view, memory) && !memory.order_pending) {
+    if (local.ready_for == model.id && !loading && local.load_for.empty() &&
+        is_current(*view, local) && !local.order_pending) {
       ready.push_back(view);
     }
   }
   return ready;
 }
 
-void replica_keeper::form_in(round& r, const fabric_domain_id& domain, const model_shape& model) {
-  auto& free = r.free[domain];
+void replica_keeper::form_in(tick_context& ctx, const fabric_domain_id& domain,
+                             const model_shape& model) {
+  auto& free = ctx.free[domain];
   for (;;) {
     std::vector<const target_view*> ready = ready_engines(free, model);
     if (ready.size() < model.size) {
-      reclaim(r, domain, model, ready.size());
+      reclaim(ctx, domain, model, ready.size());
       return;
     }
     ready.resize(model.size);
-    begin_forming(r, model, ready);
+    begin_forming(ctx, model, ready);
   }
 }
 
-void replica_keeper::begin_forming(round& r, const model_shape& model,
+void replica_keeper::begin_forming(tick_context& ctx, const model_shape& model,
                                    const std::vector<const target_view*>& members) {
   forming_replica f;
   f.model = model.id;
-  f.begun = r.now;
+  f.started_at = ctx.now;
   for (const target_view* view : members) {
     f.members.push_back(view->record.id);
     f.chosen_from.emplace(view->record.id, replica_of(*view));
   }
   f.key = {replica_name(model.id, origin_, f.members), next_epoch()};
-  if (may_order(r, f.members.front())) {
-    send(r, *members.front(), order_action::join, f.key, "forms", f.model, f.members);
+  if (may_order(ctx, f.members.front())) {
+    send(ctx, *members.front(), order_action::join, f.key, "forms", f.model, f.members);
   }
-  r.taken.insert(f.members.begin(), f.members.end());
-  for (auto& [domain, free] : r.free) {
-    std::erase_if(free, [&](const target_view* v) { return r.taken.contains(v->record.id); });
+  ctx.in_use.insert(f.members.begin(), f.members.end());
+  for (auto& [domain, free] : ctx.free) {
+    std::erase_if(free, [&](const target_view* v) { return ctx.in_use.contains(v->record.id); });
   }
   forming_.push_back(std::move(f));
 }
 
 // Forms a replica of engines that remain in several domains of a data centre. It is slow, but its
 // callers are served late rather than refused.
-void replica_keeper::form_across(round& r, const model_shape& model) {
-  for (const data_centre_id& data_centre : r.own.data_centres) {
-    std::vector<const target_view*> ready = free_in(r, data_centre, model);
+void replica_keeper::form_across(tick_context& ctx, const model_shape& model) {
+  for (const data_centre_id& data_centre : ctx.own.data_centres) {
+    std::vector<const target_view*> ready = free_in(ctx, data_centre, model);
     if (ready.size() >= model.size) {
       ready.resize(model.size);
-      begin_forming(r, model, ready);
+      begin_forming(ctx, model, ready);
     }
   }
 }
 
-std::vector<const target_view*> replica_keeper::free_in(const round& r,
+std::vector<const target_view*> replica_keeper::free_in(const tick_context& ctx,
                                                         const data_centre_id& data_centre,
                                                         const model_shape& model) const {
   std::vector<const target_view*> ready;
-  for (const auto& [domain, free] : r.free) {
+  for (const auto& [domain, free] : ctx.free) {
     for (const target_view* view : ready_engines(free, model)) {
       if (view->record.data_centre == data_centre) {
         ready.push_back(view);
@@ -120,20 +121,21 @@
 // Engines in data centres of other controllers that are ready for the model and, as far as this
 // node knows, in no replica. Their own controller may use them simultaneously: then the count in
 // one of the orders does not match, and the replica of that order is abandoned.
-std::vector<const target_view*> replica_keeper::free_elsewhere(const round& r,
+std::vector<const target_view*> replica_keeper::free_elsewhere(const tick_context& ctx,
                                                                const model_shape& model) const {
   std::map<data_centre_id, std::vector<const target_view*>> by_data_centre;
-  for (const auto& [id, view] : r.fleet.all()) {
-    const bool usable = view.record.service == r.service.id && !r.is_own(view) &&
-                        round::alive(&view) && !view.record.draining && !r.taken.contains(id) &&
-                        !r.dark.contains(view.record.data_centre);
-    const auto memory = memory_.find(id);
-    if (!usable || memory == memory_.end() || memory->second.ready_for != model.id) {
+  for (const auto& [id, view] : ctx.fleet.all()) {
+    const bool usable = view.record.service == ctx.service.id && !ctx.is_own(view) &&
+                        tick_context::alive(&view) && !view.record.draining &&
+                        !ctx.in_use.contains(id) &&
+                        !ctx.unreachable.contains(view.record.data_centre);
+    const auto local = memory_.find(id);
+    if (!usable || local == memory_.end() || local->second.ready_for != model.id) {
       continue;
     }
     const auto& own = view.record.member_of;
     const bool spare = own && is_spare_name(own->replica.name) && own->state == member_state::ready;
-    if (!own || spare || r.left.contains(own->replica)) {
+    if (!own || spare || ctx.vacated.contains(own->replica)) {
       by_data_centre[view.record.data_centre].push_back(&view);
     }
   }
@@ -152,34 +154,35 @@
 // work. The controller of the data centre with the most free engines of the model uses those of
 // other data centres as well. The head is one of its own engines, because only the controller of
 // the head opens and dissolves the replica.
-void replica_keeper::form_across_data_centres(round& r, const model_shape& model) {
+void replica_keeper::form_across_data_centres(tick_context& ctx, const model_shape& model) {
   // Records of a replica whose members have ended remain for a while, so all members are checked.
-  const auto near = [&](const standing_replica& replica) {
+  const auto is_local = [&](const standing_replica& replica) {
     return model_in(replica.key.name) == model.id && !is_spare_name(replica.key.name) &&
            replica.members.size() == model.size &&
            std::all_of(replica.members.begin(), replica.members.end(), [&](const target_view* m) {
-             return round::alive(m) &&
+             return tick_context::alive(m) &&
                     m->record.data_centre == replica.members.front()->record.data_centre;
            });
   };
-  const bool has_near = std::any_of(r.standing_all.begin(), r.standing_all.end(),
-                                    [&](const auto& entry) { return near(entry.second); });
-  if (has_near) {
+  const bool has_local = std::any_of(ctx.standing_all.begin(), ctx.standing_all.end(),
+                                     [&](const auto& entry) { return is_local(entry.second); });
+  if (has_local) {
     no_near_since_.erase(model.id);
     return;
   }
-  const time_point since = no_near_since_.emplace(model.id, r.now).first->second;
-  const bool hopeless = std::all_of(r.engines_in.begin(), r.engines_in.end(),
-                                    [&](const auto& e) { return e.second < model.size; });
-  if (!hopeless && r.now - since < settings_.across_after) {
+  const time_point since = no_near_since_.emplace(model.id, ctx.now).first->second;
+  const bool too_small_everywhere =
+      std::all_of(ctx.engines_by_data_centre.begin(), ctx.engines_by_data_centre.end(),
+                  [&](const auto& e) { return e.second < model.size; });
+  if (!too_small_everywhere && ctx.now - since < settings_.across_after) {
     return;
   }
   std::vector<const target_view*> own;
-  for (const data_centre_id& data_centre : r.own.data_centres) {
-    const auto ready = free_in(r, data_centre, model);
+  for (const data_centre_id& data_centre : ctx.own.data_centres) {
+    const auto ready = free_in(ctx, data_centre, model);
     own.insert(own.end(), ready.begin(), ready.end());
   }
-  const std::vector<const target_view*> others = free_elsewhere(r, model);
+  const std::vector<const target_view*> others = free_elsewhere(ctx, model);
   if (own.empty() || own.size() + others.size() < model.size || !has_most(own, others)) {
     return;
   }
@@ -188,12 +191,12 @@
     if (is_current(*view, memory_.at(view->record.id))) {
       members.push_back(view);
     } else {
-      ask(r, *view);
+      request_report(ctx, *view);
     }
   }
   if (members.size() >= model.size) {
     members.resize(model.size);
-    begin_forming(r, model, members);
+    begin_forming(ctx, model, members);
   }
 }
 
@@ -212,19 +215,19 @@
 }
 
 // Dissolves a cross-domain replica if the domain could form a replica with its members.
-void replica_keeper::reclaim(round& r, const fabric_domain_id& domain, const model_shape& model,
-                             std::size_t ready) {
+void replica_keeper::reclaim(tick_context& ctx, const fabric_domain_id& domain,
+                             const model_shape& model, std::size_t ready) {
   if (ready == 0) {
     return;
   }
-  for (const standing_replica& far : r.far) {
+  for (const standing_replica& cross_domain : ctx.cross_domain) {
     const auto here =
-        std::count_if(far.members.begin(), far.members.end(),
+        std::count_if(cross_domain.members.begin(), cross_domain.members.end(),
                       [&](const target_view* member) { return member->record.domain == domain; });
-    const bool fits =
-        model_in(far.key.name) == model.id && ready + static_cast<std::size_t>(here) >= model.size;
-    if (fits && !closing_since_.contains(far.key)) {
-      closing_since_.emplace(far.key, r.now);
+    const bool fits = model_in(cross_domain.key.name) == model.id &&
+                      ready + static_cast<std::size_t>(here) >= model.size;
+    if (fits && !closing_since_.contains(cross_domain.key)) {
+      closing_since_.emplace(cross_domain.key, ctx.now);
       return;
     }
   }
--- a/src/process/replica_keeper_round.h
+++ b/src/process/replica_keeper_round.h
@@ -18,7 +18,7 @@
 };
 
 // Inputs, intermediate results and effects of one tick.
-struct replica_keeper::round {
+struct replica_keeper::tick_context {
   time_point now;
   const fleet_view& fleet;
   const service_shape& service;
@@ -26,19 +26,19 @@
   const duties& own;
   keeper_effects out = {};
   // Replicas with members in this node's data centres.
-  std::map<replica_key, standing_replica> standing = {};
+  std::map<replica_key, standing_replica> formed = {};
   std::map<replica_key, standing_replica> standing_all = {};  // in all data centres
-  std::set<data_centre_id> dark = {};      // unreachable, their engines get no orders
-  std::set<target_id> taken = {};          // members of a replica that is formed or being formed
-  std::vector<standing_replica> far = {};  // complete replicas that span domains
-  std::set<replica_key> left = {};  // replicas whose head was seen outside, so members are free
+  std::set<data_centre_id> unreachable = {};  // data centres whose engines get no orders
+  std::set<target_id> in_use = {};            // members of a replica that is formed or being formed
+  std::vector<standing_replica> cross_domain = {};  // complete replicas that span domains
+  std::set<replica_key> vacated = {};  // replicas whose head was seen outside, so members are free
   // Engines that can be used for a new replica, by domain.
   std::map<fabric_domain_id, std::vector<const target_view*>> free = {};
   std::map<fabric_domain_id, domain_state> domains = {};  // in all data centres
   // Number of reachable engines of the service in all data centres.
-  std::map<fabric_domain_id, std::size_t> engines_of = {};
-  std::map<data_centre_id, std::size_t> engines_in = {};
-  std::size_t dropped = 0;  // unlisted members of replicas, without spares, that are not lost
+  std::map<fabric_domain_id, std::size_t> engines_by_domain = {};
+  std::map<data_centre_id, std::size_t> engines_by_data_centre = {};
+  std::size_t unlisted = 0;  // unlisted members of replicas, without spares, that are not lost
   // Engines that load a model from the weight store: all, and those of this node's data centres.
   std::size_t loading = 0;
   std::size_t loading_own = 0;
--- a/src/process/serving_feed.cpp
+++ b/src/process/serving_feed.cpp
@@ -31,7 +31,7 @@
 }
 
 // The members with the head first, then by domain, so that each domain is encoded only once.
-std::vector<target_record> in_order(const serving_replica& replica, const fleet_view& fleet) {
+std::vector<target_record> sorted_members(const serving_replica& replica, const fleet_view& fleet) {
   std::vector<target_record> members;
   for (const target_id& id : replica.members) {
     members.push_back(fleet.find(id)->record);
@@ -85,11 +85,11 @@
     serving_entry entry;
     entry.pace = document.at(6).get<double>() / pace_unit;
     for (const json& domain : document.at(7)) {
-      for (const json& told : domain.at(1)) {
+      for (const json& member_document : domain.at(1)) {
         target_record member = common;
         member.domain = fabric_domain_id{domain.at(0).get<std::string>()};
-        member.id = target_id{told.at(0).get<std::string>()};
-        const auto address = parse_endpoint(told.at(1).get<std::string>());
+        member.id = target_id{member_document.at(0).get<std::string>()};
+        const auto address = parse_endpoint(member_document.at(1).get<std::string>());
         if (!address) {
           return std::nullopt;
         }
@@ -135,8 +135,8 @@
     }
     for (const model_shape& model : service.engine->models) {
       for (const serving_replica& replica :
-           serving_replicas(fleet, service.id, model.id, model.size, lost_targets::kept)) {
-        entries[replica.head.str()] = {in_order(replica, fleet), replica.pace};
+           serving_replicas(fleet, service.id, model.id, model.size, lost_target_policy::include)) {
+        entries[replica.head.str()] = {sorted_members(replica, fleet), replica.pace};
       }
     }
   }
--- a/src/process/serving_feed.h
+++ b/src/process/serving_feed.h
@@ -4,9 +4,9 @@
 // Only the nodes that control replicas, or are next in line to do so, need the record of every
 // target. The cost of sending all records to all nodes grows with targets x nodes: with 300 nodes
 // and 3,000 engines, each change of an engine goes to the 100 nodes of a data centre, 430 bytes
-// each. While replicas form, that saturates the hub's link, so that nodes still use draining targets
-// and liveness proofs arrive too late. The row of a replica has about 40 bytes per member and
-// changes only with the replica.
+// each. While replicas form, that saturates the hub's link, so that nodes still use draining
+// targets and liveness proofs arrive too late. The row of a replica has about 40 bytes per member
+// and changes only with the replica.
 #pragma once
 
 #include <cstdint>
@@ -36,9 +36,9 @@
 // Returns nothing if the bytes are damaged.
 [[nodiscard]] std::optional<serving_entry> decode_serving_entry(std::string_view bytes);
 
-// The sending side, on the hub: maintains the rows from the target records that the hub watches. The
-// key of a row is the head or the instance. Versions and positions count the changes observed by
-// this incarnation of the hub.
+// The sending side, on the hub: maintains the rows from the target records that the hub watches.
+// The key of a row is the head or the instance. Versions and positions count the changes observed
+// by this incarnation of the hub.
 class serving_feed {
  public:
   // Updates the rows; does nothing if neither records nor services have changed.
@@ -75,8 +75,8 @@
     bool operator==(const position&) const = default;
   };
 
-  // Applies rows that describe the state at `asked` or later. Returns false and ignores them if they
-  // do not continue from this node's position.
+  // Applies rows that describe the state at `asked` or later. Returns false and ignores them if
+  // they do not continue from this node's position.
   bool take(time_point asked, const std::string& life, std::uint64_t after, bool whole,
             std::uint64_t at, const std::vector<feed_row>& rows, fleet_view& fleet);
 
--- a/tests/core/serving_feed_test.cpp
+++ b/tests/core/serving_feed_test.cpp
@@ -65,7 +65,7 @@
   serving_follower follower = {};
 
   // Sends a heartbeat from the hub to the node; returns the bytes of its rows.
-  std::size_t pass_on() {
+  std::size_t send_heartbeat() {
     feed.update(known_to_hub, services(size));
     const std::uint64_t after = follower.at().life == "hub" ? follower.at().at : 0;
     const auto rows = feed.rows().since(after);
@@ -80,14 +80,14 @@
   [[nodiscard]] std::vector<serving_replica> at_hub() const {
     return serving_replicas(known_to_hub, llm, large, size);
   }
-  [[nodiscard]] std::vector<serving_replica> at_node() const {
+  [[nodiscard]] std::vector<serving_replica> follower_replicas() const {
     return serving_replicas(known_to_node, llm, large, size);
   }
 };
 
 void expect_same(const hub_and_node& both) {
   const auto hub = both.at_hub();
-  const auto node = both.at_node();
+  const auto node = both.follower_replicas();
   ASSERT_EQ(hub.size(), node.size());
   for (std::size_t i = 0; i < hub.size(); ++i) {
     EXPECT_EQ(hub[i].key, node[i].key);
@@ -105,11 +105,11 @@
   add_replica(both.known_to_hub, 20, 12, 8);    // spans two domains
   both.known_to_hub.listed(start, engine(70));  // a spare
   both.known_to_hub.set_pace(engine(3).id, 1.5);
-  both.pass_on();
+  both.send_heartbeat();
   expect_same(both);
   EXPECT_EQ(both.known_to_node.find(engine(70).id), nullptr);
   // Without changes nothing is sent.
-  EXPECT_EQ(both.pass_on(), 0U);
+  EXPECT_EQ(both.send_heartbeat(), 0U);
 }
 
 TEST(ServingFeed, InstancesOfPlainServicesAreAmongTheRows) {
@@ -118,14 +118,14 @@
   instance.service = tablets;
   instance.slots = 6;
   both.known_to_hub.listed(start, instance);
-  both.pass_on();
+  both.send_heartbeat();
   const target_view* known = both.known_to_node.find(instance.id);
   ASSERT_NE(known, nullptr);
   EXPECT_EQ(known->record.service, tablets);
   EXPECT_EQ(known->record.slots, 6U);
   instance.draining = true;
   both.known_to_hub.listed(start, instance);
-  both.pass_on();
+  both.send_heartbeat();
   EXPECT_FALSE(both.known_to_node.find(instance.id)->listed);
 }
 
@@ -134,13 +134,13 @@
   // remove the row that the node already has.
   hub_and_node both{4};
   add_replica(both.known_to_hub, 0, 4, 1);
-  both.pass_on();
-  ASSERT_EQ(both.at_node().size(), 1U);
+  both.send_heartbeat();
+  ASSERT_EQ(both.follower_replicas().size(), 1U);
   target_record leaving = both.known_to_hub.find(engine(2).id)->record;
   leaving.draining = true;
   both.known_to_hub.listed(start + 1s, leaving);
-  both.pass_on();
-  EXPECT_TRUE(both.at_node().empty());
+  both.send_heartbeat();
+  EXPECT_TRUE(both.follower_replicas().empty());
 }
 
 TEST(ServingFeed, AMemberThatMovedBelongsToItsNewReplica) {
@@ -150,8 +150,8 @@
   hub_and_node both{4};
   add_replica(both.known_to_hub, 0, 4, 1);
   add_replica(both.known_to_hub, 10, 4, 2);
-  both.pass_on();
-  ASSERT_EQ(both.at_node().size(), 2U);
+  both.send_heartbeat();
+  ASSERT_EQ(both.follower_replicas().size(), 2U);
   // Engine 10 ends; 11 to 13 join a replica with engine 5 as its head, which sorts before them.
   both.known_to_hub.unlisted(start + 1s, engine(10).id);
   std::vector<target_id> members = {engine(5).id, engine(11).id, engine(12).id, engine(13).id};
@@ -163,8 +163,8 @@
                                   head ? member_state::open : member_state::ready};
     both.known_to_hub.listed(start + 1s, record);
   }
-  both.pass_on();
-  EXPECT_EQ(both.at_node().size(), 2U);
+  both.send_heartbeat();
+  EXPECT_EQ(both.follower_replicas().size(), 2U);
   expect_same(both);
 }
 
@@ -179,8 +179,8 @@
       both.known_to_hub.probe_failed(start, engine(n).id);
     }
   }
-  both.pass_on();
-  EXPECT_EQ(both.at_node().size(), 2U);
+  both.send_heartbeat();
+  EXPECT_EQ(both.follower_replicas().size(), 2U);
   // The hub reports one suspect per replica.
   const std::set<target_id> lost = {engine(1).id, engine(2).id, engine(11).id};
   EXPECT_EQ(both.feed.first_of_each(lost), (std::vector<target_id>{engine(1).id, engine(11).id}));
@@ -191,7 +191,7 @@
   // changes from zero, and the node's old position happens to be valid in the new incarnation.
   hub_and_node both{4};
   add_replica(both.known_to_hub, 0, 4, 1);
-  both.pass_on();
+  both.send_heartbeat();
   serving_feed other;
   fleet_view seen_by_other;
   add_replica(seen_by_other, 40, 4, 9);
@@ -200,8 +200,8 @@
                                   other.rows().position(), {}, both.known_to_node));
   EXPECT_TRUE(both.follower.take(start, "other", 0, true, other.rows().position(),
                                  other.rows().since(0), both.known_to_node));
-  ASSERT_EQ(both.at_node().size(), 1U);
-  EXPECT_EQ(both.at_node()[0].head, engine(40).id);
+  ASSERT_EQ(both.follower_replicas().size(), 1U);
+  EXPECT_EQ(both.follower_replicas()[0].head, engine(40).id);
 }
 
 TEST(ServingFeed, RowsOfAnOlderBeatChangeNothing) {
@@ -212,10 +212,10 @@
   const std::uint64_t first_at = both.feed.rows().position();
   both.known_to_hub.unlisted(start, engine(0).id);
   add_replica(both.known_to_hub, 10, 4, 2);
-  both.pass_on();
+  both.send_heartbeat();
   EXPECT_TRUE(both.follower.take(start, "hub", 0, true, first_at, first, both.known_to_node));
-  ASSERT_EQ(both.at_node().size(), 1U);
-  EXPECT_EQ(both.at_node()[0].head, engine(10).id);
+  ASSERT_EQ(both.follower_replicas().size(), 1U);
+  EXPECT_EQ(both.follower_replicas()[0].head, engine(10).id);
 }
 
 TEST(ServingFeed, DamagedRowsNameNoTarget) {
@@ -239,8 +239,8 @@
   for (int r = 0; r < replicas; ++r) {
     add_replica(both.known_to_hub, r * static_cast<int>(size), size, 1);
   }
-  const std::size_t whole = both.pass_on();
-  EXPECT_EQ(both.at_node().size(), static_cast<std::size_t>(replicas));
+  const std::size_t whole = both.send_heartbeat();
+  EXPECT_EQ(both.follower_replicas().size(), static_cast<std::size_t>(replicas));
   // All nodes get all rows within a second.
   list_budget budget(200);
   std::size_t served = 0;
@@ -256,9 +256,9 @@
   for (int second = 0; second < 10; ++second) {
     const int first = second * static_cast<int>(size);
     both.known_to_hub.unlisted(start, engine(first).id);
-    changes += both.pass_on();
+    changes += both.send_heartbeat();
     add_replica(both.known_to_hub, first, size, 2);
-    changes += both.pass_on();
+    changes += both.send_heartbeat();
   }
   constexpr std::size_t control_bytes_per_s = 7'000;
   EXPECT_LE(changes / 10, control_bytes_per_s / 10);
--- a/tests/shell/far_replica_test.cpp
+++ b/tests/shell/far_replica_test.cpp
@@ -6,8 +6,8 @@
 namespace arbutus::testing_support {
 namespace {
 
-constexpr std::size_t halls = 5;
-constexpr int engines_of_hall = 13;
+constexpr std::size_t data_centre_count = 5;
+constexpr int engines_per_data_centre = 13;
 constexpr std::uint32_t large_size = 16;
 
 // A service with a model that is too large for any data centre, and a small model.
@@ -21,11 +21,11 @@
 
 class five_halls : public keeper_world {
  public:
-  explicit five_halls(std::uint64_t seed) : keeper_world(seed, halls, one_too_large()) {
-    for (std::size_t i = 0; i < halls; ++i) {
-      const std::string hall(1, static_cast<char>('a' + i));
-      add_domain("d-" + hall, engines_of_hall, hall);
-      keep(i, hall);
+  explicit five_halls(std::uint64_t seed) : keeper_world(seed, data_centre_count, one_too_large()) {
+    for (std::size_t i = 0; i < data_centre_count; ++i) {
+      const std::string data_centre(1, static_cast<char>('a' + i));
+      add_domain("d-" + data_centre, engines_per_data_centre, data_centre);
+      assign_data_centre(i, data_centre);
     }
   }
 };
@@ -33,83 +33,84 @@
 TEST(FarReplica, AModelThatNoDataCentreCanHoldIsServed) {
   // Five data centres of 13 engines each and a model of size 16: without replicas across data
   // centres, all requests for the model are refused although 65 engines work.
-  five_halls world(1);
+  five_halls sim(1);
   EXPECT_TRUE(
-      world.run_until([&] { return world.serving(large) >= 1 && world.serving(small) >= 4; }, 40s));
+      sim.run_until([&] { return sim.serving(large) >= 1 && sim.serving(small) >= 4; }, 40s));
 }
 
 TEST(FarReplica, IsFormedAgainAfterTheLossOfAMember) {
-  five_halls world(2);
-  ASSERT_TRUE(world.run_until([&] { return world.serving(large) >= 1; }, 40s));
-  world.run(10s);
-  world.requests_begin();
-  const std::size_t before = world.serving(large);
+  five_halls sim(2);
+  ASSERT_TRUE(sim.run_until([&] { return sim.serving(large) >= 1; }, 40s));
+  sim.run(10s);
+  sim.requests_begin();
+  const std::size_t before = sim.serving(large);
   ASSERT_GE(before, 1U);
-  world.kill(world.engine(world.head(large)).members().back());
-  world.run(100ms);
-  EXPECT_LT(world.serving(large), before);
-  // It takes 3.6 s until the list drops the engine and 1 s to dissolve the replica and form it again.
-  EXPECT_TRUE(world.run_until([&] { return world.serving(large) >= before; }, 6s));
+  sim.kill(sim.engine(sim.head(large)).members().back());
+  sim.run(100ms);
+  EXPECT_LT(sim.serving(large), before);
+  // It takes 3.6 s until the list drops the engine and 1 s to dissolve the replica and form it
+  // again.
+  EXPECT_TRUE(sim.run_until([&] { return sim.serving(large) >= before; }, 6s));
 }
 
 TEST(FarReplica, IsFormedAgainAfterTheLossOfItsHead) {
-  five_halls world(3);
-  ASSERT_TRUE(world.run_until([&] { return world.serving(large) >= 1; }, 40s));
-  world.run(10s);
-  world.requests_begin();
-  world.kill(world.head(large));
-  EXPECT_TRUE(world.run_until([&] { return world.serving(large) >= 1; }, 8s));
+  five_halls sim(3);
+  ASSERT_TRUE(sim.run_until([&] { return sim.serving(large) >= 1; }, 40s));
+  sim.run(10s);
+  sim.requests_begin();
+  sim.kill(sim.head(large));
+  EXPECT_TRUE(sim.run_until([&] { return sim.serving(large) >= 1; }, 8s));
 }
 
 TEST(FarReplica, LostAndLateOrdersOfTwoKeepersDoNoHarm) {
   // The simulation checks after each step that no engine joins another replica while its head
   // serves, and that no head opens before every member was ready in its replica.
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-    five_halls world(seed);
-    world.run(20s);
-    world.requests_begin();
-    world.set_faults({.order_lost = 0.1, .order_late = 0.1});
+    five_halls sim(seed);
+    sim.run(20s);
+    sim.requests_begin();
+    sim.set_faults({.order_lost = 0.1, .order_late = 0.1});
     for (int i = 0; i < 6; ++i) {
-      const auto alive = world.living();
-      const target_id& victim = alive[world.random().below(alive.size())];
+      const auto alive = sim.living();
+      const target_id& victim = alive[sim.random().below(alive.size())];
       if (i % 2 == 0) {
-        world.kill(victim);
+        sim.kill(victim);
       } else {
-        world.restart(victim);
+        sim.restart(victim);
       }
-      world.run(2s);
+      sim.run(2s);
       if (HasFatalFailure()) {
         return;
       }
     }
-    world.set_faults({});
-    EXPECT_TRUE(world.run_until([&] { return world.serving(large) >= 1; }, 30s)) << seed;
+    sim.set_faults({});
+    EXPECT_TRUE(sim.run_until([&] { return sim.serving(large) >= 1; }, 30s)) << seed;
   }
 }
 
 TEST(FarReplica, AKeeperThatIsCutOffBreaksNoReplicaOfOthers) {
-  five_halls world(4);
-  ASSERT_TRUE(world.run_until([&] { return world.serving(large) >= 1; }, 40s));
-  world.run(10s);
-  world.requests_begin();
-  const std::size_t before = world.serving(large);
-  for (std::size_t node = 0; node < halls; ++node) {
-    world.cut_off(node, true);
-    world.run(3s);
-    world.cut_off(node, false);
-    world.run(3s);
+  five_halls sim(4);
+  ASSERT_TRUE(sim.run_until([&] { return sim.serving(large) >= 1; }, 40s));
+  sim.run(10s);
+  sim.requests_begin();
+  const std::size_t before = sim.serving(large);
+  for (std::size_t node = 0; node < data_centre_count; ++node) {
+    sim.set_partitioned(node, true);
+    sim.run(3s);
+    sim.set_partitioned(node, false);
+    sim.run(3s);
   }
-  EXPECT_GE(world.serving(large), before);
+  EXPECT_GE(sim.serving(large), before);
 }
 
 TEST(FarReplica, SettlesAndThenOrdersNothing) {
-  five_halls world(5);
-  world.run(60s);
-  world.requests_begin();
-  world.run(10s);
-  const std::size_t before = world.orders_sent();
-  world.run(10s);
-  EXPECT_EQ(world.orders_sent(), before);
+  five_halls sim(5);
+  sim.run(60s);
+  sim.requests_begin();
+  sim.run(10s);
+  const std::size_t before = sim.orders_sent();
+  sim.run(10s);
+  EXPECT_EQ(sim.orders_sent(), before);
 }
 
 }  // namespace
--- a/tests/shell/keeper_world.h
+++ b/tests/shell/keeper_world.h
@@ -72,8 +72,8 @@
     }
   }
   // Sets the data centre whose engines this node controls; by default "a".
-  void keep(std::size_t node, const std::string& data_centre) {
-    nodes_[node]->keeps = {data_centre_id{data_centre}};
+  void assign_data_centre(std::size_t node, const std::string& data_centre) {
+    nodes_[node]->data_centres = {data_centre_id{data_centre}};
   }
 
   // The engine dies without notice; the list drops it after three heartbeats.
@@ -82,7 +82,7 @@
     drop_from_list_[id] = now_ + 3600ms;
   }
   // The engine dies, and another one starts at its address. Reports do not name their sender.
-  target_id replace(const target_id& id) {
+  target_id replace_engine(const target_id& id) {
     kill(id);
     const target_record& old = engines_.at(id).record();
     return add_engine(old.domain.str(), old.data_centre.str(), old.address);
@@ -103,12 +103,12 @@
     return next;
   }
   // The node reaches no engines and receives no list updates, but goes on deciding.
-  void cut_off(std::size_t node, bool cut) {
+  void set_partitioned(std::size_t node, bool cut) {
     nodes_[node]->hears_list = !cut;
-    nodes_[node]->cut_off = cut;
+    nodes_[node]->partitioned = cut;
   }
   // The node marks the engine as lost after failed probes.
-  void lose(std::size_t node, const target_id& id) {
+  void mark_lost(std::size_t node, const target_id& id) {
     for (std::uint32_t i = 0; i < fleet_view::probes_until_lost; ++i) {
       nodes_[node]->fleet.probe_failed(now_, id);
     }
@@ -126,15 +126,15 @@
     }
   }
 
-  [[nodiscard]] bool run_until(const std::function<bool()>& holds, duration longest) {
+  [[nodiscard]] bool run_until(const std::function<bool()>& condition, duration longest) {
     const time_point until = now_ + longest;
     while (now_ < until && !::testing::Test::HasFatalFailure()) {
-      if (holds()) {
+      if (condition()) {
         return true;
       }
       step();
     }
-    return holds();
+    return condition();
   }
 
   // Number of open heads whose members are all present and alive.
@@ -142,7 +142,7 @@
     std::size_t count = 0;
     for (const auto& [id, engine] : engines_) {
       count += engine.is_open() && model_in(engine.record().member_of->replica.name) == model &&
-                       is_whole(engine)
+                       is_complete(engine)
                    ? 1
                    : 0;
     }
@@ -153,7 +153,7 @@
   [[nodiscard]] std::vector<target_id> heads(const model_id& model) const {
     std::vector<target_id> result;
     for (const auto& [id, engine] : engines_) {
-      if (engine.is_open() && !dead_.contains(id) && is_whole(engine) &&
+      if (engine.is_open() && !dead_.contains(id) && is_complete(engine) &&
           model_in(engine.record().member_of->replica.name) == model) {
         result.push_back(id);
       }
@@ -206,9 +206,10 @@
     fleet_view fleet;
     replica_keeper keeper;
     bool hears_list = true;
-    bool cut_off = false;
-    std::map<target_id, target_record> told = {};  // last records received from the list
-    std::set<data_centre_id> keeps = {data_centre_id{"a"}};
+    bool partitioned = false;
+    std::map<target_id, target_record> received_records =
+        {};  // last records received from the list
+    std::set<data_centre_id> data_centres = {data_centre_id{"a"}};
   };
   struct event {
     time_point at;
@@ -219,7 +220,7 @@
     }
   };
 
-  void later(duration after, std::function<void()> act) {
+  void schedule(duration after, std::function<void()> act) {
     events_.push({now_ + after, next_event_++, std::move(act)});
   }
 
@@ -243,10 +244,10 @@
       ask_dropped();
     }
     if (ticks_ % 20 == 0) {
-      ask_lost();
+      probe_lost();
     }
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
-      const replica_keeper::duties duties{nodes_[n]->keeps, nodes_.size(), requests_seen_};
+      const replica_keeper::duties duties{nodes_[n]->data_centres, nodes_.size(), requests_seen_};
       for (const keeper_effect& e :
            nodes_[n]->keeper.tick(now_, nodes_[n]->fleet, service_, duties)) {
         carry_out(n, e);
@@ -264,8 +265,9 @@
         const auto dropped = drop_from_list_.find(id);
         if (dropped != drop_from_list_.end() && now_ >= dropped->second) {
           n->fleet.unlisted(now_, id);
-        } else if (!n->told.contains(id) || n->told[id] != engine.record()) {
-          n->told[id] = engine.record();
+        } else if (!n->received_records.contains(id) ||
+                   n->received_records[id] != engine.record()) {
+          n->received_records[id] = engine.record();
           n->fleet.listed(now_, engine.record(), ++row_version_);
         }
       }
@@ -304,12 +306,12 @@
 
   // Like keeper_loop: a lost engine that answers a probe is reachable again. After a partition
   // engines become reachable one by one, as connections are retried at different times.
-  void ask_lost() {
+  void probe_lost() {
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       for (const auto& [id, engine] : engines_) {
         const target_view* view = nodes_[n]->fleet.find(id);
         if (view != nullptr && view->lost && view->listed) {
-          later(random_.jitter(400ms), [this, n, id = id] { ask_if_back(n, id); });
+          schedule(random_.jitter(400ms), [this, n, id = id] { ask_if_back(n, id); });
         }
       }
     }
@@ -317,7 +319,7 @@
 
   void ask_if_back(std::size_t n, const target_id& id) {
     const auto engine = engines_.find(id);
-    if (nodes_[n]->cut_off || engine == engines_.end() || dead_.contains(id)) {
+    if (nodes_[n]->partitioned || engine == engines_.end() || dead_.contains(id)) {
       return;
     }
     const target_report report = engine->second.report(now_);
@@ -326,20 +328,20 @@
   }
 
   void carry_out(std::size_t n, const keeper_effect& e) {
-    constexpr duration way = 2ms;
+    constexpr duration network_delay = 2ms;
     constexpr duration timeout = 300ms;
     if (const auto* question = std::get_if<report_question>(&e)) {
       const target_id id = question->to;
       const time_point asked = now_;
-      if (dead_.contains(id) || nodes_[n]->cut_off) {
-        later(timeout, [this, n, id] {
+      if (dead_.contains(id) || nodes_[n]->partitioned) {
+        schedule(timeout, [this, n, id] {
           nodes_[n]->fleet.probe_failed(now_, id);
           nodes_[n]->keeper.on_report(now_, id, std::nullopt);
         });
         return;
       }
-      later(way, [this, n, id, asked] {
-        const target_report report = by_name(id).report(now_);
+      schedule(network_delay, [this, n, id, asked] {
+        const target_report report = find_engine(id).report(now_);
         nodes_[n]->fleet.reported(asked, asked - 250ms, id,
                                   {report.life, report.member_of, report.loaded, 1});
         nodes_[n]->keeper.on_report(now_, id, report);
@@ -348,34 +350,34 @@
     }
     const replica_order order = std::get<replica_order>(e);
     ++orders_sent_;
-    const double luck = random_.unit();
-    const bool late = luck < faults_.order_late && !nodes_[n]->cut_off;
-    const bool lost = !late && luck < faults_.order_late + faults_.order_lost;
+    const double sample = random_.unit();
+    const bool late = sample < faults_.order_late && !nodes_[n]->partitioned;
+    const bool lost = !late && sample < faults_.order_late + faults_.order_lost;
     if (late) {
-      later(random_.jitter(faults_.longest_late), [this, order] { arrive(order); });
+      schedule(random_.jitter(faults_.longest_late), [this, order] { deliver(order); });
     }
-    if (late || dead_.contains(order.to) || nodes_[n]->cut_off) {
-      later(timeout, [this, n, order] {
+    if (late || dead_.contains(order.to) || nodes_[n]->partitioned) {
+      schedule(timeout, [this, n, order] {
         nodes_[n]->fleet.probe_failed(now_, order.to);
         nodes_[n]->keeper.on_order(now_, nodes_[n]->fleet, order, order_outcome::no_answer);
       });
       return;
     }
-    later(way, [this, n, order, lost] {
-      const order_outcome outcome = arrive(order);
+    schedule(network_delay, [this, n, order, lost] {
+      const order_outcome outcome = deliver(order);
       if (!lost) {
         nodes_[n]->keeper.on_order(now_, nodes_[n]->fleet, order, outcome);
       }
     });
     if (lost) {
-      later(timeout, [this, n, order] {
+      schedule(timeout, [this, n, order] {
         nodes_[n]->keeper.on_order(now_, nodes_[n]->fleet, order, order_outcome::no_answer);
       });
     }
   }
 
-  order_outcome arrive(const replica_order& order) {
-    standin::hosted_engine& engine = by_name(order.to);
+  order_outcome deliver(const replica_order& order) {
+    standin::hosted_engine& engine = find_engine(order.to);
     if (dead_.contains(engine.record().id)) {
       return order_outcome::no_answer;
     }
@@ -385,7 +387,7 @@
     // No engine joins another replica while the head of its own serves.
     if (order.action == order_action::join && outcome == order_outcome::begun && before &&
         before->replica != order.replica) {
-      const standin::hosted_engine& head = by_name(members.front());
+      const standin::hosted_engine& head = find_engine(members.front());
       const bool serves = !dead_.contains(head.record().id) && head.is_open() &&
                           head.record().member_of->replica == before->replica;
       EXPECT_FALSE(serves && engine_of(members.front()) != engine_of(order.to))
@@ -396,14 +398,14 @@
   }
 
   // Orders and queries reach the engine of that name in any incarnation.
-  [[nodiscard]] standin::hosted_engine& by_name(const target_id& id) {
+  [[nodiscard]] standin::hosted_engine& find_engine(const target_id& id) {
     const auto found = std::find_if(engines_.begin(), engines_.end(), [&id](const auto& entry) {
       return engine_of(entry.first) == engine_of(id);
     });
     return found->second;
   }
 
-  [[nodiscard]] bool is_whole(const standin::hosted_engine& head) const {
+  [[nodiscard]] bool is_complete(const standin::hosted_engine& head) const {
     const replica_key& key = head.record().member_of->replica;
     for (const target_id& id : head.members()) {
       const auto engine = engines_.find(id);
--- a/tests/shell/replica_keeper_test.cpp
+++ b/tests/shell/replica_keeper_test.cpp
@@ -8,195 +8,194 @@
 namespace {
 
 TEST(ReplicaKeeper, FormsReplicasOfBothModels) {
-  keeper_world world(1);
-  world.add_domain("d0", 9);
-  world.add_domain("d1", 9);
+  keeper_world sim(1);
+  sim.add_domain("d0", 9);
+  sim.add_domain("d1", 9);
   EXPECT_TRUE(
-      world.run_until([&] { return world.serving(large) >= 2 && world.serving(small) >= 2; }, 40s));
+      sim.run_until([&] { return sim.serving(large) >= 2 && sim.serving(small) >= 2; }, 40s));
 }
 
 TEST(ReplicaKeeper, RepairsWithASpareWithinASecond) {
   // Guards against a replica that is down for the load of a model after it lost a member, because
   // spares were not prepared or the remaining members were not reused. A domain of ten engines has
   // two or three replicas and a spare.
-  keeper_world world(2);
+  keeper_world sim(2);
   for (const char* domain : {"d0", "d1", "d2", "d3"}) {
-    world.add_domain(domain, 10);
+    sim.add_domain(domain, 10);
   }
-  world.run(40s);
-  world.requests_begin();
-  world.run(1s);
-  const target_id head = world.head_with_spare();
+  sim.run(40s);
+  sim.requests_begin();
+  sim.run(1s);
+  const target_id head = sim.head_with_spare();
   ASSERT_FALSE(head.empty()) << "no domain has a spare";
-  const model_id model = model_in(world.engine(head).record().member_of->replica.name);
-  const std::size_t before = world.serving(model);
-  world.kill(world.engine(head).members().back());
-  world.run(100ms);
-  EXPECT_LT(world.serving(model), before);
+  const model_id model = model_in(sim.engine(head).record().member_of->replica.name);
+  const std::size_t before = sim.serving(model);
+  sim.kill(sim.engine(head).members().back());
+  sim.run(100ms);
+  EXPECT_LT(sim.serving(model), before);
   // The list drops the dead engine after 3.6 s; the repair itself takes under 1.2 s.
-  EXPECT_TRUE(world.run_until([&] { return world.serving(model) >= before; }, 4800ms));
+  EXPECT_TRUE(sim.run_until([&] { return sim.serving(model) >= before; }, 4800ms));
 }
 
 TEST(ReplicaKeeper, FormsReplicasOnceWhereEnginesTookTheAddressOfOthers) {
-  // Guards against replicas that are dissolved and formed again once per second: engines end, others
-  // start at their addresses under new names and answer probes of the ended ones, so that their
-  // replicas seem to have a surplus member.
-  keeper_world world(7);
+  // Guards against replicas that are dissolved and formed again once per second: engines end,
+  // others start at their addresses under new names and answer probes of the ended ones, so that
+  // their replicas seem to have a surplus member.
+  keeper_world sim(7);
   for (const char* domain : {"d0", "d1"}) {
-    world.add_domain(domain, 10);
+    sim.add_domain(domain, 10);
   }
-  world.run(40s);
-  world.requests_begin();
-  world.run(1s);
+  sim.run(40s);
+  sim.requests_begin();
+  sim.run(1s);
   for (const model_id& model : {large, small}) {
-    for (const target_id& head : world.heads(model)) {
-      world.replace(world.engine(head).members().back());
+    for (const target_id& head : sim.heads(model)) {
+      sim.replace_engine(sim.engine(head).members().back());
     }
   }
-  world.run(12s);
-  const std::size_t serving = world.serving(large) + world.serving(small);
-  const std::size_t orders = world.orders_sent();
-  world.run(5s);
-  EXPECT_EQ(world.serving(large) + world.serving(small), serving);
-  EXPECT_EQ(world.orders_sent(), orders);
+  sim.run(12s);
+  const std::size_t serving = sim.serving(large) + sim.serving(small);
+  const std::size_t orders = sim.orders_sent();
+  sim.run(5s);
+  EXPECT_EQ(sim.serving(large) + sim.serving(small), serving);
+  EXPECT_EQ(sim.orders_sent(), orders);
 }
 
 TEST(ReplicaKeeper, KeepsReplicasWhoseMembersTheListDropped) {
   // Guards against losing nearly all replicas within a second: a fifth of the engines lose their
   // connection to the list, which drops them after three heartbeats although they still work. Every
   // replica has such a member.
-  keeper_world world(5);
-  world.add_domain("d0", 8);
-  world.add_domain("d1", 8);
-  world.run(40s);
-  world.requests_begin();
-  world.run(1s);
-  const std::size_t before = world.serving(large) + world.serving(small);
+  keeper_world sim(5);
+  sim.add_domain("d0", 8);
+  sim.add_domain("d1", 8);
+  sim.run(40s);
+  sim.requests_begin();
+  sim.run(1s);
+  const std::size_t before = sim.serving(large) + sim.serving(small);
   ASSERT_GE(before, 4U);
   std::size_t dropped = 0;
   for (const model_id& model : {large, small}) {
-    for (const target_id& head : world.heads(model)) {
-      world.drop_from_list(world.engine(head).members().back());
+    for (const target_id& head : sim.heads(model)) {
+      sim.drop_from_list(sim.engine(head).members().back());
       ++dropped;
     }
   }
-  world.run(5s);
+  sim.run(5s);
   // A spare may replace the member where there is one.
-  EXPECT_GE(world.serving(large) + world.serving(small), before);
+  EXPECT_GE(sim.serving(large) + sim.serving(small), before);
   EXPECT_GE(dropped, 4U);
 }
 
 TEST(ReplicaKeeper, TakesNoReplicaApartWhenManyMembersAreDropped) {
   // Guards against using up spares for members that still work, with replicas down meanwhile: the
   // list drops a member of each replica simultaneously, and each is replaced independently.
-  keeper_world world(6);
+  keeper_world sim(6);
   for (const char* domain : {"d0", "d1", "d2"}) {
-    world.add_domain(domain, 10);
+    sim.add_domain(domain, 10);
   }
-  world.run(40s);
-  world.requests_begin();
-  world.run(1s);
-  const std::size_t before = world.serving(large) + world.serving(small);
-  ASSERT_FALSE(world.head_with_spare().empty());
+  sim.run(40s);
+  sim.requests_begin();
+  sim.run(1s);
+  const std::size_t before = sim.serving(large) + sim.serving(small);
+  ASSERT_FALSE(sim.head_with_spare().empty());
   for (const model_id& model : {large, small}) {
-    for (const target_id& head : world.heads(model)) {
-      world.drop_from_list(world.engine(head).members().back());
+    for (const target_id& head : sim.heads(model)) {
+      sim.drop_from_list(sim.engine(head).members().back());
     }
   }
   for (int i = 0; i < 50; ++i) {
-    world.run(100ms);
-    ASSERT_GE(world.serving(large) + world.serving(small), before) << "after " << i << " x 100 ms";
+    sim.run(100ms);
+    ASSERT_GE(sim.serving(large) + sim.serving(small), before) << "after " << i << " x 100 ms";
   }
 }
 
 TEST(ReplicaKeeper, UsesSurvivorsOfALostHead) {
   // Guards against engines that stay unused after their head died: members may join another replica
   // only after they left the old one, so they have to be ordered to leave.
-  keeper_world world(3);
-  world.add_domain("d0", 9);
-  world.add_domain("d1", 9);
-  ASSERT_TRUE(world.run_until([&] { return world.serving(small) >= 2; }, 60s));
-  world.requests_begin();
-  world.run(20s);
-  const std::size_t before = world.serving(small);
-  const target_id head = world.head(small);
-  const std::vector<target_id> members = world.engine(head).members();
-  world.kill(head);
-  EXPECT_TRUE(world.run_until(
+  keeper_world sim(3);
+  sim.add_domain("d0", 9);
+  sim.add_domain("d1", 9);
+  ASSERT_TRUE(sim.run_until([&] { return sim.serving(small) >= 2; }, 60s));
+  sim.requests_begin();
+  sim.run(20s);
+  const std::size_t before = sim.serving(small);
+  const target_id head = sim.head(small);
+  const std::vector<target_id> members = sim.engine(head).members();
+  sim.kill(head);
+  EXPECT_TRUE(sim.run_until(
       [&] {
-        const auto& own = world.engine(members.back()).record().member_of;
+        const auto& own = sim.engine(members.back()).record().member_of;
         return own && head_of(own->replica.name) != head;
       },
       8s));
-  EXPECT_GE(world.serving(small) + 1, before);
+  EXPECT_GE(sim.serving(small) + 1, before);
 }
 
 TEST(ReplicaKeeper, LeavesADrainingMemberInTime) {
   // Guards against aborted requests when an engine stops because its replica kept serving with it.
-  keeper_world world(4);
-  world.add_domain("d0", 9);
-  ASSERT_TRUE(
-      world.run_until([&] { return world.serving(large) + world.serving(small) >= 2; }, 60s));
-  world.run(5s);
-  const target_id head = world.serving(large) > 0 ? world.head(large) : world.head(small);
-  const target_id leaving = world.engine(head).members().back();
-  const replica_key key = world.engine(head).record().member_of->replica;
-  world.drain(leaving);
-  EXPECT_TRUE(world.run_until(
+  keeper_world sim(4);
+  sim.add_domain("d0", 9);
+  ASSERT_TRUE(sim.run_until([&] { return sim.serving(large) + sim.serving(small) >= 2; }, 60s));
+  sim.run(5s);
+  const target_id head = sim.serving(large) > 0 ? sim.head(large) : sim.head(small);
+  const target_id leaving = sim.engine(head).members().back();
+  const replica_key key = sim.engine(head).record().member_of->replica;
+  sim.drain(leaving);
+  EXPECT_TRUE(sim.run_until(
       [&] {
-        const auto& own = world.engine(head).record().member_of;
+        const auto& own = sim.engine(head).record().member_of;
         return !own || own->replica != key || own->state != member_state::open;
       },
       1s));
 }
 
 TEST(ReplicaKeeper, StaleKeeperTakesNoEngineOfAServingReplica) {
-  // Guards against an engine that joins a replica while the head of its own one serves. A controller
-  // loses the list and goes on with its old view while another one forms a replica again. The stale
-  // one orders the head out of the old replica, is told that it has already left, and considers its
-  // members free. This happens if the count of orders is guessed instead of read together with the
-  // engine's state.
+  // Guards against an engine that joins a replica while the head of its own one serves. A
+  // controller loses the list and goes on with its old view while another one forms a replica
+  // again. The stale one orders the head out of the old replica, is told that it has already left,
+  // and considers its members free. This happens if the count of orders is guessed instead of read
+  // together with the engine's state.
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    keeper_world world(seed, 2);
-    world.add_domain("d0", 9);
-    world.add_domain("d1", 8);
-    world.run(25s);
-    world.requests_begin();
-    world.cut_from_list(1, true);
+    keeper_world sim(seed, 2);
+    sim.add_domain("d0", 9);
+    sim.add_domain("d1", 8);
+    sim.run(25s);
+    sim.requests_begin();
+    sim.cut_from_list(1, true);
     for (int i = 0; i < 4; ++i) {
-      const auto living = world.living();
-      world.kill(living[world.random().below(living.size())]);
-      world.run(2s);
+      const auto living = sim.living();
+      sim.kill(living[sim.random().below(living.size())]);
+      sim.run(2s);
     }
-    world.cut_from_list(1, false);
-    world.run(10s);
+    sim.cut_from_list(1, false);
+    sim.run(10s);
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
-    EXPECT_GE(world.serving(large) + world.serving(small), 2U) << "seed " << seed;
+    EXPECT_GE(sim.serving(large) + sim.serving(small), 2U) << "seed " << seed;
   }
 }
 
 TEST(ReplicaKeeper, LateAndLostOrdersDoNoHarm) {
-  // Guards against engines that leave or join seconds after an order was abandoned, which happens if
-  // orders do not name the state that they are based on. A third of the orders are carried out up to
-  // 6 s later without an answer, a tenth lose their answer, engines die and start, and two
+  // Guards against engines that leave or join seconds after an order was abandoned, which happens
+  // if orders do not name the state that they are based on. A third of the orders are carried out
+  // up to 6 s later without an answer, a tenth lose their answer, engines die and start, and two
   // controllers order the same engines.
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-    keeper_world world(seed, 2);
-    world.add_domain("d0", 9);
-    world.add_domain("d1", 9);
-    world.run(15s);
-    world.requests_begin();
-    world.set_faults({.order_lost = 0.1, .order_late = 0.3});
+    keeper_world sim(seed, 2);
+    sim.add_domain("d0", 9);
+    sim.add_domain("d1", 9);
+    sim.run(15s);
+    sim.requests_begin();
+    sim.set_faults({.order_lost = 0.1, .order_late = 0.3});
     for (int i = 0; i < 5; ++i) {
-      const auto living = world.living();
-      world.kill(living[world.random().below(living.size())]);
-      world.add_engine(world.random().below(2) == 0 ? "d0" : "d1");
-      world.run(2s);
+      const auto living = sim.living();
+      sim.kill(living[sim.random().below(living.size())]);
+      sim.add_engine(sim.random().below(2) == 0 ? "d0" : "d1");
+      sim.run(2s);
     }
-    world.set_faults({});
-    world.run(20s);
+    sim.set_faults({});
+    sim.run(20s);
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
-    EXPECT_GE(world.serving(large) + world.serving(small), 2U) << "seed " << seed;
+    EXPECT_GE(sim.serving(large) + sim.serving(small), 2U) << "seed " << seed;
   }
 }
 
@@ -204,34 +203,34 @@
   // Guards against a replica that is stuck for seconds until its head breaks: a member restarts
   // within the three heartbeats after which the list would drop it, so the list never reports the
   // loss.
-  keeper_world world(8);
+  keeper_world sim(8);
   for (const char* domain : {"d0", "d1", "d2"}) {
-    world.add_domain(domain, 10);
+    sim.add_domain(domain, 10);
   }
-  world.run(40s);
-  world.requests_begin();
-  world.run(1s);
-  const target_id head = world.head_with_spare();
+  sim.run(40s);
+  sim.requests_begin();
+  sim.run(1s);
+  const target_id head = sim.head_with_spare();
   ASSERT_FALSE(head.empty());
-  const model_id model = model_in(world.engine(head).record().member_of->replica.name);
-  const std::size_t before = world.serving(model);
-  world.restart(world.engine(head).members().back());
-  EXPECT_LT(world.serving(model), before);
-  EXPECT_TRUE(world.run_until([&] { return world.serving(model) >= before; }, 1500ms));
+  const model_id model = model_in(sim.engine(head).record().member_of->replica.name);
+  const std::size_t before = sim.serving(model);
+  sim.restart(sim.engine(head).members().back());
+  EXPECT_LT(sim.serving(model), before);
+  EXPECT_TRUE(sim.run_until([&] { return sim.serving(model) >= before; }, 1500ms));
 }
 
 TEST(ReplicaKeeper, AHeadThatStartsAgainFreesItsMembers) {
-  keeper_world world(9);
-  world.add_domain("d0", 9);
-  world.add_domain("d1", 9);
-  world.run(40s);
-  world.requests_begin();
-  world.run(1s);
-  const std::size_t before = world.serving(large) + world.serving(small);
-  world.restart(world.head(small));
-  world.run(200ms);
+  keeper_world sim(9);
+  sim.add_domain("d0", 9);
+  sim.add_domain("d1", 9);
+  sim.run(40s);
+  sim.requests_begin();
+  sim.run(1s);
+  const std::size_t before = sim.serving(large) + sim.serving(small);
+  sim.restart(sim.head(small));
+  sim.run(200ms);
   EXPECT_TRUE(
-      world.run_until([&] { return world.serving(large) + world.serving(small) >= before; }, 10s));
+      sim.run_until([&] { return sim.serving(large) + sim.serving(small) >= before; }, 10s));
 }
 
 TEST(ReplicaKeeper, LateOrdersOfAnEarlierLifeDoNoHarm) {
@@ -240,55 +239,54 @@
   // late order expects.
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    keeper_world world(seed, 2);
-    world.add_domain("d0", 7);
-    world.add_domain("d1", 5);
-    world.run(20s);
-    world.requests_begin();
-    world.set_faults({.order_lost = 0.1, .order_late = 0.3, .longest_late = 12s});
+    keeper_world sim(seed, 2);
+    sim.add_domain("d0", 7);
+    sim.add_domain("d1", 5);
+    sim.run(20s);
+    sim.requests_begin();
+    sim.set_faults({.order_lost = 0.1, .order_late = 0.3, .longest_late = 12s});
     for (int i = 0; i < 30; ++i) {
-      const auto living = world.living();
-      world.restart(living[world.random().below(living.size())]);
+      const auto living = sim.living();
+      sim.restart(living[sim.random().below(living.size())]);
       if (i % 3 == 0) {
         // Restarts an engine twice in a row, or one with pending orders.
-        const auto again = world.living();
-        world.restart(again[world.random().below(again.size())]);
+        const auto again = sim.living();
+        sim.restart(again[sim.random().below(again.size())]);
       }
-      world.cut_from_list(i % 2, i % 5 == 0);
-      world.run(world.random().jitter(2s));
+      sim.cut_from_list(i % 2, i % 5 == 0);
+      sim.run(sim.random().jitter(2s));
       ASSERT_FALSE(::testing::Test::HasFailure());
     }
-    world.cut_from_list(0, false);
-    world.cut_from_list(1, false);
-    world.set_faults({});
-    EXPECT_TRUE(
-        world.run_until([&] { return world.serving(large) + world.serving(small) >= 2; }, 60s));
+    sim.cut_from_list(0, false);
+    sim.cut_from_list(1, false);
+    sim.set_faults({});
+    EXPECT_TRUE(sim.run_until([&] { return sim.serving(large) + sim.serving(small) >= 2; }, 60s));
   }
 }
 
 TEST(ReplicaKeeper, AKeeperThatWasCutOffTakesNothingApartWhenItIsBack) {
   // Guards against an outage when a partition of 6 s heals, in which no replica serves for a second
-  // on either side: the partitioned controller marks all engines as lost, and its orders to dissolve
-  // their replicas arrive as soon as it is reconnected.
+  // on either side: the partitioned controller marks all engines as lost, and its orders to
+  // dissolve their replicas arrive as soon as it is reconnected.
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    keeper_world world(seed, 2);
-    world.add_domain("d0", 9);
-    world.add_domain("d1", 8);
-    world.run(40s);
-    world.requests_begin();
-    world.run(1s);
-    const std::size_t before = world.serving(large) + world.serving(small);
+    keeper_world sim(seed, 2);
+    sim.add_domain("d0", 9);
+    sim.add_domain("d1", 8);
+    sim.run(40s);
+    sim.requests_begin();
+    sim.run(1s);
+    const std::size_t before = sim.serving(large) + sim.serving(small);
     ASSERT_GE(before, 4U);
-    world.cut_off(1, true);
-    for (const target_id& id : world.living()) {
-      world.lose(1, id);  // its streams stalled, and probes got no answer
+    sim.set_partitioned(1, true);
+    for (const target_id& id : sim.living()) {
+      sim.mark_lost(1, id);  // its streams stalled, and probes got no answer
     }
-    world.run(6s);
-    world.cut_off(1, false);
+    sim.run(6s);
+    sim.set_partitioned(1, false);
     for (int i = 0; i < 80; ++i) {
-      world.run(50ms);
-      ASSERT_GE(world.serving(large) + world.serving(small), before) << i * 50 << " ms after";
+      sim.run(50ms);
+      ASSERT_GE(sim.serving(large) + sim.serving(small), before) << i * 50 << " ms after";
     }
   }
 }
@@ -296,39 +294,39 @@
 TEST(ReplicaKeeper, ChangesNoModelForADomainThatIsAwayForSeconds) {
   // Guards against following a changed plan immediately: a domain of one model is down for 8 s, and
   // engines of other domains load its model for 12 to 16 s, so that too many have it afterwards.
-  keeper_world world(6);
+  keeper_world sim(6);
   for (const char* domain : {"d0", "d1", "d2", "d3"}) {
-    world.add_domain(domain, 9);
+    sim.add_domain(domain, 9);
   }
-  world.run(40s);
-  world.requests_begin();
+  sim.run(40s);
+  sim.requests_begin();
   std::map<target_id, model_id> before;
   std::vector<target_id> dark;
-  for (const target_id& id : world.living()) {
-    before[id] = world.engine(id).record().loaded;
-    if (world.engine(id).record().domain == fabric_domain_id{"d0"}) {
+  for (const target_id& id : sim.living()) {
+    before[id] = sim.engine(id).record().loaded;
+    if (sim.engine(id).record().domain == fabric_domain_id{"d0"}) {
       dark.push_back(id);
     }
   }
   for (const target_id& id : dark) {
-    world.kill(id);
+    sim.kill(id);
   }
-  world.run(8s);
-  for (const target_id& id : world.living()) {
-    EXPECT_EQ(model_in(world.engine(id).record().member_of->replica.name), before[id]) << id;
+  sim.run(8s);
+  for (const target_id& id : sim.living()) {
+    EXPECT_EQ(model_in(sim.engine(id).record().member_of->replica.name), before[id]) << id;
   }
 }
 
 TEST(ReplicaKeeper, SettlesAndThenOrdersNothing) {
   // Guards against a plan that oscillates: it would cause orders, each of which costs, although
   // nothing happens.
-  keeper_world world(5, 1);
-  world.add_domain("d0", 9);
-  world.add_domain("d1", 9);
-  world.run(60s);
-  const std::size_t before = world.orders_sent();
-  world.run(20s);
-  EXPECT_EQ(world.orders_sent(), before);
+  keeper_world sim(5, 1);
+  sim.add_domain("d0", 9);
+  sim.add_domain("d1", 9);
+  sim.run(60s);
+  const std::size_t before = sim.orders_sent();
+  sim.run(20s);
+  EXPECT_EQ(sim.orders_sent(), before);
 }
 
 }  // namespace
