--- a/src/process/replica_keeper.cpp
+++ b/src/process/replica_keeper.cpp
@@ -66,16 +66,16 @@
 // replicas arrive: 5 and 7 replicas were dissolved within 0.2 s and did not serve for 1 s. The
 // other side does the same to the partitioned engines.
 void replica_keeper::note_dark(tick_context& ctx) {
-  std::map<data_centre_id, std::pair<double, double>> away_of;  // away, all
+  std::map<data_centre_id, std::pair<double, double>> engine_counts;  // unavailable, all
   for (const auto& [id, view] : ctx.fleet.all()) {
     const bool counts = view.listed || ctx.now - view.unlisted_at < settings_.away_counts_for;
     if (view.record.service == ctx.service.id && counts) {
-      auto& [away, all] = away_of[view.record.data_centre];
-      away += tick_context::alive(&view) ? 0 : 1;
+      auto& [unavailable, all] = engine_counts[view.record.data_centre];
+      unavailable += tick_context::alive(&view) ? 0 : 1;
       all += 1;
     }
   }
-  for (const auto& [data_centre, counts] : away_of) {
+  for (const auto& [data_centre, counts] : engine_counts) {
     if (counts.first > counts.second * settings_.dark_share) {
       dark_at_[data_centre] = ctx.now;
     }
@@ -322,10 +322,10 @@
   const model_shape* model =
       head_is_inside ? ctx.engine.find_model(model_in(replica.key.name)) : nullptr;
   if (model == nullptr) {
-    return head_is_inside ? "its model is not configured" : "its head has left";
+    return head_is_inside ? "its model is not configured" : "its head is gone";
   }
   if (replica.members.size() != model->size) {
-    return "a member has left or is in another replica";
+    return "a member is in another replica or gone";
   }
   std::size_t unlisted = 0;
   std::vector<target_id> lives;
--- a/src/process/replica_keeper_load.cpp
+++ b/src/process/replica_keeper_load.cpp
@@ -197,8 +197,8 @@
   local.ready_for = {};
   local.load_for = ctx.engine.models[model].id;
   local.load_begun = ctx.now;
-  send(ctx, view, order_action::join, {spare_name(local.load_for, id), next_epoch()},
-       "loads a model", local.load_for, {id});
+  send(ctx, view, order_action::join, {spare_name(local.load_for, id), next_epoch()}, "gets ready",
+       local.load_for, {id});
   std::erase_if(ctx.free[view.record.domain],
                 [&](const target_view* v) { return v->record.id == id; });
 }
--- a/tests/shell/keeper_world.h
+++ b/tests/shell/keeper_world.h
@@ -207,8 +207,8 @@
     replica_keeper keeper;
     bool hears_list = true;
     bool partitioned = false;
-    std::map<target_id, target_record> received_records =
-        {};  // last records received from the list
+    // Last records received from the list.
+    std::map<target_id, target_record> received_records = {};
     std::set<data_centre_id> data_centres = {data_centre_id{"a"}};
   };
   struct event {
