--- a/src/process/domain_shape.cpp
+++ b/src/process/domain_shape.cpp
@@ -34,7 +34,7 @@
     for (int round = 0; improved && round < max_rounds; ++round) {
       improved = false;
       for (std::size_t d = 0; d < domains_.size(); ++d) {
-        improved = reshape(d) || improved;
+        improved = improve_domain(d) || improved;
       }
     }
     return layout_;
@@ -110,7 +110,7 @@
            settings_.domain_loss * without_one;
   }
 
-  bool reshape(std::size_t d) {
+  bool improve_domain(std::size_t d) {
     best_ = cost() + initial_cost_ * settings_.change_cost * model_changes(d, layout_[d]);
     best_split_ = layout_[d];
     const split before = layout_[d];
--- a/src/process/fleet_view.cpp
+++ b/src/process/fleet_view.cpp
@@ -316,14 +316,14 @@
     std::set<fabric_domain_id> domains;
     const target_view* head = nullptr;
     for (const target_view* member : members) {
-      const membership& own = *member->record.member_of;
-      if (own.rank == 0 && own.state == member_state::open && member->record.loaded == model) {
+      const membership& role = *member->record.member_of;
+      if (role.rank == 0 && role.state == member_state::open && member->record.loaded == model) {
         head = member;
       }
       const bool works =
-          own.rank == 0 || own.state == member_state::ready || own.state == member_state::open;
+          role.rank == 0 || role.state == member_state::ready || role.state == member_state::open;
       if (works) {
-        ranks.insert(own.rank);
+        ranks.insert(role.rank);
       }
       domains.insert(member->record.domain);
       replica.members.push_back(member->record.id);
--- a/src/process/fleet_view.h
+++ b/src/process/fleet_view.h
@@ -177,7 +177,7 @@
   std::uint64_t revision_{1};
 };
 
-// A replica that can receive requests.
+// A replica that can serve requests.
 struct serving_replica {
   replica_key key;
   service_id service;
@@ -197,10 +197,10 @@
 // neither lost nor draining.
 //
 // Members other than the head need not be listed. The list also drops engines that have only lost
-// their connection to the list and still work; if it dropped a fifth of the engines at once, hardly
-// any replica of 16 would remain. Requests go only to the head, so an unlisted member receives
-// none. If it does end, its replica stalls and is detected; until then the replica controller
-// probes the member.
+// their connection to the list and still work; if it dropped a fifth of the engines simultaneously,
+// hardly any replica of 16 would remain. Requests go only to the head, so an unlisted member
+// receives none. If it does end, its replica stalls and is detected; until then the replica
+// controller probes the member.
 [[nodiscard]] std::vector<serving_replica> serving_replicas(
     const fleet_view& fleet, const service_id& service, const model_id& model, std::uint32_t size,
     lost_target_policy lost = lost_target_policy::exclude);
--- a/src/process/replica_keeper.cpp
+++ b/src/process/replica_keeper.cpp
@@ -104,19 +104,19 @@
       ++ctx.engines_by_data_centre[view.record.data_centre];
     }
     if (view.record.member_of) {
-      const membership& own = *view.record.member_of;
-      last_epoch_ = std::max(last_epoch_, own.replica.epoch);
-      standing_replica& group = ctx.standing_all[own.replica];
-      group.key = own.replica;
+      const membership& role = *view.record.member_of;
+      last_epoch_ = std::max(last_epoch_, role.replica.epoch);
+      standing_replica& group = ctx.standing_all[role.replica];
+      group.key = role.replica;
       group.members.push_back(&view);
       engine_memory& local = memory_[id];
-      if (own.state != member_state::joining && !view.record.loaded.empty()) {
+      if (role.state != member_state::joining && !view.record.loaded.empty()) {
         local.ready_for = view.record.loaded;
         if (local.load_for == view.record.loaded) {
           local.load_for = {};
         }
       }
-      ctx.unlisted += view.listed || view.lost || is_spare_name(own.replica.name) ? 0 : 1;
+      ctx.unlisted += view.listed || view.lost || is_spare_name(role.replica.name) ? 0 : 1;
     } else if (engine_memory& local = memory_[id];
                local.ready_for.empty() && local.load_for.empty()) {
       // This controller has not seen the engine in a replica, but another one has. The engine joins
@@ -223,15 +223,15 @@
     }
     for (const target_id& id : f.members) {
       const target_view& view = *ctx.fleet.find(id);
-      const auto& own = view.record.member_of;
-      const bool joined = own && own->replica == f.key;
+      const auto& member_of = view.record.member_of;
+      const bool joined = member_of && member_of->replica == f.key;
       const bool is_head = id == f.members.front();
       // Members join after their head, see mend_standing().
       if (!joined && !f.ordered_members.contains(id) && (is_head || f.head_joined) &&
           may_order(ctx, id)) {
         send(ctx, view, order_action::join, f.key, "forms", f.model, f.members);
       }
-      complete = complete && joined && own->state != member_state::joining;
+      complete = complete && joined && member_of->state != member_state::joining;
     }
     const target_view& head = *ctx.fleet.find(f.members.front());
     if (complete && head.record.member_of->state == member_state::ready &&
@@ -362,8 +362,9 @@
                                 const model_shape& model, std::size_t required) const {
   std::size_t count = 0;
   for (const auto& [id, view] : ctx.fleet.all()) {
-    const auto& own = view.record.member_of;
-    const bool spare = own && is_spare_name(own->replica.name) && own->state == member_state::ready;
+    const auto& member_of = view.record.member_of;
+    const bool spare = member_of && is_spare_name(member_of->replica.name) &&
+                       member_of->state == member_state::ready;
     const auto local = memory_.find(id);
     const bool ready = local != memory_.end() && local->second.ready_for == model.id;
     const bool here = view.record.domain == head.record.domain;
--- a/src/process/replica_keeper_form.cpp
+++ b/src/process/replica_keeper_form.cpp
@@ -48,8 +48,8 @@
   std::vector<const target_view*> ready;
   for (const target_view* view : free) {
     const engine_memory& local = memory_.at(view->record.id);
-    const auto& own = view->record.member_of;
-    const bool loading = own && own->state == member_state::joining;
+    const auto& member_of = view->record.member_of;
+    const bool loading = member_of && member_of->state == member_state::joining;
     if (local.ready_for == model.id && !loading && local.load_for.empty() &&
         is_current(*view, local) && !local.order_pending) {
       ready.push_back(view);
@@ -133,9 +133,10 @@
     if (!usable || local == memory_.end() || local->second.ready_for != model.id) {
       continue;
     }
-    const auto& own = view.record.member_of;
-    const bool spare = own && is_spare_name(own->replica.name) && own->state == member_state::ready;
-    if (!own || spare || ctx.vacated.contains(own->replica)) {
+    const auto& member_of = view.record.member_of;
+    const bool spare = member_of && is_spare_name(member_of->replica.name) &&
+                       member_of->state == member_state::ready;
+    if (!member_of || spare || ctx.vacated.contains(member_of->replica)) {
       by_data_centre[view.record.data_centre].push_back(&view);
     }
   }
--- a/src/process/replica_keeper_load.cpp
+++ b/src/process/replica_keeper_load.cpp
@@ -91,8 +91,8 @@
 }
 
 bool replica_keeper::is_loading(const target_view& view, const engine_memory& local) const {
-  const auto& own = view.record.member_of;
-  const bool joining = own && own->state == member_state::joining;
+  const auto& member_of = view.record.member_of;
+  const bool joining = member_of && member_of->state == member_state::joining;
   return !local.load_for.empty() || (joining && local.ready_for.empty());
 }
 
--- a/tests/shell/keeper_world.h
+++ b/tests/shell/keeper_world.h
@@ -173,10 +173,10 @@
           continue;
         }
         for (const auto& [other, spare] : engines_) {
-          const auto& own = spare.record().member_of;
-          if (spare.record().domain == engine.record().domain && own &&
-              is_spare_name(own->replica.name) && own->state == member_state::ready &&
-              model_in(own->replica.name) == model) {
+          const auto& member_of = spare.record().member_of;
+          if (spare.record().domain == engine.record().domain && member_of &&
+              is_spare_name(member_of->replica.name) && member_of->state == member_state::ready &&
+              model_in(member_of->replica.name) == model) {
             return id;
           }
         }
@@ -412,8 +412,8 @@
       if (engine == engines_.end()) {
         return false;  // the member has restarted
       }
-      const auto& own = engine->second.record().member_of;
-      if (dead_.contains(id) || !own || own->replica != key) {
+      const auto& member_of = engine->second.record().member_of;
+      if (dead_.contains(id) || !member_of || member_of->replica != key) {
         return false;
       }
     }
--- a/tests/shell/replica_keeper_test.cpp
+++ b/tests/shell/replica_keeper_test.cpp
@@ -124,8 +124,8 @@
   sim.kill(head);
   EXPECT_TRUE(sim.run_until(
       [&] {
-        const auto& own = sim.engine(members.back()).record().member_of;
-        return own && head_of(own->replica.name) != head;
+        const auto& member_of = sim.engine(members.back()).record().member_of;
+        return member_of && head_of(member_of->replica.name) != head;
       },
       8s));
   EXPECT_GE(sim.serving(small) + 1, before);
@@ -143,8 +143,8 @@
   sim.drain(leaving);
   EXPECT_TRUE(sim.run_until(
       [&] {
-        const auto& own = sim.engine(head).record().member_of;
-        return !own || own->replica != key || own->state != member_state::open;
+        const auto& member_of = sim.engine(head).record().member_of;
+        return !member_of || member_of->replica != key || member_of->state != member_state::open;
       },
       1s));
 }
@@ -152,9 +152,9 @@
 TEST(ReplicaKeeper, StaleKeeperTakesNoEngineOfAServingReplica) {
   // Guards against an engine that joins a replica while the head of its own one serves. A
   // controller loses the list and goes on with its old view while another one forms a replica
-  // again. The stale one orders the head out of the old replica, is told that it has already left,
-  // and considers its members free. This happens if the count of orders is guessed instead of read
-  // together with the engine's state.
+  // again. The stale one orders the head out of the old replica, gets the answer that it has
+  // already left, and considers its members free. This happens if the count of orders is guessed
+  // instead of read together with the engine's state.
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     keeper_world sim(seed, 2);
     sim.add_domain("d0", 9);
