--- a/src/process/config_delta.cpp
+++ b/src/process/config_delta.cpp
@@ -1,4 +1,5 @@
-// Deltas as MessagePack: the hash of the result, then spans of the base and texts in their order.
+// Deltas are MessagePack: the hash of the resulting text, then the parts in order, each either a
+// span of the base or literal text.
 #include "process/config_delta.h"
 
 #include <cstdint>
@@ -15,10 +16,10 @@
 using nlohmann::json;
 
 constexpr std::size_t delta_depth = 4;
-// Of a result: a damaged delta may name the same span of its base again and again.
+// Limit of the resulting text: a damaged delta may repeat the same span of its base many times.
 constexpr std::size_t longest_text = 16UL * 1024 * 1024;
 
-// Calls `take` with each piece and its place.
+// Cuts `text` behind each closing brace. Calls `take` with each piece and its offset.
 template <class Take>
 void each_piece(std::string_view text, Take&& take) {
   std::size_t from = 0;
@@ -67,12 +68,12 @@
   }
 
   json parts_ = json::array();
-  std::string text_;      // not written yet; only one of this and the span is not empty
-  std::size_t from_ = 0;  // span of the base that is not written yet
+  std::string text_;      // literal text to flush; either this or the span is empty
+  std::size_t from_ = 0;  // span of the base to flush: its offset and size
   std::size_t size_ = 0;
 };
 
-// False if the part fits neither the base nor the bound.
+// Appends the text of one part. False if it lies outside the base or exceeds longest_text.
 bool append_part(std::string& text, std::string_view base, const json& part) {
   if (part.is_string()) {
     text += part.get_ref<const std::string&>();
@@ -90,12 +91,12 @@
 }  // namespace
 
 std::string make_config_delta(std::string_view base, std::string_view text) {
-  std::unordered_map<std::string_view, std::size_t> places;
-  each_piece(base, [&](std::string_view piece, std::size_t at) { places.try_emplace(piece, at); });
+  std::unordered_map<std::string_view, std::size_t> offsets;
+  each_piece(base, [&](std::string_view piece, std::size_t at) { offsets.try_emplace(piece, at); });
   delta_builder builder;
   each_piece(text, [&](std::string_view piece, std::size_t) {
-    const auto found = places.find(piece);
-    if (found == places.end()) {
+    const auto found = offsets.find(piece);
+    if (found == offsets.end()) {
       builder.insert(piece);
     } else {
       builder.copy(found->second, piece.size());
--- a/src/process/config_delta.h
+++ b/src/process/config_delta.h
@@ -1,8 +1,9 @@
-// Differences between two texts of the configuration.
+// Deltas between two texts of the configuration.
 //
-// Operators change a few routes of thousands, and the version stands at the front of the text: a
-// single replaced span would be nearly all of it. Here both texts are cut behind each closing
-// brace, and pieces that the base has are named by their place in it.
+// Operators change a few routes of thousands, and the version number is at the front of the text,
+// so a delta with a single replaced span would contain nearly all of it. Both texts are cut behind
+// each closing brace instead, and pieces that the base contains are encoded as offsets into the
+// base.
 #pragma once
 
 #include <optional>
@@ -11,10 +12,10 @@
 
 namespace arbutus {
 
-// What turns `base` into `text`; with an empty base the whole text.
+// The delta that turns `base` into `text`; with an empty base it contains the whole text.
 [[nodiscard]] std::string make_config_delta(std::string_view base, std::string_view text);
 
-// Empty when the delta is damaged, or made for another base.
+// Empty if the delta is damaged or was made for another base.
 [[nodiscard]] std::optional<std::string> apply_config_delta(std::string_view base,
                                                             std::string_view delta);
 
--- a/src/process/config_lease.h
+++ b/src/process/config_lease.h
@@ -1,11 +1,11 @@
-// How long the accepted version that a node holds may be acted on for what depends on keys.
+// How long a node may check keys by its configuration version.
 //
-// A key that was taken away has to be dead everywhere within a bound, also at nodes that are cut
-// off or were paused. So a node uses keys only while it holds a proof, younger than the bound, that
-// the platform still called its version the newest. A proof counts from the moment its question
-// was sent: the answer may have been on its way for any time.
+// A revoked key must be rejected by all nodes within a bound, also by nodes that are partitioned or
+// were paused. A node therefore uses keys only while it has a proof, younger than the bound, that
+// the platform named its version as the newest. The age of a proof counts from the moment the query
+// was sent, because the answer may have been delayed for any time.
 //
-// Time is that of a clock that also runs while the machine is suspended.
+// Uses a clock that also runs while the machine is suspended.
 #pragma once
 
 #include <algorithm>
@@ -16,11 +16,12 @@
 namespace arbutus {
 
 struct config_lease_settings {
-  duration bound = 5s;  // from acceptance of a version until keys that it took away are dead
-  // Watches may miss changes for a second before they are told that history was dropped, so that an
-  // empty answer proves only that there was nothing newer a second before its question.
+  duration bound = 5s;  // from acceptance of a version until the keys it revokes are rejected
+  // A watch may miss changes for 1 s before it is notified that history was dropped, so an empty
+  // answer proves only that there was nothing newer 1 s before the query.
   duration watch_blindness = 1s;
-  // Two clocks' drift over the bound and the lag between the check and the send of a request.
+  // Drift between two clocks over the bound, and the delay between the check of a request and its
+  // send to a target.
   duration margin = 300ms;
 };
 
@@ -28,15 +29,16 @@
  public:
   explicit config_lease(const config_lease_settings& settings) : settings_(settings) {}
 
-  // The platform answered a question sent at `asked`, and this node holds what it named newest.
+  // The platform answered a query sent at `asked`, and this node has the version that it named as
+  // the newest.
   void proved(time_point asked) {
     if (!proved_at_ || asked > *proved_at_) {
       proved_at_ = asked;
     }
   }
 
-  // A request that comes now was sent by its caller before now. So it is enough that the bound has
-  // not passed since the proof when the request is looked at.
+  // Checked when the request is read: its caller sent it before `now`, so it is enough that the
+  // proof is younger than the bound at this time.
   [[nodiscard]] bool valid(time_point now) const {
     return proved_at_ && now - *proved_at_ < lifetime();
   }
--- a/src/process/config_passing.h
+++ b/src/process/config_passing.h
@@ -1,8 +1,9 @@
-// How much of the configuration a hub passes on in one round of beats, and to whom.
+// How much of the configuration a hub sends in one round of heartbeats, and to which nodes.
 //
-// Goes wrong without a bound: versions in quick succession, passed on to two dozen nodes, choke the
-// link of a hub. Its probes then fail, and it takes the fleet for lost. So what would take too long
-// to all is withheld from those that can read it at the store themselves.
+// Without a bound, versions in quick succession that are sent to two dozen nodes saturate the link
+// of the hub; its probes then fail, and it marks the whole fleet as failed. A change that would
+// take too long to send to all nodes is withheld from those that can read it from the store
+// themselves.
 #pragma once
 
 #include <algorithm>
@@ -17,21 +18,21 @@
 
 class config_passing {
  public:
-  // `link_mbps`: the hub's own link; 0: not known.
+  // `link_mbps`: bandwidth of the hub's own link; 0: unknown.
   explicit config_passing(std::uint32_t link_mbps) : budget_(link_mbps) {}
 
   void begin_round() { budget_.begin_round(); }
 
   struct listener {
-    std::uint64_t held{};  // the row that the node holds
+    std::uint64_t held{};  // the row that the node has
     config_progress progress;
-    bool turned_away = false;  // the store does not serve it
+    bool turned_away = false;  // the store does not serve this node
   };
   struct answer {
-    bool withheld = false;  // to be read at the store
+    bool withheld = false;  // the node has to read the row from the store
     std::optional<config_part> part;
   };
-  // `listeners`: nodes that the hub passes on to, this one among them.
+  // `listeners`: number of nodes that the hub sends to, this one included.
   [[nodiscard]] answer next_for(config_history& from, const listener& to, std::size_t listeners) {
     if (to.held >= from.newest()) {
       return {};
@@ -47,9 +48,10 @@
     return {false, from.part_for(to.held, to.progress, longest_part)};
   }
 
-  // 100 ms of a link of 20 Mbit/s.
+  // What a link of 20 Mbit/s carries in 100 ms.
   static constexpr std::size_t longest_part = 250'000;
-  // Rounds within which a change is with all nodes, or they read it at the store.
+  // Rounds within which the hub must be able to send a change to all nodes; a larger change is read
+  // from the store.
   static constexpr std::size_t most_rounds = 4;
 
  private:
--- a/src/process/config_patch.cpp
+++ b/src/process/config_patch.cpp
@@ -1,4 +1,5 @@
-// One span between a common start and a common end: cheap, and enough for a change in one place.
+// A patch replaces the span between the common prefix and the common suffix: cheap to make, and
+// small for a change in one place.
 #include "process/config_patch.h"
 
 #include <algorithm>
--- a/src/process/config_proposer.cpp
+++ b/src/process/config_proposer.cpp
@@ -1,4 +1,5 @@
-// Read, store, write on condition, and read back when in doubt.
+// Reads the head, stores the content, writes the head conditionally, and reads it back when the
+// outcome of the write is unknown.
 #include "process/config_proposer.h"
 
 #include <algorithm>
@@ -11,9 +12,11 @@
 
 namespace {
 
-// How many proposals a head names: a proposer whose reply was lost finds itself for so long.
+// Proposals that a head lists. A proposer whose reply was lost finds its proposal until this many
+// were accepted.
 constexpr std::size_t named_proposals = 32;
-// A table that refuses the write although the row is as it was will go on doing so.
+// Limit of attempts. A table that keeps failing the write although the row is unchanged is not
+// expected to recover soon.
 constexpr std::size_t most_writes = 5;
 
 template <class T>
@@ -58,7 +61,7 @@
   return judge(*row);
 }
 
-// The version under which the table accepted this proposal.
+// The version under which the table accepted this proposal; empty if the head does not list it.
 std::optional<std::uint64_t> config_proposer::own_version(const config_head& head) const {
   const auto found = std::ranges::find(head.proposals, id_);
   if (found == head.proposals.end()) {
@@ -92,14 +95,14 @@
   return put_content{hash_, content_};
 }
 
-// A write that is still under way can take effect only as long as the row is as it was; so either
-// it is repeated, with the same condition, or it never will.
+// A write in flight can take effect only while the row version is unchanged. If it is, the write is
+// repeated with the same condition; if not, the write can no longer take effect.
 proposal_step config_proposer::judge_after_write(const head_row& row) {
   if (row.row_version == current_.row_version) {
     if (writes_ < most_writes) {
       return try_write();
     }
-    return proposal_unresolved{"the table answers no write"};
+    return proposal_unresolved{"the table did not execute the write after several attempts"};
   }
   const std::uint64_t version = row.head ? row.head->version : 0;
   if (version > base_ + named_proposals) {
@@ -112,7 +115,7 @@
 
 proposal_step config_proposer::put_result(const outcome<std::monostate>& result) {
   if (phase_ == phase::storing_patch) {
-    // The patch only saves traffic.
+    // A failure is ignored: the patch only saves traffic.
     phase_ = phase::storing;
     return put_content{hash_, content_};
   }
@@ -145,7 +148,7 @@
     phase_ = phase::done;
     return proposal_accepted{base_ + 1};
   }
-  // Refused: another one changed the row, or an earlier try of this write did.
+  // If refused, another proposer changed the row, or an earlier attempt of this write did.
   wrote_ = true;
   phase_ = phase::resolving;
   return read_head{};
--- a/src/process/config_proposer.h
+++ b/src/process/config_proposer.h
@@ -13,7 +13,7 @@
 
 namespace arbutus {
 
-// Steps of one proposal: `apply` and the admin endpoint carry them out and feed back the results.
+// Steps of one proposal: `apply` and the admin endpoint execute them and report the results.
 struct put_content {
   std::string name;
   std::string content;
@@ -26,27 +26,28 @@
 struct proposal_accepted {
   std::uint64_t version{};
 };
-// Another configuration was accepted meanwhile, or the base was not the current one.
+// Another configuration was accepted in the meantime, or the base was not the current version.
 struct proposal_conflict {
   std::optional<config_head> current;  // empty: there is none
 };
-// Not done, proven: nothing was written to the head.
+// The proposal certainly did not take effect: nothing was written to the head.
 struct proposal_failed {
   std::string reason;
 };
-// Not resolved yet: ask again with read_back(); nothing else may be concluded.
+// It is not known whether the write took effect; call read_back() to find out.
 struct proposal_unresolved {
   std::string reason;
 };
 using proposal_step = std::variant<put_content, write_head, read_head, proposal_accepted,
                                    proposal_conflict, proposal_failed, proposal_unresolved>;
 
-// Proposes one configuration; never applied twice, whatever replies are lost.
+// Proposes one configuration. It is never applied twice, whichever replies are lost.
 class config_proposer {
  public:
-  // `base`: version on which the operator's change was made. `known`: newest version this process
-  // knows; a head below it is an old copy, and nothing is built on it. `base_content` may be empty;
-  // else a patch is stored beside the content.
+  // `base`: version that the operator's change is based on. `known`: newest version that this
+  // process knows; a head below it is an old copy of the table, and the proposal ends in a
+  // conflict. If `base_content` is not empty, a patch against it is stored in addition to the
+  // content.
   config_proposer(proposal_id id, std::string content, std::uint64_t base, std::uint64_t known,
                   std::string base_content = {});
 
@@ -54,7 +55,7 @@
   [[nodiscard]] proposal_step put_result(const outcome<std::monostate>& result);
   [[nodiscard]] proposal_step read_result(const outcome<head_row>& result);
   [[nodiscard]] proposal_step write_result(const outcome<std::uint64_t>& row_version);
-  // After proposal_unresolved.
+  // Continues after proposal_unresolved.
   [[nodiscard]] proposal_step read_back();
 
  private:
@@ -74,7 +75,7 @@
   phase phase_ = phase::reading;
   bool wrote_ = false;  // a write may have taken effect
   std::size_t writes_{};
-  head_row current_;  // on which the write builds
+  head_row current_;  // the write is conditional on its version
 };
 
 }  // namespace arbutus
--- a/src/process/config_replica.cpp
+++ b/src/process/config_replica.cpp
@@ -1,4 +1,4 @@
-// Which head wins, where its content comes from, and healing of a restored table.
+// Choice of the newest head, fetching of its content, and repair of the head in a restored table.
 #include "process/config_replica.h"
 
 #include <algorithm>
@@ -11,9 +11,10 @@
 namespace {
 
 constexpr std::string_view head_subject = "config-head";
-// Contents kept as bases of patches for peers that are a few versions behind.
+// Earlier contents that are kept as patch bases for peers that are a few versions behind.
 constexpr std::size_t kept_contents = 4;
-// A claim that nobody can back up must not keep out the others for ever.
+// Limit of candidates, so that reported versions whose content no node can supply do not
+// accumulate. Candidates that only peers reported are evicted first, the lowest version first.
 constexpr std::size_t max_candidates = 8;
 
 std::size_t rank_in(const std::vector<node_id>& live, const node_id& self) {
@@ -32,8 +33,9 @@
   return rank_in(live, self_) < timing_.head_readers;
 }
 
-// Versions decide. Equal versions with different content exist only after a restore of the table;
-// every node then has to choose the same one, whichever it met first.
+// The higher version wins. Equal versions with different content exist only after the table was
+// restored from an old copy. The hash then decides, so that all nodes choose the same one,
+// whichever they received first.
 bool config_replica::beats(std::uint64_t version, std::string_view hash) const {
   return std::pair(version, hash) > std::pair(in_force_.version, std::string_view(in_force_.hash));
 }
@@ -55,7 +57,7 @@
   return wants;
 }
 
-// ---- what others have ----
+// ---- heads from the table and from peers ----
 
 config_wants config_replica::head_read(const outcome<head_row>& result, time_point now) {
   config_wants wants;
@@ -64,7 +66,8 @@
     retried_ = false;
     judge_head(*row, wants, now);
   } else if (!retried_) {
-    // One lost reply should not cost a whole interval; a table that is away is not pressed.
+    // Retries once soon, because a single lost reply should not cost a whole interval. Further
+    // failures wait for the interval, to add no load to a table that is unavailable.
     retried_ = true;
     next_read_ = std::min(next_read_, now + random_.jitter(timing_.head_retry));
   }
@@ -125,7 +128,7 @@
   }
 }
 
-// ---- getting content ----
+// ---- fetching content ----
 
 void config_replica::fetch_all(config_wants& wants, time_point now) {
   for (auto& [id, c] : candidates_) {
@@ -153,7 +156,7 @@
   c.not_before = now + timing_.head_read_by_readers;
 }
 
-// The source that was asked last has not got it.
+// The source that was queried last does not have the content.
 config_wants config_replica::try_next(std::string_view hash, time_point now) {
   config_wants wants;
   for (auto& [id, c] : candidates_) {
@@ -189,7 +192,7 @@
     head_ = content.head;
     return wants;
   }
-  // A whole head: the peer may know proposals that its heartbeat did not name.
+  // This head also lists proposals; heartbeats carry version and hash only.
   consider(content.head, false, &peer);
   if (!accept(content, wants, now) && beats(content.head.version, content.head.hash)) {
     return try_next(content.head.hash, now);
@@ -197,13 +200,13 @@
   return wants;
 }
 
-// True if the content was right, wanted or not.
+// True if the content has the right hash, even if no candidate needs it.
 bool config_replica::accept(const config_content& content, config_wants& wants, time_point now) {
   std::optional<std::string> whole = apply_patch(content_, content);
   if (!whole) {
     return false;
   }
-  // The same content may be wanted under several versions; the highest is last.
+  // Several candidate versions may have the same content; the highest version is last.
   std::optional<config_head> best;
   for (const auto& [id, c] : candidates_) {
     if (c.head.hash == content.head.hash) {
@@ -220,7 +223,7 @@
                            time_point now) {
   if (head.version == in_force_.version) {
     wants.push_back(want_told{"two configurations have version " + std::to_string(head.version) +
-                              ": " + in_force_.hash + " gives way to " + head.hash});
+                              ": " + in_force_.hash + " is replaced by " + head.hash});
   }
   remember_content();
   in_force_ = {head.version, head.hash, now};
@@ -230,7 +233,7 @@
   std::erase_if(candidates_, [this](const auto& entry) {
     return !beats(entry.first.first, entry.first.second);
   });
-  // Patches that were made for the content before no longer fit.
+  // Patches against the previous content no longer apply: the sources are tried from the first.
   for (auto& [id, c] : candidates_) {
     c.attempt = 0;
   }
@@ -267,10 +270,10 @@
   return {want_sent{peer, std::move(answer)}};
 }
 
-// ---- healing ----
+// ---- repair of a restored table ----
 
-// True if the head was certainly accepted by somebody who saw an old copy of the table: its newest
-// proposal is none of ours, but builds on one of ours.
+// True if the head was certainly accepted on an old copy of the table: its newest proposal is not
+// in the history of the configuration in force, but an earlier one is.
 bool config_replica::accepted_on_old_copy(const config_head& head) const {
   const auto ours = [this](const proposal_id& id) {
     return std::ranges::find(head_.proposals, id) != head_.proposals.end();
@@ -279,10 +282,10 @@
          std::ranges::any_of(head.proposals, ours);
 }
 
-// The table has an older head than this node: it was restored from a copy. Nodes that start now
-// would take the old one; and the next proposal would repeat a version. The head is lifted to the
-// newest known, or, if somebody has since built on the old copy, that proposal gets a version
-// above all, because it was accepted, too, and last.
+// The table has an older head than this node, so it was restored from a copy. Starting nodes would
+// adopt the old configuration, and the next proposal would reuse a version number. The head is set
+// to the newest known one. If a proposal was accepted on the old copy in the meantime, it gets a
+// version above all others, because it was accepted, and accepted last.
 void config_replica::heal(const head_row& row, config_wants& wants) {
   if (row.head && accepted_on_old_copy(*row.head)) {
     config_head lifted = *row.head;
@@ -294,8 +297,8 @@
     wants.push_back(want_healed{std::move(lifted), row.row_version});
     return;
   }
-  // Without the names of the proposals a proposer whose reply was lost would not find its own in
-  // the healed head, and apply it again.
+  // The proposal ids are needed: without them, a proposer whose reply was lost would not find its
+  // proposal in the repaired head and would apply it again. They are requested from a peer first.
   if (head_.proposals.empty()) {
     if (same_as_us_) {
       wants.push_back(want_sent{*same_as_us_, config_request{in_force_.hash, in_force_.hash}});
@@ -320,7 +323,7 @@
   return {std::move(write)};
 }
 
-// Whether it took effect or another node was first, the row tells.
+// Reads the head again: the row shows whether the write took effect or another node's write did.
 config_wants config_replica::healed(const outcome<std::uint64_t>&, time_point now) {
   next_read_ = now;
   return {};
--- a/src/process/config_replica.h
+++ b/src/process/config_replica.h
@@ -1,6 +1,6 @@
-// Which configuration is in force on this node, and how it gets newer ones: from the head row in
-// the table, the object store and its peers, whichever answers. Versions only rise, also when the
-// platform comes back with an old copy of its table; then the head is healed.
+// The configuration in force on this node, and how the node gets newer ones: from the head row in
+// the table, the object store and its peers, whichever answers. Versions only increase, also when
+// the platform restores its table from an old copy; the node then repairs the head in the table.
 #pragma once
 
 #include <cstdint>
@@ -22,14 +22,14 @@
 
 namespace arbutus {
 
-// A head as it stands in the table.
+// The head as read from the table.
 struct head_row {
   std::optional<config_head> head;  // empty: there is no row
-  std::uint64_t row_version{};      // the table's; 0: there is no row
+  std::uint64_t row_version{};      // assigned by the table; 0: there is no row
   auto operator<=>(const head_row&) const = default;
 };
 
-// ---- what the replica wants done ----
+// ---- effects for the caller to execute ----
 
 struct want_head {  // read the head row
   auto operator<=>(const want_head&) const = default;
@@ -38,12 +38,12 @@
   std::string name;
   auto operator<=>(const want_object&) const = default;
 };
-struct want_stored {  // put this object again: the object store has lost it
+struct want_stored {  // put this object again, in case the object store has lost it
   std::string name;
   std::string content;
   auto operator<=>(const want_stored&) const = default;
 };
-struct want_healed {  // write the head, if the row still has the version
+struct want_healed {  // write the head if the row still has the version `expected_row`
   config_head head;
   std::uint64_t expected_row{};
   auto operator<=>(const want_healed&) const = default;
@@ -53,11 +53,11 @@
   std::variant<config_request, config_content> message;
   auto operator<=>(const want_sent&) const = default;
 };
-struct want_told {  // a notice for people
+struct want_told {  // a notice for the operators
   std::string text;
   auto operator<=>(const want_told&) const = default;
 };
-struct want_adopted {  // in_force() has changed: publish it and hurry the heartbeats
+struct want_adopted {  // in_force() has changed: publish it and send heartbeats immediately
   std::uint64_t version{};
   auto operator<=>(const want_adopted&) const = default;
 };
@@ -75,15 +75,16 @@
  public:
   config_replica(node_id self, std::uint64_t seed, control_timing timing = {});
 
-  // `live`: as of membership, self included, in order of id. Also asks again where no answer came.
+  // `live`: the live nodes by membership, including this one, sorted by id. Also repeats requests
+  // that timed out.
   [[nodiscard]] config_wants tick(const std::vector<node_id>& live, time_point now);
   // Result of want_head.
   [[nodiscard]] config_wants head_read(const outcome<head_row>& result, time_point now);
-  // A heartbeat's or summary's claim.
+  // A heartbeat or summary reports the configuration of a peer.
   [[nodiscard]] config_wants peer_has(const node_id& peer, std::uint64_t version,
                                       std::string_view hash, time_point now);
   [[nodiscard]] config_wants peer_asks(const node_id& peer, const config_request& request);
-  // Content from a peer; not believed unless its hash is right.
+  // Content from a peer; ignored unless its hash is right.
   [[nodiscard]] config_wants peer_sent(const node_id& peer, const config_content& content,
                                        time_point now);
   // Result of want_object.
@@ -91,24 +92,26 @@
                                          time_point now);
   // Result of want_stored.
   [[nodiscard]] config_wants stored(const outcome<std::monostate>& result, time_point now);
-  // Result of want_healed; the head is read again whatever it is.
+  // Result of want_healed; the head is read again in any case.
   [[nodiscard]] config_wants healed(const outcome<std::uint64_t>& row_version, time_point now);
 
   [[nodiscard]] const config_in_force& in_force() const { return in_force_; }
-  [[nodiscard]] const config_head& head() const { return head_; }        // of what is in force
-  [[nodiscard]] const std::string& content() const { return content_; }  // encode_content's
+  // Head and encoded content of the configuration in force.
+  [[nodiscard]] const config_head& head() const { return head_; }
+  [[nodiscard]] const std::string& content() const { return content_; }
   [[nodiscard]] bool reads_head(const std::vector<node_id>& live) const;
 
  private:
-  // What is newer than what is in force, and who may have it. Sources are tried in turn: the patch
-  // in the object store (if the table named it), the peers that have it, the whole object.
+  // A configuration newer than the one in force, and the peers that may have it. Sources are tried
+  // in turn: the patch in the object store (if the head was read from the table), the peers that
+  // reported it, the whole object.
   struct candidate {
-    config_head head;  // proposals are empty when it is known from peers only
+    config_head head;  // without proposals if only peers have reported it
     bool from_table = false;
     std::vector<node_id> holders;
     std::size_t attempt{};  // next source
     std::optional<time_point> asked_at;
-    time_point not_before;  // after a round without success
+    time_point not_before;  // of the next round, after all sources failed
   };
   using key = std::pair<std::uint64_t, std::string>;  // version, hash
 
@@ -133,11 +136,11 @@
   std::map<std::string, std::string> recent_;  // earlier contents by hash, as bases of patches
   std::vector<std::string> recent_order_;      // oldest first
   std::optional<node_id> same_as_us_;          // a peer with the configuration in force
-  std::map<key, candidate> candidates_;        // at most max_candidates; all beat in_force_
-  std::optional<want_healed> to_heal_;         // waits until the content is stored
+  std::map<key, candidate> candidates_;        // at most max_candidates; all newer than in_force_
+  std::optional<want_healed> to_heal_;         // issued when the content is stored
   time_point next_read_;
   std::optional<time_point> read_started_;
-  bool retried_ = false;  // the newest read that failed was a retry
+  bool retried_ = false;  // the last read that failed was a retry
 };
 
 }  // namespace arbutus
--- a/src/process/config_transfer.cpp
+++ b/src/process/config_transfer.cpp
@@ -1,4 +1,4 @@
-// Parts of the newest configuration, and what they are put together to.
+// Splitting the newest configuration into parts, and reassembling them.
 #include "process/config_transfer.h"
 
 #include <algorithm>
@@ -41,8 +41,8 @@
   }
   const std::string& delta = delta_for(held);
   const std::uint64_t base = find(held) == nullptr ? 0 : held;
-  const bool goes_on = at.row == newest() && at.base == base && at.bytes < delta.size();
-  const std::uint64_t offset = goes_on ? at.bytes : 0;
+  const bool resumes = at.row == newest() && at.base == base && at.bytes < delta.size();
+  const std::uint64_t offset = resumes ? at.bytes : 0;
   return config_part{newest(), base, delta.size(), offset, delta.substr(offset, most)};
 }
 
@@ -56,8 +56,8 @@
     bytes_.clear();
     progress_ = {part.row, part.base, 0};
   }
-  const bool follows = progress_ == config_progress{part.row, part.base, part.offset};
-  if (!follows) {
+  const bool in_order = progress_ == config_progress{part.row, part.base, part.offset};
+  if (!in_order) {
     return std::nullopt;
   }
   bytes_ += part.bytes;
--- a/src/process/config_transfer.h
+++ b/src/process/config_transfer.h
@@ -1,9 +1,10 @@
-// How a configuration travels from the hub of a data centre to its nodes.
+// Transfer of a configuration from the hub of a data centre to its nodes.
 //
-// What travels is the change against the version that a node holds, in parts that its link carries
-// between two beats: a node that reads the store itself reads all of it, hundreds of KB for a few
-// routes, and all nodes do so at once. A node says in each beat how far it is, so that a part that
-// is lost comes again, and what came of an older version is dropped. Values in virtual time.
+// The hub sends the delta against the version that a node has, in parts that the link carries
+// between two heartbeats. Without this, each node reads the whole row from the store, hundreds of
+// KB for a change of a few routes, and all nodes do so simultaneously. A node reports its progress
+// in each heartbeat, so that a lost part is sent again and parts of an older version are dropped.
+// Does no I/O; the time is passed in.
 #pragma once
 
 #include <algorithm>
@@ -19,17 +20,18 @@
 
 namespace arbutus {
 
-// A row of the configuration as a delta; 0 as base: of nothing.
+// A part of the delta to a row of the configuration. Rows are named by their versions; base 0 means
+// that the delta contains the whole text.
 struct config_part {
-  std::uint64_t row{};   // version of the row that the delta gives
-  std::uint64_t base{};  // version of the row that it is made for
+  std::uint64_t row{};   // version of the row that the delta results in
+  std::uint64_t base{};  // version of the row that it applies to
   std::uint64_t size{};  // of the whole delta
   std::uint64_t offset{};
   std::string bytes;
   bool operator==(const config_part&) const = default;
 };
 
-// How much of a delta has arrived.
+// How many bytes of a delta have arrived.
 struct config_progress {
   std::uint64_t row{};
   std::uint64_t base{};
@@ -37,24 +39,25 @@
   bool operator==(const config_progress&) const = default;
 };
 
-// The newest row, and some before it as bases of deltas for those who hold them.
+// The newest row, and some before it as bases of deltas for nodes that have those.
 class config_history {
  public:
-  // Older rows than the newest are ignored.
+  // Ignores rows that are not newer than the newest.
   void take(std::uint64_t row, std::string text);
-  // 0: none yet.
+  // 0: no row yet.
   [[nodiscard]] std::uint64_t newest() const { return rows_.empty() ? 0 : rows_.back().row; }
-  // Null if it is not kept.
+  // Null if the row is not kept.
   [[nodiscard]] const std::string* find(std::uint64_t row) const;
 
-  // The delta from what a node holds to the newest row; not empty.
+  // The delta from row `held` to the newest; contains the whole text if `held` is not kept. Never
+  // empty.
   const std::string& delta_for(std::uint64_t held);
-  // What follows on `at` for a node that holds `held`, at most `most` bytes; empty if it holds the
-  // newest row, or there is none.
+  // The part after `at` for a node that has row `held`, at most `most` bytes. Empty if the node has
+  // the newest row, or there is none.
   std::optional<config_part> part_for(std::uint64_t held, const config_progress& at,
                                       std::size_t most);
 
-  // Versions in a row reach a node some beats apart.
+  // More than one, because nodes receive consecutive versions some heartbeats apart.
   static constexpr std::size_t most_kept = 3;
 
  private:
@@ -62,57 +65,57 @@
     std::uint64_t row;
     std::string text;
   };
-  std::deque<entry> rows_;                       // rising
-  std::map<std::uint64_t, std::string> deltas_;  // to the newest row, by base; made when asked for
+  std::deque<entry> rows_;                       // in ascending order
+  std::map<std::uint64_t, std::string> deltas_;  // to the newest row, by base; created on demand
 };
 
-// Puts the parts together.
+// Reassembles the parts of a delta.
 class config_receiver {
  public:
-  // The text of the row, once its last part is here. Parts that do not follow change nothing.
+  // The text of the row when its last part has arrived. Parts that are out of order are ignored.
   std::optional<std::string> take(const config_part& part, const config_history& held);
   [[nodiscard]] const config_progress& progress() const { return progress_; }
 
  private:
   config_progress progress_;
-  std::string bytes_;  // of the delta, as many as progress_ says
+  std::string bytes_;  // of the delta, progress_.bytes in number
 };
 
-// Whether a node knows of a version that it does not hold, and since when.
+// Whether a node knows of a version that it does not have, and since when.
 class config_lag {
  public:
-  // Somebody holds this row.
+  // Another node or the store has this row.
   void heard_of(time_point now, std::uint64_t row) {
     const bool is_new = row > holds_ && (lacking_.empty() || row > lacking_.back().row);
     if (is_new && lacking_.size() < most_rows) {
       lacking_.push_back({row, now});
     }
   }
-  // This node acts by it.
+  // This row is in force on this node.
   void holds(std::uint64_t row) {
     holds_ = std::max(holds_, row);
-    std::erase_if(lacking_, [this](const heard& h) { return h.row <= holds_; });
+    std::erase_if(lacking_, [this](const missing_row& m) { return m.row <= holds_; });
   }
   [[nodiscard]] bool behind() const { return !lacking_.empty(); }
-  // Since it heard of the oldest row that it lacks: where versions follow each other closely a node
-  // may always lack the newest, and is late with none.
+  // Time since the oldest missing row was reported. Counts from the oldest, because with frequent
+  // versions a node may always miss the newest one without being late with any.
   [[nodiscard]] duration age(time_point now) const {
     return behind() ? now - lacking_.front().at : duration{};
   }
-  // Goes wrong without it: routes that a version took away are served after the bound of operators
-  // has passed. `bound`: from acceptance until a version is in force everywhere. Half of it is left
-  // for the way of the news to this node.
+  // Without this, routes that a version removed are served after the operators' bound has passed.
+  // `bound`: from acceptance of a version until it is in force on all nodes. Half of it is reserved
+  // for the time until this node learns of the version.
   [[nodiscard]] bool too_old(time_point now, duration bound) const { return age(now) >= bound / 2; }
 
  private:
-  struct heard {
+  struct missing_row {
     std::uint64_t row;
-    time_point at;
+    time_point at;  // when it was first reported
   };
   static constexpr std::size_t most_rows = 64;
 
   std::uint64_t holds_ = 0;
-  std::deque<heard> lacking_;  // rising rows, all beyond holds_
+  std::deque<missing_row> lacking_;  // ascending rows, all above holds_
 };
 
 }  // namespace arbutus
--- a/src/version/activation.cpp
+++ b/src/version/activation.cpp
@@ -1,4 +1,5 @@
-// Entering activations: each is checked against the row, since it may come from an older one.
+// Merges activations into the row. Each is checked against the row, since it may have been made
+// from an older one.
 #include "version/activation.h"
 
 #include <algorithm>
@@ -19,8 +20,9 @@
                              [&](const withdrawal& w) { return w.vm == vm && w.from == replica; });
 }
 
-// An activation from an older row may use a standby that was withdrawn since. Nobody else can
-// have got it while the withdrawal stands, so it may come back; any other VM may not.
+// Whether the composition is an activation of this replica in this row or an older one. One from an
+// older row may use a standby that was withdrawn since: no other replica can have received that VM
+// while the withdrawal is in the row. Any other VM is not allowed.
 bool follows_from_row(const composition& c, const replica_plan& r, const bake_result& row,
                       std::uint64_t row_version) {
   if (c.members.size() != r.members.size()) {
--- a/src/version/activation.h
+++ b/src/version/activation.h
@@ -1,4 +1,4 @@
-// Enters into the row what nodes activated without it.
+// Merges standby activations that nodes made without the table into the assignment row.
 #pragma once
 
 #include <vector>
@@ -10,15 +10,15 @@
 struct bake_result {
   std::vector<replica_plan> replicas;
   std::vector<withdrawal> withdrawals;
-  // Replicas whose targets were given a token above the row's by a composition that does not
-  // follow from the row. Their targets would refuse the row's token: they need a new one.
+  // Replicas with a composition in force that cannot be derived from the row and whose generation
+  // is above the row's. Their targets refuse the row's fencing token, so they need a new one.
   std::vector<replica_id> overtaken;
   bool changed = false;
 };
 
-// The row's replicas with the compositions in force: members replaced, used standbys consumed,
-// generation kept, so that a replica that serves since its activation is not disturbed. Members
-// that were replaced are withdrawn with the version after the row's.
+// Returns the row's replicas with the compositions in force: members are replaced and used standbys
+// removed. The generation of the composition is kept, so that a replica that has served since its
+// activation is not interrupted. Replaced members are withdrawn as of the version after the row's.
 [[nodiscard]] bake_result bake_activations(const assignment& current,
                                            const std::vector<composition>& in_force);
 
--- a/src/version/assignment.cpp
+++ b/src/version/assignment.cpp
@@ -1,4 +1,4 @@
-// The assignment as a value: lookup, its invariants, and the repair that needs no agreement.
+// The assignment: lookup, invariants, and activation of standbys without agreement between nodes.
 #include "version/assignment.h"
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 
 namespace {
 
-// Reads one decimal number that ends at `end_mark` or at the end of the text. Signs, spaces and
-// leading zeros are refused, so that each token has exactly one spelling.
+// Reads one decimal number, which ends at the end of the text if `last`, and at a '.' otherwise.
+// Signs, spaces and leading zeros are refused, so that each token has exactly one spelling.
 template <class Number>
-std::optional<Number> take_number(std::string_view& text, bool last) {
+std::optional<Number> parse_number(std::string_view& text, bool last) {
   Number value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   const auto length = static_cast<std::size_t>(end - text.data());
@@ -32,7 +32,7 @@
   return lost_mask{1} << position;
 }
 
-// All positions that exist in a replica with `count` members and standbys.
+// All positions in a replica that has `count` members and standbys.
 lost_mask mask_of(std::size_t count) {
   return count >= max_positions ? ~lost_mask{0} : bit_at(count) - 1;
 }
@@ -41,8 +41,8 @@
   return finding{severity::error, {"assignment", 0, 0}, std::move(message), {}};
 }
 
-// Where a VM was seen first, to name both places of a double use.
-class owners {
+// Remembers where each VM was seen first, so that a message about a double use names both places.
+class vm_uses {
  public:
   void add(const vm_id& vm, const std::string& where, findings& found) {
     if (vm.empty()) {
@@ -85,15 +85,15 @@
 }
 
 std::optional<generation> parse_generation(std::string_view text) {
-  const auto row = take_number<std::uint64_t>(text, false);
+  const auto row = parse_number<std::uint64_t>(text, false);
   if (!row) {
     return std::nullopt;
   }
-  const auto step = take_number<std::uint32_t>(text, false);
+  const auto step = parse_number<std::uint32_t>(text, false);
   if (!step) {
     return std::nullopt;
   }
-  const auto lost = take_number<lost_mask>(text, true);
+  const auto lost = parse_number<lost_mask>(text, true);
   if (!lost) {
     return std::nullopt;
   }
@@ -107,7 +107,7 @@
 
 findings check_invariants(const assignment& a) {
   findings found;
-  owners vms;
+  vm_uses vms;
   std::unordered_map<replica_id, bool> names;
   for (const replica_plan& replica : a.replicas) {
     check_replica(replica, a.version, found);
@@ -134,13 +134,13 @@
   return {replica.id, replica.gen, replica.members};
 }
 
-// Two nodes that know the same losses come to the same composition without a word between them;
-// two that know different ones carry different masks, so their orders never share a token.
+// Nodes that know of the same losses compute the same composition without communicating. Nodes that
+// know of different losses use different masks, so their orders never share a fencing token.
 std::optional<composition> activate(const replica_plan& replica, std::uint64_t row_version,
                                     lost_mask lost) {
   const std::size_t positions = replica.members.size() + replica.standbys.size();
-  const bool nonsense = positions > max_positions || (lost & ~mask_of(positions)) != 0;
-  if (nonsense || row_version < replica.gen.row) {
+  const bool invalid = positions > max_positions || (lost & ~mask_of(positions)) != 0;
+  if (invalid || row_version < replica.gen.row) {
     return std::nullopt;
   }
   if (lost == 0) {
--- a/src/version/assignment.h
+++ b/src/version/assignment.h
@@ -1,5 +1,5 @@
-// The assignment: which VM belongs to which replica, one row per data centre in the table,
-// changed only by conditional write. Its version is the fencing token of every order.
+// The assignment of VMs to replicas: one row per data centre in the table, changed only by
+// conditional writes. Its version is part of the fencing token of every order.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace arbutus {
 
-// Position of a VM in members ++ standbys, as a bit.
+// A set of VMs of a replica. Bit i is the VM at position i of the members followed by the standbys.
 using lost_mask = std::uint32_t;
 inline constexpr std::size_t max_positions = 32;
 
 // Fencing token of a replica's composition, compared field by field. `row` is the assignment
-// version in which this composition was laid down or from which it was activated; `step` and
-// `lost` count local repairs made since without the table.
+// version that contains this composition or from which it was activated; `step` and `lost` describe
+// the local repairs made since then without the table.
 struct generation {
   std::uint64_t row{};
   std::uint32_t step{};  // invariant: popcount(lost)
@@ -33,7 +33,7 @@
 
 enum class replica_phase {
   active,
-  draining,  // finishes what it runs, gets nothing new; its VMs are still its own
+  draining,  // finishes its requests and gets no new ones; its VMs are still reserved for it
 };
 
 struct replica_plan {
@@ -41,15 +41,16 @@
   model_id model;
   std::string model_version;
   replica_phase phase = replica_phase::active;
-  bool crosses_fabric_domains = false;  // slow; routed to last
-  std::vector<vm_id> members;           // by rank; the first answers requests
+  bool crosses_fabric_domains = false;  // slow; the last choice in routing
+  std::vector<vm_id> members;           // by rank; the first is the head
   std::vector<vm_id> standbys;          // reserved for this replica alone, in order of use
   generation gen;
   auto operator<=>(const replica_plan&) const = default;
 };
 
-// A reservation that was taken back. The VM belongs to nobody until every live node of the data
-// centre has acknowledged `since`: a node that cannot see the table could still activate it.
+// A cancelled reservation. The VM belongs to no replica until every live node of the data centre
+// has acknowledged version `since`, because a node that cannot read the table could still activate
+// it.
 struct withdrawal {
   vm_id vm;
   replica_id from;
@@ -59,10 +60,10 @@
 
 struct assignment {
   data_centre_id data_centre;
-  std::uint64_t version{};  // own counter: only rises, also when the table's copy is restored
+  std::uint64_t version{};  // own counter: only increases, also when the table is restored
   std::uint64_t config_version{};
   proposal_id proposal;  // of the write that made it
-  // Invariant: a VM stands at most once in all members, standbys and withdrawals together.
+  // Invariant: a VM occurs at most once in all members, standbys and withdrawals together.
   std::vector<replica_plan> replicas;
   std::vector<withdrawal> withdrawals;
   auto operator<=>(const assignment&) const = default;
@@ -70,13 +71,13 @@
   [[nodiscard]] const replica_plan* find(const replica_id& id) const;
 };
 
-// Breaches of the invariant above, for tests and before every write.
+// Violations of the invariants of a row, for tests and before every write.
 [[nodiscard]] findings check_invariants(const assignment& a);
 
-// A repair made without the table: the composition of `replica` when the VMs at `lost` are gone.
-// A pure function of the row and the mask, so that equal generations mean equal compositions:
-// each lost member is replaced in place by the first standby that is neither lost nor used.
-// Empty when the standbys do not suffice.
+// The members of a replica under one generation. activate() makes the repair without the table: the
+// composition of `replica` without the VMs in `lost`. It is a pure function of the row and the
+// mask, so that equal generations mean equal compositions: each lost member is replaced in place by
+// the first standby that is neither lost nor used. Empty if there are not enough standbys.
 struct composition {
   replica_id replica;
   generation gen;
--- a/src/version/assignment_codec.cpp
+++ b/src/version/assignment_codec.cpp
@@ -1,5 +1,5 @@
-// The assignment row as MessagePack. Arrays instead of maps: the row is read by every node, and
-// at sixteen VMs a replica the keys would outweigh the names.
+// The assignment row as MessagePack, with arrays instead of maps: every node reads the row, and at
+// sixteen VMs per replica the keys would take more space than the names.
 #include <limits>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
@@ -12,7 +12,7 @@
 
 using json = nlohmann::json;
 
-// First element of the row: a reader refuses a form that it does not know.
+// First element of the row: a reader refuses a format that it does not know.
 constexpr std::uint64_t row_format = 1;
 
 json pack(const std::vector<vm_id>& vms) {
@@ -33,8 +33,8 @@
   return json::array({w.vm.str(), w.from.str(), w.since});
 }
 
-// A list of exactly `size` elements; a longer one was not written by us and is refused too.
-const json& tuple(const json& j, std::size_t size) {
+// Checks for a list of exactly `size` elements. A longer one is refused, too: no encoder writes it.
+const json& list_of(const json& j, std::size_t size) {
   if (!j.is_array() || j.size() != size) {
     throw std::invalid_argument("list of wrong length");
   }
@@ -48,10 +48,10 @@
   return j;
 }
 
-// nlohmann converts between kinds of numbers silently; a damaged row would so lose digits or
-// change sign, and a wrong fencing token would go out. Only whole numbers in range are taken.
+// nlohmann converts between number types silently: numbers in a damaged row would lose digits or
+// change sign, and orders would carry a wrong fencing token. Accepts only whole numbers in range.
 template <class Number>
-Number whole(const json& j) {
+Number unsigned_number(const json& j) {
   if (!j.is_number_unsigned()) {
     throw std::invalid_argument("not a whole number");
   }
@@ -76,7 +76,7 @@
 }
 
 replica_phase unpack_phase(const json& j) {
-  switch (whole<unsigned>(j)) {
+  switch (unsigned_number<unsigned>(j)) {
     case static_cast<unsigned>(replica_phase::active):
       return replica_phase::active;
     case static_cast<unsigned>(replica_phase::draining):
@@ -87,7 +87,7 @@
 }
 
 replica_plan unpack_replica(const json& j) {
-  tuple(j, 10);
+  list_of(j, 10);
   replica_plan r;
   r.id = name<replica_id>(j[0]);
   r.model = name<model_id>(j[1]);
@@ -96,24 +96,25 @@
   r.crosses_fabric_domains = j[4].get<bool>();
   r.members = unpack_vms(j[5]);
   r.standbys = unpack_vms(j[6]);
-  r.gen = {whole<std::uint64_t>(j[7]), whole<std::uint32_t>(j[8]), whole<lost_mask>(j[9])};
+  r.gen = {unsigned_number<std::uint64_t>(j[7]), unsigned_number<std::uint32_t>(j[8]),
+           unsigned_number<lost_mask>(j[9])};
   return r;
 }
 
 withdrawal unpack_withdrawal(const json& j) {
-  tuple(j, 3);
-  return {name<vm_id>(j[0]), name<replica_id>(j[1]), whole<std::uint64_t>(j[2])};
+  list_of(j, 3);
+  return {name<vm_id>(j[0]), name<replica_id>(j[1]), unsigned_number<std::uint64_t>(j[2])};
 }
 
 assignment unpack(const json& j) {
-  tuple(j, 7);
-  if (whole<std::uint64_t>(j[0]) != row_format) {
+  list_of(j, 7);
+  if (unsigned_number<std::uint64_t>(j[0]) != row_format) {
     throw std::invalid_argument("unknown row format");
   }
   assignment a;
   a.data_centre = name<data_centre_id>(j[1]);
-  a.version = whole<std::uint64_t>(j[2]);
-  a.config_version = whole<std::uint64_t>(j[3]);
+  a.version = unsigned_number<std::uint64_t>(j[2]);
+  a.config_version = unsigned_number<std::uint64_t>(j[3]);
   a.proposal = name<proposal_id>(j[4]);
   for (const json& replica : list(j[5])) {
     a.replicas.push_back(unpack_replica(replica));
@@ -124,9 +125,9 @@
   return a;
 }
 
-// Looks at the nesting only. The library's reader calls itself once per level, so that a few
-// kilobytes of damaged bytes that open a list each would overflow the stack and take the process
-// down, which no exception handler could stop.
+// Checks the nesting depth only. The library's parser recurses once per level: a few kilobytes of
+// damaged bytes that each open a list would overflow the stack and crash the process, which no
+// exception handler can prevent.
 class depth_check : public json::json_sax_t {
  public:
   bool null() override { return true; }
@@ -182,7 +183,7 @@
 outcome<assignment> decode_assignment(std::string_view bytes) {
   try {
     assignment a = unpack(parse(bytes));
-    // Well-formed bytes can still say that one VM has two owners; such a row must not be obeyed.
+    // A well-formed row may still list one VM in two replicas; such a row must not be applied.
     const findings breaches = check_invariants(a);
     if (!breaches.empty()) {
       return refused{"assignment row: " + breaches.front().message};
--- a/src/version/config_changes.cpp
+++ b/src/version/config_changes.cpp
@@ -1,5 +1,5 @@
-// Walks two contents side by side. The depth is that of the content's format, so recursion is
-// bounded by it.
+// Compares two contents recursively. A depth limit bounds the recursion; values below it are
+// compared as a whole.
 #include "version/config_changes.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 constexpr std::size_t longest_value = 80;
 constexpr int deepest = 8;
 
-std::string shown(const json& value) {
+std::string to_text(const json& value) {
   std::string text = value.is_string() ? value.get<std::string>()
                                        : value.dump(-1, ' ', false, json::error_handler_t::replace);
   if (text.size() > longest_value) {
@@ -26,7 +26,7 @@
   return text;
 }
 
-// What a record is called among its like; empty: it has no name.
+// The name of a record, unique in its list; empty: it has none.
 std::string name_of(const json& record) {
   std::string name;
   for (const char* key : {"id", "name", "service", "data_centre"}) {
@@ -42,7 +42,7 @@
 
 using named_records = std::map<std::string, const json*>;
 
-// Empty: not a list of records with different names.
+// The records of a list by name. Empty if a record has no name or two have the same.
 std::optional<named_records> by_name(const json& list) {
   named_records result;
   for (const json& record : list) {
@@ -72,23 +72,23 @@
         return;
       }
     }
-    lines_.push_back(place + ": " + shown(before) + " -> " + shown(after));
+    lines_.push_back(place + ": " + to_text(before) + " -> " + to_text(after));
   }
 
   std::vector<std::string> take() { return std::move(lines_); }
 
  private:
-  static std::string below(const std::string& place, const std::string& name) {
+  static std::string child_path(const std::string& place, const std::string& name) {
     return place.empty() ? name : place + ' ' + name;
   }
 
   void compare_fields(const std::string& place, const json& before, const json& after, int depth) {
     for (const auto& [key, value] : before.items()) {
-      compare(below(place, key), value, after.value(key, json{}), depth + 1);
+      compare(child_path(place, key), value, after.value(key, json{}), depth + 1);
     }
     for (const auto& [key, value] : after.items()) {
       if (!before.contains(key)) {
-        compare(below(place, key), json{}, value, depth + 1);
+        compare(child_path(place, key), json{}, value, depth + 1);
       }
     }
   }
@@ -98,14 +98,14 @@
     for (const auto& [name, record] : before) {
       const auto same = after.find(name);
       if (same == after.end()) {
-        lines_.push_back(below(place, name) + ": removed");
+        lines_.push_back(child_path(place, name) + ": removed");
       } else {
-        compare(below(place, name), *record, *same->second, depth + 1);
+        compare(child_path(place, name), *record, *same->second, depth + 1);
       }
     }
     for (const auto& [name, record] : after) {
       if (!before.contains(name)) {
-        lines_.push_back(below(place, name) + ": added");
+        lines_.push_back(child_path(place, name) + ": added");
       }
     }
   }
--- a/src/version/config_changes.h
+++ b/src/version/config_changes.h
@@ -1,5 +1,5 @@
-// What differs between two configurations, in words for the operator whose change was overtaken by
-// another one.
+// The differences between two configurations as text, for the operator whose change conflicts with
+// another one that was accepted first.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 
 namespace arbutus {
 
-// Both texts are encode_content's. One line for each field that differs, such as
-// "rules classes interactive deadline_us: 20000000 -> 30000000"; after `most` lines one that counts
-// the rest. Records are matched by their names, whatever their order. Empty if nothing differs or a
-// text cannot be read.
+// Both texts are results of encode_content. Returns one line for each field that differs, such as
+// "rules classes interactive deadline_us: 20000000 -> 30000000"; after `most` lines, one line with
+// the number of further ones. Records are matched by name, regardless of order. Empty if nothing
+// differs or a text cannot be parsed.
 [[nodiscard]] std::vector<std::string> changes_between(std::string_view before,
                                                        std::string_view after,
                                                        std::size_t most = 40);
--- a/src/version/configuration.cpp
+++ b/src/version/configuration.cpp
@@ -1,7 +1,7 @@
-// Content and head as JSON: people can read what the object store holds, keys come out sorted, and
-// the parser works without recursion, so that deeply nested damage cannot exhaust a small stack.
+// Content and head as JSON: the objects in the store are readable for people, keys are sorted, and
+// the parser is not recursive, so that deeply nested damaged text cannot overflow a small stack.
 //
-// The fields of each record are listed once, in `visit_fields`, for both directions.
+// The fields of each record are listed once, in `visit_fields`, for encoding and decoding.
 #include "version/configuration.h"
 
 #include <concepts>
@@ -20,8 +20,8 @@
 
 using json = nlohmann::json;
 
-// Raised when a field changes its meaning: a node that knows only the old one must refuse the
-// content instead of running on half of the rules.
+// Incremented when the meaning of a field changes: a node that knows only the old format must
+// refuse the content instead of applying a part of the rules.
 constexpr unsigned content_format = 1;
 
 template <class T, class Record>
@@ -208,7 +208,7 @@
   return write_value(value);
 }
 
-// ---- reading; throws inside this file only, see `guarded` ----
+// ---- reading; exceptions do not leave this file, see `parse_or_refuse` ----
 
 template <class T>
 void from_json_value(const json& j, T& value);
@@ -301,10 +301,10 @@
   read_value(j, value);
 }
 
-// Damaged bytes from the store must never take a node down: they are refused with the reason, and
-// the node keeps the configuration that it has.
+// Damaged bytes from the store must never crash a node: they are refused with the reason, and the
+// node keeps its current configuration.
 template <class T, class Decode>
-outcome<T> guarded(std::string_view text, Decode decode) {
+outcome<T> parse_or_refuse(std::string_view text, Decode decode) {
   try {
     return decode(json::parse(text));
   } catch (const std::exception& e) {
@@ -312,8 +312,8 @@
   }
 }
 
-// Text that is no UTF-8 cannot come from the import; the replacement keeps an embedding program
-// that skips the import from an exception here.
+// Replaces invalid UTF-8 instead of throwing. The import lets no such text through, but an
+// embedding program may skip the import.
 std::string dump(const json& j) {
   return j.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -327,7 +327,7 @@
 }
 
 outcome<configuration> decode_content(std::string_view content, std::uint64_t version) {
-  return guarded<configuration>(content, [&](const json& j) {
+  return parse_or_refuse<configuration>(content, [&](const json& j) {
     unsigned format = 0;
     field_reader reader(j);
     reader("format", format);
@@ -347,7 +347,7 @@
 }
 
 outcome<config_head> decode_head(std::string_view text) {
-  return guarded<config_head>(text, [](const json& j) {
+  return parse_or_refuse<config_head>(text, [](const json& j) {
     config_head head;
     from_json_value(j, head);
     return head;
--- a/src/version/configuration.h
+++ b/src/version/configuration.h
@@ -1,4 +1,4 @@
-// A configuration version: inventory and rules together, as accepted by the operators.
+// A configuration version: inventory and rules together, as accepted from the operators.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,12 @@
 
 namespace arbutus {
 
-// Which configuration is accepted: one row in the table. Versions only rise.
+// Names the accepted configuration; one row in the table. Versions only increase.
 struct config_head {
   std::uint64_t version{};
   std::string hash;  // content_hash of the encoded content, its name in the object store
-  // Newest first, this one included: lets a proposer whose reply was lost find its own proposal
-  // although others came after it.
+  // Newest first, including the one that wrote this head: a proposer whose reply was lost finds its
+  // proposal here even if later ones were accepted.
   std::vector<proposal_id> proposals;
   auto operator<=>(const config_head&) const = default;
 };
@@ -28,7 +28,7 @@
   rules wanted;
 };
 
-// Content as stored: independent of the version number. decode(encode(c)) == c.
+// The content as stored; does not depend on the version number. decode(encode(c)) == c.
 [[nodiscard]] std::string encode_content(const inventory& assets, const rules& wanted);
 [[nodiscard]] outcome<configuration> decode_content(std::string_view content,
                                                     std::uint64_t version);
--- a/src/version/service_map.cpp
+++ b/src/version/service_map.cpp
@@ -1,4 +1,4 @@
-// Look-ups in an accepted version.
+// Lookups of routes, workspaces, services and models in an accepted version.
 #include "version/service_map.h"
 
 #include <algorithm>
--- a/src/version/service_map.h
+++ b/src/version/service_map.h
@@ -1,8 +1,8 @@
-// What operators want served, as one accepted version from outside: routes, services with the
-// parameters of their engines, and the workspaces with their keys.
+// One accepted version of the operators' service configuration, as read from the platform: routes,
+// services with the parameters of their engines, and workspaces with their keys.
 //
-// It is the counterpart of `configuration` for deployments whose inventory is live: targets come
-// and go without a new version, so none is named here.
+// It is the counterpart of `configuration` for deployments with a live inventory: targets join and
+// leave without a new version, so this configuration does not list them.
 #pragma once
 
 #include <cstddef>
@@ -23,10 +23,10 @@
 enum class route_kind : std::uint8_t {
   idempotent,  // may run more than once
   once,        // may run at most once for each request of a caller
-  stream,      // a series of events; repeatable only where it can be resumed
+  stream,      // a series of events; repeatable only if it can be resumed
 };
 
-// A part of a route's requests that goes to one service.
+// The share of a route's requests that goes to one service.
 struct route_share {
   service_id service;
   double weight = 1;
@@ -37,11 +37,11 @@
   std::string host;    // lower case, without port
   std::string prefix;  // begins and ends with '/'
   route_kind kind = route_kind::once;
-  bool resumable = false;       // a stream can go on behind its last event, on another target
+  bool resumable = false;       // another target can continue a stream after its last event
   bool needs_workspace = true;  // false: served without a key
-  duration timeout{};           // the longest a caller is kept waiting
-  duration target_latency{};    // to the answer; for streams to the first event
-  duration gap_target{};        // longest pause between events that is still on time
+  duration timeout{};           // the caller gets an answer within this time
+  duration target_latency{};    // objective until the answer; for streams until the first event
+  duration gap_target{};        // objective for the longest pause between events
   std::uint32_t priority{};     // 0 is the most urgent
   std::uint32_t max_attempts = 1;
   std::vector<route_share> shares;
@@ -51,34 +51,34 @@
   }
 };
 
-// A model that replicas of engines serve together.
+// A model that is served by replicas, each of several engines.
 struct model_shape {
   model_id id;
-  std::uint32_t size = 1;  // engines of a replica
+  std::uint32_t size = 1;  // engines per replica
   double work_share = 1;   // of the engines' time, as operators expect it at the start
   double pace = 1;         // factor on all times of a replica
-  duration load_time{};    // from the shared weight store
-  duration warm_time{};    // when the weights are on the host already
+  duration load_time{};    // to load the weights from the shared weight store
+  duration warm_time{};    // to load the weights if they are on the host already
 };
 
-// How engines of a service batch. All times are those of a replica with pace 1.
+// Batching parameters of a service's engines. All times are those of a replica with pace 1.
 struct engine_parameters {
-  std::uint32_t slots = 1;          // requests that a replica runs at once
+  std::uint32_t slots = 1;          // requests that a replica runs simultaneously
   std::uint64_t kv_capacity{};      // tokens
-  std::uint32_t stride = 1;         // steps of a pass while some request generates
-  duration step{};                  // of one token for all that generate
+  std::uint32_t stride = 1;         // steps per pass while any request generates tokens
+  duration step{};                  // time of a step, which gives each generating request a token
   double step_per_sequence_ms{};    // added to a step for each request that generates
   double context_ms_per_k{};        // added to a step for each 1,000 tokens of context
-  double read_tokens_per_s = 1;     // prompt tokens
+  double read_tokens_per_s = 1;     // rate at which prompts are read (prefill)
   double pair_ms_per_m{};           // for each million pairs of a token and an earlier one
-  std::uint32_t chunk = 1;          // most prompt tokens read in a step
+  std::uint32_t chunk = 1;          // maximum of prompt tokens read in a step
   duration report_lag{};            // age of a report's figures
-  double loads_per_s{};             // starts of loads that the weight store allows
-  std::uint32_t loads_at_once = 1;  // beyond it loads slow each other down
+  double loads_per_s{};             // loads that may start per second at the weight store
+  std::uint32_t loads_at_once = 1;  // more simultaneous loads slow each other down
   double usual_prompt{};            // mean tokens
   double usual_answer{};            // mean tokens
   double cross_domain_factor = 1;   // slowdown of a replica that spans fabric domains
-  duration open_time{};             // from the order to serve until the head serves
+  duration open_time{};             // from the order to open until the head serves
   std::vector<model_shape> models;
 
   [[nodiscard]] const model_shape* find_model(const model_id& id) const;
@@ -87,17 +87,17 @@
 struct service_shape {
   service_id id;
   std::string health_path;
-  std::uint32_t max_connections{};          // of all callers together, to one target
+  std::uint32_t max_connections{};          // to one target, for all callers together
   std::optional<engine_parameters> engine;  // empty: a plain service
 };
 
 struct workspace_shape {
   workspace_id id;
   std::vector<std::string> keys;
-  std::optional<std::uint32_t> priority;  // goes before that of the route
+  std::optional<std::uint32_t> priority;  // overrides that of the route
 };
 
-// What a caller's connection may do.
+// Limits of a caller's connection.
 struct caller_limits {
   std::uint32_t header_bytes = 16 * 1024;
   std::uint32_t body_bytes = 4 * 1024 * 1024;
@@ -115,10 +115,10 @@
   [[nodiscard]] const caller_limits& limits() const { return limits_; }
   [[nodiscard]] const std::vector<service_shape>& services() const { return services_; }
   [[nodiscard]] const std::vector<route>& routes() const { return routes_; }
-  // Without any, no request needs a key.
+  // False: no request needs a key.
   [[nodiscard]] bool has_workspaces() const { return !workspaces_.empty(); }
 
-  // The route of this host with the longest prefix that begins `path`; null if none does.
+  // The route of this host with the longest prefix of `path`; null if there is none.
   [[nodiscard]] const route* find_route(std::string_view host, std::string_view path) const;
   [[nodiscard]] const workspace_shape* find_workspace(std::string_view key) const;
   [[nodiscard]] const service_shape* find_service(const service_id& id) const;
@@ -134,7 +134,7 @@
   std::unordered_map<std::string, std::size_t> by_key_;  // position in workspaces_
 };
 
-// The service of a route for a request: by weight, and the same for equal `subject`s.
+// Chooses the service for a request by the weights of the route; equal `subject`s get the same one.
 [[nodiscard]] const service_id* pick_service(const route& r, std::string_view subject);
 
 }  // namespace arbutus
--- a/tests/core/assignment_test.cpp
+++ b/tests/core/assignment_test.cpp
@@ -1,4 +1,4 @@
-// The assignment as a value: generations, repairs without the table, invariants, codec.
+// The assignment: generations, standby activations without the table, invariants, codec.
 #include "version/assignment.h"
 
 #include <gtest/gtest.h>
@@ -77,16 +77,16 @@
 TEST(activate, refuses_what_it_cannot_do) {
   const replica_plan r = make_replica("r", 3, 1);
   EXPECT_FALSE(activate(r, 5, 0b0011));   // two lost, one standby
-  EXPECT_FALSE(activate(r, 5, 0b1001));   // its standby is lost as well
+  EXPECT_FALSE(activate(r, 5, 0b1001));   // the standby is lost, too
   EXPECT_FALSE(activate(r, 5, 0b10000));  // no such position
   EXPECT_FALSE(activate(r, 2, 0b0001));   // a row older than the composition
   EXPECT_FALSE(activate(make_replica("r", 16, 17), 5, 1));
 }
 
-// Symptom: two nodes form different compositions under one token, and the targets, which compare
-//   tokens only, obey both.
-// Sequence: nodes see different losses, or the same ones in another order, while the table is away.
-// Cause: a composition that depends on anything besides row and mask.
+// Guards against a composition that depends on anything besides row and mask. Nodes that see
+// different losses, or the same ones in another order, while the table is unavailable would then
+// form different compositions under one token, and the targets, which compare tokens only, would
+// obey both.
 TEST(activate, equal_generations_mean_equal_compositions) {
   for (const std::size_t standbys : {0U, 1U, 3U}) {
     const replica_plan r = make_replica("r", 4, standbys);
@@ -118,7 +118,7 @@
   EXPECT_TRUE(check_invariants(make_row()).empty());
 }
 
-// Symptom: two replicas are formed on one VM. Cause: a row that names it twice.
+// Guards against a row that lists a VM twice: two replicas would be formed on it.
 TEST(invariants, one_vm_in_two_places_is_a_breach) {
   const auto broken = [](auto change) {
     assignment a = make_row();
@@ -161,7 +161,8 @@
   EXPECT_EQ(std::get<assignment>(back), assignment{});
 }
 
-// Symptom: a node obeys half a row, or dies on it. Cause: bytes cut short on their way.
+// Guards against a node that applies a part of a row, or crashes, when the bytes were truncated in
+// transfer.
 TEST(assignment_codec, refuses_every_cut) {
   const std::string bytes = encode(make_row());
   for (std::size_t length = 0; length < bytes.size(); ++length) {
@@ -170,7 +171,7 @@
   EXPECT_FALSE(is_ok(decode_assignment(bytes + '\0')));
 }
 
-// Symptom: as above. Cause: flipped bits. What still decodes must be a sound row.
+// The same for flipped bits. Bytes that still decode must be a valid row.
 TEST(assignment_codec, survives_damaged_bytes) {
   const std::string bytes = encode(make_row());
   rng random(11);
@@ -190,8 +191,8 @@
   EXPECT_GT(refusals, 1000);
 }
 
-// Symptom: the process dies of a stack overflow. Sequence: it reads a row whose bytes each open
-// one more list. Cause: the reader recurses once per level.
+// Guards against a stack overflow: the parser recurses once per level, and each byte of this row
+// opens one more list.
 TEST(assignment_codec, refuses_deep_nesting) {
   EXPECT_FALSE(is_ok(decode_assignment(std::string(4'000'000, '\x91'))));
 }
--- a/tests/core/config_changes_test.cpp
+++ b/tests/core/config_changes_test.cpp
@@ -1,4 +1,4 @@
-// What a conflict tells the operator.
+// The differences that an operator is shown after a conflict.
 #include "version/config_changes.h"
 
 #include <gmock/gmock.h>
--- a/tests/core/config_lease_test.cpp
+++ b/tests/core/config_lease_test.cpp
@@ -1,4 +1,4 @@
-// How long a version may be acted on for what depends on keys.
+// How long a node may check keys by its configuration version.
 #include "process/config_lease.h"
 
 #include <gtest/gtest.h>
@@ -13,13 +13,13 @@
 }
 
 TEST(ConfigLease, LapsesBeforeAWithdrawnKeyMustBeDead) {
-  // Symptom: a request runs with a key that was withdrawn more than 5 s ago. Sequence: a node is
-  // cut off just after it was told that its version is the newest. Cause: the proof counts from its
-  // answer, or does not age.
+  // Guards against a request that runs with a key revoked more than 5 s ago. It happens if a node
+  // is partitioned just after the platform confirmed its version as the newest, and the proof
+  // counts from the answer or does not expire.
   config_lease lease({.bound = 5s});
   lease.proved(start);
   EXPECT_TRUE(lease.valid(start + 3s));
-  // A watch may have missed a change for a second before its question.
+  // A watch may have missed changes in the second before the query.
   EXPECT_FALSE(lease.valid(start + 4s));
 }
 
@@ -31,8 +31,8 @@
 }
 
 TEST(ConfigLease, IsLapsedAfterAPause) {
-  // Symptom: a suspended machine serves withdrawn keys when it wakes. Cause: a clock that stood
-  // still. The lease itself only needs a clock that did not (connection/clock.h).
+  // Guards against a machine that accepts revoked keys after a suspension because its clock
+  // stopped. The lease relies on a clock that runs during suspension (connection/clock.h).
   config_lease lease({});
   lease.proved(start);
   EXPECT_FALSE(lease.valid(start + 60s));
--- a/tests/core/config_replica_test.cpp
+++ b/tests/core/config_replica_test.cpp
@@ -1,4 +1,4 @@
-// Which configuration is in force where, and proposals that are never applied twice.
+// Distribution of the configuration among nodes, and proposals that are never applied twice.
 #include "process/config_replica.h"
 
 #include <gtest/gtest.h>
@@ -26,8 +26,8 @@
   return head;
 }
 
-// Nodes with a table and an object store on virtual time. Results take `latency`; a reply may be
-// lost after the write took effect.
+// Simulated nodes with a table and an object store on virtual time. Results arrive after `latency`;
+// the table may lose replies to reads.
 class fake_fleet {
  public:
   explicit fake_fleet(std::size_t nodes, std::uint64_t seed = 1) : random_(seed) {
@@ -44,7 +44,7 @@
 
   config_replica& at(std::size_t i) { return *replicas.at(ids.at(i)); }
 
-  // As if accepted through the table.
+  // As if a proposal was accepted through the table.
   void accept(std::uint64_t version, const std::string& content) {
     objects[content_hash(content)] = content;
     row = {head_of(version, content), row.row_version + 1};
@@ -210,7 +210,7 @@
   std::map<node_id, std::uint64_t> newest_;
 };
 
-// ---- reaching everybody ----
+// ---- distribution to all nodes ----
 
 TEST(ConfigReplica, IsInForceEverywhereInTimeWithFewReaders) {
   fake_fleet fleet(21);
@@ -242,7 +242,8 @@
   EXPECT_LT(times[198], 3s);
 }
 
-// An inventory is large and changes every few seconds; whole copies would exceed the budget.
+// An inventory is large and changes every few seconds; whole copies would exceed the traffic
+// budget.
 TEST(ConfigReplica, PeersAndStoreGivePatches) {
   fake_fleet fleet(6);
   fleet.accept(1, content_of(1));
@@ -267,8 +268,8 @@
   EXPECT_TRUE(fleet.all_have(4, content_of(4)));
 }
 
-// Symptom: a new node serves by an old configuration. Sequence: it meets peers that were cut off
-// and have an old one, then one with the newest. Cause: whoever answers first is believed for good.
+// Guards against a new node that keeps an old configuration: it first contacts peers that were
+// partitioned and have an old one, then a peer with the newest, but keeps the first answer.
 TEST(ConfigReplica, ANewNodeThatMeetsOldPeersFirstEndsWithTheNewest) {
   config_replica fresh(node_id{"fresh"}, 2);
   const time_point now{100s};
@@ -287,8 +288,8 @@
   EXPECT_EQ(fresh.content(), content_of(7));
 }
 
-// Symptom: a node is stuck on an old version. Sequence: a peer claims a version that nobody can
-// back up, or sends other content than it names. Cause: the claim alone was taken for the newest.
+// Guards against a node that is stuck on an old version because a peer reports a version whose
+// content no node has, or sends content that does not match its hash.
 TEST(ConfigReplica, FalseClaimsAndWrongContentDoNoHarm) {
   fake_fleet fleet(2);
   fleet.accept(1, content_of(1));
@@ -309,8 +310,8 @@
 
 // ---- a restored table ----
 
-// Symptom: an accepted configuration reverts. Sequence: the platform restores its table from an old
-// copy. Cause: the head in the table was believed, whatever was in force.
+// Guards against an accepted configuration that is reverted when the platform restores its table
+// from an old copy and nodes adopt the head in the table regardless of the version in force.
 TEST(ConfigReplica, ARestoredTableIsHealedAndNobodyGoesBack) {
   fake_fleet fleet(6);
   fleet.accept(3, content_of(3));
@@ -332,11 +333,12 @@
   EXPECT_TRUE(fleet.all_have(60, content_of(60)));
   fleet.row = {};
   fleet.run_for(4s);
-  EXPECT_EQ(fleet.row.head->version, 60U) << "also when the row is gone";
+  EXPECT_EQ(fleet.row.head->version, 60U) << "also when the row was removed";
 }
 
-// Symptom: an accepted change is lost without a word. Sequence: the table is restored, and before
-// any node has seen it an operator builds on the old copy. Cause: healing took it for the old copy.
+// Guards against an accepted change that is lost silently: the table is restored, an operator's
+// change is accepted on the old copy before any node reads it, and the repair overwrites the change
+// like an old head.
 TEST(ConfigReplica, AChangeAcceptedOnAnOldCopyIsLiftedAboveAll) {
   fake_fleet fleet(6);
   fleet.accept(8, content_of(8));
@@ -353,9 +355,9 @@
   EXPECT_FALSE(fleet.notices.empty());
 }
 
-// Symptom: a proposer whose reply was lost applies its change again. Sequence: the table is
-// restored and healed by a node that has its configuration from the object store, without the names
-// of the proposals. Cause: the healed head names none.
+// Guards against a proposer that applies its change again after its reply was lost: the table is
+// restored, and the node that repairs the head has its configuration from the object store, without
+// proposal ids, so that the repaired head lists none.
 TEST(ConfigReplica, AHeadIsNotHealedWithoutTheNamesOfItsProposals) {
   config_replica r(node_id{"n"}, 1);
   const time_point now{100s};
@@ -417,9 +419,9 @@
   EXPECT_FALSE(is_ok(decode_patch("nonsense")));
 }
 
-// ---- proposing ----
+// ---- proposals ----
 
-// Carries out the steps of one proposer on a table that loses replies, and writes late.
+// A table for the steps of proposers. It loses requests and replies, and executes some writes late.
 struct fake_table {
   head_row row;
   rng random{1};
@@ -489,14 +491,14 @@
   EXPECT_EQ(table.row.head->proposals.size(), 2U);
   config_proposer late(proposal_id{"p3"}, "three", 1, 1);
   EXPECT_EQ(std::get<proposal_conflict>(run(late, table)).current->version, 2U);
-  // The table is an old copy: nothing is built on it.
+  // The table is an old copy: the proposer knows a newer version and does not write.
   config_proposer knowing(proposal_id{"p4"}, "four", 2, 5);
   EXPECT_EQ(std::get<proposal_conflict>(run(knowing, table)).current->version, 2U);
 }
 
-// Symptom: a change is reported as failed, is made again, and undoes a later one. Sequence: the
-// write takes effect, its reply is lost, another proposal follows. Cause: no answer taken for a
-// refusal.
+// Guards against a change that is reported as failed, made again, and so undoes a later one: the
+// write takes effect, its reply is lost, another proposal is accepted, and the missing answer is
+// treated as a refusal.
 TEST(ConfigProposer, FindsItselfBelowALaterProposalWhenItsReplyWasLost) {
   fake_table table;
   config_proposer mine(proposal_id{"mine"}, "one", 0, 0);
@@ -524,8 +526,9 @@
   EXPECT_TRUE(std::holds_alternative<proposal_unresolved>(q.read_result(unknown{"down"})));
 }
 
-// Symptom: a change is applied twice, or one reported as accepted is not. Sequence: three operators
-// race; replies are lost, writes arrive late. Cause: a repeated write without the condition.
+// Guards against a change that is applied twice, or reported as accepted although it is not. Three
+// operators propose concurrently while replies are lost and writes arrive late; the failure occurs
+// if a write is repeated without its condition.
 TEST(ConfigProposer, RacesWithLostAndLateWritesNeverApplyTwice) {
   std::size_t decided = 0;
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
@@ -552,7 +555,7 @@
       (void)table.write(table.late.front());
       table.late.pop_front();
     }
-    // All three build on the same version.
+    // All three proposals have the same base version, so at most one is accepted.
     EXPECT_LE(table.row.row_version, 1U);
     for (std::size_t k = 0; k < 3; ++k) {
       const int times = table.accepted["p" + std::to_string(k)];
--- a/tests/core/config_transfer_test.cpp
+++ b/tests/core/config_transfer_test.cpp
@@ -1,5 +1,5 @@
-// Configurations on their way from the hub to its nodes: deltas, parts, and how long all of it
-// takes.
+// Transfer of configurations from the hub to its nodes: deltas, parts, and the time until all nodes
+// have a change.
 #include "process/config_transfer.h"
 
 #include <gtest/gtest.h>
@@ -89,17 +89,17 @@
   EXPECT_EQ(node.newest(), 9U);
 }
 
-// Nodes of one data centre and their hub, in rounds of beats that may be lost, with the store
-// beside.
+// Simulates the nodes of one data centre and their hub in rounds of heartbeats, some of which are
+// lost. Nodes can also read from the store.
 class spread {
  public:
   struct setup {
     std::size_t nodes = 25;
     std::uint32_t hub_mbps = 200;
     std::uint32_t node_mbps = 20;
-    double lost = 0;           // share of beats
-    bool know_base = true;     // the version before the change
-    bool turned_away = false;  // all but the hub
+    double lost = 0;           // fraction of heartbeats that are lost
+    bool know_base = true;     // the nodes have the version before the change
+    bool turned_away = false;  // the store serves no node but the hub
     std::uint64_t seed = 1;
   };
 
@@ -113,11 +113,11 @@
     }
   }
 
-  // The hub has the change now; until all nodes act by it.
+  // Time from the moment at which the change is at the store until all nodes have it.
   duration until_all_have(const std::string& text) {
     hub_.take(2, text);
     if (setup_.hub_mbps == setup_.node_mbps) {
-      now_ += read_time(text);  // the hub's own read
+      now_ += read_time(text);  // the hub's own read from the store
     }
     while (!all_have() && now_ < time_point{} + 60s) {
       now_ += 200ms;
@@ -137,7 +137,7 @@
     time_point has_read_at = time_point::max();
   };
 
-  // Base64 on the link of a node.
+  // Time to read the text, as Base64, over the link of a node.
   [[nodiscard]] duration read_time(const std::string& text) const {
     return from_seconds(static_cast<double>(text.size()) * 4 / 3 * 8 / (setup_.node_mbps * 1e6));
   }
@@ -183,7 +183,7 @@
   std::size_t most_bytes_ = 0;
 };
 
-// The operators' bound, less what a proof, a beat and decoding may take.
+// The operators' bound, less the time for a proof, a heartbeat and decoding.
 constexpr duration time_to_pass_on = 2s;
 
 TEST(ConfigSpread, TwoThousandRoutesMoreAreWithAllNodesInTime) {
@@ -226,7 +226,7 @@
   EXPECT_FALSE(lag.too_old(start, bound));
   lag.heard_of(start, 20);
   EXPECT_FALSE(lag.too_old(start + 1s, bound));
-  // Yet another one does not begin its time anew, nor does a late word of an older one.
+  // Neither another new version nor a late report of an older one restarts the time.
   lag.heard_of(start + 1s, 24);
   lag.heard_of(start + 1100ms, 16);
   EXPECT_TRUE(lag.too_old(start + 1500ms, bound));
@@ -235,7 +235,7 @@
   EXPECT_TRUE(lag.too_old(start + 2500ms, bound));
   lag.holds(24);
   EXPECT_FALSE(lag.too_old(start + 10s, bound));
-  // A node that knows of nothing newer, as in a data centre that is cut off, serves on.
+  // A node that knows of no newer version, as in a partitioned data centre, is not stale.
   EXPECT_FALSE(lag.too_old(start + 1000s, bound));
 }
 
--- a/tests/core/configuration_test.cpp
+++ b/tests/core/configuration_test.cpp
@@ -1,4 +1,4 @@
-// Content and head codecs, and keys of callers.
+// Codecs of content and head, and authentication of callers by key.
 #include "version/configuration.h"
 
 #include <gtest/gtest.h>
@@ -77,8 +77,8 @@
   EXPECT_TRUE(std::get<config_head>(decode_head(encode(head))) == head);
 }
 
-// Symptom: a node crashes, or runs with half a configuration, after the store returned damage.
-// Sequence: content written; bytes cut or changed; a node reads it. Cause: a decoder that trusts.
+// Guards against a node that crashes, or runs with a part of a configuration, when the store
+// returns truncated or changed bytes and the decoder does not validate them.
 TEST(configuration, every_truncation_is_refused) {
   const std::string whole = encode_content(every_asset(), every_rule());
   for (std::size_t length = 0; length < whole.size(); ++length) {
@@ -129,10 +129,11 @@
   ASSERT_NE(authenticate(wanted, "key-w"), nullptr);
   EXPECT_EQ(authenticate(wanted, "key-w")->id, workspace_id{"w"});
   EXPECT_EQ(authenticate(wanted, "other"), nullptr);
-  // Also when the hash of nothing stands in the rules, from a script with an empty variable.
+  // An empty key is refused even if its hash is in the rules, as from a script with an empty
+  // variable.
   wanted.workspaces.push_back({workspace_id{"u"}, {sha256_hex("")}, {}});
   EXPECT_EQ(authenticate(wanted, ""), nullptr);
-  // The hash itself is no key.
+  // The hash itself is not accepted as a key.
   EXPECT_EQ(authenticate(wanted, sha256_hex("new")), nullptr);
 }
 
--- a/tests/core/service_map_test.cpp
+++ b/tests/core/service_map_test.cpp
@@ -1,4 +1,4 @@
-// Look-ups in an accepted version.
+// Lookups in an accepted version.
 #include "version/service_map.h"
 
 #include <gtest/gtest.h>
