--- a/src/process/config_proposer.cpp
+++ b/src/process/config_proposer.cpp
@@ -102,7 +102,7 @@
     if (writes_ < most_writes) {
       return try_write();
     }
-    return proposal_unresolved{"the table did not execute the write after several attempts"};
+    return proposal_unresolved{"the table has confirmed no write after several attempts"};
   }
   const std::uint64_t version = row.head ? row.head->version : 0;
   if (version > base_ + named_proposals) {
--- a/src/process/config_replica.cpp
+++ b/src/process/config_replica.cpp
@@ -223,7 +223,7 @@
                            time_point now) {
   if (head.version == in_force_.version) {
     wants.push_back(want_told{"two configurations have version " + std::to_string(head.version) +
-                              ": " + in_force_.hash + " is replaced by " + head.hash});
+                              ": " + in_force_.hash + " gives way to " + head.hash});
   }
   remember_content();
   in_force_ = {head.version, head.hash, now};
