--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -55,7 +55,7 @@
       return end(503, retry_after_stale(node_, call_.arrived),
                  "keys cannot be checked: the configuration is stale");
     }
-    const workspace_shape* workspace =
+    const workspace_spec* workspace =
         call_.head.key.empty() ? nullptr : call_.map->find_workspace(call_.head.key);
     if (workspace == nullptr) {
       return end(401, {}, "the key is not known");
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -20,7 +20,7 @@
   call_head head;
   std::shared_ptr<const service_map> map;  // the version it began with
   const route* way = nullptr;
-  const service_shape* service = nullptr;
+  const service_spec* service = nullptr;
   workspace_id workspace;
   std::optional<std::uint32_t> urgency;
   request_print print;  // the same for the same request that comes again
--- a/src/node/hosted_state.cpp
+++ b/src/node/hosted_state.cpp
@@ -72,14 +72,14 @@
       peers(settings.id, settings.data_centre, settings.strength),
       random(stable_hash(origin)) {}
 
-const std::vector<serving_replica>& hosted_state::replicas(const service_shape& service,
+const std::vector<serving_replica>& hosted_state::replicas(const service_spec& service,
                                                            const model_id& model) {
   drop_outdated_caches();
   const auto found = cached_.find(model);
   if (found != cached_.end()) {
     return found->second;
   }
-  const model_shape* shape = service.engine->find_model(model);
+  const model_spec* shape = service.engine->find_model(model);
   return cached_[model] = shape == nullptr
                               ? std::vector<serving_replica>{}
                               : serving_replicas(fleet, service.id, model, shape->size);
--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -81,12 +81,12 @@
   bool stopping = false;
 
   // Replicas of a model that may be sent requests now; built anew only when something changed.
-  [[nodiscard]] const std::vector<serving_replica>& replicas(const service_shape& service,
+  [[nodiscard]] const std::vector<serving_replica>& replicas(const service_spec& service,
                                                              const model_id& model);
   [[nodiscard]] const std::vector<service_instance>& instances_of(const service_id& service);
   // It knows of a version that it should act by since too long, and does not hold it.
   [[nodiscard]] bool is_outdated(time_point now) const {
-    return lag.too_old(now, settings.bounds.configuration);
+    return lag.is_stale(now, settings.bounds.configuration);
   }
   [[nodiscard]] retry_window& retries_of(const service_id& service);
   // The target at this address has started again.
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -264,8 +264,8 @@
       }
     }
     const replica_load load = node_.loads.total(head_);
-    const auto reading =
-        from_seconds(load.unread_tokens / std::max(call_.service->engine->read_tokens_per_s, 1.0));
+    const auto reading = from_seconds(load.unread_tokens /
+                                      std::max(call_.service->engine->prefill_tokens_per_s, 1.0));
     node_.silence.event(now, head_, expected_.between_events + reading);
   }
 
@@ -349,7 +349,7 @@
 
   hosted_state& node_;
   hosted_request& call_;
-  const model_shape* model_;
+  const model_spec* model_;
   event_relay relay_;
   std::vector<target_id> avoided_;
   attempt_registry::attempt* running_ = nullptr;
--- a/src/node/keeper_beats.cpp
+++ b/src/node/keeper_beats.cpp
@@ -36,9 +36,10 @@
 
 void keeper_loop::pass_on_configuration(time_point now, const node_id& peer, const positions& at,
                                         node_heartbeat& beat) {
-  const config_passing::listener to{at.configuration_row, at.configuration_progress,
-                                    node_.peers.is_refused_by_store(peer)};
-  auto next = config_passing_.next_for(node_.configurations, to, node_.peers.alive_count(now) + 1);
+  const config_distributor::recipient to{at.configuration_row, at.configuration_progress,
+                                         node_.peers.is_refused_by_store(peer)};
+  auto next =
+      config_distributor_.next_for(node_.configurations, to, node_.peers.alive_count(now) + 1);
   // A node of an earlier release tells no row and reads no parts: it would take the position alone.
   const bool reads_no_parts = at.configuration_row == 0 && at.configuration > 0 &&
                               at.configuration < node_.configurations.newest();
@@ -92,7 +93,7 @@
 
 // What is the same in the beats to all peers.
 void keeper_loop::begin_round(time_point now) {
-  config_passing_.begin_round();
+  config_distributor_.begin_round();
   whole_lists_.begin_round();
   lost_.clear();
   for (const auto& [id, view] : node_.fleet.all()) {
--- a/src/node/keeper_loop.cpp
+++ b/src/node/keeper_loop.cpp
@@ -31,7 +31,7 @@
       started_(monotonic_now()),
       random_(stable_hash(node.origin)),
       crashes_(node.origin),
-      config_passing_(node.settings.strength.link_mbps),
+      config_distributor_(node.settings.strength.link_mbps),
       whole_lists_(node.settings.strength.link_mbps) {}
 
 void keeper_loop::run() {
@@ -84,7 +84,7 @@
   if (!duties_.empty() && node_.fleet_complete) {
     check_unheard(now);
   }
-  for (const service_shape& service : node_.map->services()) {
+  for (const service_spec& service : node_.map->services()) {
     if (!service.engine) {
       continue;
     }
@@ -137,8 +137,8 @@
 }
 
 // One line for each change of what may be sent requests.
-void keeper_loop::tell_capacity(const service_shape& service) {
-  for (const model_shape& model : service.engine->models) {
+void keeper_loop::tell_capacity(const service_spec& service) {
+  for (const model_spec& model : service.engine->models) {
     const std::size_t serving = node_.replicas(service, model.id).size();
     const auto [known, is_new] = capacity_.emplace(model.id, serving);
     if (!is_new && known->second == serving) {
@@ -203,7 +203,7 @@
 
 bool keeper_loop::take_report(time_point asked, const target_id& id, const target_report& report) {
   const target_view* view = node_.fleet.find(id);
-  const service_shape* service =
+  const service_spec* service =
       view == nullptr || !node_.map ? nullptr : node_.map->find_service(view->record.service);
   const duration lag =
       service != nullptr && service->engine ? service->engine->report_lag : duration{};
--- a/src/node/keeper_loop.h
+++ b/src/node/keeper_loop.h
@@ -11,7 +11,7 @@
 #include "node/hosted_state.h"
 #include "node/peer_links.h"
 #include "node/store_watch.h"
-#include "process/config_passing.h"
+#include "process/config_distributor.h"
 #include "process/list_budget.h"
 #include "process/poison_exchange.h"
 #include "process/replica_controller.h"
@@ -46,7 +46,7 @@
   };
 
   void keep(time_point now);
-  void tell_capacity(const service_shape& service);
+  void tell_capacity(const service_spec& service);
   void tell_plan(time_point now, const replica_controller& keeper);
   void carry_out(const service_id& service, const controller_effect& effect);
   void watch_silence(time_point now);
@@ -93,7 +93,7 @@
   send_grants grants_;
   grant_receiver granted_;
   // Of one round of beats.
-  config_passing config_passing_;
+  config_distributor config_distributor_;
   list_budget whole_lists_;
   std::set<target_id> lost_;          // targets that this node takes for lost
   std::vector<target_id> suspected_;  // for the nodes that follow what serves
--- a/src/node/keeper_losses.cpp
+++ b/src/node/keeper_losses.cpp
@@ -113,7 +113,7 @@
 // their head stand still until it breaks off after the stall time. A node that stops then ends with
 // requests in flight.
 bool keeper_loop::is_whole(const target_view& head) {
-  const service_shape* service = node_.map ? node_.map->find_service(head.record.service) : nullptr;
+  const service_spec* service = node_.map ? node_.map->find_service(head.record.service) : nullptr;
   if (service == nullptr || !service->engine) {
     return false;
   }
@@ -197,7 +197,7 @@
     return;
   }
   for (const auto& [id, view] : node_.fleet.all()) {
-    const service_shape* service = node_.map->find_service(view.record.service);
+    const service_spec* service = node_.map->find_service(view.record.service);
     const bool own = service != nullptr && service->engine && view.listed && !view.lost &&
                      duties_.contains(view.record.data_centre);
     if (own && now - view.last_contact_at > late && probing_.insert(id).second) {
--- a/src/node/store_watch.cpp
+++ b/src/node/store_watch.cpp
@@ -121,9 +121,10 @@
     }
     node_.configuration_rows.advance(beat.configuration->position);
     configuration_positioned_ = true;
-    // The hub held everything up to its position at its proof, and this node now holds the same.
+    // The hub held everything up to its position at its proof, and this node now row_applied the
+    // same.
     if (node_.map && beat.configuration->position >= node_.configuration_rows.position()) {
-      node_.lease.proved(asked - beat.configuration->age);
+      node_.lease.renew(asked - beat.configuration->age);
     }
   }
   // A hub whose own proof grows old does not keep others current.
@@ -134,7 +135,7 @@
 
 void store_watch::note_newest(time_point now, const node_heartbeat& beat) {
   const bool was_behind = node_.lag.behind();
-  node_.lag.heard_of(now, beat.configuration_row);
+  node_.lag.row_reported(now, beat.configuration_row);
   if (was_behind || !node_.lag.behind()) {
     return;
   }
@@ -252,7 +253,7 @@
   const duration behind = node_.lag.age(arrived);
   node_.configurations.take(row.version, row.value);
   put_in_force(row.value);
-  node_.lag.holds(row.version);
+  node_.lag.row_applied(row.version);
   if (node_.map != before) {
     tell_in_force(asked, arrived, behind, source, row);
   }
@@ -286,7 +287,7 @@
   }
   node_.configuration_rows.advance(rows->version);
   if (node_.map) {
-    node_.lease.proved(asked);
+    node_.lease.renew(asked);
   }
   return true;
 }
@@ -337,7 +338,7 @@
     take_configuration_row(asked, "store", {row.key, row.value, row.version, row.removed});
   }
   node_.configuration_rows.advance(rows->version);
-  node_.lease.proved(asked);
+  node_.lease.renew(asked);
   pause = rows->rows.empty() ? 0ms : configuration_pause;
   return true;
 }
--- /dev/null
+++ b/src/process/config_distributor.h
@@ -0,0 +1,61 @@
+// How much of the configuration a hub sends in one round of heartbeats, and to which nodes.
+//
+// Without a bound, versions in quick succession that are sent to two dozen nodes saturate the link
+// of the hub; its probes then fail, and it marks the whole fleet as failed. A change that would
+// take too long to send to all nodes is withheld from those that can read it from the store
+// themselves.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+
+#include "process/config_transfer.h"
+#include "process/list_budget.h"
+
+namespace arbutus {
+
+class config_distributor {
+ public:
+  // `link_mbps`: bandwidth of the hub's own link; 0: unknown.
+  explicit config_distributor(std::uint32_t link_mbps) : budget_(link_mbps) {}
+
+  void begin_round() { budget_.begin_round(); }
+
+  struct recipient {
+    std::uint64_t held{};  // the row that the node has
+    config_progress progress;
+    bool refused_by_store = false;  // the store does not serve this node
+  };
+  struct answer {
+    bool withheld = false;  // the node has to read the row from the store
+    std::optional<config_part> part;
+  };
+  // `recipients`: number of nodes that the hub sends to, this one included.
+  [[nodiscard]] answer next_for(config_history& from, const recipient& to, std::size_t recipients) {
+    if (to.held >= from.newest()) {
+      return {};
+    }
+    const std::size_t bytes = from.delta_for(to.held).size();
+    const bool too_long = bytes * recipients > budget_.max_bytes() * max_rounds;
+    if (too_long && !to.refused_by_store) {
+      return {true, std::nullopt};
+    }
+    if (!budget_.take(std::min(bytes, max_part_bytes))) {
+      return {};
+    }
+    return {false, from.part_for(to.held, to.progress, max_part_bytes)};
+  }
+
+  // What a link of 20 Mbit/s carries in 100 ms.
+  static constexpr std::size_t max_part_bytes = 250'000;
+  // Rounds within which the hub must be able to send a change to all nodes; a larger change is read
+  // from the store.
+  static constexpr std::size_t max_rounds = 4;
+
+ private:
+  list_budget budget_;
+};
+
+}  // namespace arbutus
--- a/src/process/config_replica.cpp
+++ b/src/process/config_replica.cpp
@@ -1,4 +1,4 @@
-// Which head wins, where its content comes from, and healing of a restored table.
+// Choice of the newest head, fetching of its content, and repair of the head in a restored table.
 #include "process/config_replica.h"
 
 #include <algorithm>
@@ -11,9 +11,10 @@
 namespace {
 
 constexpr std::string_view head_subject = "config-head";
-// Contents kept as bases of patches for peers that are a few versions behind.
-constexpr std::size_t kept_contents = 4;
-// A claim that nobody can back up must not keep out the others for ever.
+// Earlier contents that are kept as patch bases for peers that are a few versions behind.
+constexpr std::size_t max_recent_contents = 4;
+// Limit of candidates, so that reported versions whose content no node can supply do not
+// accumulate. Candidates that only peers reported are evicted first, the lowest version first.
 constexpr std::size_t max_candidates = 8;
 
 std::size_t rank_in(const std::vector<node_id>& live, const node_id& self) {
@@ -28,19 +29,20 @@
 config_replica::config_replica(node_id self, std::uint64_t seed, control_timing timing)
     : self_(std::move(self)), timing_(timing), random_(seed) {}
 
-bool config_replica::reads_head(const std::vector<node_id>& live) const {
+bool config_replica::is_head_reader(const std::vector<node_id>& live) const {
   return rank_in(live, self_) < timing_.head_readers;
 }
 
-// Versions decide. Equal versions with different content exist only after a restore of the table;
-// every node then has to choose the same one, whichever it met first.
-bool config_replica::beats(std::uint64_t version, std::string_view hash) const {
+// The higher version wins. Equal versions with different content exist only after the table was
+// restored from an old copy. The hash then decides, so that all nodes choose the same one,
+// whichever they received first.
+bool config_replica::supersedes(std::uint64_t version, std::string_view hash) const {
   return std::pair(version, hash) > std::pair(in_force_.version, std::string_view(in_force_.hash));
 }
 
-config_wants config_replica::tick(const std::vector<node_id>& live, time_point now) {
-  config_wants wants;
-  const bool reader = reads_head(live);
+config_effects config_replica::tick(const std::vector<node_id>& live, time_point now) {
+  config_effects requested;
+  const bool reader = is_head_reader(live);
   if (reader) {
     next_read_ = std::min(next_read_, now + timing_.head_reader_interval);
   }
@@ -50,33 +52,34 @@
         reader ? timing_.head_reader_interval : timing_.head_non_reader_interval;
     next_read_ = now + interval - random_.jitter(interval / 4);
     read_started_ = now;
-    wants.push_back(want_head{});
+    requested.push_back(fetch_config_head{});
   }
-  fetch_all(wants, now);
-  return wants;
+  fetch_all(requested, now);
+  return requested;
 }
 
-// ---- what others have ----
+// ---- heads from the table and from peers ----
 
-config_wants config_replica::head_read(const outcome<head_row>& result, time_point now) {
-  config_wants wants;
+config_effects config_replica::head_read(const outcome<head_row>& result, time_point now) {
+  config_effects requested;
   read_started_.reset();
   if (const auto* row = std::get_if<head_row>(&result)) {
     retried_ = false;
-    judge_head(*row, wants, now);
+    handle_head(*row, requested, now);
   } else if (!retried_) {
-    // One lost reply should not cost a whole interval; a table that is away is not pressed.
+    // Retries once soon, because a single lost reply should not cost a whole interval. Further
+    // failures wait for the interval, to add no load to a table that is unavailable.
     retried_ = true;
     next_read_ = std::min(next_read_, now + random_.jitter(timing_.head_retry));
   }
-  return wants;
+  return requested;
 }
 
-void config_replica::judge_head(const head_row& row, config_wants& wants, time_point now) {
+void config_replica::handle_head(const head_row& row, config_effects& requested, time_point now) {
   const std::uint64_t version = row.head ? row.head->version : 0;
   if (row.head && version > in_force_.version) {
-    consider(*row.head, true, nullptr);
-    fetch_all(wants, now);
+    add_candidate(*row.head, true, nullptr);
+    fetch_all(requested, now);
     return;
   }
   if (row.head && version == in_force_.version && row.head->hash == in_force_.hash) {
@@ -86,29 +89,30 @@
   if (in_force_.version == 0) {
     return;
   }
-  heal(row, wants);
+  repair_table(row, requested);
 }
 
-config_wants config_replica::peer_has(const node_id& peer, std::uint64_t version,
-                                      std::string_view hash, time_point now) {
-  config_wants wants;
+config_effects config_replica::peer_reported(const node_id& peer, std::uint64_t version,
+                                             std::string_view hash, time_point now) {
+  config_effects requested;
   if (version == 0 || hash.empty()) {
-    return wants;
+    return requested;
   }
   if (version == in_force_.version && hash == in_force_.hash) {
-    same_as_us_ = peer;
-    return wants;
+    peer_in_sync_ = peer;
+    return requested;
   }
   config_head head;
   head.version = version;
   head.hash = hash;
-  consider(head, false, &peer);
-  fetch_all(wants, now);
-  return wants;
+  add_candidate(head, false, &peer);
+  fetch_all(requested, now);
+  return requested;
 }
 
-void config_replica::consider(const config_head& head, bool from_table, const node_id* holder) {
-  if (!beats(head.version, head.hash)) {
+void config_replica::add_candidate(const config_head& head, bool from_table,
+                                   const node_id* holder) {
+  if (!supersedes(head.version, head.hash)) {
     return;
   }
   candidate& c = candidates_[{head.version, head.hash}];
@@ -126,48 +130,49 @@
   }
 }
 
-// ---- getting content ----
+// ---- fetching content ----
 
-void config_replica::fetch_all(config_wants& wants, time_point now) {
+void config_replica::fetch_all(config_effects& requested, time_point now) {
   for (auto& [id, c] : candidates_) {
-    const bool waiting = c.asked_at && now - *c.asked_at < timing_.fetch_timeout;
+    const bool waiting = c.requested_at && now - *c.requested_at < timing_.fetch_timeout;
     if (!waiting && now >= c.not_before) {
-      fetch(c, wants, now);
+      fetch(c, requested, now);
     }
   }
 }
 
-void config_replica::fetch(candidate& c, config_wants& wants, time_point now) {
-  c.asked_at = now;
+void config_replica::fetch(candidate& c, config_effects& requested, time_point now) {
+  c.requested_at = now;
   const bool patch = c.from_table && !in_force_.hash.empty();
   std::size_t source = c.attempt++;
   if (patch && source-- == 0) {
-    wants.push_back(want_object{patch_name(c.head.hash, in_force_.hash)});
+    requested.push_back(fetch_object{patch_name(c.head.hash, in_force_.hash)});
     return;
   }
   if (source < c.holders.size()) {
-    wants.push_back(want_sent{c.holders[source], config_request{c.head.hash, in_force_.hash}});
+    requested.push_back(
+        send_peer_message{c.holders[source], config_request{c.head.hash, in_force_.hash}});
     return;
   }
-  wants.push_back(want_object{c.head.hash});
+  requested.push_back(fetch_object{c.head.hash});
   c.attempt = 0;
   c.not_before = now + timing_.head_reader_interval;
 }
 
-// The source that was asked last has not got it.
-config_wants config_replica::try_next(std::string_view hash, time_point now) {
-  config_wants wants;
+// The source that was queried last does not have the content.
+config_effects config_replica::fetch_from_next_source(std::string_view hash, time_point now) {
+  config_effects requested;
   for (auto& [id, c] : candidates_) {
     if (c.head.hash == hash && now >= c.not_before) {
-      fetch(c, wants, now);
+      fetch(c, requested, now);
     }
   }
-  return wants;
+  return requested;
 }
 
-config_wants config_replica::object_read(std::string_view name, const outcome<std::string>& result,
-                                         time_point now) {
-  config_wants wants;
+config_effects config_replica::object_read(std::string_view name,
+                                           const outcome<std::string>& result, time_point now) {
+  config_effects requested;
   const std::string_view hash = name.substr(0, name.find("-from-"));
   if (const auto* bytes = std::get_if<std::string>(&result)) {
     config_content content = whole_content(*bytes);
@@ -176,35 +181,36 @@
       const auto* patch = std::get_if<config_content>(&decoded);
       content = patch != nullptr ? *patch : config_content{};
     }
-    if (content.head.hash == hash && accept(content, wants, now)) {
-      return wants;
+    if (content.head.hash == hash && accept(content, requested, now)) {
+      return requested;
     }
   }
-  return try_next(hash, now);
+  return fetch_from_next_source(hash, now);
 }
 
-config_wants config_replica::peer_sent(const node_id& peer, const config_content& content,
-                                       time_point now) {
-  config_wants wants;
+config_effects config_replica::peer_sent(const node_id& peer, const config_content& content,
+                                         time_point now) {
+  config_effects requested;
   if (content.head.hash == in_force_.hash && content.head.version == in_force_.version) {
     head_ = content.head;
-    return wants;
+    return requested;
   }
-  // A whole head: the peer may know proposals that its heartbeat did not name.
-  consider(content.head, false, &peer);
-  if (!accept(content, wants, now) && beats(content.head.version, content.head.hash)) {
-    return try_next(content.head.hash, now);
+  // This head also lists proposals; heartbeats carry version and hash only.
+  add_candidate(content.head, false, &peer);
+  if (!accept(content, requested, now) && supersedes(content.head.version, content.head.hash)) {
+    return fetch_from_next_source(content.head.hash, now);
   }
-  return wants;
+  return requested;
 }
 
-// True if the content was right, desired or not.
-bool config_replica::accept(const config_content& content, config_wants& wants, time_point now) {
+// True if the content has the right hash, even if no candidate needs it.
+bool config_replica::accept(const config_content& content, config_effects& requested,
+                            time_point now) {
   std::optional<std::string> whole = apply_patch(content_, content);
   if (!whole) {
     return false;
   }
-  // The same content may be desired under several versions; the highest is last.
+  // Several candidate versions may have the same content; the highest version is last.
   std::optional<config_head> best;
   for (const auto& [id, c] : candidates_) {
     if (c.head.hash == content.head.hash) {
@@ -212,30 +218,31 @@
     }
   }
   if (best) {
-    adopt(*best, std::move(*whole), wants, now);
+    adopt(*best, std::move(*whole), requested, now);
   }
   return true;
 }
 
-void config_replica::adopt(const config_head& head, std::string content, config_wants& wants,
+void config_replica::adopt(const config_head& head, std::string content, config_effects& requested,
                            time_point now) {
   if (head.version == in_force_.version) {
-    wants.push_back(want_told{"two configurations have version " + std::to_string(head.version) +
-                              ": " + in_force_.hash + " gives way to " + head.hash});
+    requested.push_back(operator_notice{"two configurations have version " +
+                                        std::to_string(head.version) + ": " + in_force_.hash +
+                                        " gives way to " + head.hash});
   }
   remember_content();
   in_force_ = {head.version, head.hash, now};
   head_ = head;
   content_ = std::move(content);
-  to_heal_.reset();
+  pending_repair_.reset();
   std::erase_if(candidates_, [this](const auto& entry) {
-    return !beats(entry.first.first, entry.first.second);
+    return !supersedes(entry.first.first, entry.first.second);
   });
-  // Patches that were made for the content before no longer fit.
+  // Patches against the previous content no longer apply: the sources are tried from the first.
   for (auto& [id, c] : candidates_) {
     c.attempt = 0;
   }
-  wants.push_back(want_adopted{head.version});
+  requested.push_back(publish_configuration{head.version});
 }
 
 void config_replica::remember_content() {
@@ -245,13 +252,13 @@
   if (recent_.emplace(in_force_.hash, content_).second) {
     recent_order_.push_back(in_force_.hash);
   }
-  if (recent_order_.size() > kept_contents) {
+  if (recent_order_.size() > max_recent_contents) {
     recent_.erase(recent_order_.front());
     recent_order_.erase(recent_order_.begin());
   }
 }
 
-config_wants config_replica::peer_asks(const node_id& peer, const config_request& request) {
+config_effects config_replica::peer_requested(const node_id& peer, const config_request& request) {
   if (in_force_.version == 0 || request.hash != in_force_.hash) {
     return {};
   }
@@ -265,13 +272,13 @@
     answer = whole_content(content_);
   }
   answer.head = head_;
-  return {want_sent{peer, std::move(answer)}};
+  return {send_peer_message{peer, std::move(answer)}};
 }
 
-// ---- healing ----
+// ---- repair of a restored table ----
 
-// True if the head was certainly accepted by somebody who saw an old copy of the table: its newest
-// proposal is none of ours, but builds on one of ours.
+// True if the head was certainly accepted on an old copy of the table: its newest proposal is not
+// in the history of the configuration in force, but an earlier one is.
 bool config_replica::accepted_on_old_copy(const config_head& head) const {
   const auto ours = [this](const proposal_id& id) {
     return std::ranges::find(head_.proposals, id) != head_.proposals.end();
@@ -280,49 +287,51 @@
          std::ranges::any_of(head.proposals, ours);
 }
 
-// The table has an older head than this node: it was restored from a copy. Nodes that start now
-// would take the old one; and the next proposal would repeat a version. The head is lifted to the
-// newest known, or, if somebody has since built on the old copy, that proposal gets a version
-// above all, because it was accepted, too, and last.
-void config_replica::heal(const head_row& row, config_wants& wants) {
+// The table has an older head than this node, so it was restored from a copy. Starting nodes would
+// adopt the old configuration, and the next proposal would reuse a version number. The head is set
+// to the newest known one. If a proposal was accepted on the old copy in the meantime, it gets a
+// version above all others, because it was accepted, and accepted last.
+void config_replica::repair_table(const head_row& row, config_effects& requested) {
   if (row.head && accepted_on_old_copy(*row.head)) {
     config_head lifted = *row.head;
     lifted.version = in_force_.version + 1;
-    wants.push_back(want_told{"the table was restored to an older configuration, on which " +
-                              lifted.hash + " was accepted: it becomes version " +
-                              std::to_string(lifted.version) + "; changes of " + in_force_.hash +
-                              " that it lacks have to be proposed again"});
-    wants.push_back(want_healed{std::move(lifted), row.row_version});
+    requested.push_back(operator_notice{
+        "the table was restored to an older configuration, on which " + lifted.hash +
+        " was accepted: it becomes version " + std::to_string(lifted.version) + "; changes of " +
+        in_force_.hash + " that it lacks have to be proposed again"});
+    requested.push_back(repair_head{std::move(lifted), row.row_version});
     return;
   }
-  // Without the names of the proposals a proposer whose reply was lost would not find its own in
-  // the healed head, and apply it again.
+  // The proposal ids are needed: without them, a proposer whose reply was lost would not find its
+  // proposal in the repaired head and would apply it again. They are requested from a peer first.
   if (head_.proposals.empty()) {
-    if (same_as_us_) {
-      wants.push_back(want_sent{*same_as_us_, config_request{in_force_.hash, in_force_.hash}});
+    if (peer_in_sync_) {
+      requested.push_back(
+          send_peer_message{*peer_in_sync_, config_request{in_force_.hash, in_force_.hash}});
     }
     return;
   }
   const std::string found =
       row.head ? "version " + std::to_string(row.head->version) + " (" + row.head->hash + ")"
                : "no configuration";
-  wants.push_back(want_told{"the table has " + found + ", older than version " +
-                            std::to_string(in_force_.version) + " in force: it is lifted"});
-  to_heal_ = want_healed{head_, row.row_version};
-  wants.push_back(want_stored{in_force_.hash, content_});
+  requested.push_back(operator_notice{"the table has " + found + ", older than version " +
+                                      std::to_string(in_force_.version) +
+                                      " in force: it is lifted"});
+  pending_repair_ = repair_head{head_, row.row_version};
+  requested.push_back(restore_object{in_force_.hash, content_});
 }
 
-config_wants config_replica::stored(const outcome<std::monostate>& result, time_point) {
-  if (!to_heal_ || !is_ok(result)) {
+config_effects config_replica::stored(const outcome<std::monostate>& result, time_point) {
+  if (!pending_repair_ || !is_ok(result)) {
     return {};
   }
-  want_healed write = std::move(*to_heal_);
-  to_heal_.reset();
+  repair_head write = std::move(*pending_repair_);
+  pending_repair_.reset();
   return {std::move(write)};
 }
 
-// Whether it took effect or another node was first, the row tells.
-config_wants config_replica::healed(const outcome<std::uint64_t>&, time_point now) {
+// Reads the head again: the row shows whether the write took effect or another node's write did.
+config_effects config_replica::head_written(const outcome<std::uint64_t>&, time_point now) {
   next_read_ = now;
   return {};
 }
--- a/src/process/coordinator_inputs.cpp
+++ b/src/process/coordinator_inputs.cpp
@@ -40,7 +40,7 @@
         r.result, [](const table_written& w) -> outcome<std::uint64_t> { return w.version; },
         [](const refused& f) -> outcome<std::uint64_t> { return f; },
         [](const unknown& u) -> outcome<std::uint64_t> { return u; });
-    apply_config_effects(now, configs.healed(version, now));
+    apply_config_effects(now, configs.head_written(version, now));
     return;
   }
   emit(rows.on(now, r));
@@ -230,11 +230,11 @@
     since = now;
   }
   const std::string hash = peers->last_status(from)->config_hash;
-  apply_config_effects(now, configs.peer_has(from, m.config_version, hash, now));
+  apply_config_effects(now, configs.peer_reported(from, m.config_version, hash, now));
 }
 
 void coordinator::parts::receive(time_point now, const node_id& from, const config_request& m) {
-  apply_config_effects(now, configs.peer_asks(from, m));
+  apply_config_effects(now, configs.peer_requested(from, m));
 }
 
 void coordinator::parts::receive(time_point now, const node_id& from, const config_content& m) {
@@ -266,7 +266,7 @@
 
 void coordinator::parts::receive(time_point now, const node_id& from, const summary& m) {
   board.heard(now, m);
-  apply_config_effects(now, configs.peer_has(from, m.config_version, m.config_hash, now));
+  apply_config_effects(now, configs.peer_reported(from, m.config_version, m.config_hash, now));
 }
 
 void coordinator::parts::broadcast(time_point now, const gossip_message& m) {
@@ -278,26 +278,26 @@
 
 // ---- configuration ----
 
-void coordinator::parts::apply_config_effects(time_point now, const config_wants& wants) {
-  for (const config_want& want : wants) {
+void coordinator::parts::apply_config_effects(time_point now, const config_effects& requested) {
+  for (const config_effect& want : requested) {
     match(
-        want, [&](const want_head&) { emit(table_read{config_head_key}); },
-        [&](const want_object& w) { emit(object_get{w.name}); },
-        [&](const want_stored& w) {
+        want, [&](const fetch_config_head&) { emit(table_read{config_head_key}); },
+        [&](const fetch_object& w) { emit(object_get{w.name}); },
+        [&](const restore_object& w) {
           emit(object_put{w.name, w.content});
         },
-        [&](const want_healed& w) {
+        [&](const repair_head& w) {
           emit(table_write{config_head_key, encode(w.head), w.expected_row});
         },
-        [&](const want_sent& w) {
+        [&](const send_peer_message& w) {
           const auto bytes = std::visit(
               [](const auto& message) { return encode(gossip_message{message}); }, w.message);
           emit(peer_send{w.to, bytes, true});
         },
-        [&](const want_told& w) {
+        [&](const operator_notice& w) {
           emit(notice{"config", w.text});
         },
-        [&](const want_adopted&) { adopt_configuration(now); });
+        [&](const publish_configuration&) { adopt_configuration(now); });
   }
 }
 
--- a/src/process/coordinator_parts.h
+++ b/src/process/coordinator_parts.h
@@ -78,7 +78,7 @@
   void receive(time_point now, const node_id& from, const summary& m);
 
   void handle_peer_restart(const node_id& from, const struct heard& h);
-  void apply_config_effects(time_point now, const config_wants& wants);
+  void apply_config_effects(time_point now, const config_effects& requested);
   void adopt_configuration(time_point now);
   // Call when a newer observation of `vm` may have arrived.
   void note_observation(time_point now, const vm_id& vm);
--- a/src/process/fleet_sizes.cpp
+++ b/src/process/fleet_sizes.cpp
@@ -23,7 +23,7 @@
 
 constexpr std::size_t vms_per_replica = 16;
 constexpr std::size_t standbys_per_replica = 1;
-constexpr std::size_t named_proposals = 32;  // as many as a head keeps
+constexpr std::size_t max_named_proposals = 32;  // as many as a head keeps
 
 std::string numbered(const char* name, std::size_t number) {
   return name + std::to_string(1000 + number).substr(1);
@@ -154,7 +154,7 @@
 
 config_head make_head() {
   config_head head{7600, std::string(32, 'a'), {}};
-  for (std::size_t i = 0; i < named_proposals; ++i) {
+  for (std::size_t i = 0; i < max_named_proposals; ++i) {
     head.proposals.emplace_back("dc-000-node-017-1796239613280-" + std::to_string(10000 + i));
   }
   return head;
--- a/src/process/hub_cost.cpp
+++ b/src/process/hub_cost.cpp
@@ -21,12 +21,12 @@
 constexpr std::uint32_t small_size = 8;
 constexpr time_point begin{1h};
 
-service_shape shape_of_service() {
-  service_shape service;
+service_spec shape_of_service() {
+  service_spec service;
   service.id = service_id{"llm"};
   engine_parameters engine;
   engine.slots = 22;
-  engine.loads_at_once = 136;
+  engine.concurrent_loads = 136;
   engine.models = {{large, large_size, 0.5, 1.0, 16s, 1600ms},
                    {small, small_size, 0.5, 0.6, 12s, 1100ms}};
   service.engine = engine;
@@ -116,7 +116,7 @@
     }
   }
 
-  service_shape service_;
+  service_spec service_;
   replica_controller keeper_;
   std::vector<target_record> records_;
   fleet_view fleet_;
--- a/src/process/peer_table.h
+++ b/src/process/peer_table.h
@@ -6,7 +6,7 @@
 // an eighth of a core would control 219 engines, send updates to the other nodes, and be late with
 // all of it. A node sends heartbeats to the first two such candidates and to unresponsive ones
 // before them, so that the next hub is known when the first one ends; a hub also sends them to
-// candidates of the other data centres. Two nodes that both consider themselves the hub are
+// candidates of the other data centres. Two nodes that both add_candidate themselves the hub are
 // harmless: each order names the state it was decided on, and both follow the store.
 #pragma once
 
--- a/src/process/replica_controller.cpp
+++ b/src/process/replica_controller.cpp
@@ -28,7 +28,7 @@
 }
 
 controller_effects replica_controller::tick(time_point now, const fleet_view& fleet,
-                                            const service_shape& service,
+                                            const service_spec& service,
                                             const responsibilities& own) {
   if (!service.engine) {
     return {};
@@ -326,7 +326,7 @@
                                                      const target_view* head) const {
   const bool head_is_inside =
       head != nullptr && head->record.member_of && head->record.member_of->replica == replica.key;
-  const model_shape* model =
+  const model_spec* model =
       head_is_inside ? ctx.engine.find_model(model_of_name(replica.key.name)) : nullptr;
   if (model == nullptr) {
     return head_is_inside ? "its model is not configured" : "its head is gone";
@@ -366,7 +366,7 @@
 
 // Whether the head's domain has at least `required` spares that are ready for its model.
 bool replica_controller::has_spares(const tick_context& ctx, const target_view& head,
-                                    const model_shape& model, std::size_t required) const {
+                                    const model_spec& model, std::size_t required) const {
   std::size_t count = 0;
   for (const auto& [id, view] : ctx.fleet.all()) {
     const auto& member_of = view.record.member_of;
@@ -398,7 +398,7 @@
                                  [](const target_view* m) { return !m->lost; }) &&
                      (state == member_state::open || state == member_state::closing);
   // A draining member stays while the head has requests, so the head can finish them.
-  const model_shape* model = ctx.engine.find_model(model_of_name(replica.key.name));
+  const model_spec* model = ctx.engine.find_model(model_of_name(replica.key.name));
   // A cross-domain replica is slow: its requests finish sooner if they continue elsewhere.
   const bool graceful = works && model != nullptr && replica.members.size() == model->size &&
                         !spans_domains(replica.members);
--- a/src/process/replica_controller.h
+++ b/src/process/replica_controller.h
@@ -143,7 +143,7 @@
   // Returns the orders and queries to send now for the engines of `service`. Call every few tens of
   // ms.
   [[nodiscard]] controller_effects tick(time_point now, const fleet_view& fleet,
-                                        const service_shape& service, const responsibilities& own);
+                                        const service_spec& service, const responsibilities& own);
 
   // Handles the outcome of an order, and updates the fleet view if it was carried out.
   void on_order(time_point now, fleet_view& fleet, const replica_order& order,
@@ -212,7 +212,7 @@
   void advance_forming(tick_context& ctx);
   void check_formed(tick_context& ctx);
   [[nodiscard]] bool has_spares(const tick_context& ctx, const target_view& head,
-                                const model_shape& model, std::size_t required) const;
+                                const model_spec& model, std::size_t required) const;
   [[nodiscard]] std::string_view dissolve_reason(const tick_context& ctx,
                                                  const formed_replica& replica,
                                                  const target_view* head) const;
@@ -221,22 +221,22 @@
                                 std::string_view reason);
   void find_free(tick_context& ctx);
   void form(tick_context& ctx);
-  void form_in_domain(tick_context& ctx, const fabric_domain_id& domain, const model_shape& model);
-  void form_across_domains(tick_context& ctx, const model_shape& model);
-  void form_across_data_centres(tick_context& ctx, const model_shape& model);
+  void form_in_domain(tick_context& ctx, const fabric_domain_id& domain, const model_spec& model);
+  void form_across_domains(tick_context& ctx, const model_spec& model);
+  void form_across_data_centres(tick_context& ctx, const model_spec& model);
   [[nodiscard]] std::vector<const target_view*> free_in(const tick_context& ctx,
                                                         const data_centre_id& data_centre,
-                                                        const model_shape& model) const;
+                                                        const model_spec& model) const;
   [[nodiscard]] std::vector<const target_view*> free_in_other_data_centres(
-      const tick_context& ctx, const model_shape& model) const;
+      const tick_context& ctx, const model_spec& model) const;
   [[nodiscard]] static bool has_most_engines(const std::vector<const target_view*>& own,
                                              const std::vector<const target_view*>& others);
-  void start_forming(tick_context& ctx, const model_shape& model,
+  void start_forming(tick_context& ctx, const model_spec& model,
                      const std::vector<const target_view*>& members);
-  void reclaim(tick_context& ctx, const fabric_domain_id& domain, const model_shape& model,
+  void reclaim(tick_context& ctx, const fabric_domain_id& domain, const model_spec& model,
                std::size_t ready);
   [[nodiscard]] std::vector<const target_view*> ready_engines(
-      const std::vector<const target_view*>& free, const model_shape& model) const;
+      const std::vector<const target_view*>& free, const model_spec& model) const;
   void update_plan(tick_context& ctx);
   void update_shortages(const tick_context& ctx);
   void assign_models(tick_context& ctx);
--- a/src/process/replica_controller_form.cpp
+++ b/src/process/replica_controller_form.cpp
@@ -12,8 +12,8 @@
     domains.push_back(entry.first);
   }
   // The model with the fewest replicas relative to its work comes first.
-  std::vector<const model_shape*> models;
-  for (const model_shape& model : ctx.engine.models) {
+  std::vector<const model_spec*> models;
+  for (const model_spec& model : ctx.engine.models) {
     models.push_back(&model);
   }
   std::map<model_id, double> replicas;
@@ -23,16 +23,16 @@
     }
   }
   std::stable_sort(models.begin(), models.end(), [&](const auto* a, const auto* b) {
-    return replicas[a->id] * a->size / std::max(a->work_share, 1e-3) <
-           replicas[b->id] * b->size / std::max(b->work_share, 1e-3);
+    return replicas[a->id] * a->size / std::max(a->expected_time_share, 1e-3) <
+           replicas[b->id] * b->size / std::max(b->expected_time_share, 1e-3);
   });
   for (const fabric_domain_id& domain : domains) {
-    for (const model_shape* model : models) {
+    for (const model_spec* model : models) {
       form_in_domain(ctx, domain, *model);
     }
   }
   // At a cold start, ready engines wait for the engines of their domain that are still loading.
-  for (const model_shape* model : models) {
+  for (const model_spec* model : models) {
     const bool fits = std::any_of(ctx.engines_by_domain.begin(), ctx.engines_by_domain.end(),
                                   [&](const auto& e) { return e.second >= model->size; });
     if (!fits || !cold_start_ || ctx.own.requests_seen) {
@@ -44,7 +44,7 @@
 
 // Free engines that can join a replica of the model immediately.
 std::vector<const target_view*> replica_controller::ready_engines(
-    const std::vector<const target_view*>& free, const model_shape& model) const {
+    const std::vector<const target_view*>& free, const model_spec& model) const {
   std::vector<const target_view*> ready;
   for (const target_view* view : free) {
     const local_engine_state& local = local_states_.at(view->record.id);
@@ -59,7 +59,7 @@
 }
 
 void replica_controller::form_in_domain(tick_context& ctx, const fabric_domain_id& domain,
-                                        const model_shape& model) {
+                                        const model_spec& model) {
   auto& free = ctx.free[domain];
   for (;;) {
     std::vector<const target_view*> ready = ready_engines(free, model);
@@ -72,7 +72,7 @@
   }
 }
 
-void replica_controller::start_forming(tick_context& ctx, const model_shape& model,
+void replica_controller::start_forming(tick_context& ctx, const model_spec& model,
                                        const std::vector<const target_view*>& members) {
   forming_replica f;
   f.model = model.id;
@@ -94,7 +94,7 @@
 
 // Forms a replica of engines that remain in several domains of a data centre. It is slow, but its
 // callers are served late rather than refused.
-void replica_controller::form_across_domains(tick_context& ctx, const model_shape& model) {
+void replica_controller::form_across_domains(tick_context& ctx, const model_spec& model) {
   for (const data_centre_id& data_centre : ctx.own.data_centres) {
     std::vector<const target_view*> ready = free_in(ctx, data_centre, model);
     if (ready.size() >= model.size) {
@@ -106,7 +106,7 @@
 
 std::vector<const target_view*> replica_controller::free_in(const tick_context& ctx,
                                                             const data_centre_id& data_centre,
-                                                            const model_shape& model) const {
+                                                            const model_spec& model) const {
   std::vector<const target_view*> ready;
   for (const auto& [domain, free] : ctx.free) {
     for (const target_view* view : ready_engines(free, model)) {
@@ -122,7 +122,7 @@
 // node knows, in no replica. Their own controller may use them simultaneously: then the count in
 // one of the orders does not match, and the replica of that order is abandoned.
 std::vector<const target_view*> replica_controller::free_in_other_data_centres(
-    const tick_context& ctx, const model_shape& model) const {
+    const tick_context& ctx, const model_spec& model) const {
   std::map<data_centre_id, std::vector<const target_view*>> by_data_centre;
   for (const auto& [id, view] : ctx.fleet.all()) {
     const bool usable = view.record.service == ctx.service.id && !ctx.is_own(view) &&
@@ -155,7 +155,7 @@
 // work. The controller of the data centre with the most free engines of the model uses those of
 // other data centres as well. The head is one of its own engines, because only the controller of
 // the head opens and dissolves the replica.
-void replica_controller::form_across_data_centres(tick_context& ctx, const model_shape& model) {
+void replica_controller::form_across_data_centres(tick_context& ctx, const model_spec& model) {
   // Records of a replica whose members have ended remain for a while, so all members are checked.
   const auto is_local = [&](const formed_replica& replica) {
     return model_of_name(replica.key.name) == model.id && !is_spare_name(replica.key.name) &&
@@ -217,7 +217,7 @@
 
 // Dissolves a cross-domain replica if the domain could form a replica with its members.
 void replica_controller::reclaim(tick_context& ctx, const fabric_domain_id& domain,
-                                 const model_shape& model, std::size_t ready) {
+                                 const model_spec& model, std::size_t ready) {
   if (ready == 0) {
     return;
   }
--- a/src/process/replica_controller_load.cpp
+++ b/src/process/replica_controller_load.cpp
@@ -45,9 +45,10 @@
     domains.push_back({domain.ready, domain.unloaded});
   }
   std::vector<layout_model> models;
-  for (const model_shape& model : ctx.engine.models) {
-    // work_share is a share of engine time: a replica of twice the size does twice the work.
-    models.push_back({model.size, model.work_share / model.size});
+  for (const model_spec& model : ctx.engine.models) {
+    // expected_time_share is a share of engine time: a replica of twice the size does twice the
+    // work.
+    models.push_back({model.size, model.expected_time_share / model.size});
   }
   if (domains != planned_domains_ || models != planned_models_) {
     planned_ = plan_fleet(domains, models, ctx.engine.cross_domain_factor);
@@ -114,7 +115,7 @@
                                                     const target_view& view,
                                                     std::size_t model) const {
   const local_engine_state& local = local_states_.at(view.record.id);
-  const model_shape& candidate = ctx.engine.models[model];
+  const model_spec& candidate = ctx.engine.models[model];
   const domain_state& domain = ctx.domains.at(view.record.domain);
   if (local.ready_model == candidate.id || domain.ready[model] >= domain.desired[model]) {
     return std::nullopt;
@@ -140,7 +141,7 @@
   constexpr double share_weight = 10;
   constexpr double staged_weight = 5;  // 1 to 2 s instead of 12 to 16 s
   constexpr double unloaded_weight = 2;
-  return share_weight * candidate.work_share / candidate.size / (replicas + 1) -
+  return share_weight * candidate.expected_time_share / candidate.size / (replicas + 1) -
          static_cast<double>(missing) / candidate.size + (staged ? staged_weight : 0) +
          (current ? 0 : unloaded_weight);
 }
@@ -150,12 +151,12 @@
   const bool unlimited = cold_start_ && !ctx.own.requests_seen &&
                          ctx.now - started_ >= settings_.cold_start_limit_duration;
   const auto share = std::max<std::size_t>(
-      1, ctx.engine.loads_at_once * std::max<std::size_t>(1, ctx.own.data_centres.size()) /
+      1, ctx.engine.concurrent_loads * std::max<std::size_t>(1, ctx.own.data_centres.size()) /
              std::max<std::size_t>(1, ctx.own.all_data_centres));
   for (;;) {
     // Each data centre may use its share of the store's loads, and any part that others leave.
     const bool may_load =
-        unlimited || ctx.loading_controlled < share || ctx.loading < ctx.engine.loads_at_once;
+        unlimited || ctx.loading_controlled < share || ctx.loading < ctx.engine.concurrent_loads;
     const target_view* best = nullptr;
     std::size_t best_model = 0;
     double best_gain = 0;
--- a/src/process/replica_controller_tick.h
+++ b/src/process/replica_controller_tick.h
@@ -21,7 +21,7 @@
 struct replica_controller::tick_context {
   time_point now;
   const fleet_view& fleet;
-  const service_shape& service;
+  const service_spec& service;
   const engine_parameters& engine;
   const responsibilities& own;
   controller_effects out = {};
--- a/src/process/serving_feed.cpp
+++ b/src/process/serving_feed.cpp
@@ -129,11 +129,11 @@
   revision_ = fleet.revision();
   version_ = services.version();
   std::map<std::string, serving_entry> entries;
-  for (const service_shape& service : services.services()) {
+  for (const service_spec& service : services.services()) {
     if (!service.engine) {
       continue;
     }
-    for (const model_shape& model : service.engine->models) {
+    for (const model_spec& model : service.engine->models) {
       for (const serving_replica& replica :
            serving_replicas(fleet, service.id, model.id, model.size, lost_target_policy::include)) {
         entries[replica.head.str()] = {sorted_members(replica, fleet), replica.slowdown_factor};
@@ -141,7 +141,7 @@
     }
   }
   for (const auto& [id, view] : fleet.all()) {
-    const service_shape* service = services.find_service(view.record.service);
+    const service_spec* service = services.find_service(view.record.service);
     const bool plain = service != nullptr && !service->engine;
     if (plain && view.listed && !view.record.draining) {
       entries[id.str()] = {{view.record}, 1};
--- a/src/request/replica_choice.cpp
+++ b/src/request/replica_choice.cpp
@@ -29,9 +29,9 @@
 // One token of each running request and of one more.
 double estimate_step_ms(const engine_parameters& engine, double active) {
   const double writers = std::min(active, static_cast<double>(engine.slots)) + 1;
-  const double context_k = (engine.usual_prompt + engine.usual_answer / 2) / 1000;
+  const double context_k = (engine.mean_prompt_tokens + engine.mean_answer_tokens / 2) / 1000;
   return to_milliseconds(engine.step) +
-         writers * (engine.step_per_sequence_ms + engine.context_ms_per_k * context_k);
+         writers * (engine.step_per_sequence_ms + engine.context_ms_per_1k_tokens * context_k);
 }
 
 // How long until a place is free, when one of the running requests has to end first: they end
@@ -53,7 +53,7 @@
 
 // What the sends of others that this node has not heard of yet may add to a replica's time, on
 // average. By Little's law as many requests arrive in a generation's time as are running.
-duration unseen_delay(const engine_parameters& engine, const model_shape& model,
+duration unseen_delay(const engine_parameters& engine, const model_spec& model,
                       std::span<const serving_replica> candidates, const load_table& loads,
                       duration load_age) {
   double all = 0;
@@ -65,11 +65,11 @@
   }
   const double count = static_cast<double>(std::max<std::size_t>(candidates.size(), 1));
   const double generation_ms =
-      engine.usual_answer * estimate_step_ms(engine, all / count) * model.slowdown_factor;
+      engine.mean_answer_tokens * estimate_step_ms(engine, all / count) * model.slowdown_factor;
   const double arrivals =
       of_others / count * std::min(1.0, to_milliseconds(load_age) / std::max(generation_ms, 1.0));
-  const double read_ms = engine.usual_prompt * 1000.0 / std::max(engine.read_tokens_per_s, 1.0) *
-                         model.slowdown_factor;
+  const double read_ms = engine.mean_prompt_tokens * 1000.0 /
+                         std::max(engine.prefill_tokens_per_s, 1.0) * model.slowdown_factor;
   return from_seconds(arrivals * read_ms / 1000);
 }
 
@@ -204,21 +204,22 @@
   return found == own_.end() ? 0 : found->second.active;
 }
 
-replica_estimate estimate(const engine_parameters& engine, const model_shape& model,
+replica_estimate estimate(const engine_parameters& engine, const model_spec& model,
                           const replica_load& load, const generation_size& size,
                           double slowdown_factor, bool crosses_domains) {
   const double factor = model.slowdown_factor * std::max(slowdown_factor, 1.0) *
                         (crosses_domains ? engine.cross_domain_factor : 1.0);
   const double step_ms = estimate_step_ms(engine, load.active);
   const double pass_ms = step_ms * engine.stride;
-  const double read_ms_per_token = 1000.0 / std::max(engine.read_tokens_per_s, 1.0);
-  const double pairs_ms = size.prompt_tokens * size.prompt_tokens / 2e6 * engine.pair_ms_per_m;
+  const double read_ms_per_token = 1000.0 / std::max(engine.prefill_tokens_per_s, 1.0);
+  const double pairs_ms =
+      size.prompt_tokens * size.prompt_tokens / 2e6 * engine.attention_ms_per_million_pairs;
   const double own_read_ms = size.prompt_tokens * read_ms_per_token + pairs_ms;
   const double others_read_ms = load.unread_tokens * read_ms_per_token;
   // Half a pass until the running one ends, when there is one.
   const double running_ms = load.active > 0.5 ? pass_ms / 2 : 0;
   double first_ms = running_ms + others_read_ms + own_read_ms + pass_ms;
-  first_ms += wait_for_place_ms(engine, load.active, engine.usual_answer * step_ms);
+  first_ms += wait_for_place_ms(engine, load.active, engine.mean_answer_tokens * step_ms);
   replica_estimate result;
   result.to_first_event = from_seconds(first_ms * factor / 1000);
   result.between_events = from_seconds(pass_ms * factor / 1000);
@@ -226,7 +227,7 @@
   return result;
 }
 
-replica_choice choose_replica(const engine_parameters& engine, const model_shape& model,
+replica_choice choose_replica(const engine_parameters& engine, const model_spec& model,
                               std::span<const serving_replica> candidates, const load_table& loads,
                               const choice_request& request, const choice_settings& settings) {
   std::vector<candidate> usable;
--- a/src/request/replica_choice.h
+++ b/src/request/replica_choice.h
@@ -102,7 +102,7 @@
 };
 
 // Expected times of a request of `size` on a replica that has `load`.
-[[nodiscard]] replica_estimate estimate(const engine_parameters& engine, const model_shape& model,
+[[nodiscard]] replica_estimate estimate(const engine_parameters& engine, const model_spec& model,
                                         const replica_load& load, const generation_size& size,
                                         double slowdown_factor, bool crosses_domains);
 
@@ -126,7 +126,7 @@
 };
 
 [[nodiscard]] replica_choice choose_replica(const engine_parameters& engine,
-                                            const model_shape& model,
+                                            const model_spec& model,
                                             std::span<const serving_replica> candidates,
                                             const load_table& loads, const choice_request& request,
                                             const choice_settings& settings = {});
--- a/src/standin/hosted_engine.cpp
+++ b/src/standin/hosted_engine.cpp
@@ -65,7 +65,7 @@
   const bool staged =
       std::find(record_.staged.begin(), record_.staged.end(), order.model) != record_.staged.end();
   const duration needed = last_model_ == order.model ? settings_.rejoin_time
-                          : staged                   ? settings_.warm_time
+                          : staged                   ? settings_.warm_load_time
                                                      : settings_.load_time;
   record_.member_of = membership{order.replica, rank, member_state::joining};
   record_.staged = {order.model};
--- a/src/standin/hosted_engine.h
+++ b/src/standin/hosted_engine.h
@@ -18,7 +18,7 @@
 
 struct hosted_engine_settings {
   duration rejoin_time = 200ms;  // the model of its last replica
-  duration warm_time = 1s;       // weights on the host
+  duration warm_load_time = 1s;  // weights on the host
   duration load_time = 4s;
   duration open_time = 300ms;
   duration report_lag = 200ms;
--- a/src/standin/hosted_platform.h
+++ b/src/standin/hosted_platform.h
@@ -28,7 +28,7 @@
   duration ends_after = 15ms;  // a request that ends the engine which runs it does so after this
   duration started_after = 600ms;  // such an engine has started again after this
   hosted_engine_settings engine = {.rejoin_time = 50ms,
-                                   .warm_time = 200ms,
+                                   .warm_load_time = 200ms,
                                    .load_time = 300ms,
                                    .open_time = 50ms,
                                    .report_lag = 20ms};
--- a/src/version/activation.cpp
+++ b/src/version/activation.cpp
@@ -1,4 +1,5 @@
-// Entering activations: each is checked against the row, since it may come from an older one.
+// Merges activations into the row. Each is checked against the row, since it may have been made
+// from an older one.
 #include "version/activation.h"
 
 #include <algorithm>
@@ -19,10 +20,11 @@
                              [&](const withdrawal& w) { return w.vm == vm && w.from == replica; });
 }
 
-// An activation from an older row may use a standby that was withdrawn since. Nobody else can
-// have got it while the withdrawal stands, so it may come back; any other VM may not.
-bool follows_from_row(const composition& c, const replica_plan& r, const bake_result& row,
-                      std::uint64_t row_version) {
+// Whether the composition is an activation of this replica in this row or an older one. One from an
+// older row may use a standby that was withdrawn since: no other replica can have received that VM
+// while the withdrawal is in the row. Any other VM is not allowed.
+bool is_derived_from_row(const composition& c, const replica_plan& r, const activation_merge& row,
+                         std::uint64_t row_version) {
   if (c.members.size() != r.members.size()) {
     return false;
   }
@@ -37,7 +39,8 @@
          });
 }
 
-void bake(replica_plan& r, const composition& c, std::uint64_t next_version, bake_result& row) {
+void merge_activation(replica_plan& r, const composition& c, std::uint64_t next_version,
+                      activation_merge& row) {
   for (const vm_id& vm : r.members) {
     if (!contains(c.members, vm)) {
       row.withdrawals.push_back({vm, r.id, next_version});
@@ -52,8 +55,9 @@
 
 }  // namespace
 
-bake_result bake_activations(const assignment& current, const std::vector<composition>& in_force) {
-  bake_result row{current.replicas, current.withdrawals, {}, false};
+activation_merge merge_activations(const assignment& current,
+                                   const std::vector<composition>& in_force) {
+  activation_merge row{current.replicas, current.withdrawals, {}, false};
   std::unordered_map<replica_id, const composition*> newest;
   for (const composition& c : in_force) {
     const composition*& known = newest[c.replica];
@@ -66,10 +70,10 @@
     if (found == newest.end() || found->second->gen <= r.gen) {
       continue;
     }
-    if (follows_from_row(*found->second, r, row, current.version)) {
-      bake(r, *found->second, current.version + 1, row);
+    if (is_derived_from_row(*found->second, r, row, current.version)) {
+      merge_activation(r, *found->second, current.version + 1, row);
     } else {
-      row.overtaken.push_back(r.id);
+      row.superseded.push_back(r.id);
     }
   }
   return row;
--- a/src/version/plan_draft.cpp
+++ b/src/version/plan_draft.cpp
@@ -42,9 +42,9 @@
 }
 
 void plan_draft::read_replicas() {
-  bake_result baked = bake_activations(*in_.current, in_.in_force);
-  withdrawals_ = std::move(baked.withdrawals);
-  for (replica_plan& plan : baked.replicas) {
+  activation_merge merge_result = merge_activations(*in_.current, in_.in_force);
+  withdrawals_ = std::move(merge_result.withdrawals);
+  for (replica_plan& plan : merge_result.replicas) {
     draft_replica r;
     r.plan = std::move(plan);
     r.rule = desired().find_model(r.plan.model);
@@ -55,7 +55,7 @@
     if (r.plan.gen != before->gen) {
       say(r.plan.id, "activation " + to_string(r.plan.gen) + " entered");
     }
-    if (std::ranges::find(baked.overtaken, r.plan.id) != baked.overtaken.end()) {
+    if (std::ranges::find(merge_result.superseded, r.plan.id) != merge_result.superseded.end()) {
       r.plan.gen = {next_version_, 0, 0};
       say(r.plan.id, "new token, since one that the row does not know is in force");
     }
@@ -64,7 +64,7 @@
   }
   std::ranges::sort(replicas, {},
                     [](const draft_replica& r) -> const replica_id& { return r.plan.id; });
-  withdrew_ = baked.changed;
+  withdrew_ = merge_result.changed;
 }
 
 void plan_draft::drop_acknowledged() {
--- a/src/version/service_map.cpp
+++ b/src/version/service_map.cpp
@@ -1,4 +1,4 @@
-// Look-ups in an accepted version.
+// Lookups of routes, workspaces, services and models in an accepted version.
 #include "version/service_map.h"
 
 #include <algorithm>
@@ -19,15 +19,15 @@
 
 }  // namespace
 
-const model_shape* engine_parameters::find_model(const model_id& id) const {
+const model_spec* engine_parameters::find_model(const model_id& id) const {
   const auto found =
-      std::find_if(models.begin(), models.end(), [&](const model_shape& m) { return m.id == id; });
+      std::find_if(models.begin(), models.end(), [&](const model_spec& m) { return m.id == id; });
   return found == models.end() ? nullptr : &*found;
 }
 
 service_map::service_map(std::uint64_t version, std::vector<route> routes,
-                         std::vector<service_shape> services,
-                         std::vector<workspace_shape> workspaces, const caller_limits& limits)
+                         std::vector<service_spec> services, std::vector<workspace_spec> workspaces,
+                         const caller_limits& limits)
     : version_(version),
       routes_(std::move(routes)),
       services_(std::move(services)),
@@ -61,14 +61,14 @@
   return nullptr;
 }
 
-const workspace_shape* service_map::find_workspace(std::string_view key) const {
+const workspace_spec* service_map::find_workspace(std::string_view key) const {
   const auto found = by_key_.find(std::string(key));
   return found == by_key_.end() ? nullptr : &workspaces_[found->second];
 }
 
-const service_shape* service_map::find_service(const service_id& id) const {
+const service_spec* service_map::find_service(const service_id& id) const {
   const auto found = std::find_if(services_.begin(), services_.end(),
-                                  [&](const service_shape& s) { return s.id == id; });
+                                  [&](const service_spec& s) { return s.id == id; });
   return found == services_.end() ? nullptr : &*found;
 }
 
--- a/tests/core/assignment_test.cpp
+++ b/tests/core/assignment_test.cpp
@@ -1,4 +1,4 @@
-// The assignment as a value: generations, repairs without the table, invariants, codec.
+// The assignment: generations, standby activations without the table, invariants, codec.
 #include "version/assignment.h"
 
 #include <gtest/gtest.h>
@@ -77,16 +77,16 @@
 TEST(activate, refuses_what_it_cannot_do) {
   const replica_plan r = make_replica("r", 3, 1);
   EXPECT_FALSE(activate(r, 5, 0b0011));   // two lost, one standby
-  EXPECT_FALSE(activate(r, 5, 0b1001));   // its standby is lost as well
+  EXPECT_FALSE(activate(r, 5, 0b1001));   // the standby is lost, too
   EXPECT_FALSE(activate(r, 5, 0b10000));  // no such position
   EXPECT_FALSE(activate(r, 2, 0b0001));   // a row older than the composition
   EXPECT_FALSE(activate(make_replica("r", 16, 17), 5, 1));
 }
 
-// Symptom: two nodes form different compositions under one token, and the targets, which compare
-//   tokens only, obey both.
-// Sequence: nodes see different losses, or the same ones in another order, while the table is away.
-// Cause: a composition that depends on anything besides row and mask.
+// Guards against a composition that depends on anything besides row and mask. Nodes that see
+// different losses, or the same ones in another order, while the table is unavailable would then
+// form different compositions under one token, and the targets, which compare tokens only, would
+// obey both.
 TEST(activate, equal_generations_mean_equal_compositions) {
   for (const std::size_t standbys : {0U, 1U, 3U}) {
     const replica_plan r = make_replica("r", 4, standbys);
@@ -114,12 +114,12 @@
   EXPECT_EQ(c->members, r.standbys);
 }
 
-TEST(invariants, sound_row_has_no_breach) {
+TEST(invariants, valid_row_has_no_violation) {
   EXPECT_TRUE(check_invariants(make_row()).empty());
 }
 
-// Symptom: two replicas are formed on one VM. Cause: a row that names it twice.
-TEST(invariants, one_vm_in_two_places_is_a_breach) {
+// Guards against a row that lists a VM twice: two replicas would be formed on it.
+TEST(invariants, one_vm_in_two_places_is_a_violation) {
   const auto broken = [](auto change) {
     assignment a = make_row();
     change(a);
@@ -133,7 +133,7 @@
   EXPECT_EQ(broken([](assignment& a) { a.withdrawals.push_back(a.withdrawals[0]); }), 1U);
 }
 
-TEST(invariants, other_breaches) {
+TEST(invariants, other_violations) {
   const auto broken = [](auto change) {
     assignment a = make_row();
     change(a);
@@ -161,8 +161,9 @@
   EXPECT_EQ(std::get<assignment>(back), assignment{});
 }
 
-// Symptom: a node obeys half a row, or dies on it. Cause: bytes cut short on their way.
-TEST(assignment_codec, refuses_every_cut) {
+// Guards against a node that applies a part of a row, or crashes, when the bytes were truncated in
+// transfer.
+TEST(assignment_codec, refuses_truncated_bytes) {
   const std::string bytes = encode(make_row());
   for (std::size_t length = 0; length < bytes.size(); ++length) {
     EXPECT_FALSE(is_ok(decode_assignment(bytes.substr(0, length)))) << length;
@@ -170,7 +171,7 @@
   EXPECT_FALSE(is_ok(decode_assignment(bytes + '\0')));
 }
 
-// Symptom: as above. Cause: flipped bits. What still decodes must be a sound row.
+// The same for flipped bits. Bytes that still decode must be a valid row.
 TEST(assignment_codec, survives_damaged_bytes) {
   const std::string bytes = encode(make_row());
   rng random(11);
@@ -190,8 +191,8 @@
   EXPECT_GT(refusals, 1000);
 }
 
-// Symptom: the process dies of a stack overflow. Sequence: it reads a row whose bytes each open
-// one more list. Cause: the reader recurses once per level.
+// Guards against a stack overflow: the parser recurses once per level, and each byte of this row
+// opens one more list.
 TEST(assignment_codec, refuses_deep_nesting) {
   EXPECT_FALSE(is_ok(decode_assignment(std::string(4'000'000, '\x91'))));
 }
--- a/tests/core/config_changes_test.cpp
+++ b/tests/core/config_changes_test.cpp
@@ -1,4 +1,4 @@
-// What a conflict tells the operator.
+// The differences that an operator is shown after a conflict.
 #include "version/config_changes.h"
 
 #include <gmock/gmock.h>
@@ -37,7 +37,7 @@
               ElementsAre("rules classes batch priority: 0 -> 7"));
 }
 
-TEST(ConfigChanges, AnotherOrderIsNoChangeOfRecords) {
+TEST(ConfigChanges, ReorderedRecordsAreNoChange) {
   texts after = example();
   std::swap(after.desired.classes[0], after.desired.classes[1]);
   EXPECT_THAT(changes_between(example().content(), after.content()), IsEmpty());
@@ -50,14 +50,14 @@
               ElementsAre("inventory data_centres b: removed", "inventory data_centres c: added"));
 }
 
-TEST(ConfigChanges, CountsWhatIsTooMuch) {
+TEST(ConfigChanges, CountsLinesBeyondTheLimit) {
   texts after = example();
   after.assets.data_centres.clear();
   EXPECT_THAT(changes_between(example().content(), after.content(), 1),
               ElementsAre("inventory data_centres a: removed", "and 1 more"));
 }
 
-TEST(ConfigChanges, UnreadableTextsHaveNone) {
+TEST(ConfigChanges, UnreadableTextsGiveNoChanges) {
   EXPECT_THAT(changes_between("{", example().content()), IsEmpty());
 }
 
--- a/tests/core/config_replica_test.cpp
+++ b/tests/core/config_replica_test.cpp
@@ -1,4 +1,4 @@
-// Which configuration is in force where, and proposals that are never applied twice.
+// Distribution of the configuration among nodes, and proposals that are never applied twice.
 #include "process/config_replica.h"
 
 #include <gtest/gtest.h>
@@ -26,8 +26,8 @@
   return head;
 }
 
-// Nodes with a table and an object store on virtual time. Results take `latency`; a reply may be
-// lost after the write took effect.
+// Simulated nodes with a table and an object store on virtual time. Results arrive after `latency`;
+// the table may lose replies to reads.
 class fake_fleet {
  public:
   explicit fake_fleet(std::size_t nodes, std::uint64_t seed = 1) : random_(seed) {
@@ -44,7 +44,7 @@
 
   config_replica& at(std::size_t i) { return *replicas.at(ids.at(i)); }
 
-  // As if accepted through the table.
+  // As if a proposal was accepted through the table.
   void accept(std::uint64_t version, const std::string& content) {
     objects[content_hash(content)] = content;
     row = {head_of(version, content), row.row_version + 1};
@@ -90,7 +90,7 @@
   std::vector<std::string> notices;
 
  private:
-  using result = std::function<config_wants(config_replica&)>;
+  using result = std::function<config_effects(config_replica&)>;
 
   void step() {
     for (const node_id& id : ids) {
@@ -98,7 +98,7 @@
       carry_out(id, r.tick(ids, now));
       const auto phase = static_cast<duration::rep>(stable_hash(id.str()) % 20) * 50ms;
       if (links_up && (now.time_since_epoch() + phase) % 1s == 0s) {
-        beat(id);
+        send_heartbeats(id);
       }
     }
     std::deque<std::tuple<time_point, node_id, result>> due;
@@ -116,12 +116,12 @@
     }
   }
 
-  void beat(const node_id& from) {
+  void send_heartbeats(const node_id& from) {
     const config_in_force& have = replicas.at(from)->in_force();
     for (const node_id& to : ids) {
       if (to != from) {
         pass_on(to, [=, this, version = have.version, hash = have.hash](config_replica& r) {
-          return r.peer_has(from, version, hash, now);
+          return r.peer_reported(from, version, hash, now);
         });
       }
     }
@@ -135,13 +135,13 @@
     pending_.emplace_back(now + link_latency, to, std::move(r));
   }
 
-  void carry_out(const node_id& id, const config_wants& wants) {
-    for (const config_want& want : wants) {
+  void carry_out(const node_id& id, const config_effects& requested) {
+    for (const config_effect& want : requested) {
       std::visit([&](const auto& w) { carry(id, w); }, want);
     }
   }
 
-  void carry(const node_id& id, const want_head&) {
+  void carry(const node_id& id, const fetch_config_head&) {
     ++head_reads;
     outcome<head_row> r = unknown{"down"};
     if (table_up && random_.unit() >= lost_replies) {
@@ -150,7 +150,7 @@
     reply(id, [=, this](config_replica& c) { return c.head_read(r, now); });
   }
 
-  void carry(const node_id& id, const want_object& w) {
+  void carry(const node_id& id, const fetch_object& w) {
     outcome<std::string> r = unknown{"down"};
     if (objects_up) {
       const auto found = objects.find(w.name);
@@ -163,7 +163,7 @@
     reply(id, [=, this](config_replica& c) { return c.object_read(w.name, r, now); });
   }
 
-  void carry(const node_id& id, const want_stored& w) {
+  void carry(const node_id& id, const restore_object& w) {
     outcome<std::monostate> r = unknown{"down"};
     if (objects_up) {
       objects[w.name] = w.content;
@@ -172,7 +172,7 @@
     reply(id, [=, this](config_replica& c) { return c.stored(r, now); });
   }
 
-  void carry(const node_id& id, const want_healed& w) {
+  void carry(const node_id& id, const repair_head& w) {
     outcome<std::uint64_t> r = unknown{"down"};
     ++head_writes;
     if (table_up) {
@@ -182,26 +182,26 @@
         r = row.row_version;
       }
     }
-    reply(id, [=, this](config_replica& c) { return c.healed(r, now); });
+    reply(id, [=, this](config_replica& c) { return c.head_written(r, now); });
   }
 
-  void carry(const node_id& id, const want_sent& w) {
+  void carry(const node_id& id, const send_peer_message& w) {
     if (!links_up || !replicas.contains(w.to)) {
       return;
     }
     std::visit([&](const auto& m) { peer_bytes += encode(gossip_message{m}).size(); }, w.message);
     pass_on(w.to, [=, this](config_replica& c) {
       if (const auto* request = std::get_if<config_request>(&w.message)) {
-        return c.peer_asks(id, *request);
+        return c.peer_requested(id, *request);
       }
       return c.peer_sent(id, std::get<config_content>(w.message), now);
     });
   }
 
-  void carry(const node_id&, const want_told& w) { notices.push_back(w.text); }
-  void carry(const node_id& id, const want_adopted&) {
+  void carry(const node_id&, const operator_notice& w) { notices.push_back(w.text); }
+  void carry(const node_id& id, const publish_configuration&) {
     if (links_up) {
-      beat(id);
+      send_heartbeats(id);
     }
   }
 
@@ -210,7 +210,7 @@
   std::map<node_id, std::uint64_t> newest_;
 };
 
-// ---- reaching everybody ----
+// ---- distribution to all nodes ----
 
 TEST(ConfigReplica, IsInForceEverywhereInTimeWithFewReaders) {
   fake_fleet fleet(21);
@@ -242,8 +242,9 @@
   EXPECT_LT(times[198], 3s);
 }
 
-// An inventory is large and changes every few seconds; whole copies would exceed the budget.
-TEST(ConfigReplica, PeersAndStoreGivePatches) {
+// An inventory is large and changes every few seconds; whole copies would exceed the traffic
+// budget.
+TEST(ConfigReplica, PeersAndStoreProvidePatches) {
   fake_fleet fleet(6);
   fleet.accept(1, content_of(1));
   fleet.run_for(15s);
@@ -257,7 +258,7 @@
   EXPECT_LT(fleet.peer_bytes, 6 * 2 * 500U);
 }
 
-TEST(ConfigReplica, ANewNodeLearnsFromPeersWhileThePlatformIsAway) {
+TEST(ConfigReplica, ANewNodeLearnsFromPeersWhileThePlatformIsUnavailable) {
   fake_fleet fleet(3);
   fleet.accept(4, content_of(4));
   fleet.run_for(15s);
@@ -267,36 +268,36 @@
   EXPECT_TRUE(fleet.all_have(4, content_of(4)));
 }
 
-// Symptom: a new node serves by an old configuration. Sequence: it meets peers that were cut off
-// and have an old one, then one with the newest. Cause: whoever answers first is believed for good.
+// Guards against a new node that keeps an old configuration: it first contacts peers that were
+// partitioned and have an old one, then a peer with the newest, but keeps the first answer.
 TEST(ConfigReplica, ANewNodeThatMeetsOldPeersFirstEndsWithTheNewest) {
   config_replica fresh(node_id{"fresh"}, 2);
   const time_point now{100s};
-  const auto teach = [&](config_replica& r, std::uint64_t version, int i) {
+  const auto deliver = [&](config_replica& r, std::uint64_t version, int i) {
     config_content c = whole_content(content_of(i));
     c.head = head_of(version, content_of(i));
-    (void)r.peer_has(node_id{"x"}, version, c.head.hash, now);
+    (void)r.peer_reported(node_id{"x"}, version, c.head.hash, now);
     (void)r.peer_sent(node_id{"x"}, c, now);
   };
-  teach(fresh, 3, 3);
+  deliver(fresh, 3, 3);
   EXPECT_EQ(fresh.in_force().version, 3U);
-  teach(fresh, 7, 7);
+  deliver(fresh, 7, 7);
   EXPECT_EQ(fresh.in_force().version, 7U);
-  teach(fresh, 5, 5);
+  deliver(fresh, 5, 5);
   EXPECT_EQ(fresh.in_force().version, 7U);
   EXPECT_EQ(fresh.content(), content_of(7));
 }
 
-// Symptom: a node is stuck on an old version. Sequence: a peer claims a version that nobody can
-// back up, or sends other content than it names. Cause: the claim alone was taken for the newest.
-TEST(ConfigReplica, FalseClaimsAndWrongContentDoNoHarm) {
+// Guards against a node that is stuck on an old version because a peer reports a version whose
+// content no node has, or sends content that does not match its hash.
+TEST(ConfigReplica, FalseVersionsAndWrongContentAreIgnored) {
   fake_fleet fleet(2);
   fleet.accept(1, content_of(1));
   fleet.run_for(3s);
   config_replica& r = fleet.at(0);
   const node_id liar{"liar"};
   for (std::uint64_t v = 1000; v < 1020; ++v) {
-    (void)r.peer_has(liar, v, "no such content", fleet.now);
+    (void)r.peer_reported(liar, v, "no such content", fleet.now);
   }
   config_content wrong = whole_content(content_of(9));
   wrong.head = head_of(1019, "other");
@@ -309,9 +310,9 @@
 
 // ---- a restored table ----
 
-// Symptom: an accepted configuration reverts. Sequence: the platform restores its table from an old
-// copy. Cause: the head in the table was believed, whatever was in force.
-TEST(ConfigReplica, ARestoredTableIsHealedAndNobodyGoesBack) {
+// Guards against an accepted configuration that is reverted when the platform restores its table
+// from an old copy and nodes adopt the head in the table regardless of the version in force.
+TEST(ConfigReplica, ARestoredTableIsRepairedAndNoNodeReverts) {
   fake_fleet fleet(6);
   fleet.accept(3, content_of(3));
   const head_row copy = fleet.row;
@@ -335,9 +336,10 @@
   EXPECT_EQ(fleet.row.head->version, 60U) << "also when the row is gone";
 }
 
-// Symptom: an accepted change is lost without a word. Sequence: the table is restored, and before
-// any node has seen it an operator builds on the old copy. Cause: healing took it for the old copy.
-TEST(ConfigReplica, AChangeAcceptedOnAnOldCopyIsLiftedAboveAll) {
+// Guards against an accepted change that is lost silently: the table is restored, an operator's
+// change is accepted on the old copy before any node reads it, and the repair overwrites the change
+// like an old head.
+TEST(ConfigReplica, AChangeAcceptedOnAnOldCopyGetsTheHighestVersion) {
   fake_fleet fleet(6);
   fleet.accept(8, content_of(8));
   fleet.run_for(15s);
@@ -353,28 +355,28 @@
   EXPECT_FALSE(fleet.notices.empty());
 }
 
-// Symptom: a proposer whose reply was lost applies its change again. Sequence: the table is
-// restored and healed by a node that has its configuration from the object store, without the names
-// of the proposals. Cause: the healed head names none.
-TEST(ConfigReplica, AHeadIsNotHealedWithoutTheNamesOfItsProposals) {
+// Guards against a proposer that applies its change again after its reply was lost: the table is
+// restored, and the node that repairs the head has its configuration from the object store, without
+// proposal ids, so that the repaired head lists none.
+TEST(ConfigReplica, AHeadIsNotRepairedWithoutItsProposalIds) {
   config_replica r(node_id{"n"}, 1);
   const time_point now{100s};
   const node_id holder{"holder"};
   const std::string hash = content_hash(content_of(7));
-  (void)r.peer_has(holder, 7, hash, now);
+  (void)r.peer_reported(holder, 7, hash, now);
   (void)r.object_read(hash, content_of(7), now);
   ASSERT_EQ(r.in_force().version, 7U);
-  (void)r.peer_has(holder, 7, hash, now);
+  (void)r.peer_reported(holder, 7, hash, now);
   (void)r.tick({node_id{"n"}}, now);
   const head_row old{head_of(2, content_of(2)), 5};
-  const config_wants first = r.head_read(old, now);
-  EXPECT_EQ(first, (config_wants{want_sent{holder, config_request{hash, hash}}}));
+  const config_effects first = r.head_read(old, now);
+  EXPECT_EQ(first, (config_effects{send_peer_message{holder, config_request{hash, hash}}}));
   config_content names = make_patch(content_of(7), content_of(7));
   names.head = head_of(7, content_of(7));
   (void)r.peer_sent(holder, names, now);
   (void)r.head_read(old, now + 1s);
-  const config_wants write = r.stored(std::monostate{}, now + 1s);
-  EXPECT_EQ(write, (config_wants{want_healed{names.head, 5}}));
+  const config_effects write = r.stored(std::monostate{}, now + 1s);
+  EXPECT_EQ(write, (config_effects{repair_head{names.head, 5}}));
 }
 
 TEST(ConfigReplica, OfTwoHeadsWithOneVersionAllChooseTheSame) {
@@ -417,9 +419,9 @@
   EXPECT_FALSE(is_ok(decode_patch("nonsense")));
 }
 
-// ---- proposing ----
+// ---- proposals ----
 
-// Carries out the steps of one proposer on a table that loses replies, and writes late.
+// A table for the steps of proposers. It loses requests and replies, and executes some writes late.
 struct fake_table {
   head_row row;
   rng random{1};
@@ -437,16 +439,16 @@
   }
 
   outcome<std::uint64_t> answer(const write_head& w) {
-    const double dice = random.unit();
-    if (dice < lost / 3) {
+    const double sample = random.unit();
+    if (sample < lost / 3) {
       return unknown{"lost before"};
     }
-    if (dice < 2 * lost / 3) {
+    if (sample < 2 * lost / 3) {
       late.push_back(w);
       return unknown{"on its way"};
     }
     const bool done = write(w);
-    if (dice < lost) {
+    if (sample < lost) {
       return unknown{"reply lost"};
     }
     return done ? outcome<std::uint64_t>{row.row_version} : refused{"version"};
@@ -489,15 +491,15 @@
   EXPECT_EQ(table.row.head->proposals.size(), 2U);
   config_proposer late(proposal_id{"p3"}, "three", 1, 1);
   EXPECT_EQ(std::get<proposal_conflict>(run(late, table)).current->version, 2U);
-  // The table is an old copy: nothing is built on it.
+  // The table is an old copy: the proposer knows a newer version and does not write.
   config_proposer knowing(proposal_id{"p4"}, "four", 2, 5);
   EXPECT_EQ(std::get<proposal_conflict>(run(knowing, table)).current->version, 2U);
 }
 
-// Symptom: a change is reported as failed, is made again, and undoes a later one. Sequence: the
-// write takes effect, its reply is lost, another proposal follows. Cause: no answer taken for a
-// refusal.
-TEST(ConfigProposer, FindsItselfBelowALaterProposalWhenItsReplyWasLost) {
+// Guards against a change that is reported as failed, made again, and so undoes a later one: the
+// write takes effect, its reply is lost, another proposal is accepted, and the missing answer is
+// treated as a refusal.
+TEST(ConfigProposer, FindsItsProposalBelowALaterOneWhenItsReplyWasLost) {
   fake_table table;
   config_proposer mine(proposal_id{"mine"}, "one", 0, 0);
   proposal_step step = mine.start();
@@ -524,8 +526,9 @@
   EXPECT_TRUE(std::holds_alternative<proposal_unresolved>(q.read_result(unknown{"down"})));
 }
 
-// Symptom: a change is applied twice, or one reported as accepted is not. Sequence: three operators
-// race; replies are lost, writes arrive late. Cause: a repeated write without the condition.
+// Guards against a change that is applied twice, or reported as accepted although it is not. Three
+// operators propose concurrently while replies are lost and writes arrive late; the failure occurs
+// if a write is repeated without its condition.
 TEST(ConfigProposer, RacesWithLostAndLateWritesNeverApplyTwice) {
   std::size_t decided = 0;
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
@@ -552,7 +555,7 @@
       (void)table.write(table.late.front());
       table.late.pop_front();
     }
-    // All three build on the same version.
+    // All three proposals have the same base version, so at most one is accepted.
     EXPECT_LE(table.row.row_version, 1U);
     for (std::size_t k = 0; k < 3; ++k) {
       const int times = table.accepted["p" + std::to_string(k)];
--- a/tests/core/config_transfer_test.cpp
+++ b/tests/core/config_transfer_test.cpp
@@ -1,5 +1,5 @@
-// Configurations on their way from the hub to its nodes: deltas, parts, and how long all of it
-// takes.
+// Transfer of configurations from the hub to its nodes: deltas, parts, and the time until all nodes
+// have a change.
 #include "process/config_transfer.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 #include "base/rng.h"
 #include "process/config_delta.h"
-#include "process/config_passing.h"
+#include "process/config_distributor.h"
 
 namespace arbutus {
 namespace {
@@ -24,7 +24,7 @@
   return text + R"(],"services":[{"name":"llm"}]})";
 }
 
-TEST(ConfigDelta, AChangedVersionAtTheFrontDoesNotMakeTheDeltaTheWholeText) {
+TEST(ConfigDelta, AChangedVersionNumberGivesASmallDelta) {
   const std::string base = text_with(16, 3050);
   const std::string same_but_version = text_with(20, 3050);
   const std::string more = text_with(20, 4450);
@@ -53,7 +53,7 @@
   }
 }
 
-TEST(ConfigTransfer, PartsOfAnOlderVersionAreNeverJoinedToANewerOne) {
+TEST(ConfigTransfer, PartsOfDifferentVersionsAreNeverCombined) {
   constexpr std::size_t most = 1000;
   config_history hub;
   config_history node;
@@ -75,7 +75,7 @@
   EXPECT_EQ(text, text_with(3, 90));
 }
 
-TEST(ConfigTransfer, ANodeIsNeverTakenBackByAHubThatLags) {
+TEST(ConfigTransfer, ALaggingHubNeverRevertsANode) {
   config_history lagging;
   config_history node;
   lagging.take(5, text_with(1, 10));
@@ -89,35 +89,36 @@
   EXPECT_EQ(node.newest(), 9U);
 }
 
-// Nodes of one data centre and their hub, in rounds of beats that may be lost, with the store
-// beside.
-class spread {
+// Simulates the nodes of one data centre and their hub in rounds of heartbeats, some of which are
+// lost. Nodes can also read from the store.
+class distribution_simulation {
  public:
   struct setup {
     std::size_t nodes = 25;
     std::uint32_t hub_mbps = 200;
     std::uint32_t node_mbps = 20;
-    double lost = 0;                // share of beats
-    bool know_base = true;          // the version before the change
-    bool refused_by_store = false;  // all but the hub
+    double lost = 0;                // fraction of heartbeats that are lost
+    bool base_known = true;         // the nodes have the version before the change
+    bool refused_by_store = false;  // the store serves no node but the hub
     std::uint64_t seed = 1;
   };
 
-  explicit spread(const setup& s) : setup_(s), passing_(s.hub_mbps), random_(s.seed) {
+  explicit distribution_simulation(const setup& s)
+      : setup_(s), passing_(s.hub_mbps), random_(s.seed) {
     nodes_.resize(s.nodes);
     hub_.take(1, text_with(1, 2450));
     for (node& n : nodes_) {
-      if (s.know_base) {
+      if (s.base_known) {
         n.held.take(1, text_with(1, 2450));
       }
     }
   }
 
-  // The hub has the change now; until all nodes act by it.
-  duration until_all_have(const std::string& text) {
+  // Time from the moment at which the change is at the store until all nodes have it.
+  duration time_until_all_have(const std::string& text) {
     hub_.take(2, text);
     if (setup_.hub_mbps == setup_.node_mbps) {
-      now_ += read_time(text);  // the hub's own read
+      now_ += read_time(text);  // the hub's own read from the store
     }
     while (!all_have() && now_ < time_point{} + 60s) {
       now_ += 200ms;
@@ -126,8 +127,8 @@
     return now_ - time_point{};
   }
 
-  [[nodiscard]] std::size_t read_at_the_store() const { return reads_; }
-  [[nodiscard]] std::size_t most_bytes_of_a_round() const { return max_bytes_; }
+  [[nodiscard]] std::size_t store_reads() const { return reads_; }
+  [[nodiscard]] std::size_t max_bytes_per_round() const { return max_bytes_; }
 
  private:
   struct node {
@@ -137,7 +138,7 @@
     time_point has_read_at = time_point::max();
   };
 
-  // Base64 on the link of a node.
+  // Time to read the text, as Base64, over the link of a node.
   [[nodiscard]] duration read_time(const std::string& text) const {
     return from_seconds(static_cast<double>(text.size()) * 4 / 3 * 8 / (setup_.node_mbps * 1e6));
   }
@@ -152,7 +153,7 @@
       const auto next =
           passing_.next_for(hub_, {n.held.newest(), n.receiver.progress(), setup_.refused_by_store},
                             nodes_.size() + 1);
-      n.lag.heard_of(now_, hub_.newest());
+      n.lag.row_reported(now_, hub_.newest());
       if (next.part) {
         bytes += next.part->bytes.size();
         if (auto whole = n.receiver.take(*next.part, n.held)) {
@@ -176,7 +177,7 @@
 
   setup setup_;
   config_history hub_;
-  config_passing passing_;
+  config_distributor passing_;
   rng random_;
   std::vector<node> nodes_;
   time_point now_{};
@@ -184,70 +185,71 @@
   std::size_t max_bytes_ = 0;
 };
 
-// The operators' bound, less what a proof, a beat and decoding may take.
-constexpr duration time_to_pass_on = 2s;
+// The operators' bound, less the time for a proof, a heartbeat and decoding.
+constexpr duration distribution_bound = 2s;
 
-TEST(ConfigSpread, TwoThousandRoutesMoreAreWithAllNodesInTime) {
+TEST(ConfigDistribution, TwoThousandAddedRoutesReachAllNodesInTime) {
   const std::string more = text_with(2, 4450);
   for (const std::size_t nodes : {25U, 113U}) {
     for (const std::uint32_t hub : {20U, 200U, 1000U}) {
       for (const double lost : {0.0, 0.1}) {
-        for (const bool know_base : {true, false}) {
-          spread world({nodes, hub, 20, lost, know_base, false, nodes + hub});
-          EXPECT_LE(world.until_all_have(more), time_to_pass_on)
+        for (const bool base_known : {true, false}) {
+          distribution_simulation simulation(
+              {nodes, hub, 20, lost, base_known, false, nodes + hub});
+          EXPECT_LE(simulation.time_until_all_have(more), distribution_bound)
               << nodes << " nodes, hub " << hub << " Mbit/s, lost " << lost << ", base "
-              << know_base;
+              << base_known;
           const std::size_t tenth_of_a_second = hub * 12'500;
-          EXPECT_LE(world.most_bytes_of_a_round(), tenth_of_a_second);
+          EXPECT_LE(simulation.max_bytes_per_round(), tenth_of_a_second);
         }
       }
     }
   }
 }
 
-TEST(ConfigSpread, ASmallChangeOfALargeConfigurationIsNotReadWholeByEachNode) {
+TEST(ConfigDistribution, ASmallChangeOfALargeConfigurationIsNotReadWholeByEachNode) {
   for (const std::uint32_t hub : {20U, 200U}) {
-    spread world({113, hub, 20, 0, true, false, 3});
-    EXPECT_LE(world.until_all_have(text_with(2, 2460)), 600ms);
-    EXPECT_EQ(world.read_at_the_store(), 0U);
+    distribution_simulation simulation({113, hub, 20, 0, true, false, 3});
+    EXPECT_LE(simulation.time_until_all_have(text_with(2, 2460)), 600ms);
+    EXPECT_EQ(simulation.store_reads(), 0U);
   }
 }
 
-TEST(ConfigSpread, NodesThatTheStoreTurnsAwayGetALargeChangeAllTheSame) {
-  spread world({25, 200, 20, 0.1, true, true, 5});
-  EXPECT_LE(world.until_all_have(text_with(2, 4450)), time_to_pass_on);
-  EXPECT_EQ(world.read_at_the_store(), 0U);
+TEST(ConfigDistribution, NodesWithoutStoreAccessReceiveALargeChange) {
+  distribution_simulation simulation({25, 200, 20, 0.1, true, true, 5});
+  EXPECT_LE(simulation.time_until_all_have(text_with(2, 4450)), distribution_bound);
+  EXPECT_EQ(simulation.store_reads(), 0U);
 }
 
-TEST(ConfigLag, WhatIsKnownAndLackingIsNotServedPastTheBound) {
+TEST(ConfigLag, AKnownMissingVersionIsStaleAfterHalfTheBound) {
   constexpr duration bound = 3s;
   const time_point start{100s};
   config_lag lag;
-  lag.holds(16);
-  EXPECT_FALSE(lag.too_old(start, bound));
-  lag.heard_of(start, 20);
-  EXPECT_FALSE(lag.too_old(start + 1s, bound));
-  // Yet another one does not begin its time anew, nor does a late word of an older one.
-  lag.heard_of(start + 1s, 24);
-  lag.heard_of(start + 1100ms, 16);
-  EXPECT_TRUE(lag.too_old(start + 1500ms, bound));
-  lag.holds(20);
-  EXPECT_FALSE(lag.too_old(start + 1600ms, bound));
-  EXPECT_TRUE(lag.too_old(start + 2500ms, bound));
-  lag.holds(24);
-  EXPECT_FALSE(lag.too_old(start + 10s, bound));
-  // A node that knows of nothing newer, as in a data centre that is cut off, serves on.
-  EXPECT_FALSE(lag.too_old(start + 1000s, bound));
+  lag.row_applied(16);
+  EXPECT_FALSE(lag.is_stale(start, bound));
+  lag.row_reported(start, 20);
+  EXPECT_FALSE(lag.is_stale(start + 1s, bound));
+  // Neither another new version nor a late report of an older one restarts the time.
+  lag.row_reported(start + 1s, 24);
+  lag.row_reported(start + 1100ms, 16);
+  EXPECT_TRUE(lag.is_stale(start + 1500ms, bound));
+  lag.row_applied(20);
+  EXPECT_FALSE(lag.is_stale(start + 1600ms, bound));
+  EXPECT_TRUE(lag.is_stale(start + 2500ms, bound));
+  lag.row_applied(24);
+  EXPECT_FALSE(lag.is_stale(start + 10s, bound));
+  // A node that knows of no newer version, as in a partitioned data centre, is not stale.
+  EXPECT_FALSE(lag.is_stale(start + 1000s, bound));
 }
 
-TEST(ConfigLag, VersionsInARowThatAreEachInTimeKeepNoCallerOut) {
+TEST(ConfigLag, FrequentVersionsAppliedInTimeAreNeverStale) {
   const time_point start{100s};
   config_lag lag;
   for (std::uint64_t row = 1; row <= 200; ++row) {
     const time_point now = start + row * 200ms;
-    lag.heard_of(now, row);
-    EXPECT_FALSE(lag.too_old(now, 3s)) << row;
-    lag.holds(row - 1);
+    lag.row_reported(now, row);
+    EXPECT_FALSE(lag.is_stale(now, 3s)) << row;
+    lag.row_applied(row - 1);
   }
 }
 
--- a/tests/core/configuration_test.cpp
+++ b/tests/core/configuration_test.cpp
@@ -1,4 +1,4 @@
-// Content and head codecs, and keys of callers.
+// Codecs of content and head, and authentication of callers by key.
 #include "version/configuration.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace arbutus {
 namespace {
 
-inventory every_asset() {
+inventory full_inventory() {
   inventory assets;
   assets.data_centres = {{data_centre_id{"hall-a"}, "sk-west"}};
   assets.vms = {{vm_id{"vm-1"},
@@ -25,7 +25,7 @@
   return assets;
 }
 
-rules every_rule() {
+rules full_rules() {
   rules desired;
   model_rule model;
   model.id = model_id{"dispatch-llm"};
@@ -57,16 +57,16 @@
 }
 
 TEST(configuration, content_round_trips_with_every_field_set) {
-  const auto decoded = decode_content(encode_content(every_asset(), every_rule()), 42);
+  const auto decoded = decode_content(encode_content(full_inventory(), full_rules()), 42);
   const auto* value = std::get_if<configuration>(&decoded);
   ASSERT_NE(value, nullptr) << reason(decoded);
   EXPECT_EQ(value->version, 42U);
-  EXPECT_TRUE(value->assets == every_asset());
-  EXPECT_TRUE(value->desired == every_rule());
+  EXPECT_TRUE(value->assets == full_inventory());
+  EXPECT_TRUE(value->desired == full_rules());
 }
 
 TEST(configuration, equal_values_give_equal_bytes) {
-  const std::string once = encode_content(every_asset(), every_rule());
+  const std::string once = encode_content(full_inventory(), full_rules());
   const auto decoded = decode_content(once, 1);
   const auto& value = std::get<configuration>(decoded);
   EXPECT_EQ(encode_content(value.assets, value.desired), once);
@@ -77,17 +77,17 @@
   EXPECT_TRUE(std::get<config_head>(decode_head(encode(head))) == head);
 }
 
-// Symptom: a node crashes, or runs with half a configuration, after the store returned damage.
-// Sequence: content written; bytes cut or changed; a node reads it. Cause: a decoder that trusts.
+// Guards against a node that crashes, or runs with a part of a configuration, when the store
+// returns truncated or changed bytes and the decoder does not validate them.
 TEST(configuration, every_truncation_is_refused) {
-  const std::string whole = encode_content(every_asset(), every_rule());
+  const std::string whole = encode_content(full_inventory(), full_rules());
   for (std::size_t length = 0; length < whole.size(); ++length) {
     EXPECT_FALSE(is_ok(decode_content(whole.substr(0, length), 1))) << length;
   }
 }
 
 TEST(configuration, damage_is_refused_with_its_place) {
-  std::string port = encode_content(every_asset(), every_rule());
+  std::string port = encode_content(full_inventory(), full_rules());
   port.replace(port.find("21000"), 5, "86536");
   EXPECT_NE(reason(decode_content(port, 1)).find("vms: address: port"), std::string::npos)
       << reason(decode_content(port, 1));
@@ -100,9 +100,9 @@
 }
 
 TEST(configuration, encoding_never_throws) {
-  inventory assets = every_asset();
+  inventory assets = full_inventory();
   assets.vms[0].id = vm_id{"\xff\xfe"};
-  rules desired = every_rule();
+  rules desired = full_rules();
   desired.vm_failures_per_day = std::numeric_limits<double>::quiet_NaN();
   EXPECT_NO_THROW((void)encode_content(assets, desired));
   EXPECT_FALSE(is_ok(decode_content(encode_content(assets, desired), 1)));
@@ -121,7 +121,7 @@
 }
 
 TEST(secret, a_key_opens_its_own_workspace_only) {
-  rules desired = every_rule();
+  rules desired = full_rules();
   desired.workspaces.push_back({workspace_id{"v"}, {sha256_hex("old"), sha256_hex("new")}, {}});
   const workspace_rule* found = authenticate(desired, "new");
   ASSERT_NE(found, nullptr);
@@ -129,10 +129,11 @@
   ASSERT_NE(authenticate(desired, "key-w"), nullptr);
   EXPECT_EQ(authenticate(desired, "key-w")->id, workspace_id{"w"});
   EXPECT_EQ(authenticate(desired, "other"), nullptr);
-  // Also when the hash of nothing stands in the rules, from a script with an empty variable.
+  // An empty key is refused even if its hash is in the rules, as from a script with an empty
+  // variable.
   desired.workspaces.push_back({workspace_id{"u"}, {sha256_hex("")}, {}});
   EXPECT_EQ(authenticate(desired, ""), nullptr);
-  // The hash itself is no key.
+  // The hash itself is not accepted as a key.
   EXPECT_EQ(authenticate(desired, sha256_hex("new")), nullptr);
 }
 
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -151,8 +151,8 @@
       }
       const planner_input in = w.input();
       const plan p = make_plan(in);
-      const findings breaches = check_invariants(p.next);
-      ASSERT_TRUE(breaches.empty()) << breaches.front() << '\n' << w.text();
+      const findings violations = check_invariants(p.next);
+      ASSERT_TRUE(violations.empty()) << violations.front() << '\n' << w.text();
       expect_handed_over(in, p.next);
       expect_serving_undisturbed(w, p.next);
       ASSERT_EQ(p.changed, !p.reasons.empty());
--- a/tests/core/replica_choice_test.cpp
+++ b/tests/core/replica_choice_test.cpp
@@ -8,7 +8,7 @@
 namespace arbutus {
 namespace {
 
-const model_shape model{model_id{"m"}, 4, 1, 1.0, 16s, 1600ms};
+const model_spec model{model_id{"m"}, 4, 1, 1.0, 16s, 1600ms};
 
 engine_parameters engine() {
   engine_parameters e;
@@ -16,11 +16,11 @@
   e.stride = 7;
   e.step = 5950us;
   e.step_per_sequence_ms = 0.0445;
-  e.context_ms_per_k = 0.00813;
-  e.read_tokens_per_s = 50700;
-  e.pair_ms_per_m = 0.368;
-  e.usual_prompt = 1115;
-  e.usual_answer = 178;
+  e.context_ms_per_1k_tokens = 0.00813;
+  e.prefill_tokens_per_s = 50700;
+  e.attention_ms_per_million_pairs = 0.368;
+  e.mean_prompt_tokens = 1115;
+  e.mean_answer_tokens = 178;
   e.cross_domain_factor = 2.5;
   e.models = {model};
   return e;
--- a/tests/core/serving_feed_test.cpp
+++ b/tests/core/serving_feed_test.cpp
@@ -15,8 +15,8 @@
 const service_id tablets{"tablets"};
 const model_id large{"large"};
 
-service_shape models(std::uint32_t size) {
-  service_shape service;
+service_spec models(std::uint32_t size) {
+  service_spec service;
   service.id = llm;
   engine_parameters engine;
   engine.models = {{large, size, 1.0, 1.0, 4s, 1s}};
@@ -25,7 +25,7 @@
 }
 
 service_map services(std::uint32_t size) {
-  service_shape plain;
+  service_spec plain;
   plain.id = tablets;
   return {1, {}, {models(size), plain}, {}, caller_limits{}};
 }
--- a/tests/shell/controller_simulation.h
+++ b/tests/shell/controller_simulation.h
@@ -25,12 +25,12 @@
 inline const model_id large{"large"};
 inline const model_id small{"small"};
 
-inline service_shape two_models() {
-  service_shape service;
+inline service_spec two_models() {
+  service_spec service;
   service.id = llm;
   engine_parameters engine;
   engine.slots = 8;
-  engine.loads_at_once = 6;
+  engine.concurrent_loads = 6;
   engine.models = {{large, 4, 0.57, 1.0, 4s, 1s}, {small, 3, 0.43, 0.6, 4s, 1s}};
   service.engine = engine;
   return service;
@@ -45,7 +45,7 @@
   };
 
   explicit controller_simulation(std::uint64_t seed, std::size_t keepers = 1,
-                                 service_shape service = two_models())
+                                 service_spec service = two_models())
       : service_(std::move(service)), random_(seed) {
     for (std::size_t i = 0; i < keepers; ++i) {
       nodes_.push_back(std::make_unique<simulated_controller>(
@@ -439,7 +439,7 @@
     }
   }
 
-  service_shape service_;
+  service_spec service_;
   time_point now_{1h};
   rng random_;
   faults faults_;
--- a/tests/shell/cross_domain_replica_test.cpp
+++ b/tests/shell/cross_domain_replica_test.cpp
@@ -11,11 +11,11 @@
 constexpr std::uint32_t large_size = 16;
 
 // A service with a model that is too large for any data centre, and a small model.
-service_shape model_larger_than_data_centre() {
-  service_shape service = two_models();
+service_spec model_larger_than_data_centre() {
+  service_spec service = two_models();
   service.engine->models = {{large, large_size, 0.5, 1.0, 4s, 1s}, {small, 4, 0.5, 0.6, 4s, 1s}};
   service.engine->cross_domain_factor = 2.5;
-  service.engine->loads_at_once = 12;
+  service.engine->concurrent_loads = 12;
   return service;
 }
 
--- a/tests/shell/platform_test.cpp
+++ b/tests/shell/platform_test.cpp
@@ -36,7 +36,7 @@
   const route* once = read.map->find_route("f.example", "/b/x");
   EXPECT_FALSE(once->repeatable());
   EXPECT_FALSE(once->needs_workspace);
-  const service_shape* llm = read.map->find_service(service_id{"llm"});
+  const service_spec* llm = read.map->find_service(service_id{"llm"});
   ASSERT_TRUE(llm->engine);
   EXPECT_EQ(llm->engine->find_model(model_id{"m0"})->size, 4U);
   EXPECT_EQ(llm->engine->report_lag, 200ms);
