--- a/src/process/fleet_view.h
+++ b/src/process/fleet_view.h
@@ -2,8 +2,8 @@
 // targets' own reports.
 //
 // A plain value without I/O; each update gets the current time and an observation. A target_id
-// names one incarnation of an engine (target_life.h): engines restart under the same name, and
-// addresses are reused by other engines.
+// names one incarnation of an engine (target_incarnation.h): engines restart under the same name,
+// and addresses are reused by other engines.
 #pragma once
 
 #include <cstdint>
--- a/src/process/replica_name.h
+++ b/src/process/replica_name.h
@@ -5,9 +5,9 @@
 // and the head, so a node knows what an engine loads, and which target to query if it never saw the
 // head. The origin differs for each incarnation of a replica controller: otherwise two
 // controllers that choose the same head and epoch simultaneously would mix their members under one
-// name. The digest covers the members' incarnations (target_life.h): a delayed order may bring a
-// restarted member back under the same name and epoch, and the replica would look complete but make
-// no progress.
+// name. The digest covers the members' incarnations (target_incarnation.h): a delayed order may
+// bring a restarted member back under the same name and epoch, and the replica would look complete
+// but make no progress.
 #pragma once
 
 #include <span>
--- a/tests/core/coordination_fixture.h
+++ b/tests/core/coordination_fixture.h
@@ -7,7 +7,7 @@
 
 #include <optional>
 
-#include "fake_world.h"
+#include "fake_cluster.h"
 #include "process/assignment_writer.h"
 
 namespace arbutus::testing {
--- a/tests/core/coordination_measures_test.cpp
+++ b/tests/core/coordination_measures_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <iostream>
 
-#include "fake_world.h"
+#include "fake_cluster.h"
 
 namespace arbutus::testing {
 namespace {
--- a/tests/core/coordinator_random_test.cpp
+++ b/tests/core/coordinator_random_test.cpp
@@ -3,7 +3,7 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "fake_world.h"
+#include "fake_cluster.h"
 
 namespace arbutus::testing {
 namespace {
--- a/tests/core/fake_cluster.cpp
+++ b/tests/core/fake_cluster.cpp
@@ -1,8 +1,9 @@
 // Set-up of the simulated cluster, its event loop and the nodes.
+#include "fake_cluster.h"
+
 #include <algorithm>
 
 #include "base/hash.h"
-#include "fake_world.h"
 
 namespace arbutus::testing {
 
--- a/tests/core/fake_cluster_checks.cpp
+++ b/tests/core/fake_cluster_checks.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <sstream>
 
-#include "fake_world.h"
+#include "fake_cluster.h"
 #include "process/assignment_writer.h"
 #include "process/permission.h"
 
--- a/tests/core/poison_tracker_test.cpp
+++ b/tests/core/poison_tracker_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "poison_world.h"
+#include "poison_simulation.h"
 #include "process/poison_exchange.h"
 #include "process/poison_wire.h"
 
--- a/tests/shell/cross_domain_replica_test.cpp
+++ b/tests/shell/cross_domain_replica_test.cpp
@@ -1,7 +1,7 @@
 // Replicas across fabric domains and data centres, with controllers that own some members each.
 #include <gtest/gtest.h>
 
-#include "keeper_world.h"
+#include "controller_simulation.h"
 
 namespace arbutus::testing_support {
 namespace {
--- a/tests/shell/replica_controller_test.cpp
+++ b/tests/shell/replica_controller_test.cpp
@@ -2,7 +2,7 @@
 // after every step.
 #include <gtest/gtest.h>
 
-#include "keeper_world.h"
+#include "controller_simulation.h"
 
 namespace arbutus::testing_support {
 namespace {
