--- a/src/version/cross_check.cpp
+++ b/src/version/cross_check.cpp
@@ -1,4 +1,4 @@
-// Checks across records. Each check is one small function that adds to the findings.
+// Consistency checks across the records of a configuration. Each check appends its findings.
 #include "version/cross_check.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Paths that the nodes answer themselves.
+// Paths below this prefix are the model API, which the nodes serve themselves.
 constexpr std::string_view model_api_prefix = "/v1";
 
 class checker {
@@ -58,7 +58,7 @@
 
   // ---- names ----
 
-  using name_uses = std::map<std::string, std::string, std::less<>>;  // name to path
+  using name_uses = std::map<std::string, std::string, std::less<>>;  // name to its record's path
 
   void use_name(name_uses& names, const std::string& name, const std::string& path,
                 std::string_view what) {
@@ -79,8 +79,8 @@
     }
   }
 
-  // VMs and nodes share one space of names, since both stand in lists of machines and in logs; so
-  // do models and services, which callers ask for.
+  // VMs and nodes share one namespace, since both appear in lists of machines and in logs. Models
+  // and services share another, since callers request both by name.
   void check_names() {
     name_uses data_centres;
     use_ids(data_centres, assets_.data_centres, "data_centres", "data centre");
@@ -101,7 +101,7 @@
     return names;
   }
 
-  // Goes wrong: a VM that stands twice would be planned into two replicas, once for each row.
+  // A VM that is listed twice would be planned into two replicas, one for each row.
   void check_vms_listed_twice() {
     std::map<vm_id, std::size_t> first;
     for (std::size_t i = 0; i < assets_.vms.size(); ++i) {
@@ -169,7 +169,7 @@
 
   // ---- references ----
 
-  // A reference to a record that there is not; `names` are those that there are.
+  // Reports a reference to a record that does not exist; `names` are the existing ones.
   void check_reference(const std::string& path, std::string_view what, const std::string& name,
                        const std::set<std::string, std::less<>>& names) {
     if (name.empty() || names.contains(name)) {
@@ -259,7 +259,7 @@
 
   void check_workspaces() {
     const auto models = ids_of(wanted_.models);
-    std::map<std::string, std::size_t> owners;  // of key hashes
+    std::map<std::string, std::size_t> owners;  // key hash to index of the workspace
     for (std::size_t w = 0; w < wanted_.workspaces.size(); ++w) {
       const workspace_rule& workspace = wanted_.workspaces[w];
       const std::string path = indexed("workspaces", w);
@@ -302,7 +302,7 @@
     return path.starts_with(prefix) && (path.size() == prefix.size() || path[prefix.size()] == '/');
   }
 
-  // Goes wrong: with overlapping prefixes the order of the rules would choose the service.
+  // With overlapping prefixes the order of the rules would decide which service gets a request.
   void check_prefixes() {
     name_uses prefixes;
     for (std::size_t s = 0; s < wanted_.services.size(); ++s) {
--- a/src/version/cross_check.h
+++ b/src/version/cross_check.h
@@ -1,5 +1,6 @@
-// Checks of a configuration that need more than one record: references, names and endpoints used
-// twice, models that can never fit. For values from files as well as for those built in a program.
+// Checks of a configuration that involve more than one record: references to missing records,
+// duplicate names and endpoints, models that can never fit. They apply to configurations read from
+// files and to those built in code.
 #pragma once
 
 #include "base/finding.h"
@@ -9,11 +10,13 @@
 
 namespace arbutus {
 
-// Models that can never fit, or not all of them; part of cross_check.
+// Reports models that can never fit, or of which fewer replicas fit than are configured. Part of
+// cross_check().
 [[nodiscard]] findings check_room(const inventory& assets, const rules& desired,
                                   const place_index& places);
 
-// All findings in one run. `places` says where each record was read; it may be empty.
+// Runs all checks and returns all findings. `places` maps each record to its place in the file; it
+// may be empty.
 [[nodiscard]] findings cross_check(const inventory& assets, const rules& desired,
                                    const place_index& places);
 
--- a/src/version/cross_check_room.cpp
+++ b/src/version/cross_check_room.cpp
@@ -1,4 +1,4 @@
-// Whether the models fit the VMs that there are.
+// Checks whether the configured replicas of the models fit the VMs of the inventory.
 #include <algorithm>
 #include <cstdint>
 #include <map>
@@ -38,7 +38,7 @@
     add(severity::warning, path, std::move(message), std::move(expected));
   }
 
-  // How many VMs of each fabric domain of `dc` could be members of `model`.
+  // Number of VMs in each fabric domain of `dc` that have enough accelerators for `model`.
   std::map<fabric_domain_id, std::uint32_t> fitting_vms(const model_rule& model,
                                                         const data_centre_id& dc) const {
     std::map<fabric_domain_id, std::uint32_t> count;
@@ -76,7 +76,7 @@
     }
     std::uint32_t vms = 0;
     std::uint32_t largest = 0;
-    std::uint32_t in_domains = 0;  // replicas that fit without crossing
+    std::uint32_t in_domains = 0;  // replicas that fit without crossing fabric domains
     for (const auto& [domain, count] : fitting_vms(model, desired.data_centre)) {
       vms += count;
       largest = std::max(largest, count);
@@ -109,7 +109,8 @@
     }
   }
 
-  // All models of a data centre together, where each by itself fits.
+  // Checks whether all models of a data centre fit together; skips data centres in which a single
+  // model already does not fit.
   void check_together() {
     std::map<data_centre_id, std::uint64_t> desired;
     for (const model_rule& model : wanted_.models) {
@@ -135,7 +136,7 @@
   const inventory& assets_;
   const rules& wanted_;
   const place_index& places_;
-  std::set<data_centre_id> short_of_room_;  // reported for one model already
+  std::set<data_centre_id> short_of_room_;  // already reported for a single model
   findings problems_;
 };
 
--- a/src/version/field_text.cpp
+++ b/src/version/field_text.cpp
@@ -1,4 +1,4 @@
-// Parsing of single fields, and suggestions for misspelt words.
+// Parsing of single fields, and suggestions for misspelt names.
 #include "version/field_text.h"
 
 #include <arpa/inet.h>
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t max_quoted_length = 60;
-// More candidates than this are not listed in a finding.
+// A finding lists the candidates only if there are at most this many.
 constexpr std::size_t max_listed_candidates = 12;
 
 bool is_alphanumeric(char c) {
@@ -29,7 +29,7 @@
   return inet_pton(family, host.c_str(), parsed.data()) == 1;
 }
 
-// Optimal string alignment distance, one row kept per step.
+// Optimal string alignment distance. Keeps only the last three rows of the matrix.
 std::size_t edit_distance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> before(b.size() + 1);
   std::vector<std::size_t> last(b.size() + 1);
@@ -94,7 +94,7 @@
     host = host.substr(1, host.size() - 2);
   }
   endpoint result{std::string(host), static_cast<std::uint16_t>(*port)};
-  // A NUL inside would end the text early for the C function and let the rest pass unseen.
+  // inet_pton() stops at a NUL, so text after an embedded NUL would not be checked.
   const bool whole = host.find('\0') == std::string_view::npos;
   if (!whole || !is_address(bracketed ? AF_INET6 : AF_INET, result.host)) {
     return std::nullopt;
@@ -117,7 +117,7 @@
       return 0;
     }
   }
-  // Overlong forms, surrogates and values above the last code point.
+  // Rejects overlong forms, surrogates and values above the last code point.
   const unsigned second = byte(at + 1);
   const bool invalid = (first == 0xe0 && second < 0xa0) || (first == 0xed && second > 0x9f) ||
                        (first == 0xf0 && second < 0x90) || (first == 0xf4 && second > 0x8f);
@@ -148,7 +148,8 @@
   if (word.size() > max_name_length) {
     return {};
   }
-  // One edit in three letters: "rpelicas" is a misspelling, "port" for "rank" is another word.
+  // Allows one edit for every three letters: "rpelicas" is a misspelling of "replicas", but "port"
+  // is not one of "rank".
   std::size_t best = std::max<std::size_t>(1, word.size() / 3) + 1;
   std::string_view found;
   for (const std::string_view candidate : candidates) {
--- a/src/version/field_text.h
+++ b/src/version/field_text.h
@@ -1,5 +1,5 @@
-// Fields of operators' files as text: what a name, a number or an endpoint looks like, and which
-// known word a misspelt one most likely meant. Shared by inventory, rules and node settings.
+// Syntax of text fields in operators' files (names, numbers, endpoints), and suggestions for
+// misspelt names. Shared by inventory, rules and node settings.
 #pragma once
 
 #include <cstdint>
@@ -13,40 +13,41 @@
 
 namespace arbutus {
 
-// Readers stop collecting at this many findings: a file of junk would else cost more memory for its
-// findings than for itself.
+// Readers stop collecting findings at this number. Without a limit, the findings of an invalid file
+// could take more memory than the file.
 inline constexpr std::size_t max_findings = 1000;
 
-// Names end up in keys of the table, in paths and in metrics, so they keep to these characters:
-// ASCII letters, digits, '.', '_' and '-', first a letter or digit, at most 64.
+// Names are used in table keys, paths and metrics. They therefore consist of at most 64 ASCII
+// letters, digits, '.', '_' and '-', and begin with a letter or digit.
 inline constexpr std::size_t max_name_length = 64;
 inline constexpr std::string_view name_expected =
     "a name of at most 64 letters, digits, '.', '_', '-', first a letter or digit";
 [[nodiscard]] bool is_name(std::string_view text);
 
-// "10.0.0.1:8000" or "[fd00::1]:8000": IP numbers only, since nodes look no names up. The host of
-// the result has no brackets.
+// Parses "10.0.0.1:8000" or "[fd00::1]:8000". Host names are rejected, since nodes do not use DNS.
+// The host of the result has no brackets.
 inline constexpr std::string_view endpoint_expected =
     "IP number and port, as 10.0.0.1:8000 or [fd00::1]:8000";
 [[nodiscard]] std::optional<endpoint> parse_endpoint(std::string_view text);
 
-// Decimal digits only; empty when there is anything else or the value is too large.
+// Parses decimal digits; empty if the text has any other character or the value is too large.
 [[nodiscard]] std::optional<std::uint32_t> parse_whole(std::string_view text);
 
-// `text` in quotes for a message: control characters and broken UTF-8 are escaped, and long text
-// is cut, so that no input can garble a terminal or a log.
+// Quotes `text` for a message. Control characters and invalid UTF-8 are escaped and long text is
+// truncated, so that no input can corrupt a terminal or a log.
 [[nodiscard]] std::string in_quotes(std::string_view text);
 
-// The candidate closest to `word` by edits (a swap of neighbours counts as one), when it is close
-// enough to be a misspelling; else empty.
+// The candidate with the smallest edit distance to `word` (swapping two neighbouring characters
+// counts as one edit) if `word` is likely to be a misspelling of it; otherwise empty.
 [[nodiscard]] std::string_view nearest(std::string_view word,
                                        std::span<const std::string_view> candidates);
 
-// "NAME is not known" plus the nearest candidate as a question, or all of them as expected.
+// The finding "`what` NAME is not known". Suggests the closest candidate, if one is close, and
+// lists all candidates if they are few.
 [[nodiscard]] finding unknown_word(place where, std::string_view what, std::string_view word,
                                    std::span<const std::string_view> candidates);
 
-// Length of the valid UTF-8 sequence at `text[at]`, or 0 when there is none.
+// Length of the UTF-8 sequence at `text[at]`, or 0 if it is invalid.
 [[nodiscard]] std::size_t utf8_length(std::string_view text, std::size_t at);
 
 }  // namespace arbutus
--- a/src/version/import.cpp
+++ b/src/version/import.cpp
@@ -1,4 +1,4 @@
-// Files of a configuration directory, and both imports together.
+// Reads the files of a configuration directory and combines both imports with the cross-checks.
 #include "version/import.h"
 
 #include <algorithm>
--- a/src/version/import.h
+++ b/src/version/import.h
@@ -1,5 +1,5 @@
-// Import of what operators edit: `inventory.csv` from their asset register, and `rules.toml`. All
-// mistakes of both files are collected in one run, each with its place.
+// Import of the files that operators edit: `inventory.csv`, exported from their asset register, and
+// `rules.toml`. One run collects the errors of both files, each with its place in the file.
 #pragma once
 
 #include <cstddef>
@@ -18,20 +18,21 @@
 inline constexpr std::string_view inventory_file_name = "inventory.csv";
 inline constexpr std::string_view rules_file_name = "rules.toml";
 
-// A hundred bytes for each of the 1,300 VMs of the largest site make 130 KB; a file many times
-// that size is the wrong file.
+// The largest site has 1,300 VMs, which take 130 KB at 100 bytes each. A file that is many times
+// larger is not an inventory.
 inline constexpr std::size_t max_inventory_bytes = std::size_t{4} << 20U;
 inline constexpr std::size_t max_toml_bytes = std::size_t{2} << 20U;
 
-// "vms/3": the record at `index` of `list`, as place_index names it.
+// The path under which place_index stores record `index` of `list`, such as "vms/3".
 [[nodiscard]] std::string indexed(std::string_view list, std::size_t index);
 
-// Where each record and field was read, so that checks across both files can point at it.
+// Maps the path of each record and field to its place in the file, so that checks across both files
+// can report it.
 class place_index {
  public:
   void note(std::string path, place where);
-  // Of the longest known beginning of `path` ("vms/3/address", then "vms/3"); else a place that
-  // names the path itself, for values that come from no file.
+  // The place of the longest known prefix of `path` ("vms/3/address", then "vms/3"). If none is
+  // known, as for values that were not read from a file, a place whose file name is `path`.
   [[nodiscard]] place at(const std::string& path) const;
   void merge(place_index other);
 
@@ -54,15 +55,15 @@
 struct import_result {
   inventory assets;
   rules desired;
-  findings problems;  // usable when has_errors(problems) is false
+  findings problems;  // `assets` and `desired` are usable if has_errors(problems) is false
 };
 
-// Each file by itself; `file_name` stands in the findings.
+// Import one file without the checks across files; `file_name` appears in the findings.
 [[nodiscard]] inventory_import import_inventory(std::string_view text,
                                                 const std::string& file_name);
 [[nodiscard]] rules_import import_rules(std::string_view text, const std::string& file_name);
 
-// Both, and the checks that need both.
+// Imports both texts and runs cross_check() on the result.
 [[nodiscard]] import_result import_texts(std::string_view inventory_text,
                                          const std::string& inventory_name,
                                          std::string_view rules_text,
@@ -71,8 +72,8 @@
 // Reads inventory.csv and rules.toml of a directory.
 [[nodiscard]] import_result import_directory(const std::filesystem::path& directory);
 
-// Empty, with a finding, when the file cannot be read or holds more than `limit` bytes. Reads no
-// more than that also from what has no size, such as a pipe.
+// Empty, with a finding, if the file cannot be read or holds more than `limit` bytes. Never reads
+// more than `limit` + 1 bytes, also from files without a size, such as pipes.
 [[nodiscard]] std::optional<std::string> read_text_file(const std::filesystem::path& file,
                                                         std::size_t limit, findings& problems);
 
--- a/src/version/import_csv.cpp
+++ b/src/version/import_csv.cpp
@@ -1,4 +1,4 @@
-// A splitter for comma-separated values that keeps places.
+// Parser for comma-separated values that records line and column of each field.
 #include "version/import_csv.h"
 
 #include <utility>
@@ -64,7 +64,8 @@
     }
   }
 
-  // Moves one character on and appends it; what is no text is reported once per line.
+  // Appends the current character to `to` and advances. Invalid UTF-8 and control characters are
+  // reported once per line.
   void take(std::string& to) {
     const std::size_t valid = utf8_length(text_, at_);
     const auto byte = static_cast<unsigned char>(text_[at_]);
@@ -130,7 +131,7 @@
         next_line();
         continue;
       }
-      if (text_[at_] == '"') {  // doubled: stands for one
+      if (text_[at_] == '"') {  // a doubled quote stands for one quote
         ++at_;
         ++column_;
       }
@@ -164,10 +165,10 @@
   std::string_view text_;
   const std::string& file_;
   findings& problems_;
-  std::size_t at_ = 0;  // byte to read next
+  std::size_t at_ = 0;  // offset of the next byte to read
   std::uint32_t line_ = 1;
   std::uint32_t column_ = 1;
-  std::uint32_t reported_line_ = 0;  // last line with a finding about its bytes
+  std::uint32_t reported_line_ = 0;  // last line with a finding about an invalid character
 };
 
 }  // namespace
--- a/src/version/import_csv.h
+++ b/src/version/import_csv.h
@@ -1,5 +1,5 @@
-// Comma-separated values with the place of each field, as asset registers export them: quoted
-// fields, doubled quotes, line breaks inside quotes, CRLF, a byte order mark, empty lines.
+// Parser for comma-separated values as exported by asset registers: quoted fields, doubled quotes,
+// line breaks inside quotes, CRLF, a byte order mark, empty lines. Keeps the place of each field.
 #pragma once
 
 #include <string>
@@ -11,15 +11,15 @@
 namespace arbutus {
 
 struct csv_field {
-  std::string text;  // without quotes; blanks around unquoted text are dropped
+  std::string text;  // without quotes; blanks around unquoted text are removed
   place at;          // column in characters, not bytes
 };
 
-// Never empty; lines that are empty or begin with '#' give no row.
+// Never empty: lines that are empty or begin with '#' are skipped.
 using csv_row = std::vector<csv_field>;
 
-// Never throws on bad text. Broken quotes, NUL and other control characters, and text that is not
-// UTF-8 are findings; the rest of the text is still split.
+// Does not throw on invalid text. Unbalanced quotes, NUL and other control characters, and invalid
+// UTF-8 are reported as findings; the rest of the text is still parsed.
 [[nodiscard]] std::vector<csv_row> split_csv(std::string_view text, const std::string& file_name,
                                              findings& problems);
 
--- a/src/version/import_inventory.cpp
+++ b/src/version/import_inventory.cpp
@@ -1,5 +1,5 @@
-// The inventory from comma-separated values: one row for each asset, columns named by the first
-// row and in any order. Columns that an asset register has besides are left alone.
+// Import of the inventory from comma-separated values. The first row names the columns, in any
+// order; each further row is one asset. Other columns of an asset register are ignored.
 #include <algorithm>
 #include <array>
 #include <functional>
@@ -32,7 +32,7 @@
   place at() const { return row_.front().at; }
   const std::vector<std::string_view>& used() const { return used_; }
 
-  // Places are noted under this path, such as "vms/3".
+  // Places of the row and its fields are stored under this path, such as "vms/3".
   void set_path(std::string path) {
     path_ = std::move(path);
     result_.places.note(path_, at());
@@ -43,7 +43,7 @@
         {severity::error, std::move(where), std::move(message), std::move(expected)});
   }
 
-  // Empty text when the column is absent.
+  // The text is empty if the column is absent.
   const csv_field& field(std::string_view column) {
     used_.push_back(column);
     const auto found = std::find(header_.begin(), header_.end(), column);
@@ -89,7 +89,8 @@
     return parsed("accelerators", "a whole number from 1 to 1024", parse).value_or(0);
   }
 
-  // No default: taking a VM that ignores tokens for one that checks them would be unsafe.
+  // There is no default: treating a VM that ignores fencing tokens as one that checks them would be
+  // unsafe.
   bool checks_tokens() {
     const auto parse = [](const std::string& text) -> std::optional<bool> {
       if (text == "yes" || text == "no") {
@@ -148,7 +149,7 @@
   assets.services.push_back(std::move(record));
 }
 
-// A value in a column that the kind does not have: most often the row is shifted.
+// Reports values in columns that this kind of asset does not use. Usually the row is shifted.
 void reject_unused(row_reader& reader, std::string_view kind, const csv_row& row,
                    const std::vector<std::string_view>& header) {
   for (std::size_t i = 0; i < std::min(row.size(), header.size()); ++i) {
@@ -189,7 +190,8 @@
   reject_unused(reader, kind.text, row, header);
 }
 
-// A column that is nearly one of ours is a misspelling; others belong to the register.
+// Reports duplicate columns, and unknown ones that resemble a known column and are therefore likely
+// misspelt. Other unknown columns belong to the asset register.
 void check_column(const csv_row& row, std::size_t index, findings& problems) {
   const csv_field& column = row[index];
   const auto same = [&](const csv_field& other) { return other.text == column.text; };
--- a/src/version/import_rules.cpp
+++ b/src/version/import_rules.cpp
@@ -1,5 +1,5 @@
-// The rules from TOML. Ranges of single fields are checked here, what needs other records in
-// cross_check.
+// Import of the rules from TOML. Checks the ranges of single fields; cross_check() does the checks
+// that involve other records.
 #include <algorithm>
 #include <initializer_list>
 #include <optional>
@@ -18,7 +18,8 @@
 constexpr whole_range any_count{0, 1'000'000};
 constexpr whole_range at_least_one{1, 1'000'000};
 constexpr std::uint32_t max_vms_per_replica = 32;
-// A day: nobody waits longer, and larger values are most likely given in another unit.
+// At most one day: no caller waits longer, and a larger value was most likely given in another
+// unit.
 constexpr whole_range waiting_ms{1, 86'400'000};
 constexpr real_range from_zero{0, 1e9, false};
 constexpr real_range above_zero{0, 1e9, true};
@@ -82,7 +83,7 @@
 constexpr std::string_view path_expected =
     "a path such as /crew, without '/' at its end, '?', '#' or '%'";
 
-// "GET /crew/cards"
+// Parses a method and a path, such as "GET /crew/cards".
 std::optional<service_rule::idempotent_call> parse_call(std::string_view text) {
   const std::size_t blank = text.find(' ');
   if (blank == std::string_view::npos || blank == 0) {
@@ -141,7 +142,7 @@
   }
   for (placed<std::string>& text : texts) {
     if (!is_key_hash(text.value)) {
-      // The text is not shown: it may be the key itself, pasted by mistake.
+      // The message omits the text: it may be the key itself, pasted by mistake.
       result.problems.push_back({severity::error, text.at, "key_hashes: an entry is no hash",
                                  "64 digits 0-9 a-f, the SHA-256 of the key"});
       continue;
--- a/src/version/inventory.cpp
+++ b/src/version/inventory.cpp
@@ -1,4 +1,4 @@
-// Look-ups in the inventory.
+// Lookups in the inventory.
 #include "version/inventory.h"
 
 #include <algorithm>
--- a/src/version/inventory.h
+++ b/src/version/inventory.h
@@ -1,5 +1,5 @@
-// The inventory: what the operators' asset register says there is. A value; one configuration
-// version holds one inventory, which does not change while that version lives.
+// The inventory: the data centres, VMs, nodes and services that the operators' asset register
+// lists. A value type; each configuration version holds one immutable inventory.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 [[nodiscard]] std::string to_string(const endpoint& e);
 
-// A target VM: it runs one engine process.
+// A target VM, which runs one engine process.
 struct vm_record {
   vm_id id;
   endpoint address;
@@ -31,25 +31,25 @@
   auto operator<=>(const vm_record&) const = default;
 };
 
-// An entry VM: it runs one node of this system.
-// What an entry VM can do; 0: not told. Greater is stronger: a hub runs out of processor time
-// before its link is full, so that time is compared first.
+// Capacity of an entry VM; 0 means not reported. Compares processor time before link bandwidth,
+// since a hub runs out of processor time before its link is saturated.
 struct node_strength {
-  std::uint32_t processor_permille = 0;  // of a core
+  std::uint32_t processor_permille = 0;  // in thousandths of a core
   std::uint32_t link_mbps = 0;
   auto operator<=>(const node_strength&) const = default;
 };
 
+// An entry VM, which runs one node of this system.
 struct node_record {
   node_id id;
   data_centre_id data_centre;
-  endpoint link;    // for other nodes
-  endpoint caller;  // for callers
+  endpoint link;    // where it listens for other nodes
+  endpoint caller;  // where it listens for callers
   node_strength strength = {};
   auto operator<=>(const node_record&) const = default;
 };
 
-// A plain service (such as crew-api) and where its instances listen.
+// One instance of a plain service (such as crew-api) and the address it listens on.
 struct service_target {
   service_id service;
   data_centre_id data_centre;
@@ -64,8 +64,8 @@
 };
 
 struct inventory {
-  // Invariant (after check): ids are unique, each VM, node and service target names a data centre
-  // of this list, and a fabric domain lies within one data centre.
+  // Invariant (after cross_check()): ids are unique, each VM, node and service target refers to a
+  // listed data centre, and each fabric domain lies within one data centre.
   std::vector<data_centre_record> data_centres;
   std::vector<vm_record> vms;
   std::vector<node_record> nodes;
--- a/src/version/placement.cpp
+++ b/src/version/placement.cpp
@@ -1,5 +1,6 @@
-// Choice of VMs. Replicas that work are never moved to make room: a gap that only a move could
-// close stays open until a VM returns, which costs less than the loads of a whole replica.
+// Choice of VMs. Working replicas are never moved to make room: if only a move could give a replica
+// enough VMs, it waits until a VM returns, which costs less than loading all weights of another
+// replica again.
 #include "version/placement.h"
 
 #include <algorithm>
@@ -11,7 +12,7 @@
 
 namespace {
 
-// Members with a gap (an empty name) for each one that is lost or leaves.
+// The members, with an empty id (a gap) in place of each one that is lost or leaving.
 std::vector<vm_id> with_gaps(const plan_draft& draft, const std::vector<vm_id>& members) {
   std::vector<vm_id> result;
   for (const vm_id& vm : members) {
@@ -35,7 +36,8 @@
   }
 }
 
-// From `from` as long as it has any; when any domain will do, from as few as possible.
+// Fills gaps with free VMs of domain `from`, then of `domain`. If `domain` is any_domain, continues
+// with the domain of the VM just taken, so that the replica spans few domains.
 void fill_gaps_free(plan_draft& draft, std::vector<vm_id>& members, domain_index domain,
                     std::uint32_t accelerators, domain_index from) {
   for (vm_id& vm : members) {
@@ -75,7 +77,7 @@
   return true;
 }
 
-// A domain that can hold the replica whole, with what it has there already.
+// The domain that can hold all members and already has most of the replica's usable VMs.
 std::optional<domain_index> roomy_domain(const plan_draft& draft, const draft_replica& r) {
   const std::uint32_t accelerators = r.rule->accelerators_per_vm;
   std::optional<domain_index> best;
@@ -146,7 +148,8 @@
   }
 }
 
-// The drained replica that the new one succeeds: same model, its VMs not yet taken.
+// The drained replica that the new one replaces: it ran the same model and has a VM that is still
+// free.
 std::optional<replica_plan> predecessor(const plan_draft& draft, const model_rule& rule) {
   const auto still_free = [&](const replica_plan& r) {
     return r.model == rule.id &&
@@ -156,8 +159,8 @@
   return found == draft.released.end() ? std::nullopt : std::optional(*found);
 }
 
-// Best fit, so that large gaps stay large; the predecessor's domain when it has room, since its
-// VMs hold the weights already.
+// Best fit, so that domains with many free VMs keep them. The predecessor's domain is preferred if
+// it has room, since its VMs already hold the weights.
 domain_index best_fit(const plan_draft& draft, const model_rule& rule,
                       const std::optional<replica_plan>& before) {
   const std::uint32_t accelerators = rule.accelerators_per_vm;
@@ -193,7 +196,7 @@
   return members;
 }
 
-// Domains by how few VMs are lacking there.
+// Domains by number of free and pending VMs, most first.
 std::vector<domain_index> nearest_domains(const plan_draft& draft, const model_rule& rule) {
   std::vector<domain_index> order(draft.pool.domains());
   for (domain_index d = 0; d < order.size(); ++d) {
@@ -229,7 +232,7 @@
 }
 
 void repair_rank(plan_draft& draft, std::uint32_t rank) {
-  std::vector<std::size_t> broken;  // indices: obtain() may dissolve, nothing is added meanwhile
+  std::vector<std::size_t> broken;  // indices: obtain() may dissolve replicas but adds none
   for (std::size_t i = 0; i < draft.replicas.size(); ++i) {
     const draft_replica& r = draft.replicas[i];
     if (r.active() && r.broken() && r.rule != nullptr && r.rule->rank == rank) {
--- a/src/version/plan_draft.cpp
+++ b/src/version/plan_draft.cpp
@@ -1,4 +1,4 @@
-// The moves of a plan.
+// The actions that make up a plan.
 #include "version/plan_draft.h"
 
 #include <algorithm>
@@ -97,7 +97,7 @@
   }
 }
 
-// Once a member is lost the replica is changed anyway, and its leaving members go with it.
+// Once a member is lost, the replica is changed anyway, so its leaving members are replaced too.
 void plan_draft::refresh(draft_replica& r) const {
   std::uint32_t lost = 0;
   std::uint32_t leaving = 0;
@@ -125,7 +125,7 @@
 
 bool plan_draft::outdated(const draft_replica& r) const {
   if (r.rule == nullptr) {
-    return false;  // not desired at all: surplus
+    return false;  // the model has no rule: the replica is surplus
   }
   const bool too_small = std::ranges::any_of(r.plan.members, [&](const vm_id& vm) {
     return pool.usable(vm) && !pool.usable(vm, r.rule->accelerators_per_vm);
@@ -259,7 +259,7 @@
 
 draft_replica& plan_draft::add(const model_rule& rule, const std::vector<vm_id>& members) {
   draft_replica r;
-  // Never used before or again: the version only rises.
+  // The id is unique, since the row version only increases.
   r.plan.id = replica_id{rule.id.str() + "." + in_.data_centre.str() + "." +
                          std::to_string(next_version_) + "." + std::to_string(added_++)};
   r.plan.model = rule.id;
@@ -277,8 +277,8 @@
   reasons_.push_back(replica.str() + ": " + what);
 }
 
-// Acknowledged withdrawals fall out of the row with the next real change; they alone are not
-// worth a write.
+// Acknowledged withdrawals are removed from the row with the next other change. Removing them does
+// not justify a write of its own.
 plan plan_draft::finish() const {
   plan result;
   result.next = *in_.current;
--- a/src/version/plan_draft.h
+++ b/src/version/plan_draft.h
@@ -1,5 +1,5 @@
-// A plan while it is made: the row's replicas with what is known of them, the VM pool, and the
-// few moves that every pass is made of. Each move keeps the rule that a VM has one owner.
+// A plan under construction: the replicas of the row with their state, the VM pool, and the actions
+// that the passes of the planner use. Each action keeps the invariant that a VM has one owner.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 struct draft_replica {
   replica_plan plan;
   const model_rule* rule = nullptr;  // null: the model is not in the rules
-  std::uint32_t missing = 0;         // members that are lost, or, once one is lost, leaving too
-  bool has_leaving = false;          // a member leaves; only meaningful when none is missing
-  bool serving = false;              // seen ready
-  bool waiting = false;              // its VMs are on their way: acknowledgement or a drain
+  std::uint32_t missing = 0;         // lost members, and leaving ones too if any is lost
+  bool has_leaving = false;          // a member is leaving and none is lost
+  bool serving = false;              // was reported ready
+  bool waiting = false;              // its VMs become free after an acknowledgement or a drain
   bool removed = false;
 
   [[nodiscard]] bool active() const { return !removed && plan.phase == replica_phase::active; }
@@ -32,40 +32,43 @@
 
   [[nodiscard]] const planner_input& in() const { return in_; }
   [[nodiscard]] const rules& desired() const { return in_.config->desired; }
-  // Models of the rules, repaired first first.
+  // Models of the rules in order of repair.
   [[nodiscard]] const std::vector<const model_rule*>& models() const { return models_; }
+  // Replicas that the placements of the rule give this data centre.
   [[nodiscard]] std::uint32_t base_replicas(const model_rule& rule) const;
   [[nodiscard]] double busy_replicas(const model_id& model) const;
 
   [[nodiscard]] bool outdated(const draft_replica& r) const;
   [[nodiscard]] std::uint32_t count_active(const model_id& model) const;
   [[nodiscard]] std::uint32_t count_serving(const model_id& model) const;
-  // A replica of this model drains, is broken, or was laid down and is not ready yet.
+  // A replica of this model is draining, broken, or newly created and not ready yet.
   [[nodiscard]] bool in_change(const model_id& model) const;
-  // The domain that holds most of the usable members.
+  // The domain that holds the most usable members.
   [[nodiscard]] domain_index home(const draft_replica& r) const;
-  // Usable members and standbys in a domain with at least so many accelerators.
+  // Number of usable members and standbys in domain `d` with at least `accelerators`.
   [[nodiscard]] std::size_t usable_in(const draft_replica& r, domain_index d,
                                       std::uint32_t accelerators) const;
 
-  // Counts the free and pending VMs anew. Passes set VMs aside for replicas that wait, which later
-  // passes must respect, but a new round of passes decides again.
+  // Recounts the free and pending VMs. Passes reserve VMs for waiting replicas; later passes of the
+  // round must respect that, but a new round decides again.
   void begin_round();
   [[nodiscard]] std::size_t moves() const { return reasons_.size(); }
 
-  // ---- moves ----
+  // ---- actions ----
 
-  // Takes `vm` from a replica. It is nobody's until the coming row is acknowledged.
+  // Takes `vm` from a replica. No replica may use it until all nodes have acknowledged the next
+  // row.
   void withdraw(const vm_id& vm, const replica_id& from);
-  // Gives a replica of the row new members and the rule's model version. Members and standbys
-  // that it no longer has are withdrawn.
+  // Gives a replica of the row new members and the model version of its rule. Withdraws the members
+  // and standbys that it no longer has.
   void recompose(draft_replica& r, const std::vector<vm_id>& members, const std::string& reason);
   void take_back_standby(draft_replica& r, const vm_id& vm, const std::string& reason);
-  // Removes a replica that cannot run anything: nothing is cut off.
+  // Removes a replica that cannot run requests, so that no request is interrupted.
   void dissolve(draft_replica& r, const std::string& reason);
-  // First half of a planned stop.
+  // First step of a planned stop.
   void drain(draft_replica& r, const std::string& reason);
-  // Second half: its VMs are free at once, since every node has acknowledged the drain.
+  // Second step of a planned stop. The VMs are free immediately, since every node has acknowledged
+  // the drain.
   void release(draft_replica& r);
   draft_replica& add(const model_rule& rule, const std::vector<vm_id>& members);
   void say(const replica_id& replica, const std::string& what);
@@ -74,7 +77,7 @@
 
   vm_pool pool;
   std::vector<draft_replica> replicas;
-  // Released just now; their successors get the same VMs where they can.
+  // Replicas that this plan released. Their successors get the same VMs if possible.
   std::vector<replica_plan> released;
 
  private:
@@ -88,7 +91,7 @@
   std::vector<const model_rule*> models_;
   std::unordered_set<replica_id> serving_;
   std::vector<withdrawal> withdrawals_;  // of the next row
-  bool withdrew_ = false;
+  bool withdrew_ = false;                // the next row has withdrawals that the current one lacks
   std::uint32_t added_ = 0;
   std::vector<std::string> reasons_;
 };
--- a/src/version/planner.cpp
+++ b/src/version/planner.cpp
@@ -1,5 +1,5 @@
-// The passes of a plan. What is certain comes first: capacity that is lost is repaired before any
-// is improved, and a replica that serves is stopped only when others serve.
+// The passes of a plan. Lost capacity is repaired before other replicas are improved, and a serving
+// replica is stopped only if others serve.
 #include "version/planner.h"
 
 #include <algorithm>
@@ -13,21 +13,23 @@
 
 namespace {
 
-// Load that the remaining replicas may have for a mere improvement, per replica.
+// A replica is moved into one fabric domain only if the other replicas would have at most this load
+// each.
 constexpr double quiet = 0.7;
-// A pass can open what an earlier pass would have used, so they run until none makes a move: the
-// plan then stands when it is planned again from its own result. Two rounds do nearly always; the
-// bound only guards against a cycle.
+// A pass can free VMs that an earlier pass would have used, so the passes are repeated until none
+// changes anything. Planning again from the result then changes nothing. Two rounds are nearly
+// always enough; the limit guards against a cycle.
 constexpr int most_rounds = 8;
 
-// A planner that missed something newer would undo it. The conditional write would fail, but only
-// if the row itself changed; an older configuration would pass it.
+// A plan from outdated inputs would revert newer changes. The conditional write rejects it if the
+// row has changed, but not if only the configuration is newer.
 bool knows_less_than_row(const planner_input& in) {
   const auto later = [&](const composition& c) { return c.gen.row > in.current->version; };
   return in.config->version < in.current->config_version || std::ranges::any_of(in.in_force, later);
 }
 
-// A draining replica that lost a member runs nothing any more: nothing is cut off.
+// A draining replica that lost a member runs no requests any more, so dissolving it interrupts
+// none.
 void end_drains(plan_draft& draft) {
   const auto& emptied = draft.in().emptied;
   for (draft_replica& r : draft.replicas) {
@@ -42,8 +44,8 @@
   }
 }
 
-// All at once: nodes give a leaving target nothing new anyway, so that holding the drain back
-// would keep no capacity, only lose time before the VM goes.
+// Drains all of them simultaneously: nodes send no new requests to a leaving target anyway, so a
+// delay would keep no capacity and leave less time until the VM is removed.
 void drain_leaving(plan_draft& draft) {
   for (draft_replica& r : draft.replicas) {
     if (r.active() && r.has_leaving) {
@@ -64,8 +66,8 @@
   return false;
 }
 
-// One replica of a model at a time: a new one first where VMs are free for it, else by a drain,
-// for which the others have to carry the load. The only replica of a model has no others.
+// Replaces one replica of a model. Creates the new one first if VMs are free; otherwise drains the
+// old one if the other replicas can carry the load or there are none.
 void renew(plan_draft& draft, draft_replica& r) {
   const model_rule& rule = *r.rule;
   if (lay_down(draft, rule, 0)) {
--- a/src/version/planner.h
+++ b/src/version/planner.h
@@ -1,6 +1,6 @@
-// The planner: from the row as it is, and what is seen of the VMs, the row as it should be next.
-// Deterministic, so that any node of a data centre may plan and all that know the same propose
-// the same; the conditional write of the row decides between those that know different things.
+// The planner computes the next row from the current row and the observed state of the VMs. It is
+// deterministic: any node of a data centre may plan, and nodes with the same inputs propose the
+// same row. Between nodes with different inputs the conditional write of the row decides.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace arbutus {
 
-// Load seen for a model in this data centre, in replicas' worth, smoothed by the caller.
+// Load of a model in this data centre, in units of one replica's capacity, smoothed by the caller.
 struct replica_demand {
   model_id model;
   double busy_replicas{};
@@ -21,25 +21,25 @@
 
 struct planner_input {
   const configuration* config = nullptr;  // not null
-  const assignment* current = nullptr;    // not null; the row as known
+  const assignment* current = nullptr;    // not null; the last known row
   data_centre_id data_centre;
-  std::vector<vm_health> health;      // a VM that is not listed counts as lost
-  std::vector<composition> in_force;  // activations seen, newest per replica
-  std::vector<replica_id> emptied;    // draining replicas proved empty and acknowledged
-  std::uint64_t acknowledged{};       // lowest row version that every live node acknowledged
+  std::vector<vm_health> health;      // VMs that are not listed count as lost
+  std::vector<composition> in_force;  // known activations, the newest of each replica
+  std::vector<replica_id> emptied;    // drains that all nodes acknowledged and finished
+  std::uint64_t acknowledged{};       // highest row version acknowledged by every live node
   std::vector<replica_demand> demand;
-  // Replicas seen whole and ready by every member's own report. A planned stop needs other
-  // replicas of its model in this list, so that one that is still loading is not counted on.
+  // Replicas of which every member reports that it is ready. A planned stop requires other replicas
+  // of the model in this list, so that one that is still loading does not count.
   std::vector<replica_id> serving;
 };
 
 struct plan {
-  assignment next;  // without a proposal id: the caller gives one to each attempt
+  assignment next;  // without a proposal id: the caller sets one for each attempt
   bool changed = false;
-  std::vector<std::string> reasons;  // one line per action, for people
+  std::vector<std::string> reasons;  // one readable line per action
 };
 
-// When nothing is worth a write, `changed` is false and `next` holds what the row says already.
+// If no change justifies a write, `changed` is false and `next` equals the current row.
 [[nodiscard]] plan make_plan(const planner_input& in);
 
 }  // namespace arbutus
--- a/src/version/planner_bench.cpp
+++ b/src/version/planner_bench.cpp
@@ -1,4 +1,5 @@
-// One data centre whose VMs fail, leave and return by a seed; every row is acknowledged at once.
+// Simulates one data centre whose VMs fail, leave and return in a sequence given by a seed. Every
+// row is acknowledged immediately.
 #include "version/planner_bench.h"
 
 #include <algorithm>
@@ -16,12 +17,13 @@
 
 namespace {
 
-// A sixteenth of a fleet of 2,700 accelerators, in fabric domains of two replicas and two spares.
+// One sixteenth of a fleet of 2,700 accelerators. Each fabric domain has VMs for two replicas and
+// two spares.
 constexpr std::size_t planned_domains = 5;
 constexpr std::size_t vms_per_domain = 34;
 constexpr std::uint32_t vms_per_replica = 16;
 constexpr std::uint32_t replicas_per_domain = 2;
-// A plan that is not settled after so many rows would write for ever.
+// A planner that still changes the row after this many rows is considered not to converge.
 constexpr int most_rows_per_change = 20;
 
 class planned_data_centre {
@@ -48,7 +50,7 @@
   [[nodiscard]] const assignment& row() const { return row_; }
   void set(std::size_t vm, vm_condition condition) { health_[vm].condition = condition; }
 
-  // Plans until nothing changes, and counts.
+  // Plans until nothing changes, and counts plans and rows in `history`.
   void settle(planner_history& history) {
     for (int i = 0; i < most_rows_per_change; ++i) {
       plan next = make_plan(input());
@@ -62,7 +64,7 @@
     }
   }
 
-  // Median of several, in milliseconds of processor time.
+  // Median processor time of several plans.
   [[nodiscard]] double plan_milliseconds() const {
     constexpr int runs = 15;
     const planner_input in = input();
@@ -116,11 +118,11 @@
 
   configuration config_;
   assignment row_;
-  std::vector<vm_health> health_;  // in order of id
+  std::vector<vm_health> health_;  // ordered by id
 };
 
 vm_condition draw_condition(rng& random) {
-  // Mostly back to work, so that the data centre stays near whole.
+  // Half of the choices are `working`, so that most VMs of the data centre work at any time.
   constexpr vm_condition drawn[] = {vm_condition::working, vm_condition::working,
                                     vm_condition::working, vm_condition::suspect,
                                     vm_condition::lost,    vm_condition::leaving};
@@ -135,7 +137,7 @@
   rng random(seed);
   dc.settle(history);
   for (std::size_t i = 0; i < changes; ++i) {
-    // Changes hit a few VMs, so that each fails and returns several times.
+    // Only every fourth VM changes, so that each of them fails and returns several times.
     const std::size_t vm = random.below(dc.vms() / 4) * 4;
     dc.set(vm, draw_condition(random));
     ++history.changes;
--- a/src/version/planner_bench.h
+++ b/src/version/planner_bench.h
@@ -1,5 +1,5 @@
-// Measures the planner: a history of losses and returns in one data centre, planned row by row, and
-// the processor time of one plan.
+// Benchmark of the planner: a sequence of VM losses and returns in one data centre, with a plan for
+// each row, and the processor time of one plan.
 #pragma once
 
 #include <cstddef>
@@ -9,16 +9,16 @@
 namespace arbutus {
 
 struct planner_history {
-  std::size_t changes{};  // of a VM's condition
+  std::size_t changes{};  // of the condition of a VM
   std::size_t plans{};
-  std::size_t rows{};         // plans that were worth a write
-  std::uint64_t signature{};  // of every row: changes only when a plan changes
+  std::size_t rows{};         // plans that changed the row
+  std::uint64_t signature{};  // hash of all rows: differs only if a plan differs
 };
 
-// Equal seeds, equal history.
+// Deterministic: equal seeds give equal histories.
 [[nodiscard]] planner_history run_planner_history(std::size_t changes, std::uint64_t seed);
 
-// Processor time of a plan at the size of one data centre and at ten times that.
+// Prints the processor time of a plan for one data centre and for one of ten times the size.
 void print_planner_cost(std::ostream& out);
 
 }  // namespace arbutus
--- a/src/version/rules.cpp
+++ b/src/version/rules.cpp
@@ -1,4 +1,4 @@
-// Look-ups in the rules.
+// Lookups in the rules.
 #include "version/rules.h"
 
 #include <algorithm>
--- a/src/version/rules.h
+++ b/src/version/rules.h
@@ -1,5 +1,5 @@
-// The rules: what the operators want to run, where and for whom. A value, part of a
-// configuration version.
+// The rules: which models and services the operators want to run, where and for whom. A value type,
+// part of a configuration version.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace arbutus {
 
-// How much a user minds each kind of loss; only the ratio counts.
+// Relative costs of the two kinds of loss; only their ratio matters.
 struct weights {
   double group_downtime = 1.0;
   double stranded_accelerators = 1.0;
@@ -21,7 +21,7 @@
 
 struct model_placement {
   data_centre_id data_centre;
-  std::uint32_t replicas{};  // desired there
+  std::uint32_t replicas{};  // desired number in this data centre
   auto operator<=>(const model_placement&) const = default;
 };
 
@@ -30,9 +30,9 @@
   std::string version;
   std::uint32_t vms_per_replica = 1;
   std::uint32_t accelerators_per_vm = 1;
-  std::uint32_t slots = 8;  // requests a replica runs at once
+  std::uint32_t slots = 8;  // requests that a replica runs concurrently
   bool may_cross_fabric_domains = false;
-  std::uint32_t rank = 0;  // repaired first, lowest number first
+  std::uint32_t rank = 0;  // models with a lower rank are repaired first
   std::vector<adapter_id> adapters;
   std::vector<model_placement> placements;
   auto operator<=>(const model_rule&) const = default;
@@ -41,7 +41,7 @@
 struct service_rule {
   service_id id;
   std::string path_prefix;  // requests below this path go to the service
-  // Method and path prefix pairs that may be repeated; all other calls run at most once.
+  // Method and path prefix of calls that may be repeated; all other calls run at most once.
   struct idempotent_call {
     std::string method;
     std::string path_prefix;
@@ -55,8 +55,8 @@
 // A class of requests within a workspace, such as "interactive" or "batch".
 struct class_rule {
   std::string name;
-  std::uint32_t priority = 0;  // 0 first
-  duration deadline = 30s;     // for the whole answer
+  std::uint32_t priority = 0;  // 0 is the highest priority
+  duration deadline = 30s;     // for the complete response
   duration first_token = 2s;
   auto operator<=>(const class_rule&) const = default;
 };
@@ -64,9 +64,9 @@
 struct workspace_rule {
   workspace_id id;
   std::vector<std::string> key_hashes;  // SHA-256 of each key, hexadecimal
-  std::vector<model_id> models;         // which it may use
+  std::vector<model_id> models;         // models that it may use
   double share = 1.0;                   // weight in fair sharing
-  double requests_per_second = 0;       // over all nodes; 0: no limit
+  double requests_per_second = 0;       // limit over all nodes; 0: no limit
   double burst = 0;
   auto operator<=>(const workspace_rule&) const = default;
 };
@@ -78,8 +78,8 @@
   std::vector<class_rule> classes;
   weights preference;
   std::uint32_t spare_vms_per_data_centre = 0;  // shared by all replicas
-  std::uint32_t standbys_per_replica = 0;       // reserved, 0: the planner decides by weights
-  double vm_failures_per_day = 0.0;             // over the fleet; the planner's input
+  std::uint32_t standbys_per_replica = 0;       // 0: the planner decides, based on the weights
+  double vm_failures_per_day = 0.0;             // in the entire fleet; an input of the planner
   double vm_repair_hours = 4.0;
   auto operator<=>(const rules&) const = default;
 
--- a/src/version/secret.cpp
+++ b/src/version/secret.cpp
@@ -1,4 +1,4 @@
-// Hashes and comparison of secrets, by OpenSSL.
+// Hashing and comparison of secrets, using OpenSSL.
 #include "version/secret.h"
 
 #include <openssl/crypto.h>
--- a/src/version/shortage.cpp
+++ b/src/version/shortage.cpp
@@ -1,4 +1,4 @@
-// Obtaining VMs, cheapest source first. A loss of capacity that serves comes last, and only for a
+// Reclaims VMs, cheapest source first. Serving capacity is taken last, and only surplus or for a
 // model of higher rank.
 #include "version/shortage.h"
 
@@ -14,7 +14,7 @@
          (need.domain == any_domain || draft.pool.domain_of(vm) == need.domain);
 }
 
-// Without the standbys, which are a source of their own.
+// Does not count standbys, which are a separate source.
 std::size_t members_for(const plan_draft& draft, const shortage& need, const draft_replica& r) {
   return static_cast<std::size_t>(std::ranges::count_if(
       r.plan.members, [&](const vm_id& vm) { return in_domain(draft, need, vm); }));
@@ -25,7 +25,7 @@
   vm_id vm;
 };
 
-// Last in the order of repair first, and of each replica its last standby first.
+// Standbys of the replica that is repaired last come first; of each replica, its last standby.
 std::vector<standby_ref> standbys_of_others(plan_draft& draft, const shortage& need) {
   std::vector<draft_replica*> owners;
   for (draft_replica& r : draft.replicas) {
@@ -46,8 +46,9 @@
   return found;
 }
 
-// A broken replica gives its VMs to one that comes before it. One that was tried and could not be
-// repaired gives them to a new one, also of its own rank: it serves nobody as it is.
+// A broken replica gives up its VMs to a replica that precedes it in the order of repair. One that
+// could not be repaired also gives them up to a new replica of its own rank, since it does not
+// serve.
 std::vector<draft_replica*> broken_donors(plan_draft& draft, const shortage& need) {
   std::vector<draft_replica*> donors;
   for (draft_replica& r : draft.replicas) {
@@ -65,14 +66,15 @@
   return donors;
 }
 
-// A model that has more than its placements say gives the surplus back to any other.
+// A model with more serving replicas than its placements give it can lose the surplus to any other.
 bool may_lose_one(const plan_draft& draft, const shortage& need, const draft_replica& r) {
   const bool lower_rank = r.rule->rank > need.rule->rank;
   const bool beyond = draft.count_serving(r.plan.model) > draft.base_replicas(*r.rule);
   return r.plan.model != need.rule->id && (lower_rank || beyond);
 }
 
-// The serving replica of the lowest rank that alone suffices. One per model at a time.
+// The serving replica that is last in the order of repair and has enough VMs by itself. At most one
+// replica of a model drains at a time.
 draft_replica* serving_donor(plan_draft& draft, const shortage& need, std::size_t lacking) {
   draft_replica* best = nullptr;
   for (draft_replica& r : draft.replicas) {
--- a/src/version/shortage.h
+++ b/src/version/shortage.h
@@ -1,5 +1,5 @@
-// VMs that are not free yet: where to get those that a replica still lacks. What is taken here is
-// not used in the same plan, since its present owner has to let go of it first.
+// Reclaims VMs from other replicas for a replica that lacks some. VMs that are reclaimed here are
+// not used in the same plan, since their current owner has to release them first.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,22 @@
 struct shortage {
   const model_rule* rule = nullptr;
   domain_index domain = any_domain;
-  std::size_t free = 0;  // free VMs there that the replica will use; set aside while it waits
+  std::size_t free = 0;  // free VMs of the domain to reserve while the replica waits
   std::size_t lacking = 0;
-  const draft_replica* self = nullptr;  // the broken replica; null: one to be laid down
-  std::size_t standbys_kept = 0;        // each other replica keeps so many
+  const draft_replica* self = nullptr;  // the broken replica; null: one that is yet to be created
+  std::size_t standbys_kept = 0;        // number of standbys that each other replica keeps
 };
 
 enum class sources {
-  standbys,  // what is pending already, and standbys reserved for others
+  standbys,  // VMs that are already pending, and standbys of other replicas
   all,       // also broken replicas, and serving ones of a lower rank or beyond the placements
 };
 
-// Sees to it that `lacking` VMs become free; false, and nothing done, when there are not enough.
+// Arranges for `lacking` VMs to become free. If there are not enough, changes nothing and returns
+// false.
 [[nodiscard]] bool obtain(plan_draft& draft, const shortage& need, sources allowed);
 
-// Order of repair: by rank, fewest missing members, name.
+// Order of repair: by rank, then fewest missing members, then id.
 [[nodiscard]] bool comes_before(const draft_replica& a, const draft_replica& b);
 
 }  // namespace arbutus
--- a/src/version/standby.cpp
+++ b/src/version/standby.cpp
@@ -1,9 +1,9 @@
-// The price of a standby against the downtime that it saves.
+// Weighs the cost of a standby against the downtime that it saves.
 //
-// A failure that finds an own standby costs about the load of weights, with and without the table;
-// that part is common to all choices and left out. One that finds none is repaired through the
-// table from a shared spare: in an outage of the table that waits for its end, and without a spare
-// in the domain it waits for the VM itself.
+// If a replica has a standby of its own, a failure costs about one load of weights, whether the
+// table is reachable or not. This cost occurs with every choice and is left out. Without a standby,
+// the replica is repaired through the table from a shared spare: during an outage of the table the
+// repair waits for its end, and without a spare in the domain it waits until the failed VM is back.
 #include "version/standby.h"
 
 #include <algorithm>
@@ -13,17 +13,17 @@
 
 namespace {
 
-// Share of the time in which the row cannot be written (outage, or the data centre is cut off),
-// and how long is left of that time, in the mean, when a failure falls into it. From an hour of
-// each kind of outage in a day; a user's own record should replace it once there is one.
+// Fraction of time in which the row cannot be written (outage of the table, or the data centre is
+// cut off), and the mean time left of such an outage when a failure occurs during it. Assumes one
+// hour of each kind of outage per day; recorded outages of the site should replace this estimate.
 constexpr double unwritable_share = 2.0 / 24.0;
 constexpr double unwritable_rest_hours = 0.5;
-// A reservation taken back has to be acknowledged by every live node: a few rounds of gossip.
+// Every live node has to acknowledge that a reservation is withdrawn: a few rounds of gossip.
 constexpr double handover_hours = 3.0 / 3600.0;
-// More are never worth it at rates seen so far; bounds the search.
+// Bounds the search: more standbys are not worthwhile at the failure rates seen in practice.
 constexpr std::uint32_t most_standbys = 4;
 
-// Probability that a Poisson variable reaches `n`.
+// Probability that a Poisson variable with this mean is at least `n`.
 double poisson_at_least(double mean, double n) {
   double below = 0;
   double term = std::exp(-mean);
@@ -41,8 +41,8 @@
   return no_spare * q.repair_hours + (1 - no_spare) * unwritable_share * unwritable_rest_hours;
 }
 
-// A replica that is down also strands its accelerators, so that both weights count against it.
-// All in VM-hours per hour, so that the weights need no conversion.
+// A replica that is down also strands its accelerators, so both weights apply. All costs are in
+// VM-hours per hour, so that the weights need no conversion.
 double price_of_downtime(const standby_question& q, double hours) {
   return hours * q.members * (q.preference.group_downtime + q.preference.stranded_accelerators);
 }
@@ -112,7 +112,7 @@
 struct reservation {
   std::size_t replica;    // index in the draft
   std::size_t desired;    // standbys
-  std::size_t keep_free;  // shared spares that it must leave
+  std::size_t keep_free;  // shared spares that must remain free
 };
 
 bool present(const plan_draft& draft, const vm_id& vm) {
@@ -145,8 +145,8 @@
   return list;
 }
 
-// The newcomer takes the place of one that is gone, if there is one; a standby that is gone and
-// cannot be renewed stays, since it may come back.
+// The new standby replaces a lost or leaving one, if any. A lost standby for which there is no
+// replacement stays, since it may return.
 void add_standby(plan_draft& draft, draft_replica& r, const vm_id& vm) {
   const auto gone =
       std::ranges::find_if(r.plan.standbys, [&](const vm_id& old) { return !present(draft, old); });
@@ -187,7 +187,7 @@
     give_back(draft, want);
     levels = std::max(levels, want.desired);
   }
-  // Everybody's first before anybody's second.
+  // Each replica gets its first standby before any replica gets a second one.
   for (std::size_t level = 1; level <= levels; ++level) {
     for (const reservation& want : list) {
       reserve(draft, want, level);
--- a/src/version/toml_parse.cpp
+++ b/src/version/toml_parse.cpp
@@ -1,4 +1,4 @@
-// TOML by toml++, turned into plain values with places.
+// Parses TOML with toml++ and converts it to plain values with their places in the file.
 #include <toml++/toml.h>
 
 #include <algorithm>
@@ -12,18 +12,18 @@
 
 namespace {
 
-// Goes wrong: "a.a.a. ..." nests one table per dot, and taking thousands of nested tables apart
-// overflows the stack, which ends the program without a finding. The parser limits how deeply
-// brackets nest, but not this. Real files nest less than ten levels.
+// A key "a.a.a. ..." nests one table per dot, and destroying thousands of nested tables overflows
+// the stack, which ends the program without a finding. The parser limits the nesting of brackets,
+// but not of dotted keys. Real files nest less than ten levels.
 constexpr std::size_t max_nesting = 64;
 
-// Follows brackets and dots of keys without building anything. Exact for text that is TOML; where
-// it is not, the parser stops at the same place, so that nothing deeper is ever built.
+// Computes the nesting depth from brackets and dots of keys without building any tables. Exact for
+// valid TOML; at invalid text the parser stops too, so that it never builds deeper tables.
 class nesting_scan {
  public:
   explicit nesting_scan(std::string_view text) : text_(text) {}
 
-  // The line where the limit is exceeded; empty when it never is.
+  // The line where the limit is exceeded, if any.
   std::optional<std::uint32_t> run() {
     while (at_ < text_.size()) {
       step();
@@ -89,8 +89,9 @@
   std::string_view text_;
   std::size_t at_ = 0;
   std::uint32_t line_ = 1;
-  std::vector<std::size_t> dots_{0};  // for each open bracket, of its current key; first: none open
-  std::size_t total_dots_ = 0;        // invariant: the sum of dots_
+  // Dots of the current key, at top level (first) and in each open bracket.
+  std::vector<std::size_t> dots_{0};
+  std::size_t total_dots_ = 0;  // invariant: the sum of dots_
 };
 
 place to_place(const std::string& file, const toml::source_position& at) {
--- a/src/version/toml_reader.h
+++ b/src/version/toml_reader.h
@@ -1,5 +1,5 @@
-// Reads TOML into typed values with places, and collects what is wrong on the way. The parser
-// stays behind this header: users see plain values.
+// Reads TOML into typed values with their places in the file, and collects errors as findings. The
+// parser library is not visible through this header.
 #pragma once
 
 #include <cstdint>
@@ -24,10 +24,10 @@
 
 struct toml_table {
   place at;
-  std::vector<toml_field> fields;  // by key
+  std::vector<toml_field> fields;  // ordered by key
 };
 
-// Dates and times hold no value here: no setting uses them.
+// Dates and times have no value (std::monostate), since no setting uses them.
 struct toml_value {
   place at;
   std::variant<std::monostate, bool, std::int64_t, double, std::string, std::vector<toml_value>,
@@ -37,17 +37,18 @@
 
 struct toml_field {
   std::string key;
-  place at;  // of the key
+  place at;  // place of the key
   toml_value value;
 };
 
-// Empty when the text is no TOML; `problems` then says where and why. Never throws on bad text.
+// Empty if the text is not valid TOML; `problems` then holds the error and its place. Does not
+// throw on invalid text.
 [[nodiscard]] std::optional<toml_table> parse_toml(std::string_view text,
                                                    const std::string& file_name,
                                                    findings& problems);
 
-// The same for a text that has to say something: an empty one is a finding. `what` names it
-// ("the rules"), `expected` what should stand in it.
+// Like parse_toml(), but an empty text is a finding too. `what` names the text in the finding ("the
+// rules"), `expected` describes the content that it should have.
 [[nodiscard]] std::optional<toml_table> parse_filled_toml(std::string_view text,
                                                           const std::string& file_name,
                                                           const std::string& what,
@@ -64,7 +65,7 @@
 struct real_range {
   double least = 0;
   double most = std::numeric_limits<double>::max();
-  bool above_least = false;  // `least` itself is not allowed
+  bool above_least = false;  // `least` itself is outside the range
 };
 
 template <class T>
@@ -73,12 +74,12 @@
   place at;
 };
 
-// Takes the fields of one table by key. A field that is absent leaves `value` as it is; one of the
-// wrong type or out of range is a finding, as is an absent one that is required. `finish` reports
-// the keys that nobody asked for. The table and `problems` must outlive the reader.
+// Reads the fields of one table by key. An absent field leaves `value` unchanged. A field of the
+// wrong type or out of range and an absent required field are findings. finish() reports keys that
+// were not read. The table and `problems` must outlive the reader.
 class table_reader {
  public:
-  // `name` stands in messages, such as "[[model]]".
+  // `name` is the name of the table in messages, such as "[[model]]".
   table_reader(const toml_table& table, std::string name, findings& problems);
 
   void read(std::string_view key, bool& value, presence need = presence::optional);
@@ -86,9 +87,9 @@
   void read(std::string_view key, std::uint32_t& value, presence need, whole_range range);
   void read(std::string_view key, double& value, presence need, real_range range);
   void read(std::string_view key, endpoint& value, presence need = presence::optional);
-  // The key ends in _ms and holds whole milliseconds.
+  // For keys that end in _ms; the value is an integer in milliseconds.
   void read_ms(std::string_view key, duration& value, presence need, whole_range range);
-  // A name by the rule of is_name().
+  // The value must satisfy is_name().
   void read_name(std::string_view key, std::string& value, presence need);
   template <class Tag>
   void read(std::string_view key, name_id<Tag>& id, presence need = presence::required) {
@@ -96,24 +97,26 @@
     read_name(key, text, need);
     id = name_id<Tag>{std::move(text)};
   }
-  // Texts of a list; entries of another type are findings and left out.
+  // The strings of a list; entries of another type are findings and left out.
   [[nodiscard]] std::vector<placed<std::string>> texts(std::string_view key);
-  // Whole numbers under free keys, as in `replicas = { hall-a = 3 }`, each with the key's place.
+  // Integers of a table with arbitrary keys, such as `replicas = { hall-a = 3 }`, each with the
+  // place of its key.
   [[nodiscard]] std::vector<placed<std::pair<std::string, std::uint32_t>>> counts(
       std::string_view key, whole_range range);
-  // One of `words`, as its position among them.
+  // Reads one of `words` and stores its index in `position`.
   void read_word(std::string_view key, std::size_t& position,
                  std::span<const std::string_view> words);
 
-  // The table below `key`, as [key]; empty when absent.
+  // The table [key]; empty if absent.
   [[nodiscard]] std::optional<table_reader> table(std::string_view key,
                                                   presence need = presence::optional);
-  // The tables below `key`, as [[key]].
+  // The tables [[key]].
   [[nodiscard]] std::vector<table_reader> tables(std::string_view key);
 
-  // Of the field, or of the table when the field is absent.
+  // The place of the field, or of the table if the field is absent.
   [[nodiscard]] place place_of(std::string_view key) const;
   void problem(std::string_view key, std::string message, std::string expected = {});
+  // Reports the keys of the table that were not read.
   void finish();
 
  private:
@@ -127,7 +130,7 @@
   const toml_table* table_;
   std::string name_;
   findings* problems_;
-  std::set<std::string, std::less<>> known_;  // every key asked for
+  std::set<std::string, std::less<>> known_;  // every key that was read
 };
 
 }  // namespace arbutus
--- a/src/version/vm_health.h
+++ b/src/version/vm_health.h
@@ -1,4 +1,5 @@
-// What the planner is told of a VM. Who watches VMs decides when silence counts as a loss.
+// The condition of a VM as an input of the planner. The component that monitors the VMs decides
+// when an unresponsive VM counts as lost.
 #pragma once
 
 #include "base/id.h"
@@ -7,9 +8,9 @@
 
 enum class vm_condition {
   working,
-  suspect,  // not heard of for a moment: kept where it is, but given nothing new
+  suspect,  // briefly unresponsive: keeps its place, but is not chosen for anything new
   lost,
-  leaving,  // still works; the platform takes it away soon
+  leaving,  // still works, but the platform removes it soon
 };
 
 struct vm_health {
--- a/src/version/vm_pool.h
+++ b/src/version/vm_pool.h
@@ -1,5 +1,5 @@
-// The VMs of one data centre while a plan is made: what each is like, which are free, and which
-// will be free soon because they were taken back and wait for acknowledgement or a drain.
+// The VMs of one data centre during planning: the condition of each VM, which VMs are free, and
+// which are pending: they become free after an acknowledgement or a drain.
 #pragma once
 
 #include <cstdint>
@@ -21,37 +21,37 @@
   vm_pool(const configuration& config, const data_centre_id& data_centre,
           const std::vector<vm_health>& health);
 
-  // A VM that works but is no longer in the inventory counts as leaving: what runs there is
-  // finished, not cut off.
+  // A VM that works but is no longer in the inventory counts as leaving, so that its requests are
+  // finished and not interrupted.
   [[nodiscard]] vm_condition condition(const vm_id& vm) const;
-  // Works and may be given something new.
+  // Whether the VM works and may be chosen for something new.
   [[nodiscard]] bool usable(const vm_id& vm) const;
   [[nodiscard]] bool usable(const vm_id& vm, std::uint32_t accelerators) const;
-  // any_domain when the inventory does not know the VM.
+  // any_domain if the VM is not in the inventory.
   [[nodiscard]] domain_index domain_of(const vm_id& vm) const;
   [[nodiscard]] domain_index domains() const;
-  // All VMs of the inventory here, ordered by name.
+  // All VMs of the inventory in this data centre, ordered by id.
   [[nodiscard]] const std::vector<const vm_record*>& vms() const { return vms_; }
 
-  // Forgets what is free and pending.
+  // Removes all free and pending VMs.
   void clear();
-  // Both ignore a VM that is lost or leaves, and one that is there already. A suspect counts as
-  // pending: it is likely to be back in a moment, and when it is lost the next plan finds another.
-  // A pending VM that becomes free is pending no more.
+  // Both ignore VMs that are lost or leaving, and VMs that are already listed. A suspect VM counts
+  // as pending: it is likely to return soon, and if it is lost, the next plan chooses another.
+  // Adding a pending VM as free removes it from the pending ones.
   void add_free(const vm_id& vm);
   void add_pending(const vm_id& vm);
 
-  // Counts are of VMs with at least `accelerators`; `any_domain` sums over all.
+  // Number of VMs with at least `accelerators` in a domain; any_domain sums over all domains.
   [[nodiscard]] std::size_t free_count(domain_index d, std::uint32_t accelerators) const;
   [[nodiscard]] std::size_t pending_count(domain_index d, std::uint32_t accelerators) const;
 
-  // The free VM with the fewest accelerators that suffice, then by name. In any domain: from the
-  // one with the most free, so that few domains are touched.
+  // Takes the free VM with the fewest sufficient accelerators, then the first by id. For
+  // any_domain, takes it from the domain with the most free VMs, so that few domains are used.
   [[nodiscard]] std::optional<vm_id> take_free(domain_index d, std::uint32_t accelerators);
   [[nodiscard]] bool is_free(const vm_id& vm) const;
-  // This very VM; false when it is not free.
+  // Takes this VM; false if it is not free.
   bool take_free(const vm_id& vm);
-  // Sets VMs aside for a replica that waits, so that no later one counts on them.
+  // Reserves VMs for a waiting replica, so that they are not available to later ones.
   void promise(domain_index d, std::uint32_t accelerators, std::size_t free, std::size_t pending);
 
  private:
@@ -59,9 +59,9 @@
     const vm_record* record = nullptr;
     vm_condition condition = vm_condition::lost;
     domain_index domain = any_domain;
-    std::uint32_t order{};  // by name
+    std::uint32_t order{};  // index in vms_, by id
   };
-  // Ordered by accelerators, then by name.
+  // Ordered by accelerators, then by id.
   struct slot {
     std::uint32_t accelerators{};
     std::uint32_t order{};
@@ -78,7 +78,7 @@
 
   std::vector<const vm_record*> vms_;
   std::unordered_map<vm_id, entry> entries_;
-  // By domain. Invariant: a VM stands in at most one of the two.
+  // Indexed by domain. Invariant: a VM is in at most one of the two.
   std::vector<slots> free_;
   std::vector<slots> pending_;
 };
--- a/src/version/wanted.cpp
+++ b/src/version/wanted.cpp
@@ -1,6 +1,6 @@
-// Demand moves capacity only across a wide gap between thresholds. A move costs a drain and a load
-// of weights, minutes in all; load that swings around one threshold would pay that again and again
-// and gain nothing.
+// Demand moves a replica between models only with a wide hysteresis between the thresholds. A move
+// costs a drain and a load of weights, which take minutes; load that oscillates around a single
+// threshold would cause that cost repeatedly without a gain.
 #include "version/wanted.h"
 
 #include <algorithm>
@@ -14,13 +14,14 @@
 
 namespace {
 
-// In replicas' worth of load per replica. Queueing grows steeply above about nine tenths.
+// Thresholds of load per replica, in units of one replica's capacity. Queueing grows steeply above
+// about 0.9.
 constexpr double overload = 0.9;
-// A lender must stay below this after it has given one replica,
+// A model lends a replica only if its remaining ones stay at or below this load,
 constexpr double lend_below = 0.6;
-// and gets it back above this. The gap between the two is the hysteresis.
+// and gets the replica back above this load. The difference is the hysteresis.
 constexpr double reclaim_above = 0.8;
-// An additional replica is kept while the rest alone would be above this.
+// An additional replica is kept while the load would exceed this without it.
 constexpr double keep_above = 0.7;
 
 bool keeps_extra(const plan_draft& draft, const model_rule& rule) {
@@ -48,7 +49,7 @@
   return base;
 }
 
-// Kept longest last.
+// Active replicas of a model in the order in which they are removed.
 std::vector<draft_replica*> by_worth(plan_draft& draft, const model_id& model) {
   std::vector<draft_replica*> list;
   for (draft_replica& r : draft.replicas) {
@@ -66,7 +67,7 @@
   return list;
 }
 
-// A replica that serves goes only when the ones that stay serve, and are as many as desired.
+// A replica that is not broken is drained only if at least `desired` of the remaining ones serve.
 void shed(plan_draft& draft, const model_id& model, std::uint32_t desired) {
   const std::vector<draft_replica*> list = by_worth(draft, model);
   for (std::size_t i = 0; i + desired < list.size(); ++i) {
@@ -91,7 +92,7 @@
   return count > 1 && draft.busy_replicas(r.plan.model) <= lend_below * (count - 1);
 }
 
-// The domain in which the borrower fits once `r` has gone.
+// The domain in which a replica of the borrowing model fits once `r` is removed.
 std::optional<domain_index> room_after(const plan_draft& draft, const model_rule& rule,
                                        const draft_replica& r, std::size_t keep_free) {
   const std::uint32_t accelerators = rule.accelerators_per_vm;
@@ -110,8 +111,8 @@
   return std::nullopt;
 }
 
-// What is free already is set aside too. Otherwise a later pass takes it, the borrower does not
-// fit when the drain is over, and the next plan drains another lender for the same end.
+// Also reserves the VMs that are already free. Otherwise a later pass would take them, the borrower
+// would not fit after the drain, and the next plan would drain another lender for it.
 void borrow(plan_draft& draft, const model_rule& rule, std::size_t keep_free) {
   draft_replica* lender = nullptr;
   domain_index domain = any_domain;
@@ -134,8 +135,8 @@
   draft.pool.promise(domain, rule.accelerators_per_vm, free, rule.vms_per_replica - free);
 }
 
-// A model that lacks a replica of its placements comes before one that only wants more, and would
-// take what the lender gave.
+// Models that lack a replica of their placements take precedence over overloaded ones, and would
+// take the VMs that a lender gives up.
 bool placements_unmet(const plan_draft& draft, const std::vector<std::uint32_t>& desired) {
   for (std::size_t i = 0; i < desired.size(); ++i) {
     if (draft.count_active(draft.models()[i]->id) < desired[i]) {
@@ -165,7 +166,7 @@
   return false;
 }
 
-// When VMs are left over; those that a borrower waits for are set aside by now.
+// Uses remaining VMs to restore lent replicas. VMs that a borrower waits for are already reserved.
 void return_what_was_lent(plan_draft& draft, std::size_t keep_free) {
   for (const model_rule* rule : draft.models()) {
     while (draft.count_active(rule->id) < draft.base_replicas(*rule) &&
--- a/src/version/wanted.h
+++ b/src/version/wanted.h
@@ -1,4 +1,5 @@
-// How many replicas each model should have here: the placements, shifted by demand.
+// Number of replicas that each model should have in this data centre: the placements, adjusted to
+// demand.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +9,18 @@
 
 namespace arbutus {
 
-// For each of `draft.models()`. Differs from the placements only where demand has shifted, or is
-// about to shift, a replica from a model with little load to one with too much.
+// The desired number for each of `draft.models()`. Differs from the placements only where demand
+// has moved, or is about to move, a replica from a model with little load to an overloaded one.
 [[nodiscard]] std::vector<std::uint32_t> wanted_replicas(const plan_draft& draft);
 
-// All replicas of the model serve, and are too few for its load.
+// Whether all replicas of the model serve, but are too few for its load.
 [[nodiscard]] bool has_too_few(const plan_draft& draft, const model_rule& rule);
 
 // Removes or drains replicas beyond the desired number, and those of models without a rule.
 void shed_surplus(plan_draft& draft, const std::vector<std::uint32_t>& desired);
 
-// Lays down one more replica for an overloaded model: on free VMs, else on idle standbys, else by
-// draining a replica of a model with little load. `standbys_kept` stay with each replica.
+// Creates one more replica for each overloaded model: on free VMs, else on idle standbys, else by
+// draining a replica of a model with little load. Each replica keeps `standbys_kept` standbys.
 void follow_demand(plan_draft& draft, const std::vector<std::uint32_t>& desired,
                    std::size_t standbys_kept);
 
