--- a/src/version/planner.h
+++ b/src/version/planner.h
@@ -25,7 +25,7 @@
   data_centre_id data_centre;
   std::vector<vm_health> health;      // VMs that are not listed count as lost
   std::vector<composition> in_force;  // known activations, the newest of each replica
-  std::vector<replica_id> emptied;    // drains that all nodes acknowledged and finished
+  std::vector<replica_id> emptied;    // draining replicas that are proven empty
   std::uint64_t acknowledged{};       // highest row version acknowledged by every live node
   std::vector<replica_demand> demand;
   // Replicas of which every member reports that it is ready. A planned stop requires other replicas
--- a/tests/core/cross_check_test.cpp
+++ b/tests/core/cross_check_test.cpp
@@ -1,4 +1,4 @@
-// Checks across records, on values built here: each test breaks one thing in a sound base.
+// Tests of the checks across records. Each case introduces one defect into a valid configuration.
 #include "version/cross_check.h"
 
 #include <gmock/gmock.h>
--- a/tests/core/import_test.cpp
+++ b/tests/core/import_test.cpp
@@ -1,4 +1,4 @@
-// Import of inventory and rules: places of mistakes, hostile text, and the examples.
+// Import of inventory and rules: places of findings, invalid input, and the examples.
 #include "version/import.h"
 
 #include <gmock/gmock.h>
@@ -143,8 +143,8 @@
   EXPECT_EQ(rows.at(0).at(1).at, (place{"f", 2, 4}));
 }
 
-// Symptom: the import crashes or hangs on what is not an inventory at all. Sequence: an operator
-// names the wrong file, or an export broke. Cause: a reader that assumes text.
+// Guards against an import that crashes or hangs because it assumes valid text, when an operator
+// names the wrong file or an export is corrupt.
 TEST(import, hostile_inventories_are_findings) {
   const std::vector<expected_finding> cases = {
       {"", "the inventory is empty"},
@@ -197,8 +197,8 @@
   }
 }
 
-// Symptom: the program ends on a short file. Sequence: a line of thousands of dotted keys is
-// parsed and its nested tables are taken apart, one stack frame for each. Cause: no limit on it.
+// Guards against a crash on a short file. Without a limit, a line with thousands of dotted keys
+// gives as many nested tables, and their destruction takes a stack frame for each.
 TEST(import, deep_nesting_is_a_finding) {
   std::string dotted = "a";
   for (int i = 0; i < 200'000; ++i) {
@@ -208,8 +208,8 @@
   EXPECT_TRUE(has_errors(import_rules("a = " + std::string(100'000, '['), "r.toml").problems));
 }
 
-// Brackets and dotted keys multiply: each pair of brackets may hold keys of many dots. Text that
-// looks like brackets or dots inside strings and comments does not count.
+// The nesting of brackets and dotted keys adds up, since each pair of brackets may hold keys with
+// many dots. Brackets and dots inside strings and comments do not count.
 TEST(import, nesting_is_counted_over_brackets_and_dots_together) {
   std::string dots = "a";
   for (int i = 0; i < 20; ++i) {
@@ -262,8 +262,8 @@
   EXPECT_EQ(text_of(key.problems).find("my-secret-key"), std::string::npos);
 }
 
-// Symptom: a node calls another address than the file shows. Sequence: a NUL stands within an
-// address; the C function that parses it stops there. Cause: text that ends early.
+// Guards against a node that calls another address than the file shows: inet_pton() stops at a NUL
+// within an address and ignores the rest.
 TEST(import, endpoints_are_ip_numbers_and_ports_only) {
   EXPECT_EQ(parse_endpoint("10.0.0.1:80"), (endpoint{"10.0.0.1", 80}));
   EXPECT_EQ(parse_endpoint("[fd00::1]:65535"), (endpoint{"fd00::1", 65535}));
--- a/tests/core/planner_cost_test.cpp
+++ b/tests/core/planner_cost_test.cpp
@@ -1,4 +1,4 @@
-// Processor time of a plan at the size of one data centre of the fleet, and at ten times that.
+// Processor time of a plan for one data centre of the fleet, and for one of ten times the size.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -56,7 +56,8 @@
   return c;
 }
 
-// The bounds are far above what is measured: they catch a change of order, not of speed.
+// The bounds are far above the measured times: they detect a higher complexity, not a slowdown by a
+// constant factor.
 TEST(planner_cost, milliseconds_and_near_linear) {
   for (const std::uint32_t vms_per_replica : {16U, 2U}) {
     const cost one = measure(5, vms_per_replica);
@@ -68,7 +69,7 @@
     EXPECT_LT(ten.steady_ms, 50 * one.steady_ms);
     EXPECT_LT(ten.one_lost_ms, 50 * one.one_lost_ms);
     EXPECT_LT(ten.domain_lost_ms, 50 * one.domain_lost_ms);
-#ifdef NDEBUG  // milliseconds mean something in an optimised build only
+#ifdef NDEBUG  // absolute times are meaningful only in an optimised build
     EXPECT_LT(ten.domain_lost_ms, 100);
 #endif
   }
--- a/tests/core/planner_optimum_test.cpp
+++ b/tests/core/planner_optimum_test.cpp
@@ -1,4 +1,5 @@
-// The number of serving replicas against the best there is, by counting or by search.
+// Compares the number of serving replicas with the optimum, found by counting or by exhaustive
+// search.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,7 +19,7 @@
   return counts;
 }
 
-// Most replicas of the models that fit: every way to fill the domains with them.
+// The largest number of replicas that fit, found by trying every way to fill the domains.
 std::size_t best(std::vector<std::size_t> domains,
                  std::vector<std::pair<std::size_t, int>> models) {
   std::size_t most = 0;
@@ -67,7 +68,8 @@
   }
 }
 
-// Replicas that serve are not moved to make room, so that sizes that differ leave gaps.
+// Serving replicas are not moved to make room, so models with different replica sizes can leave
+// VMs unused.
 TEST(planner_optimum, two_models_stay_within_one_of_the_optimum) {
   rng random(6);
   int short_of = 0;
@@ -95,7 +97,7 @@
     short_of += w.serving() < most ? 1 : 0;
   }
   RecordProperty("short_of_optimum", short_of);
-  EXPECT_LT(short_of, 75);  // one case in twenty
+  EXPECT_LT(short_of, 75);  // 5% of the cases
 }
 
 }  // namespace
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -1,4 +1,4 @@
-// What holds for every plan, over seeded random histories.
+// Properties that hold for every plan, tested over seeded random histories.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,7 +30,7 @@
   return w;
 }
 
-// A node activates a standby of a broken replica that has one, as it would without the table.
+// Activates standbys of broken replicas, as nodes do while the table is unreachable.
 void activate_something(planner_world& w) {
   w.in_force.clear();
   for (const replica_plan& r : w.row.replicas) {
@@ -93,8 +93,8 @@
   return list;
 }
 
-// A VM passes from one replica to another only when it was withdrawn and that was acknowledged,
-// or when its replica was drained empty.
+// A VM may move to another replica only after its withdrawal was acknowledged, or after its replica
+// was drained completely.
 void expect_handed_over(const planner_input& in, const assignment& next) {
   const auto before = owners(*in.current);
   for (const auto& [vm, owner] : owners(next)) {
@@ -104,7 +104,7 @@
           << vm << " passes from " << found->second << " to " << owner << " undrained";
     }
     for (const withdrawal& w : in.current->withdrawals) {
-      const bool back = w.from == owner;  // its own activation, entered late
+      const bool back = w.from == owner;  // a late record of the replica's own activation
       EXPECT_TRUE(w.vm != vm || back || w.since <= in.acknowledged)
           << vm << " reused before its withdrawal was acknowledged";
     }
@@ -117,7 +117,7 @@
     const auto activated = std::ranges::find(w.in_force, r.id, &composition::replica);
     if (after != nullptr && activated != w.in_force.end() && w.whole(*after)) {
       const bool kept = after->gen == activated->gen && after->members == activated->members;
-      EXPECT_TRUE(kept) << r.id << " was activated, serves, and is laid down anew";
+      EXPECT_TRUE(kept) << r.id << " was activated, serves, and is rebuilt";
       continue;
     }
     if (!w.whole(r)) {
@@ -136,10 +136,10 @@
 
 class planner_history : public ::testing::TestWithParam<std::uint64_t> {};
 
-// Symptom: a VM in two replicas, a serving replica stopped, rows written without end.
-// Sequence: losses, returns, leaves, activations without the table, changes of rules and load, in
-//   any order, with acknowledgements and drains held up now and then.
-// Cause: a move of the planner that skips a step of the handover.
+// Guards against planner actions that skip a step of the handover, which would put a VM into two
+// replicas, stop a serving replica, or write rows endlessly. Combines losses, returns, leaving VMs,
+// activations without the table, and changes of rules and load in random order, with delayed
+// acknowledgements and drains.
 TEST_P(planner_history, keeps_every_rule) {
   rng random(GetParam());
   for (int history = 0; history < 20; ++history) {
@@ -179,7 +179,7 @@
   }
 }
 
-// Symptom: rows are written without end though nothing happens.
+// Guards against rows that are written endlessly although nothing changes.
 TEST_P(planner_history, comes_to_rest) {
   rng random(GetParam() + 1000);
   for (int history = 0; history < 40; ++history) {
@@ -194,7 +194,7 @@
   }
 }
 
-// Histories in which capacity was once lent and taken back without end.
+// Seeds of histories in which a planner can lend capacity and take it back endlessly.
 INSTANTIATE_TEST_SUITE_P(endless_lending, planner_history,
                          ::testing::Values<std::uint64_t>(150, 323, 468, 613));
 INSTANTIATE_TEST_SUITE_P(seeds, planner_history, ::testing::Range<std::uint64_t>(1, 41));
--- a/tests/core/planner_repair_test.cpp
+++ b/tests/core/planner_repair_test.cpp
@@ -1,4 +1,4 @@
-// Repairs, handover, drains: one short story each.
+// Repairs, handover of VMs, drains and rolling updates, one scenario per test.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 using testing::planner_world;
 
-// Two replicas of three VMs and two VMs over, in one domain.
+// One domain with two replicas of three VMs each, and two further VMs.
 planner_world small_world() {
   planner_world w;
   w.add_domain(8);
@@ -42,7 +42,7 @@
   EXPECT_FALSE(w.step()) << w.text();
 }
 
-// Symptom: a replica stays dark although a VM is free. Cause: loss of one member.
+// Guards against a replica that lost a member and stays down although a VM is free.
 TEST(planner_repair, lost_member_is_replaced_by_one_move) {
   planner_world w = small_world();
   const assignment before = w.row;
@@ -56,7 +56,8 @@
   EXPECT_EQ(w.row.replicas[1], before.replicas[1]);
 }
 
-// Symptom: a repaired replica goes dark again when the lost VM returns. Cause: it is moved back.
+// Guards against a repaired replica that stops serving again because it is given back the lost VM
+// when that returns.
 TEST(planner_repair, returned_vm_stays_free) {
   planner_world w = small_world();
   const vm_id lost = w.row.replicas[0].members[1];
@@ -79,8 +80,9 @@
   EXPECT_EQ(w.row.replicas[0].members[2], before.standbys[0]);
 }
 
-// Symptom: a replica that serves from an activated standby is cut off when the table returns.
-// Cause: the planner lays it down anew, with a token that its members do not obey yet.
+// Guards against a replica that serves with an activated standby and is interrupted when the table
+// is reachable again, because the planner rebuilds it with a token that its members do not accept
+// yet.
 TEST(planner_repair, activation_is_entered_without_disturbing_it) {
   planner_world w = small_world();
   w.config.desired.standbys_per_replica = 1;
@@ -95,9 +97,9 @@
   EXPECT_FALSE(w.step()) << w.text();
 }
 
-// Symptom: a replica never forms; its members refuse the row's token as old.
-// Sequence: a node that missed a withdrawal activates the standby, which is another's by now.
-// Cause: the members obey a token above the row's, of a composition that can no longer be formed.
+// Guards against a replica that never forms because its members refuse the token of the row as old.
+// A node that missed a withdrawal activates the standby, which belongs to another replica by then;
+// the members obey its higher token, of a composition that can no longer form.
 TEST(planner_repair, activation_that_came_too_late_is_fenced) {
   planner_world w = small_world();
   const replica_plan before = w.row.replicas[0];
@@ -112,9 +114,9 @@
   EXPECT_FALSE(w.step()) << w.text();
 }
 
-// Symptom: one VM is ordered into two replicas. Sequence: the row gives a standby of A to B; a node
-// that has not seen that row, and cannot see the table, activates it for A.
-// Cause: the VM is used before every live node knows that it was taken back.
+// Guards against one VM that is ordered into two replicas. The row gives a standby of A to B, while
+// a node that has not received that row and cannot read the table activates it for A. B must not
+// use the VM before every live node knows that it was withdrawn.
 TEST(planner_repair, standby_of_another_waits_for_acknowledgement) {
   planner_world w;
   w.add_domain(8);
@@ -203,7 +205,8 @@
   }
 }
 
-// Symptom: a model is dark during a change of its version. Cause: all its replicas load at once.
+// Guards against a model that is unavailable during a change of its version because all its
+// replicas load simultaneously.
 TEST(planner_roll, one_replica_at_a_time_and_only_when_others_serve) {
   planner_world w;
   w.add_domain(9);
@@ -237,9 +240,8 @@
   EXPECT_EQ(w.row.replicas[0].model_version, "v2");
 }
 
-// Symptom: a model is dark while the successor of its only replica loads.
-// Sequence: the successor is laid down; the old one is then one too many, and is drained.
-// Cause: a replica that was laid down is counted as if it served.
+// Guards against a model that is unavailable while the successor of its only replica loads. If the
+// new replica counts as serving, the old one is surplus and is drained too early.
 TEST(planner_roll, predecessor_stays_until_its_successor_serves) {
   planner_world w;
   w.add_domain(6);
--- a/tests/core/planner_standby_test.cpp
+++ b/tests/core/planner_standby_test.cpp
@@ -1,4 +1,4 @@
-// Standbys: their price against the downtime they save, and where they are taken from.
+// Standbys: their cost compared with the downtime that they save, and which VMs are reserved.
 #include <gtest/gtest.h>
 
 #include "core/planner_world.h"
@@ -9,7 +9,7 @@
 
 using testing::planner_world;
 
-// Replicas of sixteen VMs, and failures as in a fleet of 1,300 VMs that loses 29 a day.
+// Replicas of 16 VMs, with the failure rate of a fleet of 1,300 VMs in which 29 VMs fail per day.
 standby_question large_replicas() {
   return {16, 29.0 / 1300 / 24, 4, 2, 0, {1, 1}};
 }
--- a/tests/core/planner_world.h
+++ b/tests/core/planner_world.h
@@ -1,4 +1,4 @@
-// A data centre for planner tests: VMs, rules, the row, and what the planner would be told.
+// A simulated data centre for planner tests: VMs, rules, the row, and the inputs of the planner.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
   std::map<vm_id, vm_condition> conditions;
   std::vector<composition> in_force;
   std::vector<replica_demand> demand;
-  bool acknowledge = true;  // every live node has the row
+  bool acknowledge = true;  // every live node acknowledges each row
   bool finish_drains = true;
   std::vector<std::string> reasons;  // of the last plan
 
@@ -95,7 +95,7 @@
     return in;
   }
 
-  // Plans once and writes the row; false when there was nothing to do.
+  // Plans once and writes the row; false if the plan changes nothing.
   bool step() {
     const plan p = make_plan(input());
     reasons = p.reasons;
@@ -105,7 +105,7 @@
     return p.changed;
   }
 
-  // Until nothing changes; the number of rows written, at most `limit`.
+  // Plans until nothing changes. Returns the number of rows written, at most `limit`.
   int settle(int limit = 50) {
     int rows = 0;
     while (rows < limit && step()) {
