--- a/src/version/planner_bench.cpp
+++ b/src/version/planner_bench.cpp
@@ -122,7 +122,7 @@
 };
 
 vm_condition draw_condition(rng& random) {
-  // Half of the choices are `working`, so that most VMs of the data centre work at any time.
+  // Half of the entries are `working`, so that most VMs of the data centre work at any time.
   constexpr vm_condition drawn[] = {vm_condition::working, vm_condition::working,
                                     vm_condition::working, vm_condition::suspect,
                                     vm_condition::lost,    vm_condition::leaving};
--- a/tests/core/cross_check_test.cpp
+++ b/tests/core/cross_check_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the checks across records. Each case introduces one defect into a valid configuration.
+// Tests of the checks across records. Each case breaks one thing in a valid configuration.
 #include "version/cross_check.h"
 
 #include <gmock/gmock.h>
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -117,7 +117,7 @@
     const auto activated = std::ranges::find(w.in_force, r.id, &composition::replica);
     if (after != nullptr && activated != w.in_force.end() && w.whole(*after)) {
       const bool kept = after->gen == activated->gen && after->members == activated->members;
-      EXPECT_TRUE(kept) << r.id << " was activated, serves, and is rebuilt";
+      EXPECT_TRUE(kept) << r.id << " was activated, serves, and is taken down and rebuilt";
       continue;
     }
     if (!w.whole(r)) {
