--- a/src/version/placement.h
+++ b/src/version/placement.h
@@ -18,8 +18,8 @@
 // the data centre. False if none fits.
 bool lay_down(plan_draft& draft, const model_rule& rule, std::size_t keep_free);
 
-// Like lay_down(), but if no domain has enough free VMs, frees VMs from the sources listed above.
-// True if the replica was created or its VMs are becoming free.
+// Like lay_down(), but if no domain has enough free VMs, frees VMs from the sources listed
+// above. True if the replica was created or its VMs are becoming free.
 bool lay_down_or_wait(plan_draft& draft, const model_rule& rule);
 
 }  // namespace arbutus
--- a/src/version/plan_draft.h
+++ b/src/version/plan_draft.h
@@ -56,8 +56,7 @@
 
   // ---- actions ----
 
-  // Takes `vm` from a replica. No replica may use it until all nodes have acknowledged the next
-  // row.
+  // Takes `vm` from a replica. It stays unused until all nodes have acknowledged the next row.
   void withdraw(const vm_id& vm, const replica_id& from);
   // Gives a replica of the row new members and the model version of its rule. Withdraws the members
   // and standbys that it no longer has.
--- a/src/version/planner.cpp
+++ b/src/version/planner.cpp
@@ -28,8 +28,7 @@
   return in.config->version < in.current->config_version || std::ranges::any_of(in.in_force, later);
 }
 
-// A draining replica that lost a member runs no requests any more, so dissolving it interrupts
-// none.
+// A draining replica that lost a member runs no requests, so dissolving it interrupts none.
 void end_drains(plan_draft& draft) {
   const auto& emptied = draft.in().emptied;
   for (draft_replica& r : draft.replicas) {
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -194,7 +194,7 @@
   }
 }
 
-// Seeds of histories in which a planner can lend capacity and take it back endlessly.
+// Seeds of histories that can make a planner lend capacity and take it back endlessly.
 INSTANTIATE_TEST_SUITE_P(endless_lending, planner_history,
                          ::testing::Values<std::uint64_t>(150, 323, 468, 613));
 INSTANTIATE_TEST_SUITE_P(seeds, planner_history, ::testing::Range<std::uint64_t>(1, 41));
