--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -382,7 +382,7 @@
   for (const command_spec& spec : specs) {
     names.push_back(spec.name);
   }
-  const finding problem = unknown_word({}, "command", name, names);
+  const finding problem = unknown_name_finding({}, "command", name, names);
   return wrong_usage(problem.message, "Commands are listed by: arbutusworks --help\n");
 }
 
@@ -400,7 +400,7 @@
     names.push_back("--" + option->long_name());
   }
   const std::vector<std::string_view> candidates(names.begin(), names.end());
-  return unknown_word({}, "option", given, candidates).message;
+  return unknown_name_finding({}, "option", given, candidates).message;
 }
 
 std::string missing_option_message(const command_spec& spec, const std::string& given) {
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr whole_range any_ms{0, 600'000};
-constexpr whole_range timeout_ms{1, 600'000};
-constexpr whole_range at_least_one{1, 1000};
-constexpr whole_range token_count{1, 100'000};
+constexpr integer_range any_ms{0, 600'000};
+constexpr integer_range timeout_ms{1, 600'000};
+constexpr integer_range positive_count{1, 1000};
+constexpr integer_range token_count{1, 100'000};
 constexpr real_range positive{0, 1e6, true};
-constexpr real_range from_zero{0, 1e6};
+constexpr real_range non_negative_real{0, 1e6};
 constexpr real_range fraction{0, 1};
 constexpr std::array<std::string_view, 2> arrival_names = {"poisson", "closed"};
 constexpr std::uint32_t most_rounds = 100;
@@ -49,7 +49,7 @@
  private:
   static void read_size(table_reader& table, std::string_view key, std::size_t& value) {
     auto number = static_cast<std::uint32_t>(value);
-    table.read(key, number, presence::optional, at_least_one);
+    table.read(key, number, presence::optional, positive_count);
     value = number;
   }
 
@@ -67,9 +67,9 @@
       read_size(*table, "nodes_per_data_centre", shape.nodes_per_data_centre);
       read_size(*table, "vms_per_data_centre", shape.vms_per_data_centre);
       table->read("replicas_per_data_centre", shape.replicas_per_data_centre, presence::optional,
-                  at_least_one);
-      table->read("vms_per_replica", shape.vms_per_replica, presence::optional, at_least_one);
-      table->read("slots", shape.slots, presence::optional, at_least_one);
+                  positive_count);
+      table->read("vms_per_replica", shape.vms_per_replica, presence::optional, positive_count);
+      table->read("slots", shape.slots, presence::optional, positive_count);
       table->read("standbys_per_replica", shape.standbys_per_replica, presence::optional, {0, 10});
       read_size(*table, "node_workers", shape.node_workers);
       read_size(*table, "runtime_workers", shape.runtime_workers);
@@ -91,7 +91,8 @@
     table.read("tokens_per_second", batch.tokens_per_second, presence::optional, positive);
     table.read("prefill_tokens_per_second", batch.prefill_tokens_per_second, presence::optional,
                positive);
-    table.read("slowdown_when_full", batch.slowdown_when_full, presence::optional, from_zero);
+    table.read("slowdown_when_full", batch.slowdown_when_full, presence::optional,
+               non_negative_real);
     table.read("engine_queue", engine.queue_limit, presence::optional, {0, 1'000'000});
     table.read_ms("form_ms", engine.form_time, presence::optional, any_ms);
     table.read_ms("report_lag_ms", engine.report_lag, presence::optional, any_ms);
@@ -100,7 +101,7 @@
   }
 
   void read_existing_nodes(table_reader& table) {
-    for (const placed<std::string>& text : table.texts("existing_nodes")) {
+    for (const located_value<std::string>& text : table.texts("existing_nodes")) {
       if (const auto parsed = parse_endpoint(text.value)) {
         result_.nodes.push_back(*parsed);
       } else {
@@ -119,16 +120,17 @@
     read_seconds(*table, "seconds", work.length, {0, 3600, true});
     read_seconds(*table, "warm_up_seconds", work.warm_up, {0, 3600});
     std::size_t arrivals = 0;
-    table->read_word("arrivals", arrivals, arrival_names);
+    table->read_choice("arrivals", arrivals, arrival_names);
     work.arrivals = static_cast<arrival_kind>(arrivals);
     table->read("rate", work.rate, presence::optional, positive);
-    table->read("callers", work.callers, presence::optional, at_least_one);
+    table->read("callers", work.callers, presence::optional, positive_count);
     table->read("prompt_tokens", work.prompt_tokens, presence::optional, token_count);
     table->read("answer_tokens", work.answer_tokens, presence::optional, token_count);
     table->read("streamed", work.streamed, presence::optional, fraction);
-    table->read("sessions", work.sessions, presence::optional, at_least_one);
+    table->read("sessions", work.sessions, presence::optional, positive_count);
     table->read("shared_prefix", work.shared_prefix, presence::optional, fraction);
-    table->read("bookings_per_second", work.bookings_per_second, presence::optional, from_zero);
+    table->read("bookings_per_second", work.bookings_per_second, presence::optional,
+                non_negative_real);
     table->read("repeated", work.repeated, presence::optional, fraction);
     table->read_ms("timeout_ms", work.timeout, presence::optional, timeout_ms);
     table->finish();
@@ -186,7 +188,7 @@
         f.lasts = lasts;
       }
       std::size_t kind = std::size(fault_names);
-      table.read_word("kind", kind, fault_names);
+      table.read_choice("kind", kind, fault_names);
       if (kind == std::size(fault_names)) {
         table.problem("kind", "is missing or not known", "the kind of the fault");
         kind = 0;
@@ -224,7 +226,7 @@
     variant v;
     table.read_name("name", v.name, presence::required);
     std::size_t target = 0;
-    table.read_word("target", target, target_names);
+    table.read_choice("target", target, target_names);
     v.target = static_cast<call_target>(target);
     table.read("rate_factor", v.rate_factor, presence::optional, positive);
     read_workspace_name(table, "only_workspace", v.only_workspace);
@@ -234,7 +236,7 @@
     table.read("node_workers", v.node_workers, presence::optional, {1, 64});
     table.read("faults", v.with_faults);
     std::size_t check = 0;
-    table.read_word("check_self", check, self_check_names);
+    table.read_choice("check_self", check, self_check_names);
     v.check_self = static_cast<self_check>(check);
     if (v.target != call_target::nodes && !result_.nodes.empty()) {
       table.problem("target", "existing nodes have no stand-ins here to call directly");
--- a/src/process/hosted_settings.cpp
+++ b/src/process/hosted_settings.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // A bound of more than an hour is most likely given in the wrong unit.
-constexpr whole_range bound_ms{1, 3'600'000};
+constexpr integer_range bound_ms{1, 3'600'000};
 
 class hosted_reader {
  public:
@@ -114,7 +114,7 @@
 
 hosted_settings_result load_hosted_settings(std::string_view text, const std::string& file_name) {
   hosted_settings_result result;
-  const auto document = parse_filled_toml(
+  const auto document = parse_nonempty_toml(
       text, file_name, "the settings", "[node], [listen] and [platform] tables", result.problems);
   if (!document) {
     return result;
--- a/src/process/settings.cpp
+++ b/src/process/settings.cpp
@@ -17,12 +17,12 @@
 constexpr std::array<std::string_view, 4> level_names = {"debug", "info", "warning", "error"};
 constexpr std::array<std::string_view, 2> format_names = {"text", "json"};
 
-constexpr whole_range header_bytes{1024, 1024 * 1024};
-constexpr whole_range body_bytes{1024, 1024 * 1024 * 1024};
-constexpr whole_range connections{1, 1'000'000};
-constexpr whole_range workers{0, 1024};
+constexpr integer_range header_bytes{1024, 1024 * 1024};
+constexpr integer_range body_bytes{1024, 1024 * 1024 * 1024};
+constexpr integer_range connections{1, 1'000'000};
+constexpr integer_range workers{0, 1024};
 // A timeout of more than an hour is most likely given in the wrong unit.
-constexpr whole_range timeout_ms{1, 3'600'000};
+constexpr integer_range timeout_ms{1, 3'600'000};
 
 class settings_reader {
  public:
@@ -138,7 +138,7 @@
       return;
     }
     auto format = static_cast<std::size_t>(settings_.log.format);
-    table->read_word("format", format, format_names);
+    table->read_choice("format", format, format_names);
     settings_.log.format = static_cast<log_format>(format);
     read_log_volume(*table, settings_.log);
     table->finish();
@@ -193,7 +193,7 @@
 
 settings_result load_settings(std::string_view text, const std::string& file_name) {
   settings_result result;
-  const auto document = parse_filled_toml(
+  const auto document = parse_nonempty_toml(
       text, file_name, "the settings", "[node], [listen] and [platform] tables", result.problems);
   if (!document) {
     return result;
@@ -229,9 +229,9 @@
 }
 
 void read_log_volume(table_reader& table, log_settings& log) {
-  constexpr whole_range rate{0, 1'000'000'000};
+  constexpr integer_range rate{0, 1'000'000'000};
   auto level = static_cast<std::size_t>(log.level);
-  table.read_word("level", level, level_names);
+  table.read_choice("level", level, level_names);
   log.level = static_cast<log_level>(level);
   table.read("bytes_per_second", log.bytes_per_second, presence::optional, rate);
 }
--- a/src/version/cross_check.cpp
+++ b/src/version/cross_check.cpp
@@ -1,4 +1,4 @@
-// Checks across records. Each check is one small function that adds to the findings.
+// Consistency checks across the records of a configuration. Each check appends its findings.
 #include "version/cross_check.h"
 
 #include <algorithm>
@@ -14,13 +14,13 @@
 
 namespace {
 
-// Paths that the nodes answer themselves.
+// Paths below this prefix are the model API, which the nodes serve themselves.
 constexpr std::string_view model_api_prefix = "/v1";
 
 class checker {
  public:
   checker(const inventory& assets, const rules& desired, const place_index& places)
-      : assets_(assets), wanted_(desired), places_(places) {}
+      : assets_(assets), rules_(desired), places_(places) {}
 
   findings run() {
     check_names();
@@ -32,7 +32,7 @@
     check_workspaces();
     check_classes();
     check_prefixes();
-    findings room = check_room(assets_, wanted_, places_);
+    findings room = check_capacity(assets_, rules_, places_);
     problems_.insert(problems_.end(), room.begin(), room.end());
     return std::move(problems_);
   }
@@ -51,57 +51,57 @@
     add(severity::warning, path, std::move(message), std::move(expected));
   }
 
-  std::string line_of(const std::string& path) const {
+  std::string format_location(const std::string& path) const {
     const place at = places_.at(path);
     return at.line == 0 ? at.file : at.file + ':' + std::to_string(at.line);
   }
 
   // ---- names ----
 
-  using name_uses = std::map<std::string, std::string, std::less<>>;  // name to path
+  using name_paths = std::map<std::string, std::string, std::less<>>;  // name to its record's path
 
-  void use_name(name_uses& names, const std::string& name, const std::string& path,
+  void add_name(name_paths& names, const std::string& name, const std::string& path,
                 std::string_view what) {
     const auto [first, is_new] = names.emplace(name, path);
     if (!is_new && !name.empty()) {
       error(path + "/id",
             "the name " + in_quotes(name) + " of this " + std::string(what) + " is taken at " +
-                line_of(first->second),
+                format_location(first->second),
             "names that differ");
     }
   }
 
   template <class Record>
-  void use_ids(name_uses& names, const std::vector<Record>& records, std::string_view list,
+  void add_ids(name_paths& names, const std::vector<Record>& records, std::string_view list,
                std::string_view what) {
     for (std::size_t i = 0; i < records.size(); ++i) {
-      use_name(names, records[i].id.str(), indexed(list, i), what);
+      add_name(names, records[i].id.str(), record_path(list, i), what);
     }
   }
 
-  // VMs and nodes share one space of names, since both stand in lists of machines and in logs; so
-  // do models and services, which callers ask for.
+  // VMs and nodes share one namespace, since both appear in lists of machines and in logs. Models
+  // and services share another, since callers request both by name.
   void check_names() {
-    name_uses data_centres;
-    use_ids(data_centres, assets_.data_centres, "data_centres", "data centre");
-    name_uses machines = first_vms();
-    use_ids(machines, assets_.nodes, "nodes", "node");
-    name_uses offers;
-    use_ids(offers, wanted_.models, "models", "model");
-    use_ids(offers, wanted_.services, "services", "service");
-    name_uses workspaces;
-    use_ids(workspaces, wanted_.workspaces, "workspaces", "workspace");
+    name_paths data_centres;
+    add_ids(data_centres, assets_.data_centres, "data_centres", "data centre");
+    name_paths machines = first_vm_paths();
+    add_ids(machines, assets_.nodes, "nodes", "node");
+    name_paths callable_names;
+    add_ids(callable_names, rules_.models, "models", "model");
+    add_ids(callable_names, rules_.services, "services", "service");
+    name_paths workspaces;
+    add_ids(workspaces, rules_.workspaces, "workspaces", "workspace");
   }
 
-  name_uses first_vms() const {
-    name_uses names;
+  name_paths first_vm_paths() const {
+    name_paths names;
     for (std::size_t i = 0; i < assets_.vms.size(); ++i) {
-      names.emplace(assets_.vms[i].id.str(), indexed("vms", i));
+      names.emplace(assets_.vms[i].id.str(), record_path("vms", i));
     }
     return names;
   }
 
-  // Goes wrong: a VM that stands twice would be planned into two replicas, once for each row.
+  // A VM that is listed twice would be planned into two replicas, one for each row.
   void check_vms_listed_twice() {
     std::map<vm_id, std::size_t> first;
     for (std::size_t i = 0; i < assets_.vms.size(); ++i) {
@@ -111,15 +111,15 @@
         continue;
       }
       const vm_record& other = assets_.vms[before->second];
-      const std::string earlier = line_of(indexed("vms", before->second));
+      const std::string earlier = format_location(record_path("vms", before->second));
       if (other.fabric_domain != vm.fabric_domain) {
-        error(indexed("vms", i) + "/fabric_domain",
+        error(record_path("vms", i) + "/fabric_domain",
               "VM " + in_quotes(vm.id.str()) + " is in two fabric domains, " +
                   in_quotes(vm.fabric_domain.str()) + " here and " +
                   in_quotes(other.fabric_domain.str()) + " at " + earlier,
               "one row for each VM");
       } else {
-        error(indexed("vms", i) + "/id",
+        error(record_path("vms", i) + "/id",
               "VM " + in_quotes(vm.id.str()) + " is listed already at " + earlier,
               "one row for each VM");
       }
@@ -133,9 +133,9 @@
       const std::size_t before = first.emplace(vm.fabric_domain, i).first->second;
       const data_centre_id& other = assets_.vms[before].data_centre;
       if (!vm.fabric_domain.empty() && other != vm.data_centre) {
-        error(indexed("vms", i) + "/fabric_domain",
+        error(record_path("vms", i) + "/fabric_domain",
               "fabric domain " + in_quotes(vm.fabric_domain.str()) + " is in data centre " +
-                  in_quotes(other.str()) + " at " + line_of(indexed("vms", before)),
+                  in_quotes(other.str()) + " at " + format_location(record_path("vms", before)),
               "a fabric domain within one data centre");
       }
     }
@@ -143,40 +143,41 @@
 
   // ---- endpoints ----
 
-  using endpoint_uses = std::map<endpoint, std::string>;
+  using endpoint_paths = std::map<endpoint, std::string>;
 
-  void use_endpoint(endpoint_uses& uses, const endpoint& address, const std::string& path) {
+  void add_endpoint(endpoint_paths& uses, const endpoint& address, const std::string& path) {
     const auto [first, is_new] = uses.emplace(address, path);
     if (!is_new && address.port != 0) {
-      error(path, "endpoint " + to_string(address) + " is taken at " + line_of(first->second),
+      error(path,
+            "endpoint " + to_string(address) + " is taken at " + format_location(first->second),
             "endpoints that differ");
     }
   }
 
   void check_endpoints() {
-    endpoint_uses uses;
+    endpoint_paths uses;
     for (std::size_t i = 0; i < assets_.vms.size(); ++i) {
-      use_endpoint(uses, assets_.vms[i].address, indexed("vms", i) + "/address");
+      add_endpoint(uses, assets_.vms[i].address, record_path("vms", i) + "/address");
     }
     for (std::size_t i = 0; i < assets_.nodes.size(); ++i) {
-      use_endpoint(uses, assets_.nodes[i].link, indexed("nodes", i) + "/link");
-      use_endpoint(uses, assets_.nodes[i].caller, indexed("nodes", i) + "/caller");
+      add_endpoint(uses, assets_.nodes[i].link, record_path("nodes", i) + "/link");
+      add_endpoint(uses, assets_.nodes[i].caller, record_path("nodes", i) + "/caller");
     }
     for (std::size_t i = 0; i < assets_.services.size(); ++i) {
-      use_endpoint(uses, assets_.services[i].address, indexed("services_at", i));
+      add_endpoint(uses, assets_.services[i].address, record_path("services_at", i));
     }
   }
 
   // ---- references ----
 
-  // A reference to a record that there is not; `names` are those that there are.
+  // Reports a reference to a record that does not exist; `names` are the existing ones.
   void check_reference(const std::string& path, std::string_view what, const std::string& name,
                        const std::set<std::string, std::less<>>& names) {
     if (name.empty() || names.contains(name)) {
       return;
     }
     const std::vector<std::string_view> candidates(names.begin(), names.end());
-    finding problem = unknown_word(places_.at(path), what, name, candidates);
+    finding problem = unknown_name_finding(places_.at(path), what, name, candidates);
     if (problems_.size() < max_findings) {
       problems_.push_back(std::move(problem));
     }
@@ -195,7 +196,7 @@
   void check_data_centre_of(const std::vector<Record>& records, std::string_view list,
                             const std::set<std::string, std::less<>>& names) {
     for (std::size_t i = 0; i < records.size(); ++i) {
-      check_reference(indexed(list, i) + "/data_centre", "data centre",
+      check_reference(record_path(list, i) + "/data_centre", "data centre",
                       records[i].data_centre.str(), names);
     }
   }
@@ -205,10 +206,10 @@
     check_data_centre_of(assets_.vms, "vms", names);
     check_data_centre_of(assets_.nodes, "nodes", names);
     check_data_centre_of(assets_.services, "services_at", names);
-    for (std::size_t m = 0; m < wanted_.models.size(); ++m) {
-      const auto& placements = wanted_.models[m].placements;
+    for (std::size_t m = 0; m < rules_.models.size(); ++m) {
+      const auto& placements = rules_.models[m].placements;
       for (std::size_t p = 0; p < placements.size(); ++p) {
-        check_reference(indexed(indexed("models", m) + "/placements", p), "data centre",
+        check_reference(record_path(record_path("models", m) + "/placements", p), "data centre",
                         placements[p].data_centre.str(), names);
       }
     }
@@ -218,7 +219,7 @@
     }
     for (std::size_t i = 0; i < assets_.data_centres.size(); ++i) {
       if (!with_node.contains(assets_.data_centres[i].id)) {
-        warning(indexed("data_centres", i),
+        warning(record_path("data_centres", i),
                 "data centre " + in_quotes(assets_.data_centres[i].id.str()) + " has no node",
                 "a node in each data centre");
       }
@@ -226,14 +227,14 @@
   }
 
   void check_services() {
-    const auto names = ids_of(wanted_.services);
+    const auto names = ids_of(rules_.services);
     for (std::size_t i = 0; i < assets_.services.size(); ++i) {
-      check_reference(indexed("services_at", i) + "/id", "service",
+      check_reference(record_path("services_at", i) + "/id", "service",
                       assets_.services[i].service.str(), names);
     }
-    const auto workspaces = ids_of(wanted_.workspaces);
-    for (std::size_t s = 0; s < wanted_.services.size(); ++s) {
-      check_service(wanted_.services[s], indexed("services", s), workspaces);
+    const auto workspaces = ids_of(rules_.workspaces);
+    for (std::size_t s = 0; s < rules_.services.size(); ++s) {
+      check_service(rules_.services[s], record_path("services", s), workspaces);
     }
   }
 
@@ -244,13 +245,13 @@
       warning(path, "service " + in_quotes(service.id.str()) + " has no target in the inventory");
     }
     for (std::size_t i = 0; i < service.workspaces.size(); ++i) {
-      check_reference(indexed(path + "/workspaces", i), "workspace", service.workspaces[i].str(),
-                      workspaces);
+      check_reference(record_path(path + "/workspaces", i), "workspace",
+                      service.workspaces[i].str(), workspaces);
     }
     for (std::size_t i = 0; i < service.idempotent_calls.size(); ++i) {
       const std::string& call = service.idempotent_calls[i].path_prefix;
       if (!is_below(call, service.path_prefix)) {
-        error(indexed(path + "/idempotent_calls", i),
+        error(record_path(path + "/idempotent_calls", i),
               "path " + in_quotes(call) + " is not below the service's path",
               "a path below " + service.path_prefix);
       }
@@ -258,19 +259,20 @@
   }
 
   void check_workspaces() {
-    const auto models = ids_of(wanted_.models);
-    std::map<std::string, std::size_t> owners;  // of key hashes
-    for (std::size_t w = 0; w < wanted_.workspaces.size(); ++w) {
-      const workspace_rule& workspace = wanted_.workspaces[w];
-      const std::string path = indexed("workspaces", w);
+    const auto models = ids_of(rules_.models);
+    std::map<std::string, std::size_t> owners;  // key hash to index of the workspace
+    for (std::size_t w = 0; w < rules_.workspaces.size(); ++w) {
+      const workspace_rule& workspace = rules_.workspaces[w];
+      const std::string path = record_path("workspaces", w);
       for (std::size_t i = 0; i < workspace.models.size(); ++i) {
-        check_reference(indexed(path + "/models", i), "model", workspace.models[i].str(), models);
+        check_reference(record_path(path + "/models", i), "model", workspace.models[i].str(),
+                        models);
       }
       for (std::size_t i = 0; i < workspace.key_hashes.size(); ++i) {
         const std::size_t owner = owners.emplace(workspace.key_hashes[i], w).first->second;
         if (owner != w) {
-          error(indexed(path + "/key_hashes", i),
-                "the key belongs to workspace " + in_quotes(wanted_.workspaces[owner].id.str()) +
+          error(record_path(path + "/key_hashes", i),
+                "the key belongs to workspace " + in_quotes(rules_.workspaces[owner].id.str()) +
                     " already",
                 "a key of its own for each workspace");
         }
@@ -279,14 +281,15 @@
   }
 
   void check_classes() {
-    name_uses names;
-    for (std::size_t c = 0; c < wanted_.classes.size(); ++c) {
-      const class_rule& entry = wanted_.classes[c];
-      const std::string path = indexed("classes", c);
+    name_paths names;
+    for (std::size_t c = 0; c < rules_.classes.size(); ++c) {
+      const class_rule& entry = rules_.classes[c];
+      const std::string path = record_path("classes", c);
       const auto [first, is_new] = names.emplace(entry.name, path);
       if (!is_new && !entry.name.empty()) {
         error(path + "/name",
-              "class " + in_quotes(entry.name) + " is listed already at " + line_of(first->second),
+              "class " + in_quotes(entry.name) + " is listed already at " +
+                  format_location(first->second),
               "each class once");
       }
       if (entry.first_token > entry.deadline) {
@@ -302,19 +305,19 @@
     return path.starts_with(prefix) && (path.size() == prefix.size() || path[prefix.size()] == '/');
   }
 
-  // Goes wrong: with overlapping prefixes the order of the rules would choose the service.
+  // With overlapping prefixes the order of the rules would decide which service gets a request.
   void check_prefixes() {
-    name_uses prefixes;
-    for (std::size_t s = 0; s < wanted_.services.size(); ++s) {
-      const std::string& prefix = wanted_.services[s].path_prefix;
-      const std::string path = indexed("services", s) + "/path_prefix";
+    name_paths prefixes;
+    for (std::size_t s = 0; s < rules_.services.size(); ++s) {
+      const std::string& prefix = rules_.services[s].path_prefix;
+      const std::string path = record_path("services", s) + "/path_prefix";
       if (is_below(prefix, model_api_prefix)) {
         error(path, "path " + in_quotes(prefix) + " belongs to the models' own interface",
               "a path outside of /v1");
       }
       const auto [first, is_new] = prefixes.emplace(prefix, path);
       if (!is_new && !prefix.empty()) {
-        error(path, "path " + in_quotes(prefix) + " is taken at " + line_of(first->second),
+        error(path, "path " + in_quotes(prefix) + " is taken at " + format_location(first->second),
               "paths that differ");
       }
     }
@@ -323,21 +326,21 @@
     }
   }
 
-  void check_parents(std::string_view prefix, const std::string& path, const name_uses& all) {
+  void check_parents(std::string_view prefix, const std::string& path, const name_paths& all) {
     for (std::size_t slash = prefix.rfind('/'); slash != std::string_view::npos && slash > 0;
          slash = prefix.rfind('/', slash - 1)) {
       const auto parent = all.find(prefix.substr(0, slash));
       if (parent != all.end()) {
         error(path,
               "path " + in_quotes(prefix) + " is below " + in_quotes(parent->first) + " at " +
-                  line_of(parent->second),
+                  format_location(parent->second),
               "paths that do not overlap");
       }
     }
   }
 
   const inventory& assets_;
-  const rules& wanted_;
+  const rules& rules_;
   const place_index& places_;
   findings problems_;
 };
--- a/src/version/cross_check_room.cpp
+++ b/src/version/cross_check_capacity.cpp
@@ -1,4 +1,4 @@
-// Whether the models fit the VMs that there are.
+// Checks whether the configured replicas of the models fit the VMs of the inventory.
 #include <algorithm>
 #include <cstdint>
 #include <map>
@@ -14,14 +14,14 @@
 
 namespace {
 
-class room_checker {
+class capacity_checker {
  public:
-  room_checker(const inventory& assets, const rules& desired, const place_index& places)
-      : assets_(assets), wanted_(desired), places_(places) {}
+  capacity_checker(const inventory& assets, const rules& desired, const place_index& places)
+      : assets_(assets), rules_(desired), places_(places) {}
 
   findings run() {
     check_models();
-    check_together();
+    check_total_capacity();
     return std::move(problems_);
   }
 
@@ -38,7 +38,7 @@
     add(severity::warning, path, std::move(message), std::move(expected));
   }
 
-  // How many VMs of each fabric domain of `dc` could be members of `model`.
+  // Number of VMs in each fabric domain of `dc` that have enough accelerators for `model`.
   std::map<fabric_domain_id, std::uint32_t> fitting_vms(const model_rule& model,
                                                         const data_centre_id& dc) const {
     std::map<fabric_domain_id, std::uint32_t> count;
@@ -51,20 +51,20 @@
   }
 
   void check_models() {
-    for (std::size_t m = 0; m < wanted_.models.size(); ++m) {
-      const model_rule& model = wanted_.models[m];
-      const std::string path = indexed("models", m);
+    for (std::size_t m = 0; m < rules_.models.size(); ++m) {
+      const model_rule& model = rules_.models[m];
+      const std::string path = record_path("models", m);
       if (model.placements.empty()) {
         warning(path, "model " + in_quotes(model.id.str()) + " is placed nowhere",
                 "replicas = { DATA_CENTRE = COUNT }");
       }
-      if (model.vms_per_replica + wanted_.standbys_per_replica > max_positions) {
+      if (model.vms_per_replica + rules_.standbys_per_replica > max_positions) {
         error(path + "/vms_per_replica",
               "members and standbys of a replica are more than " + std::to_string(max_positions),
               "at most " + std::to_string(max_positions) + " together");
       }
       for (std::size_t p = 0; p < model.placements.size(); ++p) {
-        check_placement(model, model.placements[p], indexed(path + "/placements", p));
+        check_placement(model, model.placements[p], record_path(path + "/placements", p));
       }
     }
   }
@@ -76,7 +76,7 @@
     }
     std::uint32_t vms = 0;
     std::uint32_t largest = 0;
-    std::uint32_t in_domains = 0;  // replicas that fit without crossing
+    std::uint32_t in_domains = 0;  // replicas that fit without crossing fabric domains
     for (const auto& [domain, count] : fitting_vms(model, desired.data_centre)) {
       vms += count;
       largest = std::max(largest, count);
@@ -87,13 +87,13 @@
     const std::string need = std::to_string(model.vms_per_replica) + " VMs with " +
                              std::to_string(model.accelerators_per_vm) + " accelerators each";
     if (vms < model.vms_per_replica) {
-      short_of_room_.insert(desired.data_centre);
+      over_capacity_.insert(desired.data_centre);
       error(path, what + " can never fit: " + std::to_string(vms) + " such VMs are there",
             need + " for one replica");
       return;
     }
     if (in_domains == 0 && !model.may_cross_fabric_domains) {
-      short_of_room_.insert(desired.data_centre);
+      over_capacity_.insert(desired.data_centre);
       error(path,
             what + " can never fit: a replica is larger than any fabric domain (largest: " +
                 std::to_string(largest) + " such VMs) and may not cross",
@@ -103,16 +103,17 @@
     const std::uint32_t fits =
         model.may_cross_fabric_domains ? vms / model.vms_per_replica : in_domains;
     if (fits < desired.replicas) {
-      short_of_room_.insert(desired.data_centre);
+      over_capacity_.insert(desired.data_centre);
       warning(path, what + ": " + std::to_string(desired.replicas) + " replicas wanted, at most " +
                         std::to_string(fits) + " fit");
     }
   }
 
-  // All models of a data centre together, where each by itself fits.
-  void check_together() {
+  // Checks whether all models of a data centre fit together; skips data centres in which a single
+  // model already does not fit.
+  void check_total_capacity() {
     std::map<data_centre_id, std::uint64_t> desired;
-    for (const model_rule& model : wanted_.models) {
+    for (const model_rule& model : rules_.models) {
       for (const model_placement& p : model.placements) {
         desired[p.data_centre] += std::uint64_t{p.replicas} * model.vms_per_replica;
       }
@@ -124,25 +125,25 @@
     for (std::size_t i = 0; i < assets_.data_centres.size(); ++i) {
       const data_centre_id& dc = assets_.data_centres[i].id;
       const std::uint64_t vms = present[dc];
-      if (desired[dc] > vms && !short_of_room_.contains(dc)) {
-        warning(indexed("data_centres", i), "the models want " + std::to_string(desired[dc]) +
-                                                " VMs in " + in_quotes(dc.str()) + ", which has " +
-                                                std::to_string(vms));
+      if (desired[dc] > vms && !over_capacity_.contains(dc)) {
+        warning(record_path("data_centres", i), "the models want " + std::to_string(desired[dc]) +
+                                                    " VMs in " + in_quotes(dc.str()) +
+                                                    ", which has " + std::to_string(vms));
       }
     }
   }
 
   const inventory& assets_;
-  const rules& wanted_;
+  const rules& rules_;
   const place_index& places_;
-  std::set<data_centre_id> short_of_room_;  // reported for one model already
+  std::set<data_centre_id> over_capacity_;  // already reported for a single model
   findings problems_;
 };
 
 }  // namespace
 
-findings check_room(const inventory& assets, const rules& desired, const place_index& places) {
-  return room_checker(assets, desired, places).run();
+findings check_capacity(const inventory& assets, const rules& desired, const place_index& places) {
+  return capacity_checker(assets, desired, places).run();
 }
 
 }  // namespace arbutus
--- a/src/version/wanted.cpp
+++ b/src/version/desired_replicas.cpp
@@ -1,7 +1,7 @@
-// Demand moves capacity only across a wide gap between thresholds. A move costs a drain and a load
-// of weights, minutes in all; load that swings around one threshold would pay that again and again
-// and gain nothing.
-#include "version/wanted.h"
+// Demand moves a replica between models only with a wide hysteresis between the thresholds. A move
+// costs a drain and a load of weights, which take minutes; load that oscillates around a single
+// threshold would cause that cost repeatedly without a gain.
+#include "version/desired_replicas.h"
 
 #include <algorithm>
 #include <optional>
@@ -14,42 +14,43 @@
 
 namespace {
 
-// In replicas' worth of load per replica. Queueing grows steeply above about nine tenths.
-constexpr double overload = 0.9;
-// A lender must stay below this after it has given one replica,
-constexpr double lend_below = 0.6;
-// and gets it back above this. The gap between the two is the hysteresis.
-constexpr double reclaim_above = 0.8;
-// An additional replica is kept while the rest alone would be above this.
-constexpr double keep_above = 0.7;
+// Thresholds of load per replica, in units of one replica's capacity. Queueing grows steeply above
+// about 0.9.
+constexpr double overload_threshold = 0.9;
+// A model lends a replica only if its remaining ones stay at or below this load,
+constexpr double max_load_after_lending = 0.6;
+// and gets the replica back above this load. The difference is the hysteresis.
+constexpr double reclaim_threshold = 0.8;
+// An additional replica is kept while the load would exceed this without it.
+constexpr double keep_threshold = 0.7;
 
 bool keeps_extra(const plan_draft& draft, const model_rule& rule) {
   const std::uint32_t count = draft.count_active(rule.id);
-  return count > draft.base_replicas(rule) && count > 1 &&
-         draft.busy_replicas(rule.id) > keep_above * (count - 1);
+  return count > draft.configured_replicas(rule) && count > 1 &&
+         draft.busy_replicas(rule.id) > keep_threshold * (count - 1);
 }
 
-bool somebody_borrows(const plan_draft& draft) {
+bool any_model_borrows(const plan_draft& draft) {
   return std::ranges::any_of(draft.models(), [&](const model_rule* rule) {
-    return keeps_extra(draft, *rule) || has_too_few(draft, *rule);
+    return keeps_extra(draft, *rule) || is_overloaded(draft, *rule);
   });
 }
 
-std::uint32_t wanted_of(const plan_draft& draft, const model_rule& rule, bool lending) {
-  const std::uint32_t base = draft.base_replicas(rule);
+std::uint32_t desired_count(const plan_draft& draft, const model_rule& rule, bool lending) {
+  const std::uint32_t base = draft.configured_replicas(rule);
   const std::uint32_t count = draft.count_active(rule.id);
   const double busy = draft.busy_replicas(rule.id);
   if (count > base && base > 0) {
     return keeps_extra(draft, rule) ? count : base;
   }
-  if (lending && count > 0 && count < base && busy <= reclaim_above * count) {
+  if (lending && count > 0 && count < base && busy <= reclaim_threshold * count) {
     return count;
   }
   return base;
 }
 
-// Kept longest last.
-std::vector<draft_replica*> by_worth(plan_draft& draft, const model_id& model) {
+// Active replicas of a model in the order in which they are removed.
+std::vector<draft_replica*> by_removal_order(plan_draft& draft, const model_id& model) {
   std::vector<draft_replica*> list;
   for (draft_replica& r : draft.replicas) {
     if (r.active() && r.plan.model == model) {
@@ -66,9 +67,9 @@
   return list;
 }
 
-// A replica that serves goes only when the ones that stay serve, and are as many as desired.
-void shed(plan_draft& draft, const model_id& model, std::uint32_t desired) {
-  const std::vector<draft_replica*> list = by_worth(draft, model);
+// A replica that is not broken is drained only if at least `desired` of the remaining ones serve.
+void remove_surplus(plan_draft& draft, const model_id& model, std::uint32_t desired) {
+  const std::vector<draft_replica*> list = by_removal_order(draft, model);
   for (std::size_t i = 0; i + desired < list.size(); ++i) {
     if (list[i]->broken()) {
       draft.dissolve(*list[i], "broken and no longer wanted");
@@ -84,16 +85,16 @@
 }
 
 bool can_lend(const plan_draft& draft, const draft_replica& r) {
-  if (!r.active() || !r.serving || r.rule == nullptr || draft.in_change(r.plan.model)) {
+  if (!r.active() || !r.serving || r.rule == nullptr || draft.is_changing(r.plan.model)) {
     return false;
   }
   const std::uint32_t count = draft.count_active(r.plan.model);
-  return count > 1 && draft.busy_replicas(r.plan.model) <= lend_below * (count - 1);
+  return count > 1 && draft.busy_replicas(r.plan.model) <= max_load_after_lending * (count - 1);
 }
 
-// The domain in which the borrower fits once `r` has gone.
-std::optional<domain_index> room_after(const plan_draft& draft, const model_rule& rule,
-                                       const draft_replica& r, std::size_t keep_free) {
+// The domain in which a replica of the borrowing model fits once `r` is removed.
+std::optional<domain_index> domain_with_room(const plan_draft& draft, const model_rule& rule,
+                                             const draft_replica& r, std::size_t keep_free) {
   const std::uint32_t accelerators = rule.accelerators_per_vm;
   const auto after = [&](domain_index d) {
     return draft.pool.free_count(d, accelerators) + draft.pool.pending_count(d, accelerators) +
@@ -110,17 +111,17 @@
   return std::nullopt;
 }
 
-// What is free already is set aside too. Otherwise a later pass takes it, the borrower does not
-// fit when the drain is over, and the next plan drains another lender for the same end.
+// Also reserves the VMs that are already free. Otherwise a later pass would take them, the borrower
+// would not fit after the drain, and the next plan would drain another lender for it.
 void borrow(plan_draft& draft, const model_rule& rule, std::size_t keep_free) {
   draft_replica* lender = nullptr;
   domain_index domain = any_domain;
   for (draft_replica& r : draft.replicas) {
     if (r.plan.model == rule.id || !can_lend(draft, r) ||
-        (lender != nullptr && !comes_before(*lender, r))) {
+        (lender != nullptr && !precedes_in_repair(*lender, r))) {
       continue;
     }
-    if (const auto room = room_after(draft, rule, r, keep_free)) {
+    if (const auto room = domain_with_room(draft, rule, r, keep_free)) {
       lender = &r;
       domain = *room;
     }
@@ -131,11 +132,11 @@
   draft.drain(*lender, "lent to " + rule.id.str());
   const std::size_t free = std::min<std::size_t>(
       rule.vms_per_replica, draft.pool.free_count(domain, rule.accelerators_per_vm));
-  draft.pool.promise(domain, rule.accelerators_per_vm, free, rule.vms_per_replica - free);
+  draft.pool.reserve_vms(domain, rule.accelerators_per_vm, free, rule.vms_per_replica - free);
 }
 
-// A model that lacks a replica of its placements comes before one that only wants more, and would
-// take what the lender gave.
+// Models that lack a replica of their placements take precedence over overloaded ones, and would
+// take the VMs that a lender gives up.
 bool placements_unmet(const plan_draft& draft, const std::vector<std::uint32_t>& desired) {
   for (std::size_t i = 0; i < desired.size(); ++i) {
     if (draft.count_active(draft.models()[i]->id) < desired[i]) {
@@ -146,8 +147,8 @@
                              [](const draft_replica& r) { return r.active() && r.broken(); });
 }
 
-bool on_their_way(plan_draft& draft, const model_rule& rule, std::size_t standbys_kept,
-                  std::size_t keep_free) {
+bool reclaim_for_demand(plan_draft& draft, const model_rule& rule, std::size_t standbys_kept,
+                        std::size_t keep_free) {
   const std::uint32_t accelerators = rule.accelerators_per_vm;
   const std::size_t soon = draft.pool.free_count(any_domain, accelerators) +
                            draft.pool.pending_count(any_domain, accelerators);
@@ -155,65 +156,65 @@
     const std::size_t free =
         std::min<std::size_t>(draft.pool.free_count(d, accelerators), rule.vms_per_replica);
     const std::size_t lacking = rule.vms_per_replica - free;
-    const bool floor_holds = soon >= rule.vms_per_replica + keep_free;
+    const bool spares_remain = soon >= rule.vms_per_replica + keep_free;
     const shortage need{&rule, d, free, lacking, nullptr, standbys_kept};
-    const bool pending = floor_holds && draft.pool.pending_count(d, accelerators) >= lacking;
-    if ((pending || keep_free == 0) && obtain(draft, need, sources::standbys)) {
+    const bool pending = spares_remain && draft.pool.pending_count(d, accelerators) >= lacking;
+    if ((pending || keep_free == 0) && reclaim_vms(draft, need, sources::standbys)) {
       return true;
     }
   }
   return false;
 }
 
-// When VMs are left over; those that a borrower waits for are set aside by now.
-void return_what_was_lent(plan_draft& draft, std::size_t keep_free) {
+// Uses remaining VMs to restore lent replicas. VMs that a borrower waits for are already reserved.
+void restore_lent_replicas(plan_draft& draft, std::size_t keep_free) {
   for (const model_rule* rule : draft.models()) {
-    while (draft.count_active(rule->id) < draft.base_replicas(*rule) &&
-           lay_down(draft, *rule, keep_free)) {
+    while (draft.count_active(rule->id) < draft.configured_replicas(*rule) &&
+           create_replica(draft, *rule, keep_free)) {
     }
   }
 }
 
 }  // namespace
 
-bool has_too_few(const plan_draft& draft, const model_rule& rule) {
+bool is_overloaded(const plan_draft& draft, const model_rule& rule) {
   const std::uint32_t count = draft.count_active(rule.id);
-  return count > 0 && count >= draft.base_replicas(rule) && !draft.in_change(rule.id) &&
-         draft.busy_replicas(rule.id) > overload * count;
+  return count > 0 && count >= draft.configured_replicas(rule) && !draft.is_changing(rule.id) &&
+         draft.busy_replicas(rule.id) > overload_threshold * count;
 }
 
-std::vector<std::uint32_t> wanted_replicas(const plan_draft& draft) {
-  const bool lending = somebody_borrows(draft);
+std::vector<std::uint32_t> desired_replicas(const plan_draft& draft) {
+  const bool lending = any_model_borrows(draft);
   std::vector<std::uint32_t> desired;
   for (const model_rule* rule : draft.models()) {
-    desired.push_back(wanted_of(draft, *rule, lending));
+    desired.push_back(desired_count(draft, *rule, lending));
   }
   return desired;
 }
 
-void shed_surplus(plan_draft& draft, const std::vector<std::uint32_t>& desired) {
+void remove_surplus_replicas(plan_draft& draft, const std::vector<std::uint32_t>& desired) {
   for (std::size_t i = 0; i < desired.size(); ++i) {
-    shed(draft, draft.models()[i]->id, desired[i]);
+    remove_surplus(draft, draft.models()[i]->id, desired[i]);
   }
   for (draft_replica& r : draft.replicas) {
     if (r.active() && r.rule == nullptr) {
-      shed(draft, r.plan.model, 0);
+      remove_surplus(draft, r.plan.model, 0);
     }
   }
 }
 
-void follow_demand(plan_draft& draft, const std::vector<std::uint32_t>& desired,
-                   std::size_t standbys_kept) {
+void adjust_to_demand(plan_draft& draft, const std::vector<std::uint32_t>& desired,
+                      std::size_t standbys_kept) {
   const bool may_borrow = !placements_unmet(draft, desired);
   const std::size_t keep_free = draft.desired().spare_vms_per_data_centre;
   for (const model_rule* rule : draft.models()) {
-    const bool settled = !has_too_few(draft, *rule) || lay_down(draft, *rule, keep_free) ||
-                         on_their_way(draft, *rule, standbys_kept, keep_free);
+    const bool settled = !is_overloaded(draft, *rule) || create_replica(draft, *rule, keep_free) ||
+                         reclaim_for_demand(draft, *rule, standbys_kept, keep_free);
     if (!settled && may_borrow) {
       borrow(draft, *rule, keep_free);
     }
   }
-  return_what_was_lent(draft, keep_free);
+  restore_lent_replicas(draft, keep_free);
 }
 
 }  // namespace arbutus
--- a/src/version/field_text.cpp
+++ b/src/version/field_text.cpp
@@ -1,4 +1,4 @@
-// Parsing of single fields, and suggestions for misspelt words.
+// Parsing of single fields, and suggestions for misspelt names.
 #include "version/field_text.h"
 
 #include <arpa/inet.h>
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t max_quoted_length = 60;
-// More candidates than this are not listed in a finding.
+// A finding lists the candidates only if there are at most this many.
 constexpr std::size_t max_listed_candidates = 12;
 
 bool is_alphanumeric(char c) {
@@ -29,7 +29,7 @@
   return inet_pton(family, host.c_str(), parsed.data()) == 1;
 }
 
-// Optimal string alignment distance, one row kept per step.
+// Optimal string alignment distance. Keeps only the last three rows of the matrix.
 std::size_t edit_distance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> before(b.size() + 1);
   std::vector<std::size_t> last(b.size() + 1);
@@ -69,7 +69,7 @@
          std::all_of(text.begin(), text.end(), is_name_character);
 }
 
-std::optional<std::uint32_t> parse_whole(std::string_view text) {
+std::optional<std::uint32_t> parse_integer(std::string_view text) {
   std::uint32_t value = 0;
   const char* end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, value);
@@ -84,7 +84,7 @@
   if (colon == std::string_view::npos) {
     return std::nullopt;
   }
-  const auto port = parse_whole(text.substr(colon + 1));
+  const auto port = parse_integer(text.substr(colon + 1));
   if (!port || *port == 0 || *port > UINT16_MAX) {
     return std::nullopt;
   }
@@ -94,9 +94,9 @@
     host = host.substr(1, host.size() - 2);
   }
   endpoint result{std::string(host), static_cast<std::uint16_t>(*port)};
-  // A NUL inside would end the text early for the C function and let the rest pass unseen.
-  const bool whole = host.find('\0') == std::string_view::npos;
-  if (!whole || !is_address(bracketed ? AF_INET6 : AF_INET, result.host)) {
+  // inet_pton() stops at a NUL, so text after an embedded NUL would not be checked.
+  const bool has_no_nul = host.find('\0') == std::string_view::npos;
+  if (!has_no_nul || !is_address(bracketed ? AF_INET6 : AF_INET, result.host)) {
     return std::nullopt;
   }
   return result;
@@ -117,7 +117,7 @@
       return 0;
     }
   }
-  // Overlong forms, surrogates and values above the last code point.
+  // Rejects overlong forms, surrogates and values above the last code point.
   const unsigned second = byte(at + 1);
   const bool invalid = (first == 0xe0 && second < 0xa0) || (first == 0xed && second > 0x9f) ||
                        (first == 0xf0 && second < 0x90) || (first == 0xf4 && second > 0x8f);
@@ -144,11 +144,13 @@
   return result + (at < text.size() ? "...\"" : "\"");
 }
 
-std::string_view nearest(std::string_view word, std::span<const std::string_view> candidates) {
+std::string_view closest_match(std::string_view word,
+                               std::span<const std::string_view> candidates) {
   if (word.size() > max_name_length) {
     return {};
   }
-  // One edit in three letters: "rpelicas" is a misspelling, "port" for "rank" is another word.
+  // Allows one edit for every three letters: "rpelicas" is a misspelling of "replicas", but "port"
+  // is not one of "rank".
   std::size_t best = std::max<std::size_t>(1, word.size() / 3) + 1;
   std::string_view found;
   for (const std::string_view candidate : candidates) {
@@ -161,12 +163,12 @@
   return found;
 }
 
-finding unknown_word(place where, std::string_view what, std::string_view word,
-                     std::span<const std::string_view> candidates) {
+finding unknown_name_finding(place where, std::string_view what, std::string_view word,
+                             std::span<const std::string_view> candidates) {
   finding result;
   result.where = std::move(where);
   result.message = std::string(what) + ' ' + in_quotes(word) + " is not known";
-  const std::string_view close = nearest(word, candidates);
+  const std::string_view close = closest_match(word, candidates);
   if (!close.empty()) {
     result.message += "; did you mean " + in_quotes(close) + '?';
   }
--- a/src/version/import.cpp
+++ b/src/version/import.cpp
@@ -1,4 +1,4 @@
-// Files of a configuration directory, and both imports together.
+// Reads the files of a configuration directory and combines both imports with the cross-checks.
 #include "version/import.h"
 
 #include <algorithm>
@@ -25,14 +25,14 @@
 
 }  // namespace
 
-std::string indexed(std::string_view list, std::size_t index) {
+std::string record_path(std::string_view list, std::size_t index) {
   std::string path(list);
   path += '/';
   path += std::to_string(index);
   return path;
 }
 
-void place_index::note(std::string path, place where) {
+void place_index::add_place(std::string path, place where) {
   places_.insert_or_assign(std::move(path), std::move(where));
 }
 
--- a/src/version/import_inventory.cpp
+++ b/src/version/import_inventory.cpp
@@ -1,5 +1,5 @@
-// The inventory from comma-separated values: one row for each asset, columns named by the first
-// row and in any order. Columns that an asset register has besides are left alone.
+// Import of the inventory from comma-separated values. The first row names the columns, in any
+// order; each further row is one asset. Other columns of an asset register are ignored.
 #include <algorithm>
 #include <array>
 #include <functional>
@@ -32,10 +32,10 @@
   place at() const { return row_.front().at; }
   const std::vector<std::string_view>& used() const { return used_; }
 
-  // Places are noted under this path, such as "vms/3".
+  // Places of the row and its fields are stored under this path, such as "vms/3".
   void set_path(std::string path) {
     path_ = std::move(path);
-    result_.places.note(path_, at());
+    result_.places.add_place(path_, at());
   }
 
   void report(place where, std::string message, std::string expected) {
@@ -43,7 +43,7 @@
         {severity::error, std::move(where), std::move(message), std::move(expected)});
   }
 
-  // Empty text when the column is absent.
+  // The text is empty if the column is absent.
   const csv_field& field(std::string_view column) {
     used_.push_back(column);
     const auto found = std::find(header_.begin(), header_.end(), column);
@@ -53,7 +53,7 @@
       return missing_;
     }
     if (!path_.empty()) {
-      result_.places.note(path_ + '/' + std::string(column), row_[index].at);
+      result_.places.add_place(path_ + '/' + std::string(column), row_[index].at);
     }
     return row_[index];
   }
@@ -82,14 +82,15 @@
 
   std::uint32_t accelerators() {
     const auto parse = [](const std::string& text) {
-      const auto count = parse_whole(text);
+      const auto count = parse_integer(text);
       const bool fits = count && *count >= 1 && *count <= max_accelerators;
       return fits ? count : std::nullopt;
     };
     return parsed("accelerators", "a whole number from 1 to 1024", parse).value_or(0);
   }
 
-  // No default: taking a VM that ignores tokens for one that checks them would be unsafe.
+  // There is no default: treating a VM that ignores fencing tokens as one that checks them would be
+  // unsafe.
   bool checks_tokens() {
     const auto parse = [](const std::string& text) -> std::optional<bool> {
       if (text == "yes" || text == "no") {
@@ -110,7 +111,7 @@
 };
 
 void read_data_centre(row_reader& row, inventory& assets) {
-  row.set_path(indexed("data_centres", assets.data_centres.size()));
+  row.set_path(record_path("data_centres", assets.data_centres.size()));
   data_centre_record record;
   record.id = data_centre_id{row.name("id")};
   record.region = row.name("region");
@@ -118,7 +119,7 @@
 }
 
 void read_vm(row_reader& row, inventory& assets) {
-  row.set_path(indexed("vms", assets.vms.size()));
+  row.set_path(record_path("vms", assets.vms.size()));
   vm_record record;
   record.id = vm_id{row.name("id")};
   record.address = row.address("address");
@@ -130,7 +131,7 @@
 }
 
 void read_node(row_reader& row, inventory& assets) {
-  row.set_path(indexed("nodes", assets.nodes.size()));
+  row.set_path(record_path("nodes", assets.nodes.size()));
   node_record record;
   record.id = node_id{row.name("id")};
   record.data_centre = data_centre_id{row.name("data_centre")};
@@ -140,7 +141,7 @@
 }
 
 void read_service(row_reader& row, inventory& assets) {
-  row.set_path(indexed("services_at", assets.services.size()));
+  row.set_path(record_path("services_at", assets.services.size()));
   service_target record;
   record.service = service_id{row.name("id")};
   record.data_centre = data_centre_id{row.name("data_centre")};
@@ -148,9 +149,9 @@
   assets.services.push_back(std::move(record));
 }
 
-// A value in a column that the kind does not have: most often the row is shifted.
-void reject_unused(row_reader& reader, std::string_view kind, const csv_row& row,
-                   const std::vector<std::string_view>& header) {
+// Reports values in columns that this kind of asset does not use. Usually the row is shifted.
+void reject_unused_columns(row_reader& reader, std::string_view kind, const csv_row& row,
+                           const std::vector<std::string_view>& header) {
   for (std::size_t i = 0; i < std::min(row.size(), header.size()); ++i) {
     const bool known = std::find(columns.begin(), columns.end(), header[i]) != columns.end();
     const auto& used = reader.used();
@@ -183,13 +184,14 @@
   } else if (kind.text == "service") {
     read_service(reader, result.assets);
   } else {
-    result.problems.push_back(unknown_word(kind.at, "kind", kind.text, kinds));
+    result.problems.push_back(unknown_name_finding(kind.at, "kind", kind.text, kinds));
     return;
   }
-  reject_unused(reader, kind.text, row, header);
+  reject_unused_columns(reader, kind.text, row, header);
 }
 
-// A column that is nearly one of ours is a misspelling; others belong to the register.
+// Reports duplicate columns, and unknown ones that resemble a known column and are therefore likely
+// misspelt. Other unknown columns belong to the asset register.
 void check_column(const csv_row& row, std::size_t index, findings& problems) {
   const csv_field& column = row[index];
   const auto same = [&](const csv_field& other) { return other.text == column.text; };
@@ -200,8 +202,8 @@
     return;
   }
   const bool known = std::find(columns.begin(), columns.end(), column.text) != columns.end();
-  if (!known && !nearest(column.text, columns).empty()) {
-    problems.push_back(unknown_word(column.at, "column", column.text, columns));
+  if (!known && !closest_match(column.text, columns).empty()) {
+    problems.push_back(unknown_name_finding(column.at, "column", column.text, columns));
   }
 }
 
--- a/src/version/import_rules.cpp
+++ b/src/version/import_rules.cpp
@@ -1,5 +1,5 @@
-// The rules from TOML. Ranges of single fields are checked here, what needs other records in
-// cross_check.
+// Import of the rules from TOML. Checks the ranges of single fields; cross_check() does the checks
+// that involve other records.
 #include <algorithm>
 #include <initializer_list>
 #include <optional>
@@ -15,58 +15,59 @@
 
 namespace {
 
-constexpr whole_range any_count{0, 1'000'000};
-constexpr whole_range at_least_one{1, 1'000'000};
+constexpr integer_range count_range{0, 1'000'000};
+constexpr integer_range positive_count{1, 1'000'000};
 constexpr std::uint32_t max_vms_per_replica = 32;
-// A day: nobody waits longer, and larger values are most likely given in another unit.
-constexpr whole_range waiting_ms{1, 86'400'000};
-constexpr real_range from_zero{0, 1e9, false};
-constexpr real_range above_zero{0, 1e9, true};
+// At most one day: no caller waits longer, and a larger value was most likely given in another
+// unit.
+constexpr integer_range timeout_range_ms{1, 86'400'000};
+constexpr real_range non_negative_real{0, 1e9, false};
+constexpr real_range positive_real{0, 1e9, true};
 
 template <class Id>
 void read_ids(table_reader& table, std::string_view key, const std::string& path,
               std::vector<Id>& ids, rules_import& result) {
-  for (placed<std::string>& text : table.texts(key)) {
+  for (located_value<std::string>& text : table.texts(key)) {
     if (!is_name(text.value)) {
       result.problems.push_back({severity::error, text.at,
                                  std::string(key) + ": " + in_quotes(text.value) + " is no name",
                                  std::string(name_expected)});
       continue;
     }
-    result.places.note(indexed(path + '/' + std::string(key), ids.size()), text.at);
+    result.places.add_place(record_path(path + '/' + std::string(key), ids.size()), text.at);
     ids.emplace_back(std::move(text.value));
   }
 }
 
-void note_fields(const table_reader& table, const std::string& path,
-                 std::initializer_list<std::string_view> keys, place_index& places) {
-  places.note(path, table.place_of(""));
+void add_field_places(const table_reader& table, const std::string& path,
+                      std::initializer_list<std::string_view> keys, place_index& places) {
+  places.add_place(path, table.place_of(""));
   for (const std::string_view key : keys) {
-    places.note(path + '/' + std::string(key), table.place_of(key));
+    places.add_place(path + '/' + std::string(key), table.place_of(key));
   }
 }
 
 void read_placements(table_reader& table, const std::string& path, model_rule& model,
                      rules_import& result) {
-  for (const auto& [entry, at] : table.counts("replicas", any_count)) {
+  for (const auto& [entry, at] : table.counts("replicas", count_range)) {
     const auto& [data_centre, count] = entry;
-    result.places.note(indexed(path + "/placements", model.placements.size()), at);
+    result.places.add_place(record_path(path + "/placements", model.placements.size()), at);
     model.placements.push_back({data_centre_id{data_centre}, count});
   }
 }
 
 void read_model(table_reader& table, rules_import& result) {
-  const std::string path = indexed("models", result.desired.models.size());
-  note_fields(table, path, {"id", "vms_per_replica"}, result.places);
+  const std::string path = record_path("models", result.desired.models.size());
+  add_field_places(table, path, {"id", "vms_per_replica"}, result.places);
   model_rule model;
   table.read("id", model.id);
   table.read_name("version", model.version, presence::required);
   table.read("vms_per_replica", model.vms_per_replica, presence::optional,
              {1, max_vms_per_replica});
-  table.read("accelerators_per_vm", model.accelerators_per_vm, presence::optional, at_least_one);
-  table.read("slots", model.slots, presence::optional, at_least_one);
+  table.read("accelerators_per_vm", model.accelerators_per_vm, presence::optional, positive_count);
+  table.read("slots", model.slots, presence::optional, positive_count);
   table.read("may_cross_fabric_domains", model.may_cross_fabric_domains);
-  table.read("rank", model.rank, presence::optional, any_count);
+  table.read("rank", model.rank, presence::optional, count_range);
   read_ids(table, "adapters", path, model.adapters, result);
   read_placements(table, path, model, result);
   table.finish();
@@ -82,7 +83,7 @@
 constexpr std::string_view path_expected =
     "a path such as /crew, without '/' at its end, '?', '#' or '%'";
 
-// "GET /crew/cards"
+// Parses a method and a path, such as "GET /crew/cards".
 std::optional<service_rule::idempotent_call> parse_call(std::string_view text) {
   const std::size_t blank = text.find(' ');
   if (blank == std::string_view::npos || blank == 0) {
@@ -99,7 +100,7 @@
 
 void read_calls(table_reader& table, const std::string& path, service_rule& service,
                 rules_import& result) {
-  for (const placed<std::string>& text : table.texts("idempotent_calls")) {
+  for (const located_value<std::string>& text : table.texts("idempotent_calls")) {
     auto call = parse_call(text.value);
     if (!call) {
       result.problems.push_back({severity::error, text.at,
@@ -107,15 +108,15 @@
                                  "method and path, as \"GET /crew/cards\""});
       continue;
     }
-    result.places.note(indexed(path + "/idempotent_calls", service.idempotent_calls.size()),
-                       text.at);
+    result.places.add_place(
+        record_path(path + "/idempotent_calls", service.idempotent_calls.size()), text.at);
     service.idempotent_calls.push_back(std::move(*call));
   }
 }
 
 void read_service(table_reader& table, rules_import& result) {
-  const std::string path = indexed("services", result.desired.services.size());
-  note_fields(table, path, {"id", "path_prefix"}, result.places);
+  const std::string path = record_path("services", result.desired.services.size());
+  add_field_places(table, path, {"id", "path_prefix"}, result.places);
   service_rule service;
   table.read("id", service.id);
   table.read("path_prefix", service.path_prefix, presence::required);
@@ -139,48 +140,51 @@
                                    " has no key, nobody can use it",
                                ""});
   }
-  for (placed<std::string>& text : texts) {
+  for (located_value<std::string>& text : texts) {
     if (!is_key_hash(text.value)) {
-      // The text is not shown: it may be the key itself, pasted by mistake.
+      // The message omits the text: it may be the key itself, pasted by mistake.
       result.problems.push_back({severity::error, text.at, "key_hashes: an entry is no hash",
                                  "64 digits 0-9 a-f, the SHA-256 of the key"});
       continue;
     }
-    result.places.note(indexed(path + "/key_hashes", workspace.key_hashes.size()), text.at);
+    result.places.add_place(record_path(path + "/key_hashes", workspace.key_hashes.size()),
+                            text.at);
     workspace.key_hashes.push_back(std::move(text.value));
   }
 }
 
 void read_workspace(table_reader& table, rules_import& result) {
-  const std::string path = indexed("workspaces", result.desired.workspaces.size());
-  note_fields(table, path, {"id"}, result.places);
+  const std::string path = record_path("workspaces", result.desired.workspaces.size());
+  add_field_places(table, path, {"id"}, result.places);
   workspace_rule workspace;
   table.read("id", workspace.id);
   read_key_hashes(table, path, workspace, result);
   read_ids(table, "models", path, workspace.models, result);
-  table.read("share", workspace.share, presence::optional, above_zero);
-  table.read("requests_per_second", workspace.requests_per_second, presence::optional, from_zero);
-  table.read("burst", workspace.burst, presence::optional, from_zero);
+  table.read("share", workspace.share, presence::optional, positive_real);
+  table.read("requests_per_second", workspace.requests_per_second, presence::optional,
+             non_negative_real);
+  table.read("burst", workspace.burst, presence::optional, non_negative_real);
   table.finish();
   result.desired.workspaces.push_back(std::move(workspace));
 }
 
 void read_class(table_reader& table, rules_import& result) {
-  const std::string path = indexed("classes", result.desired.classes.size());
-  note_fields(table, path, {"name", "first_token_ms"}, result.places);
+  const std::string path = record_path("classes", result.desired.classes.size());
+  add_field_places(table, path, {"name", "first_token_ms"}, result.places);
   class_rule entry;
   table.read_name("name", entry.name, presence::required);
-  table.read("priority", entry.priority, presence::optional, any_count);
-  table.read_ms("deadline_ms", entry.deadline, presence::optional, waiting_ms);
-  table.read_ms("first_token_ms", entry.first_token, presence::optional, waiting_ms);
+  table.read("priority", entry.priority, presence::optional, count_range);
+  table.read_ms("deadline_ms", entry.deadline, presence::optional, timeout_range_ms);
+  table.read_ms("first_token_ms", entry.first_token, presence::optional, timeout_range_ms);
   table.finish();
   result.desired.classes.push_back(std::move(entry));
 }
 
 void read_weights(table_reader table, rules& desired) {
-  table.read("group_downtime", desired.preference.group_downtime, presence::optional, from_zero);
+  table.read("group_downtime", desired.preference.group_downtime, presence::optional,
+             non_negative_real);
   table.read("stranded_accelerators", desired.preference.stranded_accelerators, presence::optional,
-             from_zero);
+             non_negative_real);
   if (desired.preference.group_downtime + desired.preference.stranded_accelerators <= 0) {
     table.problem("group_downtime", "both weights are 0", "at least one above 0");
   }
@@ -189,11 +193,12 @@
 
 void read_planning(table_reader table, rules& desired) {
   table.read("spare_vms_per_data_centre", desired.spare_vms_per_data_centre, presence::optional,
-             any_count);
+             count_range);
   table.read("standbys_per_replica", desired.standbys_per_replica, presence::optional,
              {0, max_vms_per_replica});
-  table.read("vm_failures_per_day", desired.vm_failures_per_day, presence::optional, from_zero);
-  table.read("vm_repair_hours", desired.vm_repair_hours, presence::optional, above_zero);
+  table.read("vm_failures_per_day", desired.vm_failures_per_day, presence::optional,
+             non_negative_real);
+  table.read("vm_repair_hours", desired.vm_repair_hours, presence::optional, positive_real);
   table.finish();
 }
 
@@ -211,7 +216,7 @@
 
 rules_import import_rules(std::string_view text, const std::string& file_name) {
   rules_import result;
-  const auto document = parse_filled_toml(
+  const auto document = parse_nonempty_toml(
       text, file_name, "the rules", "[[model]], [[service]], [[workspace]] and [[class]] tables",
       result.problems);
   if (!document) {
--- a/src/version/placement.cpp
+++ b/src/version/placement.cpp
@@ -1,5 +1,6 @@
-// Choice of VMs. Replicas that work are never moved to make room: a gap that only a move could
-// close stays open until a VM returns, which costs less than the loads of a whole replica.
+// Choice of VMs. Working replicas are never moved to make room: if only a move could give a replica
+// enough VMs, it waits until a VM returns, which costs less than loading all weights of another
+// replica again.
 #include "version/placement.h"
 
 #include <algorithm>
@@ -11,7 +12,7 @@
 
 namespace {
 
-// Members with a gap (an empty name) for each one that is lost or leaves.
+// The members, with an empty id (a gap) in place of each one that is lost or leaving.
 std::vector<vm_id> with_gaps(const plan_draft& draft, const std::vector<vm_id>& members) {
   std::vector<vm_id> result;
   for (const vm_id& vm : members) {
@@ -26,7 +27,7 @@
   return static_cast<std::size_t>(std::ranges::count_if(members, &vm_id::empty));
 }
 
-void fill_gaps_from(std::vector<vm_id>& members, const std::vector<vm_id>& standbys) {
+void fill_gaps_from_standbys(std::vector<vm_id>& members, const std::vector<vm_id>& standbys) {
   auto next = standbys.begin();
   for (vm_id& vm : members) {
     if (vm.empty() && next != standbys.end()) {
@@ -35,9 +36,10 @@
   }
 }
 
-// From `from` as long as it has any; when any domain will do, from as few as possible.
-void fill_gaps_free(plan_draft& draft, std::vector<vm_id>& members, domain_index domain,
-                    std::uint32_t accelerators, domain_index from) {
+// Fills gaps with free VMs of domain `from`, then of `domain`. If `domain` is any_domain, continues
+// with the domain of the VM just taken, so that the replica spans few domains.
+void fill_gaps_from_pool(plan_draft& draft, std::vector<vm_id>& members, domain_index domain,
+                         std::uint32_t accelerators, domain_index from) {
   for (vm_id& vm : members) {
     if (!vm.empty()) {
       continue;
@@ -65,18 +67,18 @@
 
 bool repair_from(plan_draft& draft, draft_replica& r, domain_index domain) {
   std::vector<vm_id> members = with_gaps(draft, r.plan.members);
-  fill_gaps_from(members, usable_standbys(draft, r));
+  fill_gaps_from_standbys(members, usable_standbys(draft, r));
   const std::uint32_t accelerators = r.rule->accelerators_per_vm;
   if (gaps(members) > draft.pool.free_count(domain, accelerators)) {
     return false;
   }
-  fill_gaps_free(draft, members, domain, accelerators, draft.home(r));
-  draft.recompose(r, members, "lost members replaced");
+  fill_gaps_from_pool(draft, members, domain, accelerators, draft.main_domain(r));
+  draft.replace_members(r, members, "lost members replaced");
   return true;
 }
 
-// A domain that can hold the replica whole, with what it has there already.
-std::optional<domain_index> roomy_domain(const plan_draft& draft, const draft_replica& r) {
+// The domain that can hold all members and already has most of the replica's usable VMs.
+std::optional<domain_index> domain_with_capacity(const plan_draft& draft, const draft_replica& r) {
   const std::uint32_t accelerators = r.rule->accelerators_per_vm;
   std::optional<domain_index> best;
   std::size_t best_kept = 0;
@@ -92,7 +94,7 @@
 }
 
 bool relocate(plan_draft& draft, draft_replica& r) {
-  const auto domain = roomy_domain(draft, r);
+  const auto domain = domain_with_capacity(draft, r);
   if (!domain) {
     return false;
   }
@@ -101,44 +103,44 @@
   const auto elsewhere = [&](const vm_id& vm) { return draft.pool.domain_of(vm) != *domain; };
   std::ranges::replace_if(members, elsewhere, vm_id{});
   std::erase_if(standbys, elsewhere);
-  fill_gaps_from(members, standbys);
-  fill_gaps_free(draft, members, *domain, r.rule->accelerators_per_vm, *domain);
-  draft.recompose(r, members, "moved to a domain that holds it whole");
+  fill_gaps_from_standbys(members, standbys);
+  fill_gaps_from_pool(draft, members, *domain, r.rule->accelerators_per_vm, *domain);
+  draft.replace_members(r, members, "moved to a domain that holds it whole");
   return true;
 }
 
 bool wait_for_repair(plan_draft& draft, draft_replica& r, domain_index domain, sources allowed) {
   std::vector<vm_id> members = with_gaps(draft, r.plan.members);
-  fill_gaps_from(members, usable_standbys(draft, r));
+  fill_gaps_from_standbys(members, usable_standbys(draft, r));
   const std::size_t needed = gaps(members);
   const std::uint32_t accelerators = r.rule->accelerators_per_vm;
   const std::size_t free = std::min(needed, draft.pool.free_count(domain, accelerators));
-  r.waiting = obtain(draft, {r.rule, domain, free, needed - free, &r}, allowed);
+  r.waiting = reclaim_vms(draft, {r.rule, domain, free, needed - free, &r}, allowed);
   return r.waiting;
 }
 
 void repair(plan_draft& draft, draft_replica& r) {
-  const bool reshaped = r.plan.members.size() != r.rule->vms_per_replica;
-  if (reshaped) {
+  const bool size_changed = r.plan.members.size() != r.rule->vms_per_replica;
+  if (size_changed) {
     draft.dissolve(r, "broken, and of a size that is no longer wanted");
     return;
   }
-  const domain_index home = draft.home(r);
+  const domain_index main_domain = draft.main_domain(r);
   const bool cross = r.rule->may_cross_fabric_domains;
   const bool in_place = !r.plan.crosses_fabric_domains || cross;
-  if (!r.plan.crosses_fabric_domains && repair_from(draft, r, home)) {
+  if (!r.plan.crosses_fabric_domains && repair_from(draft, r, main_domain)) {
     return;
   }
   if (relocate(draft, r)) {
     return;
   }
-  if (in_place && wait_for_repair(draft, r, home, sources::standbys)) {
+  if (in_place && wait_for_repair(draft, r, main_domain, sources::standbys)) {
     return;
   }
   if (cross && repair_from(draft, r, any_domain)) {
     return;
   }
-  if (in_place && wait_for_repair(draft, r, home, sources::all)) {
+  if (in_place && wait_for_repair(draft, r, main_domain, sources::all)) {
     return;
   }
   if (cross) {
@@ -146,7 +148,8 @@
   }
 }
 
-// The drained replica that the new one succeeds: same model, its VMs not yet taken.
+// The drained replica that the new one replaces: it ran the same model and has a VM that is still
+// free.
 std::optional<replica_plan> predecessor(const plan_draft& draft, const model_rule& rule) {
   const auto still_free = [&](const replica_plan& r) {
     return r.model == rule.id &&
@@ -156,8 +159,8 @@
   return found == draft.released.end() ? std::nullopt : std::optional(*found);
 }
 
-// Best fit, so that large gaps stay large; the predecessor's domain when it has room, since its
-// VMs hold the weights already.
+// Best fit, so that domains with many free VMs keep them. The predecessor's domain is preferred if
+// it has room, since its VMs already hold the weights.
 domain_index best_fit(const plan_draft& draft, const model_rule& rule,
                       const std::optional<replica_plan>& before) {
   const std::uint32_t accelerators = rule.accelerators_per_vm;
@@ -189,12 +192,12 @@
       members[i] = vm;
     }
   }
-  fill_gaps_free(draft, members, domain, rule.accelerators_per_vm, domain);
+  fill_gaps_from_pool(draft, members, domain, rule.accelerators_per_vm, domain);
   return members;
 }
 
-// Domains by how few VMs are lacking there.
-std::vector<domain_index> nearest_domains(const plan_draft& draft, const model_rule& rule) {
+// Domains by number of free and pending VMs, most first.
+std::vector<domain_index> domains_by_availability(const plan_draft& draft, const model_rule& rule) {
   std::vector<domain_index> order(draft.pool.domains());
   for (domain_index d = 0; d < order.size(); ++d) {
     order[d] = d;
@@ -207,18 +210,20 @@
   return order;
 }
 
-bool wait_for_new(plan_draft& draft, const model_rule& rule, domain_index domain, sources allowed) {
+bool wait_for_new_replica(plan_draft& draft, const model_rule& rule, domain_index domain,
+                          sources allowed) {
   const std::size_t free = draft.pool.free_count(domain, rule.accelerators_per_vm);
   const std::size_t used = std::min<std::size_t>(free, rule.vms_per_replica);
-  return obtain(draft, {&rule, domain, used, rule.vms_per_replica - used, nullptr}, allowed);
+  return reclaim_vms(draft, {&rule, domain, used, rule.vms_per_replica - used, nullptr}, allowed);
 }
 
-bool wait_in_one_domain(plan_draft& draft, const model_rule& rule, sources allowed) {
-  return std::ranges::any_of(nearest_domains(draft, rule),
-                             [&](domain_index d) { return wait_for_new(draft, rule, d, allowed); });
+bool wait_in_domain(plan_draft& draft, const model_rule& rule, sources allowed) {
+  return std::ranges::any_of(domains_by_availability(draft, rule), [&](domain_index d) {
+    return wait_for_new_replica(draft, rule, d, allowed);
+  });
 }
 
-bool lay_down_across(plan_draft& draft, const model_rule& rule) {
+bool create_across_domains(plan_draft& draft, const model_rule& rule) {
   const std::size_t free = draft.pool.free_count(any_domain, rule.accelerators_per_vm);
   if (!rule.may_cross_fabric_domains || free < rule.vms_per_replica) {
     return false;
@@ -229,7 +234,7 @@
 }
 
 void repair_rank(plan_draft& draft, std::uint32_t rank) {
-  std::vector<std::size_t> broken;  // indices: obtain() may dissolve, nothing is added meanwhile
+  std::vector<std::size_t> broken;  // indices: reclaim_vms() may dissolve replicas but adds none
   for (std::size_t i = 0; i < draft.replicas.size(); ++i) {
     const draft_replica& r = draft.replicas[i];
     if (r.active() && r.broken() && r.rule != nullptr && r.rule->rank == rank) {
@@ -237,7 +242,7 @@
     }
   }
   std::ranges::sort(broken, [&](std::size_t a, std::size_t b) {
-    return comes_before(draft.replicas[a], draft.replicas[b]);
+    return precedes_in_repair(draft.replicas[a], draft.replicas[b]);
   });
   for (const std::size_t i : broken) {
     if (draft.replicas[i].active()) {
@@ -248,7 +253,7 @@
 
 }  // namespace
 
-bool lay_down(plan_draft& draft, const model_rule& rule, std::size_t keep_free) {
+bool create_replica(plan_draft& draft, const model_rule& rule, std::size_t keep_free) {
   const std::size_t free = draft.pool.free_count(any_domain, rule.accelerators_per_vm);
   if (rule.vms_per_replica == 0 || free < rule.vms_per_replica + keep_free) {
     return false;
@@ -262,10 +267,11 @@
   return true;
 }
 
-bool lay_down_or_wait(plan_draft& draft, const model_rule& rule) {
-  return lay_down(draft, rule, 0) || wait_in_one_domain(draft, rule, sources::standbys) ||
-         lay_down_across(draft, rule) || wait_in_one_domain(draft, rule, sources::all) ||
-         (rule.may_cross_fabric_domains && wait_for_new(draft, rule, any_domain, sources::all));
+bool create_replica_or_wait(plan_draft& draft, const model_rule& rule) {
+  return create_replica(draft, rule, 0) || wait_in_domain(draft, rule, sources::standbys) ||
+         create_across_domains(draft, rule) || wait_in_domain(draft, rule, sources::all) ||
+         (rule.may_cross_fabric_domains &&
+          wait_for_new_replica(draft, rule, any_domain, sources::all));
 }
 
 void repair_and_fill(plan_draft& draft, const std::vector<std::uint32_t>& desired) {
@@ -276,7 +282,7 @@
       repair_rank(draft, models[i]->rank);
     }
     for (std::uint32_t n = draft.count_active(models[i]->id); n < desired[i]; ++n) {
-      if (!lay_down_or_wait(draft, *models[i])) {
+      if (!create_replica_or_wait(draft, *models[i])) {
         break;
       }
     }
--- a/src/version/plan_draft.cpp
+++ b/src/version/plan_draft.cpp
@@ -1,4 +1,4 @@
-// The moves of a plan.
+// The actions that make up a plan.
 #include "version/plan_draft.h"
 
 #include <algorithm>
@@ -53,18 +53,18 @@
       r.plan.crosses_fabric_domains = crosses(r.plan.members);
     }
     if (r.plan.gen != before->gen) {
-      say(r.plan.id, "activation " + to_string(r.plan.gen) + " entered");
+      add_reason(r.plan.id, "activation " + to_string(r.plan.gen) + " entered");
     }
     if (std::ranges::find(merge_result.superseded, r.plan.id) != merge_result.superseded.end()) {
       r.plan.gen = {next_version_, 0, 0};
-      say(r.plan.id, "new token, since one that the row does not know is in force");
+      add_reason(r.plan.id, "new token, since one that the row does not know is in force");
     }
     refresh(r);
     replicas.push_back(std::move(r));
   }
   std::ranges::sort(replicas, {},
                     [](const draft_replica& r) -> const replica_id& { return r.plan.id; });
-  withdrew_ = merge_result.changed;
+  withdrawals_changed_ = merge_result.changed;
 }
 
 void plan_draft::drop_acknowledged() {
@@ -97,7 +97,7 @@
   }
 }
 
-// Once a member is lost the replica is changed anyway, and its leaving members go with it.
+// Once a member is lost, the replica is changed anyway, so its leaving members are replaced too.
 void plan_draft::refresh(draft_replica& r) const {
   std::uint32_t lost = 0;
   std::uint32_t leaving = 0;
@@ -110,7 +110,7 @@
   r.serving = lost == 0 && serving_.contains(r.plan.id);
 }
 
-std::uint32_t plan_draft::base_replicas(const model_rule& rule) const {
+std::uint32_t plan_draft::configured_replicas(const model_rule& rule) const {
   std::uint32_t sum = 0;
   for (const model_placement& p : rule.placements) {
     sum += p.data_centre == in_.data_centre ? p.replicas : 0;
@@ -125,7 +125,7 @@
 
 bool plan_draft::outdated(const draft_replica& r) const {
   if (r.rule == nullptr) {
-    return false;  // not desired at all: surplus
+    return false;  // the model has no rule: the replica is surplus
   }
   const bool too_small = std::ranges::any_of(r.plan.members, [&](const vm_id& vm) {
     return pool.usable(vm) && !pool.usable(vm, r.rule->accelerators_per_vm);
@@ -146,13 +146,13 @@
   }));
 }
 
-bool plan_draft::in_change(const model_id& model) const {
+bool plan_draft::is_changing(const model_id& model) const {
   return std::ranges::any_of(replicas, [&](const draft_replica& r) {
     return r.plan.model == model && (r.draining() || (r.active() && !r.serving));
   });
 }
 
-domain_index plan_draft::home(const draft_replica& r) const {
+domain_index plan_draft::main_domain(const draft_replica& r) const {
   std::map<domain_index, std::size_t> counts;
   for (const vm_id& vm : r.plan.members) {
     if (pool.usable(vm)) {
@@ -188,19 +188,19 @@
 void plan_draft::withdraw(const vm_id& vm, const replica_id& from) {
   withdrawals_.push_back({vm, from, next_version_});
   pool.add_pending(vm);
-  withdrew_ = true;
+  withdrawals_changed_ = true;
 }
 
-void plan_draft::recompose(draft_replica& r, const std::vector<vm_id>& members,
-                           const std::string& reason) {
+void plan_draft::replace_members(draft_replica& r, const std::vector<vm_id>& members,
+                                 const std::string& reason) {
   for (const vm_id& vm : r.plan.members) {
     if (!contains(members, vm)) {
       withdraw(vm, r.plan.id);
     }
   }
-  const domain_index before = home(r);
+  const domain_index before = main_domain(r);
   r.plan.members = members;
-  const bool moved = home(r) != before;
+  const bool moved = main_domain(r) != before;
   std::vector<vm_id> standbys = std::exchange(r.plan.standbys, {});
   for (const vm_id& vm : standbys) {
     if (contains(members, vm)) {
@@ -218,13 +218,13 @@
   r.waiting = false;
   refresh(r);
   r.serving = false;
-  say(r.plan.id, reason);
+  add_reason(r.plan.id, reason);
 }
 
-void plan_draft::take_back_standby(draft_replica& r, const vm_id& vm, const std::string& reason) {
+void plan_draft::withdraw_standby(draft_replica& r, const vm_id& vm, const std::string& reason) {
   std::erase(r.plan.standbys, vm);
   withdraw(vm, r.plan.id);
-  say(r.plan.id, reason);
+  add_reason(r.plan.id, reason);
 }
 
 void plan_draft::dissolve(draft_replica& r, const std::string& reason) {
@@ -235,14 +235,14 @@
     withdraw(vm, r.plan.id);
   }
   r.removed = true;
-  say(r.plan.id, reason);
+  add_reason(r.plan.id, reason);
 }
 
 void plan_draft::drain(draft_replica& r, const std::string& reason) {
   r.plan.phase = replica_phase::draining;
   std::ranges::for_each(r.plan.members, [&](const vm_id& vm) { pool.add_pending(vm); });
   std::ranges::for_each(r.plan.standbys, [&](const vm_id& vm) { pool.add_pending(vm); });
-  say(r.plan.id, reason);
+  add_reason(r.plan.id, reason);
 }
 
 void plan_draft::release(draft_replica& r) {
@@ -254,12 +254,12 @@
   }
   r.removed = true;
   released.push_back(r.plan);
-  say(r.plan.id, "drained and removed");
+  add_reason(r.plan.id, "drained and removed");
 }
 
 draft_replica& plan_draft::add(const model_rule& rule, const std::vector<vm_id>& members) {
   draft_replica r;
-  // Never used before or again: the version only rises.
+  // The id is unique, since the row version only increases.
   r.plan.id = replica_id{rule.id.str() + "." + in_.data_centre.str() + "." +
                          std::to_string(next_version_) + "." + std::to_string(added_++)};
   r.plan.model = rule.id;
@@ -268,17 +268,17 @@
   r.plan.crosses_fabric_domains = crosses(members);
   r.plan.gen = {next_version_, 0, 0};
   r.rule = &rule;
-  say(r.plan.id, "laid down");
+  add_reason(r.plan.id, "laid down");
   replicas.push_back(std::move(r));
   return replicas.back();
 }
 
-void plan_draft::say(const replica_id& replica, const std::string& what) {
+void plan_draft::add_reason(const replica_id& replica, const std::string& what) {
   reasons_.push_back(replica.str() + ": " + what);
 }
 
-// Acknowledged withdrawals fall out of the row with the next real change; they alone are not
-// worth a write.
+// Acknowledged withdrawals are removed from the row with the next other change. Removing them does
+// not justify a write of its own.
 plan plan_draft::finish() const {
   plan result;
   result.next = *in_.current;
@@ -291,7 +291,7 @@
   std::ranges::sort(next, {}, &replica_plan::id);
   std::vector<replica_plan> before = in_.current->replicas;
   std::ranges::sort(before, {}, &replica_plan::id);
-  result.changed = withdrew_ || next != before;
+  result.changed = withdrawals_changed_ || next != before;
   if (!result.changed) {
     return result;
   }
--- a/src/version/planner_bench.cpp
+++ b/src/version/planner_bench.cpp
@@ -1,4 +1,5 @@
-// One data centre whose VMs fail, leave and return by a seed; every row is acknowledged at once.
+// Simulates one data centre whose VMs fail, leave and return in a sequence given by a seed. Every
+// row is acknowledged immediately.
 #include "version/planner_bench.h"
 
 #include <algorithm>
@@ -16,17 +17,18 @@
 
 namespace {
 
-// A sixteenth of a fleet of 2,700 accelerators, in fabric domains of two replicas and two spares.
-constexpr std::size_t planned_domains = 5;
+// One sixteenth of a fleet of 2,700 accelerators. Each fabric domain has VMs for two replicas and
+// two spares.
+constexpr std::size_t bench_domains = 5;
 constexpr std::size_t vms_per_domain = 34;
 constexpr std::uint32_t vms_per_replica = 16;
 constexpr std::uint32_t replicas_per_domain = 2;
-// A plan that is not settled after so many rows would write for ever.
-constexpr int most_rows_per_change = 20;
+// A planner that still changes the row after this many rows is considered not to converge.
+constexpr int max_rows_per_change = 20;
 
-class planned_data_centre {
+class bench_data_centre {
  public:
-  explicit planned_data_centre(std::size_t domains) {
+  explicit bench_data_centre(std::size_t domains) {
     row_.data_centre = data_centre_id{"dc-01"};
     row_.version = 1;
     config_.version = 1;
@@ -48,9 +50,9 @@
   [[nodiscard]] const assignment& row() const { return row_; }
   void set(std::size_t vm, vm_condition condition) { health_[vm].condition = condition; }
 
-  // Plans until nothing changes, and counts.
+  // Plans until nothing changes, and counts plans and rows in `history`.
   void settle(planner_history& history) {
-    for (int i = 0; i < most_rows_per_change; ++i) {
+    for (int i = 0; i < max_rows_per_change; ++i) {
       plan next = make_plan(input());
       ++history.plans;
       if (!next.changed) {
@@ -62,7 +64,7 @@
     }
   }
 
-  // Median of several, in milliseconds of processor time.
+  // Median processor time of several plans.
   [[nodiscard]] double plan_milliseconds() const {
     constexpr int runs = 15;
     const planner_input in = input();
@@ -90,7 +92,7 @@
     }
   }
 
-  [[nodiscard]] bool whole(const replica_plan& replica) const {
+  [[nodiscard]] bool is_complete(const replica_plan& replica) const {
     return std::ranges::all_of(replica.members, [&](const vm_id& vm) {
       const auto found = std::ranges::lower_bound(health_, vm, {}, &vm_health::vm);
       return found != health_.end() && found->vm == vm && found->condition != vm_condition::lost;
@@ -107,7 +109,7 @@
     for (const replica_plan& replica : row_.replicas) {
       if (replica.phase == replica_phase::draining) {
         in.emptied.push_back(replica.id);
-      } else if (whole(replica)) {
+      } else if (is_complete(replica)) {
         in.serving.push_back(replica.id);
       }
     }
@@ -116,28 +118,28 @@
 
   configuration config_;
   assignment row_;
-  std::vector<vm_health> health_;  // in order of id
+  std::vector<vm_health> health_;  // ordered by id
 };
 
-vm_condition draw_condition(rng& random) {
-  // Mostly back to work, so that the data centre stays near whole.
-  constexpr vm_condition drawn[] = {vm_condition::working, vm_condition::working,
-                                    vm_condition::working, vm_condition::suspect,
-                                    vm_condition::lost,    vm_condition::leaving};
-  return drawn[random.below(std::size(drawn))];
+vm_condition random_condition(rng& random) {
+  // Half of the entries are `working`, so that most VMs of the data centre work at any time.
+  constexpr vm_condition choices[] = {vm_condition::working, vm_condition::working,
+                                      vm_condition::working, vm_condition::suspect,
+                                      vm_condition::lost,    vm_condition::leaving};
+  return choices[random.below(std::size(choices))];
 }
 
 }  // namespace
 
 planner_history run_planner_history(std::size_t changes, std::uint64_t seed) {
-  planned_data_centre dc(planned_domains);
+  bench_data_centre dc(bench_domains);
   planner_history history;
   rng random(seed);
   dc.settle(history);
   for (std::size_t i = 0; i < changes; ++i) {
-    // Changes hit a few VMs, so that each fails and returns several times.
+    // Only every fourth VM changes, so that each of them fails and returns several times.
     const std::size_t vm = random.below(dc.vms() / 4) * 4;
-    dc.set(vm, draw_condition(random));
+    dc.set(vm, random_condition(random));
     ++history.changes;
     dc.settle(history);
   }
@@ -145,8 +147,8 @@
 }
 
 void print_planner_cost(std::ostream& out) {
-  for (const std::size_t domains : {planned_domains, 10 * planned_domains}) {
-    planned_data_centre dc(domains);
+  for (const std::size_t domains : {bench_domains, 10 * bench_domains}) {
+    bench_data_centre dc(domains);
     planner_history history;
     dc.settle(history);
     out << std::fixed << std::setprecision(2) << std::setw(5) << dc.vms() << " VMs: row of "
--- a/src/version/shortage.cpp
+++ b/src/version/shortage.cpp
@@ -1,4 +1,4 @@
-// Obtaining VMs, cheapest source first. A loss of capacity that serves comes last, and only for a
+// Reclaims VMs, cheapest source first. Serving capacity is taken last, and only surplus or for a
 // model of higher rank.
 #include "version/shortage.h"
 
@@ -14,8 +14,8 @@
          (need.domain == any_domain || draft.pool.domain_of(vm) == need.domain);
 }
 
-// Without the standbys, which are a source of their own.
-std::size_t members_for(const plan_draft& draft, const shortage& need, const draft_replica& r) {
+// Does not count standbys, which are a separate source.
+std::size_t usable_members(const plan_draft& draft, const shortage& need, const draft_replica& r) {
   return static_cast<std::size_t>(std::ranges::count_if(
       r.plan.members, [&](const vm_id& vm) { return in_domain(draft, need, vm); }));
 }
@@ -25,15 +25,16 @@
   vm_id vm;
 };
 
-// Last in the order of repair first, and of each replica its last standby first.
-std::vector<standby_ref> standbys_of_others(plan_draft& draft, const shortage& need) {
+// Standbys of the replica that is repaired last come first; of each replica, its last standby.
+std::vector<standby_ref> reclaimable_standbys(plan_draft& draft, const shortage& need) {
   std::vector<draft_replica*> owners;
   for (draft_replica& r : draft.replicas) {
     if (r.active() && &r != need.self && !r.plan.standbys.empty()) {
       owners.push_back(&r);
     }
   }
-  std::ranges::sort(owners, [](const auto* a, const auto* b) { return comes_before(*b, *a); });
+  std::ranges::sort(owners,
+                    [](const auto* a, const auto* b) { return precedes_in_repair(*b, *a); });
   std::vector<standby_ref> found;
   for (draft_replica* r : owners) {
     for (std::size_t i = r->plan.standbys.size(); i > need.standbys_kept; --i) {
@@ -46,45 +47,49 @@
   return found;
 }
 
-// A broken replica gives its VMs to one that comes before it. One that was tried and could not be
-// repaired gives them to a new one, also of its own rank: it serves nobody as it is.
-std::vector<draft_replica*> broken_donors(plan_draft& draft, const shortage& need) {
+// A broken replica gives up its VMs to a replica that precedes it in the order of repair. One that
+// could not be repaired also gives them up to a new replica of its own rank, since it does not
+// serve.
+std::vector<draft_replica*> broken_replicas_to_dissolve(plan_draft& draft, const shortage& need) {
   std::vector<draft_replica*> donors;
   for (draft_replica& r : draft.replicas) {
     const bool idle = r.active() && r.broken() && !r.waiting && &r != need.self;
     if (!idle) {
       continue;
     }
-    const bool later = need.self != nullptr ? comes_before(*need.self, r)
+    const bool later = need.self != nullptr ? precedes_in_repair(*need.self, r)
                                             : r.rule == nullptr || r.rule->rank >= need.rule->rank;
-    if (later && members_for(draft, need, r) > 0) {
+    if (later && usable_members(draft, need, r) > 0) {
       donors.push_back(&r);
     }
   }
-  std::ranges::sort(donors, [](const auto* a, const auto* b) { return comes_before(*b, *a); });
+  std::ranges::sort(donors,
+                    [](const auto* a, const auto* b) { return precedes_in_repair(*b, *a); });
   return donors;
 }
 
-// A model that has more than its placements say gives the surplus back to any other.
-bool may_lose_one(const plan_draft& draft, const shortage& need, const draft_replica& r) {
+// A model with more serving replicas than its placements give it can lose the surplus to any other.
+bool can_give_up_replica(const plan_draft& draft, const shortage& need, const draft_replica& r) {
   const bool lower_rank = r.rule->rank > need.rule->rank;
-  const bool beyond = draft.count_serving(r.plan.model) > draft.base_replicas(*r.rule);
+  const bool beyond = draft.count_serving(r.plan.model) > draft.configured_replicas(*r.rule);
   return r.plan.model != need.rule->id && (lower_rank || beyond);
 }
 
-// The serving replica of the lowest rank that alone suffices. One per model at a time.
-draft_replica* serving_donor(plan_draft& draft, const shortage& need, std::size_t lacking) {
+// The serving replica that is last in the order of repair and has enough VMs by itself. At most one
+// replica of a model drains at a time.
+draft_replica* serving_replica_to_drain(plan_draft& draft, const shortage& need,
+                                        std::size_t lacking) {
   draft_replica* best = nullptr;
   for (draft_replica& r : draft.replicas) {
     const bool candidate =
-        r.active() && !r.broken() && r.rule != nullptr && may_lose_one(draft, need, r);
+        r.active() && !r.broken() && r.rule != nullptr && can_give_up_replica(draft, need, r);
     if (!candidate || draft.usable_in(r, need.domain, need.rule->accelerators_per_vm) < lacking) {
       continue;
     }
     const bool draining = std::ranges::any_of(draft.replicas, [&](const draft_replica& other) {
       return other.draining() && other.plan.model == r.plan.model;
     });
-    if (!draining && (best == nullptr || comes_before(*best, r))) {
+    if (!draining && (best == nullptr || precedes_in_repair(*best, r))) {
       best = &r;
     }
   }
@@ -93,29 +98,29 @@
 
 }  // namespace
 
-bool comes_before(const draft_replica& a, const draft_replica& b) {
+bool precedes_in_repair(const draft_replica& a, const draft_replica& b) {
   constexpr std::uint32_t last = ~std::uint32_t{0};
   const std::uint32_t rank_a = a.rule == nullptr ? last : a.rule->rank;
   const std::uint32_t rank_b = b.rule == nullptr ? last : b.rule->rank;
   return std::tie(rank_a, a.missing, a.plan.id) < std::tie(rank_b, b.missing, b.plan.id);
 }
 
-bool obtain(plan_draft& draft, const shortage& need, sources allowed) {
+bool reclaim_vms(plan_draft& draft, const shortage& need, sources allowed) {
   const std::uint32_t accelerators = need.rule->accelerators_per_vm;
   const std::size_t pending =
       std::min(need.lacking, draft.pool.pending_count(need.domain, accelerators));
   std::size_t lacking = need.lacking - pending;
   std::vector<standby_ref> standbys;
   if (lacking > 0) {
-    standbys = standbys_of_others(draft, need);
+    standbys = reclaimable_standbys(draft, need);
     standbys.resize(std::min(standbys.size(), lacking), standby_ref{nullptr, {}});
     lacking -= standbys.size();
   }
   std::vector<draft_replica*> dissolved;
   draft_replica* drained = nullptr;
   if (lacking > 0 && allowed == sources::all) {
-    for (draft_replica* donor : broken_donors(draft, need)) {
-      const std::size_t gives = members_for(draft, need, *donor);
+    for (draft_replica* donor : broken_replicas_to_dissolve(draft, need)) {
+      const std::size_t gives = usable_members(draft, need, *donor);
       dissolved.push_back(donor);
       lacking -= std::min(lacking, gives);
       if (lacking == 0) {
@@ -126,7 +131,7 @@
       dissolved.clear();
       standbys.clear();
       lacking = need.lacking - pending;
-      drained = serving_donor(draft, need, lacking);
+      drained = serving_replica_to_drain(draft, need, lacking);
       lacking = drained == nullptr ? lacking : 0;
     }
   }
@@ -137,7 +142,7 @@
   for (const standby_ref& s : standbys) {
     const bool gone = std::ranges::find(dissolved, s.owner) != dissolved.end();
     if (!gone) {
-      draft.take_back_standby(*s.owner, s.vm, "standby " + s.vm.str() + " taken back for " + name);
+      draft.withdraw_standby(*s.owner, s.vm, "standby " + s.vm.str() + " taken back for " + name);
     }
   }
   for (draft_replica* donor : dissolved) {
@@ -146,7 +151,7 @@
   if (drained != nullptr) {
     draft.drain(*drained, "drained in favour of " + name);
   }
-  draft.pool.promise(need.domain, accelerators, need.free, need.lacking);
+  draft.pool.reserve_vms(need.domain, accelerators, need.free, need.lacking);
   return true;
 }
 
--- a/src/version/standby.cpp
+++ b/src/version/standby.cpp
@@ -1,9 +1,9 @@
-// The price of a standby against the downtime that it saves.
+// Weighs the cost of a standby against the downtime that it saves.
 //
-// A failure that finds an own standby costs about the load of weights, with and without the table;
-// that part is common to all choices and left out. One that finds none is repaired through the
-// table from a shared spare: in an outage of the table that waits for its end, and without a spare
-// in the domain it waits for the VM itself.
+// If a replica has a standby of its own, a failure costs about one load of weights, whether the
+// table is reachable or not. This cost occurs with every choice and is left out. Without a standby,
+// the replica is repaired through the table from a shared spare: during an outage of the table the
+// repair waits for its end, and without a spare in the domain it waits until the failed VM is back.
 #include "version/standby.h"
 
 #include <algorithm>
@@ -13,17 +13,17 @@
 
 namespace {
 
-// Share of the time in which the row cannot be written (outage, or the data centre is cut off),
-// and how long is left of that time, in the mean, when a failure falls into it. From an hour of
-// each kind of outage in a day; a user's own record should replace it once there is one.
-constexpr double unwritable_share = 2.0 / 24.0;
-constexpr double unwritable_rest_hours = 0.5;
-// A reservation taken back has to be acknowledged by every live node: a few rounds of gossip.
+// Fraction of time in which the row cannot be written (outage of the table, or the data centre is
+// cut off), and the mean time left of such an outage when a failure occurs during it. Assumes one
+// hour of each kind of outage per day; recorded outages of the site should replace this estimate.
+constexpr double unwritable_fraction = 2.0 / 24.0;
+constexpr double mean_unwritable_hours_left = 0.5;
+// Every live node has to acknowledge that a reservation is withdrawn: a few rounds of gossip.
 constexpr double handover_hours = 3.0 / 3600.0;
-// More are never worth it at rates seen so far; bounds the search.
-constexpr std::uint32_t most_standbys = 4;
+// Bounds the search: more standbys are not worthwhile at the failure rates seen in practice.
+constexpr std::uint32_t max_standbys = 4;
 
-// Probability that a Poisson variable reaches `n`.
+// Probability that a Poisson variable with this mean is at least `n`.
 double poisson_at_least(double mean, double n) {
   double below = 0;
   double term = std::exp(-mean);
@@ -34,23 +34,24 @@
   return std::clamp(1.0 - below, 0.0, 1.0);
 }
 
-double wait_without_standby(const standby_question& q) {
+double wait_without_standby(const standby_inputs& q) {
   const double vms = q.replicas_per_domain * q.members;
   const double in_repair = vms * q.failures_per_hour * q.repair_hours;
   const double no_spare = poisson_at_least(in_repair, std::floor(q.spares_per_domain));
-  return no_spare * q.repair_hours + (1 - no_spare) * unwritable_share * unwritable_rest_hours;
+  return no_spare * q.repair_hours +
+         (1 - no_spare) * unwritable_fraction * mean_unwritable_hours_left;
 }
 
-// A replica that is down also strands its accelerators, so that both weights count against it.
-// All in VM-hours per hour, so that the weights need no conversion.
-double price_of_downtime(const standby_question& q, double hours) {
+// A replica that is down also strands its accelerators, so both weights apply. All costs are in
+// VM-hours per hour, so that the weights need no conversion.
+double downtime_cost(const standby_inputs& q, double hours) {
   return hours * q.members * (q.preference.group_downtime + q.preference.stranded_accelerators);
 }
 
 template <class Cost>
 std::uint32_t cheapest(Cost cost) {
   std::uint32_t best = 0;
-  for (std::uint32_t k = 1; k <= most_standbys; ++k) {
+  for (std::uint32_t k = 1; k <= max_standbys; ++k) {
     best = cost(k) < cost(best) ? k : best;
   }
   return best;
@@ -58,35 +59,36 @@
 
 }  // namespace
 
-double expected_downtime(const standby_question& q, std::uint32_t standbys) {
+double expected_downtime(const standby_inputs& q, std::uint32_t standbys) {
   const double in_repair = (q.members + standbys) * q.failures_per_hour * q.repair_hours;
-  const double none_left = poisson_at_least(in_repair, standbys);
-  return q.members * q.failures_per_hour * none_left * wait_without_standby(q);
+  const double no_standby_left = poisson_at_least(in_repair, standbys);
+  return q.members * q.failures_per_hour * no_standby_left * wait_without_standby(q);
 }
 
-standby_answer standbys_worth(const standby_question& q) {
-  standby_answer answer;
-  answer.worth_paying = cheapest([&](std::uint32_t k) {
-    return price_of_downtime(q, expected_downtime(q, k)) + k * q.preference.stranded_accelerators;
+standby_counts worthwhile_standbys(const standby_inputs& q) {
+  standby_counts result;
+  result.worthwhile_count = cheapest([&](std::uint32_t k) {
+    return downtime_cost(q, expected_downtime(q, k)) + k * q.preference.stranded_accelerators;
   });
   const double others = std::max(0.0, q.replicas_per_domain - 1) * q.members * q.failures_per_hour;
-  answer.worth_when_idle = cheapest([&](std::uint32_t k) {
-    return price_of_downtime(q, expected_downtime(q, k) + k * others * handover_hours);
+  result.worthwhile_count_when_idle = cheapest([&](std::uint32_t k) {
+    return downtime_cost(q, expected_downtime(q, k) + k * others * handover_hours);
   });
-  answer.worth_when_idle = std::max(answer.worth_when_idle, answer.worth_paying);
-  return answer;
+  result.worthwhile_count_when_idle =
+      std::max(result.worthwhile_count_when_idle, result.worthwhile_count);
+  return result;
 }
 
-standby_question ask_for(const plan_draft& draft, const model_rule& rule) {
+standby_inputs standby_inputs_for(const plan_draft& draft, const model_rule& rule) {
   const rules& desired = draft.desired();
   const double fleet =
       std::max<double>(1, static_cast<double>(draft.in().config->assets.vms.size()));
   const double domains = std::max<double>(1, draft.pool.domains());
   double replicas = 0;
   for (const model_rule* other : draft.models()) {
-    replicas += draft.base_replicas(*other);
+    replicas += draft.configured_replicas(*other);
   }
-  standby_question q;
+  standby_inputs q;
   q.members = rule.vms_per_replica;
   q.failures_per_hour = desired.vm_failures_per_day / fleet / 24.0;
   q.repair_hours = desired.vm_repair_hours;
@@ -102,7 +104,7 @@
   }
   std::uint32_t most = 0;
   for (const model_rule* rule : draft.models()) {
-    most = std::max(most, standbys_worth(ask_for(draft, *rule)).worth_paying);
+    most = std::max(most, worthwhile_standbys(standby_inputs_for(draft, *rule)).worthwhile_count);
   }
   return most;
 }
@@ -112,17 +114,17 @@
 struct reservation {
   std::size_t replica;    // index in the draft
   std::size_t desired;    // standbys
-  std::size_t keep_free;  // shared spares that it must leave
+  std::size_t keep_free;  // shared spares that must remain free
 };
 
-bool present(const plan_draft& draft, const vm_id& vm) {
+bool is_present(const plan_draft& draft, const vm_id& vm) {
   const vm_condition c = draft.pool.condition(vm);
   return c == vm_condition::working || c == vm_condition::suspect;
 }
 
-std::size_t count_present(const plan_draft& draft, const draft_replica& r) {
-  return static_cast<std::size_t>(
-      std::ranges::count_if(r.plan.standbys, [&](const vm_id& vm) { return present(draft, vm); }));
+std::size_t count_present_standbys(const plan_draft& draft, const draft_replica& r) {
+  return static_cast<std::size_t>(std::ranges::count_if(
+      r.plan.standbys, [&](const vm_id& vm) { return is_present(draft, vm); }));
 }
 
 std::vector<reservation> reservations(const plan_draft& draft) {
@@ -130,7 +132,8 @@
   const bool fixed = desired.standbys_per_replica > 0;
   std::vector<reservation> list;
   for (const model_rule* rule : draft.models()) {
-    const std::uint32_t idle = standbys_worth(ask_for(draft, *rule)).worth_when_idle;
+    const std::uint32_t idle =
+        worthwhile_standbys(standby_inputs_for(draft, *rule)).worthwhile_count_when_idle;
     const std::size_t room =
         max_positions - std::min<std::size_t>(max_positions, rule->vms_per_replica);
     for (std::size_t i = 0; i < draft.replicas.size(); ++i) {
@@ -145,36 +148,36 @@
   return list;
 }
 
-// The newcomer takes the place of one that is gone, if there is one; a standby that is gone and
-// cannot be renewed stays, since it may come back.
+// The new standby replaces a lost or leaving one, if any. A lost standby for which there is no
+// replacement stays, since it may return.
 void add_standby(plan_draft& draft, draft_replica& r, const vm_id& vm) {
-  const auto gone =
-      std::ranges::find_if(r.plan.standbys, [&](const vm_id& old) { return !present(draft, old); });
+  const auto gone = std::ranges::find_if(r.plan.standbys,
+                                         [&](const vm_id& old) { return !is_present(draft, old); });
   if (gone != r.plan.standbys.end()) {
-    draft.take_back_standby(r, vm_id{*gone}, "lost standby replaced");
+    draft.withdraw_standby(r, vm_id{*gone}, "lost standby replaced");
   }
   r.plan.standbys.push_back(vm);
-  draft.say(r.plan.id, "standby " + vm.str() + " reserved");
+  draft.add_reason(r.plan.id, "standby " + vm.str() + " reserved");
 }
 
-void reserve(plan_draft& draft, const reservation& want, std::size_t level) {
-  draft_replica& r = draft.replicas[want.replica];
+void reserve_to_level(plan_draft& draft, const reservation& entry, std::size_t level) {
+  draft_replica& r = draft.replicas[entry.replica];
   const std::uint32_t accelerators = r.rule->accelerators_per_vm;
-  const bool enough = level > want.desired || count_present(draft, r) >= level;
-  const domain_index home = draft.home(r);
-  if (enough || home == any_domain ||
-      draft.pool.free_count(any_domain, accelerators) <= want.keep_free) {
+  const bool enough = level > entry.desired || count_present_standbys(draft, r) >= level;
+  const domain_index main_domain = draft.main_domain(r);
+  if (enough || main_domain == any_domain ||
+      draft.pool.free_count(any_domain, accelerators) <= entry.keep_free) {
     return;
   }
-  if (const auto vm = draft.pool.take_free(home, accelerators)) {
+  if (const auto vm = draft.pool.take_free(main_domain, accelerators)) {
     add_standby(draft, r, *vm);
   }
 }
 
-void give_back(plan_draft& draft, const reservation& want) {
-  draft_replica& r = draft.replicas[want.replica];
-  while (count_present(draft, r) > want.desired) {
-    draft.take_back_standby(r, vm_id{r.plan.standbys.back()}, "standby no longer wanted");
+void release_surplus(plan_draft& draft, const reservation& entry) {
+  draft_replica& r = draft.replicas[entry.replica];
+  while (count_present_standbys(draft, r) > entry.desired) {
+    draft.withdraw_standby(r, vm_id{r.plan.standbys.back()}, "standby no longer wanted");
   }
 }
 
@@ -183,14 +186,14 @@
 void reserve_standbys(plan_draft& draft) {
   const std::vector<reservation> list = reservations(draft);
   std::size_t levels = 0;
-  for (const reservation& want : list) {
-    give_back(draft, want);
-    levels = std::max(levels, want.desired);
+  for (const reservation& entry : list) {
+    release_surplus(draft, entry);
+    levels = std::max(levels, entry.desired);
   }
-  // Everybody's first before anybody's second.
+  // Each replica gets its first standby before any replica gets a second one.
   for (std::size_t level = 1; level <= levels; ++level) {
-    for (const reservation& want : list) {
-      reserve(draft, want, level);
+    for (const reservation& entry : list) {
+      reserve_to_level(draft, entry, level);
     }
   }
 }
--- a/src/version/toml_parse.cpp
+++ b/src/version/toml_parse.cpp
@@ -1,4 +1,4 @@
-// TOML by toml++, turned into plain values with places.
+// Parses TOML with toml++ and converts it to plain values with their places in the file.
 #include <toml++/toml.h>
 
 #include <algorithm>
@@ -12,18 +12,18 @@
 
 namespace {
 
-// Goes wrong: "a.a.a. ..." nests one table per dot, and taking thousands of nested tables apart
-// overflows the stack, which ends the program without a finding. The parser limits how deeply
-// brackets nest, but not this. Real files nest less than ten levels.
+// A key "a.a.a. ..." nests one table per dot, and destroying thousands of nested tables overflows
+// the stack, which ends the program without a finding. The parser limits the nesting of brackets,
+// but not of dotted keys. Real files nest less than ten levels.
 constexpr std::size_t max_nesting = 64;
 
-// Follows brackets and dots of keys without building anything. Exact for text that is TOML; where
-// it is not, the parser stops at the same place, so that nothing deeper is ever built.
-class nesting_scan {
+// Computes the nesting depth from brackets and dots of keys without building any tables. Exact for
+// valid TOML; at invalid text the parser stops too, so that it never builds deeper tables.
+class nesting_scanner {
  public:
-  explicit nesting_scan(std::string_view text) : text_(text) {}
+  explicit nesting_scanner(std::string_view text) : text_(text) {}
 
-  // The line where the limit is exceeded; empty when it never is.
+  // The line where the limit is exceeded, if any.
   std::optional<std::uint32_t> run() {
     while (at_ < text_.size()) {
       step();
@@ -54,15 +54,15 @@
     } else if (c == '[' || c == '{') {
       dots_.push_back(0);
     } else if ((c == ']' || c == '}') && dots_.size() > 1) {
-      forget_dots();
+      reset_dots();
       dots_.pop_back();
     } else if (c == ',' || (c == '\n' && dots_.size() == 1)) {
-      forget_dots();
+      reset_dots();
     }
     line_ += c == '\n' ? 1 : 0;
   }
 
-  void forget_dots() {
+  void reset_dots() {
     total_dots_ -= dots_.back();
     dots_.back() = 0;
   }
@@ -89,8 +89,9 @@
   std::string_view text_;
   std::size_t at_ = 0;
   std::uint32_t line_ = 1;
-  std::vector<std::size_t> dots_{0};  // for each open bracket, of its current key; first: none open
-  std::size_t total_dots_ = 0;        // invariant: the sum of dots_
+  // Dots of the current key, at top level (first) and in each open bracket.
+  std::vector<std::size_t> dots_{0};
+  std::size_t total_dots_ = 0;  // invariant: the sum of dots_
 };
 
 place to_place(const std::string& file, const toml::source_position& at) {
@@ -127,8 +128,8 @@
     result.data = convert_array(*array, file);
   } else if (const auto* text = node.as_string()) {
     result.data = text->get();
-  } else if (const auto* whole = node.as_integer()) {
-    result.data = whole->get();
+  } else if (const auto* integer = node.as_integer()) {
+    result.data = integer->get();
   } else if (const auto* real = node.as_floating_point()) {
     result.data = real->get();
   } else if (const auto* flag = node.as_boolean()) {
@@ -141,7 +142,7 @@
 
 std::optional<toml_table> parse_toml(std::string_view text, const std::string& file_name,
                                      findings& problems) {
-  if (const auto line = nesting_scan(text).run()) {
+  if (const auto line = nesting_scanner(text).run()) {
     problems.push_back({severity::error,
                         {file_name, *line, 0},
                         "values or keys nest too deeply",
@@ -159,9 +160,9 @@
   return std::nullopt;
 }
 
-std::optional<toml_table> parse_filled_toml(std::string_view text, const std::string& file_name,
-                                            const std::string& what, const std::string& expected,
-                                            findings& problems) {
+std::optional<toml_table> parse_nonempty_toml(std::string_view text, const std::string& file_name,
+                                              const std::string& what, const std::string& expected,
+                                              findings& problems) {
   auto document = parse_toml(text, file_name, problems);
   if (document && document->fields.empty()) {
     problems.push_back({severity::error, {file_name, 0, 0}, what + " are empty", expected});
--- a/src/version/toml_reader.cpp
+++ b/src/version/toml_reader.cpp
@@ -25,25 +25,26 @@
   return out.str();
 }
 
-std::string expected_text(const whole_range& range) {
-  if (range.most == std::numeric_limits<std::uint32_t>::max()) {
-    return "a whole number from " + std::to_string(range.least);
+std::string expected_text(const integer_range& range) {
+  if (range.max_value == std::numeric_limits<std::uint32_t>::max()) {
+    return "a whole number from " + std::to_string(range.min_value);
   }
-  return "a whole number from " + std::to_string(range.least) + " to " + std::to_string(range.most);
+  return "a whole number from " + std::to_string(range.min_value) + " to " +
+         std::to_string(range.max_value);
 }
 
 std::string expected_text(const real_range& range) {
-  std::string text = (range.above_least ? "a number above " : "a number from ");
-  text += number_text(range.least);
-  if (range.most != std::numeric_limits<double>::max()) {
-    text += " to " + number_text(range.most);
+  std::string text = (range.exclusive_min ? "a number above " : "a number from ");
+  text += number_text(range.min_value);
+  if (range.max_value != std::numeric_limits<double>::max()) {
+    text += " to " + number_text(range.max_value);
   }
   return text;
 }
 
 bool within(const real_range& range, double value) {
-  const bool low_enough = value <= range.most;
-  const bool high_enough = range.above_least ? value > range.least : value >= range.least;
+  const bool low_enough = value <= range.max_value;
+  const bool high_enough = range.exclusive_min ? value > range.min_value : value >= range.min_value;
   return std::isfinite(value) && low_enough && high_enough;
 }
 
@@ -107,15 +108,16 @@
 }
 
 void table_reader::read(std::string_view key, std::uint32_t& value, presence need,
-                        whole_range range) {
+                        integer_range range) {
   if (const toml_field* field = take(key, need)) {
-    value = whole_of(*field, range).value_or(value);
+    value = integer_of(*field, range).value_or(value);
   }
 }
 
-std::optional<std::uint32_t> table_reader::whole_of(const toml_field& field, whole_range range) {
+std::optional<std::uint32_t> table_reader::integer_of(const toml_field& field,
+                                                      integer_range range) {
   const auto* found = std::get_if<std::int64_t>(&field.value.data);
-  const bool fits = found != nullptr && *found >= range.least && *found <= range.most;
+  const bool fits = found != nullptr && *found >= range.min_value && *found <= range.max_value;
   if (fits) {
     return static_cast<std::uint32_t>(*found);
   }
@@ -131,12 +133,12 @@
     return;
   }
   const auto* real = std::get_if<double>(&field->value.data);
-  const auto* whole = std::get_if<std::int64_t>(&field->value.data);
-  if (real == nullptr && whole == nullptr) {
+  const auto* integer = std::get_if<std::int64_t>(&field->value.data);
+  if (real == nullptr && integer == nullptr) {
     problem(key, "is " + type_name(field->value), expected_text(range));
     return;
   }
-  const double found = real != nullptr ? *real : static_cast<double>(*whole);
+  const double found = real != nullptr ? *real : static_cast<double>(*integer);
   if (!within(range, found)) {
     problem(key, "is " + number_text(found), expected_text(range));
     return;
@@ -158,12 +160,12 @@
 }
 
 void table_reader::read_ms(std::string_view key, duration& value, presence need,
-                           whole_range range) {
+                           integer_range range) {
   const toml_field* field = take(key, need);
   if (field == nullptr) {
     return;
   }
-  if (const auto milliseconds = whole_of(*field, range)) {
+  if (const auto milliseconds = integer_of(*field, range)) {
     value = std::chrono::milliseconds(*milliseconds);
   }
 }
@@ -180,8 +182,8 @@
   value = *found;
 }
 
-std::vector<placed<std::string>> table_reader::texts(std::string_view key) {
-  std::vector<placed<std::string>> result;
+std::vector<located_value<std::string>> table_reader::texts(std::string_view key) {
+  std::vector<located_value<std::string>> result;
   const auto* list = take_as<std::vector<toml_value>>(key, presence::optional, "a list of texts");
   if (list == nullptr) {
     return result;
@@ -197,30 +199,30 @@
   return result;
 }
 
-std::vector<placed<std::pair<std::string, std::uint32_t>>> table_reader::counts(
-    std::string_view key, whole_range range) {
-  std::vector<placed<std::pair<std::string, std::uint32_t>>> result;
+std::vector<located_value<std::pair<std::string, std::uint32_t>>> table_reader::counts(
+    std::string_view key, integer_range range) {
+  std::vector<located_value<std::pair<std::string, std::uint32_t>>> result;
   const auto* table = take_as<toml_table>(key, presence::optional, "a table such as { a = 1 }");
   if (table == nullptr) {
     return result;
   }
   table_reader reader(*table, path(key), *problems_);
   for (const toml_field& field : table->fields) {
-    const std::uint32_t count = reader.whole_of(field, range).value_or(range.least);
+    const std::uint32_t count = reader.integer_of(field, range).value_or(range.min_value);
     result.push_back({{field.key, count}, field.at});
   }
   return result;
 }
 
-void table_reader::read_word(std::string_view key, std::size_t& position,
-                             std::span<const std::string_view> words) {
+void table_reader::read_choice(std::string_view key, std::size_t& position,
+                               std::span<const std::string_view> words) {
   const auto* found = take_as<std::string>(key, presence::optional, "a text");
   if (found == nullptr) {
     return;
   }
   const auto match = std::find(words.begin(), words.end(), *found);
   if (match == words.end()) {
-    problems_->push_back(unknown_word(place_of(key), path(key), *found, words));
+    problems_->push_back(unknown_name_finding(place_of(key), path(key), *found, words));
     return;
   }
   position = static_cast<std::size_t>(match - words.begin());
@@ -263,7 +265,7 @@
   for (const toml_field& field : table_->fields) {
     if (!known_.contains(field.key) && problems_->size() < max_findings) {
       const std::string what = name_.empty() ? "key" : name_ + " key";
-      problems_->push_back(unknown_word(field.at, what, field.key, candidates));
+      problems_->push_back(unknown_name_finding(field.at, what, field.key, candidates));
     }
   }
 }
--- a/src/version/toml_reader.h
+++ b/src/version/toml_reader.h
@@ -1,5 +1,5 @@
-// Reads TOML into typed values with places, and collects what is wrong on the way. The parser
-// stays behind this header: users see plain values.
+// Reads TOML into typed values with their places in the file, and collects errors as findings. The
+// parser library is not visible through this header.
 #pragma once
 
 #include <cstdint>
@@ -24,10 +24,10 @@
 
 struct toml_table {
   place at;
-  std::vector<toml_field> fields;  // by key
+  std::vector<toml_field> fields;  // ordered by key
 };
 
-// Dates and times hold no value here: no setting uses them.
+// Dates and times have no value (std::monostate), since no setting uses them.
 struct toml_value {
   place at;
   std::variant<std::monostate, bool, std::int64_t, double, std::string, std::vector<toml_value>,
@@ -37,58 +37,59 @@
 
 struct toml_field {
   std::string key;
-  place at;  // of the key
+  place at;  // place of the key
   toml_value value;
 };
 
-// Empty when the text is no TOML; `problems` then says where and why. Never throws on bad text.
+// Empty if the text is not valid TOML; `problems` then holds the error and its place. Does not
+// throw on invalid text.
 [[nodiscard]] std::optional<toml_table> parse_toml(std::string_view text,
                                                    const std::string& file_name,
                                                    findings& problems);
 
-// The same for a text that has to say something: an empty one is a finding. `what` names it
-// ("the rules"), `expected` what should stand in it.
-[[nodiscard]] std::optional<toml_table> parse_filled_toml(std::string_view text,
-                                                          const std::string& file_name,
-                                                          const std::string& what,
-                                                          const std::string& expected,
-                                                          findings& problems);
+// Like parse_toml(), but an empty text is a finding too. `what` names the text in the finding ("the
+// rules"), `expected` describes the content that it should have.
+[[nodiscard]] std::optional<toml_table> parse_nonempty_toml(std::string_view text,
+                                                            const std::string& file_name,
+                                                            const std::string& what,
+                                                            const std::string& expected,
+                                                            findings& problems);
 
 enum class presence { optional, required };
 
-struct whole_range {
-  std::uint32_t least = 0;
-  std::uint32_t most = std::numeric_limits<std::uint32_t>::max();
+struct integer_range {
+  std::uint32_t min_value = 0;
+  std::uint32_t max_value = std::numeric_limits<std::uint32_t>::max();
 };
 
 struct real_range {
-  double least = 0;
-  double most = std::numeric_limits<double>::max();
-  bool above_least = false;  // `least` itself is not allowed
+  double min_value = 0;
+  double max_value = std::numeric_limits<double>::max();
+  bool exclusive_min = false;  // `min_value` itself is outside the range
 };
 
 template <class T>
-struct placed {
+struct located_value {
   T value;
   place at;
 };
 
-// Takes the fields of one table by key. A field that is absent leaves `value` as it is; one of the
-// wrong type or out of range is a finding, as is an absent one that is required. `finish` reports
-// the keys that nobody asked for. The table and `problems` must outlive the reader.
+// Reads the fields of one table by key. An absent field leaves `value` unchanged. A field of the
+// wrong type or out of range and an absent required field are findings. finish() reports keys that
+// were not read. The table and `problems` must outlive the reader.
 class table_reader {
  public:
-  // `name` stands in messages, such as "[[model]]".
+  // `name` is the name of the table in messages, such as "[[model]]".
   table_reader(const toml_table& table, std::string name, findings& problems);
 
   void read(std::string_view key, bool& value, presence need = presence::optional);
   void read(std::string_view key, std::string& value, presence need = presence::optional);
-  void read(std::string_view key, std::uint32_t& value, presence need, whole_range range);
+  void read(std::string_view key, std::uint32_t& value, presence need, integer_range range);
   void read(std::string_view key, double& value, presence need, real_range range);
   void read(std::string_view key, endpoint& value, presence need = presence::optional);
-  // The key ends in _ms and holds whole milliseconds.
-  void read_ms(std::string_view key, duration& value, presence need, whole_range range);
-  // A name by the rule of is_name().
+  // For keys that end in _ms; the value is an integer in milliseconds.
+  void read_ms(std::string_view key, duration& value, presence need, integer_range range);
+  // The value must satisfy is_name().
   void read_name(std::string_view key, std::string& value, presence need);
   template <class Tag>
   void read(std::string_view key, name_id<Tag>& id, presence need = presence::required) {
@@ -96,24 +97,26 @@
     read_name(key, text, need);
     id = name_id<Tag>{std::move(text)};
   }
-  // Texts of a list; entries of another type are findings and left out.
-  [[nodiscard]] std::vector<placed<std::string>> texts(std::string_view key);
-  // Whole numbers under free keys, as in `replicas = { hall-a = 3 }`, each with the key's place.
-  [[nodiscard]] std::vector<placed<std::pair<std::string, std::uint32_t>>> counts(
-      std::string_view key, whole_range range);
-  // One of `words`, as its position among them.
-  void read_word(std::string_view key, std::size_t& position,
-                 std::span<const std::string_view> words);
-
-  // The table below `key`, as [key]; empty when absent.
+  // The strings of a list; entries of another type are findings and left out.
+  [[nodiscard]] std::vector<located_value<std::string>> texts(std::string_view key);
+  // Integers of a table with arbitrary keys, such as `replicas = { hall-a = 3 }`, each with the
+  // place of its key.
+  [[nodiscard]] std::vector<located_value<std::pair<std::string, std::uint32_t>>> counts(
+      std::string_view key, integer_range range);
+  // Reads one of `words` and stores its index in `position`.
+  void read_choice(std::string_view key, std::size_t& position,
+                   std::span<const std::string_view> words);
+
+  // The table [key]; empty if absent.
   [[nodiscard]] std::optional<table_reader> table(std::string_view key,
                                                   presence need = presence::optional);
-  // The tables below `key`, as [[key]].
+  // The tables [[key]].
   [[nodiscard]] std::vector<table_reader> tables(std::string_view key);
 
-  // Of the field, or of the table when the field is absent.
+  // The place of the field, or of the table if the field is absent.
   [[nodiscard]] place place_of(std::string_view key) const;
   void problem(std::string_view key, std::string message, std::string expected = {});
+  // Reports the keys of the table that were not read.
   void finish();
 
  private:
@@ -121,13 +124,13 @@
   const toml_field* take(std::string_view key, presence need);
   template <class T>
   const T* take_as(std::string_view key, presence need, std::string_view expected);
-  std::optional<std::uint32_t> whole_of(const toml_field& field, whole_range range);
+  std::optional<std::uint32_t> integer_of(const toml_field& field, integer_range range);
   std::string path(std::string_view key) const;
 
   const toml_table* table_;
   std::string name_;
   findings* problems_;
-  std::set<std::string, std::less<>> known_;  // every key asked for
+  std::set<std::string, std::less<>> known_;  // every key that was read
 };
 
 }  // namespace arbutus
--- a/src/version/vm_pool.cpp
+++ b/src/version/vm_pool.cpp
@@ -1,4 +1,4 @@
-// Free VMs by fabric domain, smallest sufficient one first.
+// Keeps free and pending VMs by fabric domain and hands out the smallest sufficient one first.
 #include "version/vm_pool.h"
 
 #include <algorithm>
@@ -158,8 +158,8 @@
   return true;
 }
 
-void vm_pool::promise(domain_index d, std::uint32_t accelerators, std::size_t free,
-                      std::size_t pending) {
+void vm_pool::reserve_vms(domain_index d, std::uint32_t accelerators, std::size_t free,
+                          std::size_t pending) {
   for (; free > 0; --free) {
     take(free_, d, accelerators);
   }
--- a/tests/core/import_test.cpp
+++ b/tests/core/import_test.cpp
@@ -1,4 +1,4 @@
-// Import of inventory and rules: places of mistakes, hostile text, and the examples.
+// Import of inventory and rules: places of findings, invalid input, and the examples.
 #include "version/import.h"
 
 #include <gmock/gmock.h>
@@ -74,7 +74,7 @@
        {"rules.toml:18:11", "model \"dispach-llm\" is not known; did you mean \"dispatch-llm\"?"}});
 }
 
-TEST(import, the_examples_are_clean) {
+TEST(import, the_examples_have_no_findings) {
   for (const std::string name : {"odtok", "qasr", "small"}) {
     const auto directory = std::filesystem::path(ARBUTUS_SOURCE_DIR) / "examples" / name;
     const import_result result = import_directory(directory);
@@ -86,7 +86,7 @@
   }
 }
 
-TEST(import, every_column_and_key_arrives) {
+TEST(import, every_column_and_key_is_read) {
   const import_result result =
       import_directory(std::string(ARBUTUS_SOURCE_DIR) + "/examples/odtok");
   ASSERT_EQ(result.assets.vms.size(), 55U);
@@ -115,7 +115,7 @@
   EXPECT_EQ(authenticate(desired, "example-crew-tablets")->id, workspace_id{"crew-tablets"});
 }
 
-TEST(import, unknown_columns_are_left_alone_but_misspelt_ones_are_not) {
+TEST(import, unknown_columns_are_ignored_but_misspelt_ones_are_not) {
   const auto extra = import_inventory("kind,owner,id,region\ndata_centre,Eva,a,r\n", "i.csv");
   EXPECT_TRUE(extra.problems.empty()) << text_of(extra.problems);
   EXPECT_EQ(extra.assets.data_centres.at(0).id, data_centre_id{"a"});
@@ -124,12 +124,12 @@
                  {{"i.csv:1:9", "did you mean \"region\"?"}, {"i.csv:2:1", "region is missing"}});
 }
 
-TEST(import, a_value_in_a_foreign_column_is_a_finding) {
+TEST(import, a_value_in_a_column_of_another_kind_is_a_finding) {
   const auto result = import_inventory("kind,id,region,accelerators\ndata_centre,a,r,4\n", "i.csv");
   expect_exactly(result.problems, {{"i.csv:2:17", "a data_centre has no accelerators"}});
 }
 
-TEST(import, quotes_line_ends_and_byte_order_mark_are_understood) {
+TEST(import, quotes_line_ends_and_byte_order_mark_are_parsed) {
   const auto result = import_inventory(
       "\xef\xbb\xbfkind,id,region,note\r\n\"data_centre\",\"a\" , r,\"said \"\"yes\"\",\r\n"
       "twice\"\r\n\r\n# comment, with a comma\r\ndata_centre,b,r,\n",
@@ -143,9 +143,9 @@
   EXPECT_EQ(rows.at(0).at(1).at, (place{"f", 2, 4}));
 }
 
-// Symptom: the import crashes or hangs on what is not an inventory at all. Sequence: an operator
-// names the wrong file, or an export broke. Cause: a reader that assumes text.
-TEST(import, hostile_inventories_are_findings) {
+// Guards against an import that crashes or hangs because it assumes valid text, when an operator
+// names the wrong file or an export is corrupt.
+TEST(import, invalid_inventories_yield_findings) {
   const std::vector<expected_finding> cases = {
       {"", "the inventory is empty"},
       {"\n\r\n# nothing\n", "the inventory is empty"},
@@ -168,7 +168,7 @@
   }
 }
 
-TEST(import, hostile_rules_are_findings) {
+TEST(import, invalid_rules_yield_findings) {
   const std::vector<expected_finding> cases = {
       {"", "the rules are empty"},
       {"[[model]\n", "r.toml:1:"},
@@ -197,8 +197,8 @@
   }
 }
 
-// Symptom: the program ends on a short file. Sequence: a line of thousands of dotted keys is
-// parsed and its nested tables are taken apart, one stack frame for each. Cause: no limit on it.
+// Guards against a crash on a short file. Without a limit, a line with thousands of dotted keys
+// gives as many nested tables, and their destruction takes a stack frame for each.
 TEST(import, deep_nesting_is_a_finding) {
   std::string dotted = "a";
   for (int i = 0; i < 200'000; ++i) {
@@ -208,8 +208,8 @@
   EXPECT_TRUE(has_errors(import_rules("a = " + std::string(100'000, '['), "r.toml").problems));
 }
 
-// Brackets and dotted keys multiply: each pair of brackets may hold keys of many dots. Text that
-// looks like brackets or dots inside strings and comments does not count.
+// The nesting of brackets and dotted keys adds up, since each pair of brackets may hold keys with
+// many dots. Brackets and dots inside strings and comments do not count.
 TEST(import, nesting_is_counted_over_brackets_and_dots_together) {
   std::string dots = "a";
   for (int i = 0; i < 20; ++i) {
@@ -262,9 +262,9 @@
   EXPECT_EQ(text_of(key.problems).find("my-secret-key"), std::string::npos);
 }
 
-// Symptom: a node calls another address than the file shows. Sequence: a NUL stands within an
-// address; the C function that parses it stops there. Cause: text that ends early.
-TEST(import, endpoints_are_ip_numbers_and_ports_only) {
+// Guards against a node that calls another address than the file shows: inet_pton() stops at a NUL
+// within an address and ignores the rest.
+TEST(import, endpoints_are_ip_addresses_and_ports_only) {
   EXPECT_EQ(parse_endpoint("10.0.0.1:80"), (endpoint{"10.0.0.1", 80}));
   EXPECT_EQ(parse_endpoint("[fd00::1]:65535"), (endpoint{"fd00::1", 65535}));
   for (const std::string_view text :
--- a/tests/core/planner_cost_test.cpp
+++ b/tests/core/planner_cost_test.cpp
@@ -1,16 +1,16 @@
-// Processor time of a plan at the size of one data centre of the fleet, and at ten times that.
+// Processor time of a plan for one data centre of the fleet, and for one of ten times the size.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <ctime>
 #include <iostream>
 
-#include "core/planner_world.h"
+#include "core/planner_simulation.h"
 
 namespace arbutus {
 namespace {
 
-using testing::planner_world;
+using testing::planner_simulation;
 
 double processor_ms() {
   timespec t{};
@@ -36,7 +36,7 @@
 };
 
 cost measure(std::size_t domains, std::uint32_t vms_per_replica) {
-  planner_world w;
+  planner_simulation w;
   for (std::size_t d = 0; d < domains; ++d) {
     w.add_domain(34);
   }
@@ -50,13 +50,14 @@
   w.set(w.row.replicas[0].members[0], vm_condition::lost);
   c.one_lost_ms = median_ms(w.input());
   for (std::size_t i = 0; i < 34; ++i) {
-    w.set(vm_id{planner_world::vm_name(0, i)}, vm_condition::lost);
+    w.set(vm_id{planner_simulation::vm_name(0, i)}, vm_condition::lost);
   }
   c.domain_lost_ms = median_ms(w.input());
   return c;
 }
 
-// The bounds are far above what is measured: they catch a change of order, not of speed.
+// The bounds are far above the measured times: they detect a higher complexity, not a slowdown by a
+// constant factor.
 TEST(planner_cost, milliseconds_and_near_linear) {
   for (const std::uint32_t vms_per_replica : {16U, 2U}) {
     const cost one = measure(5, vms_per_replica);
@@ -68,7 +69,7 @@
     EXPECT_LT(ten.steady_ms, 50 * one.steady_ms);
     EXPECT_LT(ten.one_lost_ms, 50 * one.one_lost_ms);
     EXPECT_LT(ten.domain_lost_ms, 50 * one.domain_lost_ms);
-#ifdef NDEBUG  // milliseconds mean something in an optimised build only
+#ifdef NDEBUG  // absolute times are meaningful only in an optimised build
     EXPECT_LT(ten.domain_lost_ms, 100);
 #endif
   }
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -1,17 +1,17 @@
-// What holds for every plan, over seeded random histories.
+// Properties that hold for every plan, tested over seeded random histories.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
-#include "core/planner_world.h"
+#include "core/planner_simulation.h"
 
 namespace arbutus {
 namespace {
 
-using testing::planner_world;
+using testing::planner_simulation;
 
-planner_world random_world(rng& random) {
-  planner_world w;
+planner_simulation random_simulation(rng& random) {
+  planner_simulation w;
   const std::uint64_t domains = 1 + random.below(3);
   for (std::uint64_t d = 0; d < domains; ++d) {
     w.add_domain(2 + random.below(7), 1 + static_cast<std::uint32_t>(random.below(2)));
@@ -30,8 +30,8 @@
   return w;
 }
 
-// A node activates a standby of a broken replica that has one, as it would without the table.
-void activate_something(planner_world& w) {
+// Activates standbys of broken replicas, as nodes do while the table is unreachable.
+void activate_broken_replicas(planner_simulation& w) {
   w.in_force.clear();
   for (const replica_plan& r : w.row.replicas) {
     lost_mask lost = 0;
@@ -48,7 +48,7 @@
   }
 }
 
-void change_something(planner_world& w, rng& random) {
+void apply_random_change(planner_simulation& w, rng& random) {
   auto vm = std::next(w.conditions.begin(),
                       static_cast<std::ptrdiff_t>(random.below(w.conditions.size())));
   model_rule& rule = w.config.desired.models[random.below(w.config.desired.models.size())];
@@ -93,9 +93,9 @@
   return list;
 }
 
-// A VM passes from one replica to another only when it was withdrawn and that was acknowledged,
-// or when its replica was drained empty.
-void expect_handed_over(const planner_input& in, const assignment& next) {
+// A VM may move to another replica only after its withdrawal was acknowledged, or after its replica
+// was drained completely.
+void expect_proper_handover(const planner_input& in, const assignment& next) {
   const auto before = owners(*in.current);
   for (const auto& [vm, owner] : owners(next)) {
     const auto found = before.find(vm);
@@ -104,23 +104,23 @@
           << vm << " passes from " << found->second << " to " << owner << " undrained";
     }
     for (const withdrawal& w : in.current->withdrawals) {
-      const bool back = w.from == owner;  // its own activation, entered late
+      const bool back = w.from == owner;  // a late record of the replica's own activation
       EXPECT_TRUE(w.vm != vm || back || w.since <= in.acknowledged)
           << vm << " reused before its withdrawal was acknowledged";
     }
   }
 }
 
-void expect_serving_undisturbed(const planner_world& w, const assignment& next) {
+void expect_serving_unchanged(const planner_simulation& w, const assignment& next) {
   for (const replica_plan& r : w.row.replicas) {
     const replica_plan* after = next.find(r.id);
     const auto activated = std::ranges::find(w.in_force, r.id, &composition::replica);
-    if (after != nullptr && activated != w.in_force.end() && w.whole(*after)) {
+    if (after != nullptr && activated != w.in_force.end() && w.is_complete(*after)) {
       const bool kept = after->gen == activated->gen && after->members == activated->members;
-      EXPECT_TRUE(kept) << r.id << " was activated, serves, and is laid down anew";
+      EXPECT_TRUE(kept) << r.id << " was activated, serves, and is taken down and rebuilt";
       continue;
     }
-    if (!w.whole(r)) {
+    if (!w.is_complete(r)) {
       continue;
     }
     if (r.phase == replica_phase::draining) {
@@ -136,25 +136,25 @@
 
 class planner_history : public ::testing::TestWithParam<std::uint64_t> {};
 
-// Symptom: a VM in two replicas, a serving replica stopped, rows written without end.
-// Sequence: losses, returns, leaves, activations without the table, changes of rules and load, in
-//   any order, with acknowledgements and drains held up now and then.
-// Cause: a move of the planner that skips a step of the handover.
-TEST_P(planner_history, keeps_every_rule) {
+// Guards against planner actions that skip a step of the handover, which would put a VM into two
+// replicas, stop a serving replica, or write rows endlessly. Combines losses, returns, leaving VMs,
+// activations without the table, and changes of rules and load in random order, with delayed
+// acknowledgements and drains.
+TEST_P(planner_history, every_plan_keeps_the_invariants) {
   rng random(GetParam());
   for (int history = 0; history < 20; ++history) {
-    planner_world w = random_world(random);
+    planner_simulation w = random_simulation(random);
     for (int i = 0; i < 100; ++i) {
-      change_something(w, random);
+      apply_random_change(w, random);
       if (random.below(4) == 0) {
-        activate_something(w);
+        activate_broken_replicas(w);
       }
       const planner_input in = w.input();
       const plan p = make_plan(in);
       const findings violations = check_invariants(p.next);
       ASSERT_TRUE(violations.empty()) << violations.front() << '\n' << w.text();
-      expect_handed_over(in, p.next);
-      expect_serving_undisturbed(w, p.next);
+      expect_proper_handover(in, p.next);
+      expect_serving_unchanged(w, p.next);
       ASSERT_EQ(p.changed, !p.reasons.empty());
       if (p.changed) {
         ASSERT_EQ(p.next.version, w.row.version + 1);
@@ -179,13 +179,13 @@
   }
 }
 
-// Symptom: rows are written without end though nothing happens.
-TEST_P(planner_history, comes_to_rest) {
+// Guards against rows that are written endlessly although nothing changes.
+TEST_P(planner_history, stops_writing_rows) {
   rng random(GetParam() + 1000);
   for (int history = 0; history < 40; ++history) {
-    planner_world w = random_world(random);
+    planner_simulation w = random_simulation(random);
     for (int i = 0; i < 20; ++i) {
-      change_something(w, random);
+      apply_random_change(w, random);
       w.step();
     }
     w.acknowledge = true;
@@ -194,7 +194,7 @@
   }
 }
 
-// Histories in which capacity was once lent and taken back without end.
+// Seeds of histories that can make a planner lend capacity and take it back endlessly.
 INSTANTIATE_TEST_SUITE_P(endless_lending, planner_history,
                          ::testing::Values<std::uint64_t>(150, 323, 468, 613));
 INSTANTIATE_TEST_SUITE_P(seeds, planner_history, ::testing::Range<std::uint64_t>(1, 41));
--- a/tests/core/planner_repair_test.cpp
+++ b/tests/core/planner_repair_test.cpp
@@ -1,25 +1,25 @@
-// Repairs, handover, drains: one short story each.
+// Repairs, handover of VMs, drains and rolling updates, one scenario per test.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 
-#include "core/planner_world.h"
+#include "core/planner_simulation.h"
 
 namespace arbutus {
 namespace {
 
-using testing::planner_world;
+using testing::planner_simulation;
 
-// Two replicas of three VMs and two VMs over, in one domain.
-planner_world small_world() {
-  planner_world w;
+// One domain with two replicas of three VMs each, and two further VMs.
+planner_simulation small_simulation() {
+  planner_simulation w;
   w.add_domain(8);
   w.add_model("llm", 3, 2);
   w.settle();
   return w;
 }
 
-std::size_t moved(const assignment& before, const assignment& after) {
+std::size_t count_new_members(const assignment& before, const assignment& after) {
   std::size_t count = 0;
   for (const replica_plan& r : after.replicas) {
     const replica_plan* old = before.find(r.id);
@@ -30,35 +30,36 @@
   return count;
 }
 
-TEST(planner_repair, lays_down_what_the_placements_say) {
-  const planner_world w = small_world();
+TEST(planner_repair, creates_the_placed_replicas) {
+  const planner_simulation w = small_simulation();
   EXPECT_EQ(w.serving(), 2U);
   EXPECT_FALSE(make_plan(w.input()).changed);
 }
 
-TEST(planner_repair, suspect_member_is_left_alone) {
-  planner_world w = small_world();
+TEST(planner_repair, suspect_member_changes_nothing) {
+  planner_simulation w = small_simulation();
   w.set(w.row.replicas[0].members[1], vm_condition::suspect);
   EXPECT_FALSE(w.step()) << w.text();
 }
 
-// Symptom: a replica stays dark although a VM is free. Cause: loss of one member.
-TEST(planner_repair, lost_member_is_replaced_by_one_move) {
-  planner_world w = small_world();
+// Guards against a replica that lost a member and stays down although a VM is free.
+TEST(planner_repair, lost_member_is_replaced_by_one_vm) {
+  planner_simulation w = small_simulation();
   const assignment before = w.row;
   const vm_id lost = before.replicas[0].members[1];
   w.set(lost, vm_condition::lost);
   ASSERT_TRUE(w.step());
   EXPECT_EQ(w.serving(), 2U) << w.text();
-  EXPECT_EQ(moved(before, w.row), 1U);
+  EXPECT_EQ(count_new_members(before, w.row), 1U);
   EXPECT_EQ(w.row.replicas[0].members[0], before.replicas[0].members[0]);
   EXPECT_EQ(w.row.replicas[0].gen, (generation{w.row.version, 0, 0}));
   EXPECT_EQ(w.row.replicas[1], before.replicas[1]);
 }
 
-// Symptom: a repaired replica goes dark again when the lost VM returns. Cause: it is moved back.
+// Guards against a repaired replica that stops serving again because it is given back the lost VM
+// when that returns.
 TEST(planner_repair, returned_vm_stays_free) {
-  planner_world w = small_world();
+  planner_simulation w = small_simulation();
   const vm_id lost = w.row.replicas[0].members[1];
   w.set(lost, vm_condition::lost);
   w.settle();
@@ -68,8 +69,8 @@
   EXPECT_EQ(w.row.replicas[0].members, members);
 }
 
-TEST(planner_repair, own_standby_goes_first) {
-  planner_world w = small_world();
+TEST(planner_repair, own_standby_is_used_first) {
+  planner_simulation w = small_simulation();
   w.config.desired.standbys_per_replica = 1;
   w.settle();
   const replica_plan before = w.row.replicas[0];
@@ -79,10 +80,11 @@
   EXPECT_EQ(w.row.replicas[0].members[2], before.standbys[0]);
 }
 
-// Symptom: a replica that serves from an activated standby is cut off when the table returns.
-// Cause: the planner lays it down anew, with a token that its members do not obey yet.
-TEST(planner_repair, activation_is_entered_without_disturbing_it) {
-  planner_world w = small_world();
+// Guards against a replica that serves with an activated standby and is interrupted when the table
+// is reachable again, because the planner rebuilds it with a token that its members do not accept
+// yet.
+TEST(planner_repair, activation_is_recorded_with_its_own_token) {
+  planner_simulation w = small_simulation();
   w.config.desired.standbys_per_replica = 1;
   w.settle();
   const replica_plan before = w.row.replicas[1];
@@ -95,11 +97,11 @@
   EXPECT_FALSE(w.step()) << w.text();
 }
 
-// Symptom: a replica never forms; its members refuse the row's token as old.
-// Sequence: a node that missed a withdrawal activates the standby, which is another's by now.
-// Cause: the members obey a token above the row's, of a composition that can no longer be formed.
-TEST(planner_repair, activation_that_came_too_late_is_fenced) {
-  planner_world w = small_world();
+// Guards against a replica that never forms because its members refuse the token of the row as old.
+// A node that missed a withdrawal activates the standby, which belongs to another replica by then;
+// the members obey its higher token, of a composition that can no longer form.
+TEST(planner_repair, late_activation_is_fenced) {
+  planner_simulation w = small_simulation();
   const replica_plan before = w.row.replicas[0];
   composition late = planned(before);
   late.members[1] = w.row.replicas[1].members[0];
@@ -112,11 +114,11 @@
   EXPECT_FALSE(w.step()) << w.text();
 }
 
-// Symptom: one VM is ordered into two replicas. Sequence: the row gives a standby of A to B; a node
-// that has not seen that row, and cannot see the table, activates it for A.
-// Cause: the VM is used before every live node knows that it was taken back.
+// Guards against one VM that is ordered into two replicas. The row gives a standby of A to B, while
+// a node that has not received that row and cannot read the table activates it for A. B must not
+// use the VM before every live node knows that it was withdrawn.
 TEST(planner_repair, standby_of_another_waits_for_acknowledgement) {
-  planner_world w;
+  planner_simulation w;
   w.add_domain(8);
   w.add_model("llm", 3, 2);
   w.config.desired.standbys_per_replica = 1;
@@ -136,8 +138,8 @@
   EXPECT_EQ(w.row.replicas[0].members[0], desired);
 }
 
-TEST(planner_repair, broken_replicas_are_made_into_fewer_whole_ones) {
-  planner_world w;
+TEST(planner_repair, broken_replicas_are_merged_into_fewer_complete_ones) {
+  planner_simulation w;
   w.add_domain(6);
   w.add_model("llm", 3, 2);
   w.settle();
@@ -147,8 +149,8 @@
   EXPECT_EQ(w.serving(), 1U) << w.text();
 }
 
-TEST(planner_repair, higher_rank_takes_from_lower_by_a_drain) {
-  planner_world w;
+TEST(planner_repair, higher_rank_drains_a_replica_of_lower_rank) {
+  planner_simulation w;
   w.add_domain(6);
   w.add_model("dispatch", 3, 1, 0);
   w.add_model("batch", 3, 1, 1);
@@ -166,13 +168,13 @@
   EXPECT_EQ(w.serving("batch"), 0U) << w.text();
 }
 
-TEST(planner_repair, crosses_domains_only_by_rule_and_comes_back) {
-  planner_world w;
+TEST(planner_repair, crosses_domains_only_if_allowed_and_returns) {
+  planner_simulation w;
   w.add_domain(3);
   w.add_domain(6);
   w.add_model("llm", 3, 3);
   w.settle();
-  const vm_id lost{planner_world::vm_name(0, 1)};
+  const vm_id lost{planner_simulation::vm_name(0, 1)};
   w.add_domain(1);
   w.set(lost, vm_condition::lost);
   w.settle();
@@ -188,7 +190,7 @@
 }
 
 TEST(planner_repair, leaving_member_is_drained_then_replaced) {
-  planner_world w = small_world();
+  planner_simulation w = small_simulation();
   const vm_id leaving = w.row.replicas[0].members[1];
   w.set(leaving, vm_condition::leaving);
   w.finish_drains = false;
@@ -203,9 +205,10 @@
   }
 }
 
-// Symptom: a model is dark during a change of its version. Cause: all its replicas load at once.
-TEST(planner_roll, one_replica_at_a_time_and_only_when_others_serve) {
-  planner_world w;
+// Guards against a model that is unavailable during a change of its version because all its
+// replicas load simultaneously.
+TEST(planner_rolling_update, one_replica_at_a_time_and_only_when_others_serve) {
+  planner_simulation w;
   w.add_domain(9);
   w.add_model("llm", 3, 3);
   w.settle();
@@ -224,8 +227,8 @@
   EXPECT_FALSE(make_plan(in).changed);
 }
 
-TEST(planner_roll, only_replica_is_succeeded_before_it_goes) {
-  planner_world w;
+TEST(planner_rolling_update, only_replica_is_replaced_before_it_is_removed) {
+  planner_simulation w;
   w.add_domain(6);
   w.add_model("llm", 3, 1);
   w.settle();
@@ -237,11 +240,10 @@
   EXPECT_EQ(w.row.replicas[0].model_version, "v2");
 }
 
-// Symptom: a model is dark while the successor of its only replica loads.
-// Sequence: the successor is laid down; the old one is then one too many, and is drained.
-// Cause: a replica that was laid down is counted as if it served.
-TEST(planner_roll, predecessor_stays_until_its_successor_serves) {
-  planner_world w;
+// Guards against a model that is unavailable while the successor of its only replica loads. If the
+// new replica counts as serving, the old one is surplus and is drained too early.
+TEST(planner_rolling_update, predecessor_stays_until_its_successor_serves) {
+  planner_simulation w;
   w.add_domain(6);
   w.add_model("llm", 3, 1);
   w.settle();
@@ -258,8 +260,8 @@
   EXPECT_EQ(after->phase, replica_phase::draining);
 }
 
-TEST(planner_roll, unwanted_replica_drains_and_is_removed_when_empty) {
-  planner_world w = small_world();
+TEST(planner_rolling_update, surplus_replica_drains_and_is_removed_when_empty) {
+  planner_simulation w = small_simulation();
   w.config.desired.models[0].placements[0].replicas = 1;
   w.finish_drains = false;
   w.settle();
@@ -270,8 +272,8 @@
   EXPECT_EQ(w.row.replicas.size(), 1U);
 }
 
-TEST(planner_demand, moves_a_replica_and_does_not_swing) {
-  planner_world w;
+TEST(planner_demand, moves_a_replica_without_oscillating) {
+  planner_simulation w;
   w.add_domain(12);
   w.add_model("a", 3, 2);
   w.add_model("b", 3, 2);
@@ -289,7 +291,7 @@
 }
 
 TEST(planner_guard, older_configuration_or_row_plans_nothing) {
-  planner_world w = small_world();
+  planner_simulation w = small_simulation();
   w.set(w.row.replicas[0].members[0], vm_condition::lost);
   w.row.config_version = 2;
   EXPECT_FALSE(make_plan(w.input()).changed);
@@ -300,7 +302,7 @@
 }
 
 TEST(planner_guard, order_of_inputs_does_not_matter) {
-  planner_world w = small_world();
+  planner_simulation w = small_simulation();
   w.set(w.row.replicas[0].members[0], vm_condition::lost);
   planner_input a = w.input();
   planner_input b = a;
--- a/tests/core/planner_world.h
+++ b/tests/core/planner_simulation.h
@@ -1,4 +1,4 @@
-// A data centre for planner tests: VMs, rules, the row, and what the planner would be told.
+// A simulated data centre for planner tests: VMs, rules, the row, and the inputs of the planner.
 #pragma once
 
 #include <algorithm>
@@ -11,17 +11,17 @@
 
 namespace arbutus::testing {
 
-struct planner_world {
+struct planner_simulation {
   configuration config;
   assignment row;
   std::map<vm_id, vm_condition> conditions;
   std::vector<composition> in_force;
   std::vector<replica_demand> demand;
-  bool acknowledge = true;  // every live node has the row
+  bool acknowledge = true;  // every live node acknowledges each row
   bool finish_drains = true;
   std::vector<std::string> reasons;  // of the last plan
 
-  planner_world() {
+  planner_simulation() {
     row.data_centre = data_centre_id{"hall-a"};
     row.version = 1;
     config.version = 1;
@@ -59,7 +59,7 @@
 
   void set(const vm_id& vm, vm_condition c) { conditions[vm] = c; }
 
-  [[nodiscard]] bool whole(const replica_plan& r) const {
+  [[nodiscard]] bool is_complete(const replica_plan& r) const {
     return std::ranges::all_of(r.members, [&](const vm_id& vm) {
       const auto found = conditions.find(vm);
       return found != conditions.end() && found->second != vm_condition::lost;
@@ -68,7 +68,7 @@
 
   [[nodiscard]] std::size_t serving(const std::string& model = "") const {
     return static_cast<std::size_t>(std::ranges::count_if(row.replicas, [&](const auto& r) {
-      return r.phase == replica_phase::active && whole(r) &&
+      return r.phase == replica_phase::active && is_complete(r) &&
              (model.empty() || r.model.str() == model);
     }));
   }
@@ -88,14 +88,14 @@
       if (r.phase == replica_phase::draining && finish_drains) {
         in.emptied.push_back(r.id);
       }
-      if (r.phase == replica_phase::active && whole(r)) {
+      if (r.phase == replica_phase::active && is_complete(r)) {
         in.serving.push_back(r.id);
       }
     }
     return in;
   }
 
-  // Plans once and writes the row; false when there was nothing to do.
+  // Plans once and writes the row; false if the plan changes nothing.
   bool step() {
     const plan p = make_plan(input());
     reasons = p.reasons;
@@ -105,7 +105,7 @@
     return p.changed;
   }
 
-  // Until nothing changes; the number of rows written, at most `limit`.
+  // Plans until nothing changes. Returns the number of rows written, at most `limit`.
   int settle(int limit = 50) {
     int rows = 0;
     while (rows < limit && step()) {
--- a/tests/core/planner_standby_test.cpp
+++ b/tests/core/planner_standby_test.cpp
@@ -1,53 +1,53 @@
-// Standbys: their price against the downtime they save, and where they are taken from.
+// Standbys: their cost compared with the downtime that they save, and which VMs are reserved.
 #include <gtest/gtest.h>
 
-#include "core/planner_world.h"
+#include "core/planner_simulation.h"
 #include "version/standby.h"
 
 namespace arbutus {
 namespace {
 
-using testing::planner_world;
+using testing::planner_simulation;
 
-// Replicas of sixteen VMs, and failures as in a fleet of 1,300 VMs that loses 29 a day.
-standby_question large_replicas() {
+// Replicas of 16 VMs, with the failure rate of a fleet of 1,300 VMs in which 29 VMs fail per day.
+standby_inputs large_replicas() {
   return {16, 29.0 / 1300 / 24, 4, 2, 0, {1, 1}};
 }
 
 TEST(standby_price, each_standby_saves_less_than_the_one_before) {
-  const standby_question q = large_replicas();
+  const standby_inputs q = large_replicas();
   const double saved_by_first = expected_downtime(q, 0) - expected_downtime(q, 1);
   const double saved_by_second = expected_downtime(q, 1) - expected_downtime(q, 2);
   EXPECT_GT(saved_by_first, 10 * saved_by_second);
   EXPECT_GT(saved_by_second, 0);
 }
 
-TEST(standby_price, dear_downtime_pays_for_more) {
-  standby_question q = large_replicas();
+TEST(standby_price, costly_downtime_justifies_more_standbys) {
+  standby_inputs q = large_replicas();
   q.preference = {4, 1};
-  EXPECT_EQ(standbys_worth(q).worth_paying, 1U);
+  EXPECT_EQ(worthwhile_standbys(q).worthwhile_count, 1U);
   q.preference = {50, 1};
-  EXPECT_EQ(standbys_worth(q).worth_paying, 2U);
+  EXPECT_EQ(worthwhile_standbys(q).worthwhile_count, 2U);
   q.preference = {0.1, 1};
-  EXPECT_EQ(standbys_worth(q).worth_paying, 0U);
+  EXPECT_EQ(worthwhile_standbys(q).worthwhile_count, 0U);
 }
 
 TEST(standby_price, shared_spares_make_reservations_worth_less) {
-  standby_question q = large_replicas();
+  standby_inputs q = large_replicas();
   q.preference = {4, 1};
   q.spares_per_domain = 2;
-  EXPECT_EQ(standbys_worth(q).worth_paying, 0U);
-  EXPECT_GE(standbys_worth(q).worth_when_idle, 1U);
+  EXPECT_EQ(worthwhile_standbys(q).worthwhile_count, 0U);
+  EXPECT_GE(worthwhile_standbys(q).worthwhile_count_when_idle, 1U);
 }
 
-TEST(standby_price, nothing_fails_nothing_reserved) {
-  standby_question q = large_replicas();
+TEST(standby_price, no_failures_no_reservations) {
+  standby_inputs q = large_replicas();
   q.failures_per_hour = 0;
-  EXPECT_EQ(standbys_worth(q).worth_when_idle, 0U);
+  EXPECT_EQ(worthwhile_standbys(q).worthwhile_count_when_idle, 0U);
 }
 
-planner_world world_with_idle_vms(std::size_t idle) {
-  planner_world w;
+planner_simulation simulation_with_idle_vms(std::size_t idle) {
+  planner_simulation w;
   w.add_domain(6 + idle);
   w.add_model("llm", 3, 2);
   w.config.desired.vm_failures_per_day = 1;
@@ -56,14 +56,14 @@
 }
 
 TEST(standbys, idle_vms_are_reserved_one_each_first) {
-  const planner_world w = world_with_idle_vms(2);
+  const planner_simulation w = simulation_with_idle_vms(2);
   for (const replica_plan& r : w.row.replicas) {
     EXPECT_EQ(r.standbys.size(), 1U) << w.text();
   }
 }
 
 TEST(standbys, shared_spares_stay_free) {
-  planner_world w;
+  planner_simulation w;
   w.add_domain(8);
   w.add_model("llm", 3, 2);
   w.config.desired.vm_failures_per_day = 1;
@@ -74,8 +74,8 @@
   }
 }
 
-TEST(standbys, stand_in_the_replicas_own_domain) {
-  planner_world w;
+TEST(standbys, are_in_the_replicas_own_domain) {
+  planner_simulation w;
   w.add_domain(3);
   w.add_domain(5);
   w.add_model("llm", 3, 2);
@@ -90,7 +90,7 @@
 }
 
 TEST(standbys, lost_one_is_replaced_and_surplus_taken_back) {
-  planner_world w = world_with_idle_vms(3);
+  planner_simulation w = simulation_with_idle_vms(3);
   w.config.desired.standbys_per_replica = 1;
   w.settle();
   const vm_id lost = w.row.replicas[0].standbys[0];
@@ -103,7 +103,7 @@
 }
 
 TEST(standbys, members_and_standbys_fit_the_mask) {
-  planner_world w;
+  planner_simulation w;
   w.add_domain(60);
   w.add_model("llm", 30, 1);
   w.config.desired.standbys_per_replica = 8;
