--- a/src/request/admission.cpp
+++ b/src/request/admission.cpp
@@ -1,4 +1,4 @@
-// Fair queueing with refusal by deadline.
+// Weighted fair queueing with deadline-based rejection.
 #include "request/admission.h"
 
 #include <algorithm>
@@ -9,14 +9,15 @@
 
 namespace {
 
-// An observation far below the mean moves it faster: after a stall the mean is too high, few
-// requests are admitted, and slow learning would keep it so.
+// Observations far below the mean get a larger weight. After a stall the mean is too high, so few
+// requests are admitted and few observations arrive to correct it.
 constexpr double fast_recovery_below = 0.5;
 constexpr double fast_recovery_weight = 0.25;
-// The predicted wait has to fit with this margin, or many would be let in only to be refused later.
+// The predicted wait is multiplied by this margin. Without it, many requests would be queued only
+// to be refused later.
 constexpr double wait_margin = 1.25;
-// A waiting request is given up before its latest start only if even a wait this much shorter
-// than predicted would be too long.
+// A waiting request is refused before its latest start time only if even this fraction of the
+// predicted wait would be too long.
 constexpr double hopeless_part = 0.5;
 
 }  // namespace
@@ -53,30 +54,30 @@
   if (capacity_.slots == 0 && capacity_.reported_delay <= 0us) {
     return {refuse(reject_reason::no_capacity, 0us), {}};
   }
-  const bool at_once = capacity_.free_slots > 0 && waiting_count_ == 0;
-  // With nothing running there is nothing to learn from: one request is let through although the
-  // estimate says it is too late, or a wrong estimate would refuse everything for ever.
-  const bool is_trial = at_once && running_.empty() && now < facts.deadline;
+  const bool starts_now = capacity_.free_slots > 0 && waiting_count_ == 0;
+  // With nothing running there are no new observations. One request is admitted although the
+  // estimate says it is too late; otherwise a wrong estimate would refuse everything forever.
+  const bool is_trial = starts_now && running_.empty() && now < facts.deadline;
   const duration wait = expected_wait(facts);
   const time_point last = latest_start(facts);
   if (!is_trial && now + from_seconds(wait_margin * to_seconds(wait)) > last) {
     return {refuse(reject_reason::too_late, now + wait - last), {}};
   }
-  if (at_once) {
+  if (starts_now) {
     --capacity_.free_slots;
     charge(queue, facts.cost);
     start(now, facts.id, facts.cost);
     return {admitted{}, {}};
   }
-  std::optional<rejection> gave_way;
+  std::optional<rejection> displaced_request;
   if (queue.count >= settings_.max_queued_per_workspace) {
-    gave_way = displace(queue, facts.priority);
-    if (!gave_way) {
+    displaced_request = displace(queue, facts.priority);
+    if (!displaced_request) {
       return {refuse(reject_reason::queue_full, wait / 2), {}};
     }
   }
   enqueue(queue, facts);
-  return {queued{wait}, gave_way};
+  return {queued{wait}, displaced_request};
 }
 
 std::vector<request_id> admission::on_capacity(time_point now, const node_capacity& capacity) {
@@ -90,14 +91,14 @@
     return {};
   }
   const double seconds = to_seconds(now - found->second.started) / found->second.cost;
-  // One that was cut off tells at least that the service takes longer than that.
+  // An aborted request gives a lower bound of the service time.
   if (served || seconds > service_.mean) {
     const bool fast = seconds < fast_recovery_below * service_.mean;
     service_.observe(seconds, fast ? fast_recovery_weight : settings_.smoothing);
   }
   running_.erase(found);
-  // A request that ended because its replica is lost leaves no slot behind: without this check
-  // others would be started in its place, and the survivors of the loss be overrun.
+  // A request that ended because its replica was lost frees no slot. Without this check, others
+  // would start in its place and overload the remaining replicas.
   if (running_.size() + capacity_.free_slots < capacity_.slots) {
     ++capacity_.free_slots;
   }
@@ -195,14 +196,14 @@
   return from_seconds(service_.mean * cost);
 }
 
-duration admission::needed(double cost) const {
+duration admission::required_time(double cost) const {
   return from_seconds((service_.mean + settings_.deviations * service_.deviation) * cost);
 }
 
 time_point admission::latest_start(const request_facts& facts) const {
   time_point latest = time_point::max();
   if (facts.deadline != time_point::max()) {
-    latest = facts.deadline - needed(facts.cost);
+    latest = facts.deadline - required_time(facts.cost);
   }
   if (facts.first_token_by != time_point::max()) {
     const double seconds = first_token_.mean + settings_.deviations * first_token_.deviation;
@@ -211,7 +212,7 @@
   return latest;
 }
 
-// Cost per second that this node gets done: what it holds now, whatever others leave it.
+// Cost per second that this node completes, given the slots that it holds now.
 double admission::cost_rate() const {
   const double held = static_cast<double>(running_.size()) + capacity_.free_slots;
   return std::max(held, 1.0) / std::max(service_.mean, 1e-6);
@@ -233,8 +234,8 @@
   return work_before(own, before);
 }
 
-// All work that fair queueing starts up to the point where `own` got `through`, in the fluid view:
-// each other queue gets as much per share until it is empty.
+// Total cost that fair queueing starts until `own` has received `through`. Fluid approximation:
+// every other queue receives service in proportion to its share until it is empty.
 double admission::work_before(const workspace_queue& own, double through) const {
   double ahead = through;
   for (const auto& [id, queue] : queues_) {
@@ -308,9 +309,9 @@
   waiting_in_.insert_or_assign(facts.id, facts.workspace);
 }
 
-// Start-time fair queueing: the virtual time is the tag at which the last request started, so a
-// workspace that was away neither saves up service nor is charged for what it had while others
-// were idle.
+// Start-time fair queueing: the virtual time is the start tag of the request started last. An idle
+// workspace therefore accumulates no credit, and service received while others were idle is not
+// charged later.
 void admission::charge(workspace_queue& queue, double cost) {
   const double tag = std::max(queue.finish_tag, virtual_time_);
   virtual_time_ = tag;
--- a/src/request/admission.h
+++ b/src/request/admission.h
@@ -1,11 +1,11 @@
-// Admission of requests to one model at one node: who starts now, who waits, who is refused.
+// Admission control for one model at one node: a request starts now, waits or is refused.
 //
-// Waiting requests are kept per workspace and started by weighted fair queueing over cost, by
-// priority inside a workspace and in order of arrival inside a priority. A request that cannot be
-// answered in time is refused at once, with the time after which capacity is expected, instead
-// of being held while its caller waits for nothing.
+// Waiting requests are queued per workspace and started by weighted fair queueing over cost; within
+// a workspace by priority, within a priority in order of arrival. A request that cannot meet its
+// deadline is refused immediately with the time until capacity is expected, so that its caller does
+// not wait in vain.
 //
-// Not thread-safe: one object per model, under its shard's lock.
+// Not thread-safe: one object per model, protected by its shard's lock.
 #pragma once
 
 #include <cstdint>
@@ -27,18 +27,18 @@
   queue_full,   // the workspace has too many requests waiting
   too_late,     // the deadline cannot be met
   no_capacity,  // no replica serves the model
-  displaced,    // gave way to a request of higher priority of its own workspace
+  displaced,    // removed from the queue for a request of higher priority of the same workspace
 };
 
 [[nodiscard]] std::string_view to_string(reject_reason reason);
 
-// Start it now.
+// The request starts now.
 struct admitted {};
-// Keep the caller; the id comes back from on_capacity(), finished() or tick().
+// The request waits; its id is returned later by on_capacity(), finished() or tick().
 struct queued {
   duration expected_wait{};
 };
-// Proven not run: tell the caller at once.
+// The request is proven not to have run; the caller is notified immediately.
 struct rejected {
   reject_reason reason = reject_reason::too_late;
   duration retry_after{};
@@ -52,24 +52,24 @@
 
 struct submission {
   admission_verdict verdict;
-  std::optional<rejection> displaced;  // another, waiting request that is refused in its place
+  std::optional<rejection> displaced;  // a waiting request that is refused in its place
 };
 
-// What this node may use of the model's replicas (see usable_slots in router.h).
+// Capacity of the model's replicas that this node may use (see usable_slots in spill.h).
 struct node_capacity {
   std::uint32_t free_slots{};  // may start now, beyond what this node already runs
-  std::uint32_t slots{};       // of all usable replicas; 0: nobody serves the model
-  // Wait before a slot becomes free as others report it; with no slots at all, until somebody
-  // serves the model again (0: nobody knows, and requests are refused).
+  std::uint32_t slots{};       // of all usable replicas; 0: no replica serves the model
+  // Reported wait until a slot becomes free or, with no slots at all, until a replica serves the
+  // model again (0: not known, and requests are refused).
   duration reported_delay{};
 };
 
 struct admission_settings {
   std::size_t max_queued_per_workspace = 512;
-  duration first_service_time = 2s;  // per unit of cost, until one was observed
+  duration first_service_time = 2s;  // per unit of cost, until the first observation
   double smoothing = 0.05;           // weight of a new observation in the moving averages
-  // A request is started only if this many mean deviations of the service time still fit before
-  // its deadline: work that ends too late is work lost to others.
+  // A request is started only if the mean service time plus this many mean deviations ends before
+  // its deadline. Work that ends too late wastes capacity.
   double deviations = 1.0;
   duration min_retry_after = 200ms;
   duration max_retry_after = 30s;
@@ -84,26 +84,26 @@
 
   [[nodiscard]] submission submit(time_point now, const request_facts& facts);
 
-  // Tells what may be used from now on; returns what to start, in order. At most free_slots.
+  // Sets the usable capacity. Returns the requests to start, in order; at most free_slots.
   [[nodiscard]] std::vector<request_id> on_capacity(time_point now, const node_capacity& capacity);
 
-  // A started request ended. `served`: it ran to its end, so its time counts as an observation.
-  // Returns what to start in its place.
+  // A started request ended. `served`: it ran to completion, so its time counts as an observation.
+  // Returns the requests to start in its place.
   [[nodiscard]] std::vector<request_id> finished(time_point now, const request_id& id,
                                                  bool served = true);
-  // The first token of a started request went out.
+  // The first token of a started request was sent.
   void first_token(time_point now, const request_id& id);
-  // The caller is gone. Returns what to start if a slot became free.
+  // The caller disconnected. Returns the requests to start if a slot became free.
   [[nodiscard]] std::vector<request_id> abandon(time_point now, const request_id& id);
 
-  // Waiting requests that cannot be answered in time any more. Call at next_tick() or sooner.
+  // Waiting requests that can no longer meet their deadline. Call at next_tick() or sooner.
   [[nodiscard]] std::vector<rejection> tick(time_point now);
-  // When the next waiting request becomes hopeless; time_point::max() if none waits.
+  // When the next waiting request can no longer meet its deadline; time_point::max() if none waits.
   [[nodiscard]] time_point next_tick() const;
 
-  // Expected wait of a request that came now.
+  // Expected wait of a request that arrives now.
   [[nodiscard]] duration expected_wait(const request_facts& facts) const;
-  // Expected time in a replica for this cost.
+  // Expected service time of a request of this cost in a replica.
   [[nodiscard]] duration service_time(double cost) const;
   [[nodiscard]] std::size_t waiting() const { return waiting_count_; }
   [[nodiscard]] std::size_t running() const { return running_.size(); }
@@ -112,7 +112,7 @@
   struct waiting_request {
     request_id id;
     double cost{};
-    time_point start_by;  // hopeless when started later
+    time_point start_by;  // misses its deadline when started later
   };
   struct running_request {
     time_point started;
@@ -133,7 +133,7 @@
     void observe(double value, double weight);
   };
 
-  [[nodiscard]] duration needed(double cost) const;
+  [[nodiscard]] duration required_time(double cost) const;
   [[nodiscard]] time_point latest_start(const request_facts& facts) const;
   [[nodiscard]] double cost_rate() const;
   [[nodiscard]] double work_ahead(const workspace_id& id, std::uint32_t priority,
@@ -152,8 +152,9 @@
   std::map<workspace_id, workspace_queue> queues_;
   std::unordered_map<request_id, running_request> running_;
   std::unordered_map<request_id, workspace_id> waiting_in_;
-  std::vector<rejection> hopeless_;  // found while starting others; given out by the next tick()
-  std::size_t waiting_count_ = 0;    // == sum of the queues' counts
+  // Requests found too late while starting others; the next tick() returns them.
+  std::vector<rejection> hopeless_;
+  std::size_t waiting_count_ = 0;  // == sum of the queues' counts
   double virtual_time_ = 0;
   node_capacity capacity_;
   estimate service_;      // seconds per unit of cost
--- a/src/request/answer.cpp
+++ b/src/request/answer.cpp
@@ -1,4 +1,4 @@
-// Matching of streamed answers.
+// Checks the tokens of streamed responses.
 #include "request/answer.h"
 
 namespace arbutus {
@@ -11,8 +11,8 @@
   if (whole_ || broken_) {
     return token_verdict::after_end;
   }
-  // A late answer of an earlier request on the same connection. Without this check its tokens
-  // would reach a caller who asked something else.
+  // A late response to an earlier request on the same connection. Without this check, its tokens
+  // would be delivered to the wrong caller.
   if (id != id_) {
     broken_ = true;
     return token_verdict::wrong_id;
@@ -41,7 +41,8 @@
   }
   if (total != next_) {
     broken_ = true;
-    // Fewer than were delivered: this attempt generated another answer than the one before.
+    // Fewer tokens than were delivered: this attempt generated a different response than the
+    // previous one.
     return total > next_ ? end_verdict::truncated : end_verdict::broken;
   }
   whole_ = true;
--- a/src/request/event_queue.h
+++ b/src/request/event_queue.h
@@ -1,4 +1,5 @@
-// Runs events in virtual time, for measuring decisions: no clock, the same order on every run.
+// Discrete-event simulation in virtual time: uses no clock and runs events in the same order on
+// every run.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +21,7 @@
     std::push_heap(events_.begin(), events_.end());
   }
 
-  // Runs all events before `end`, those that they add included.
+  // Runs all events before `end`, including those added meanwhile.
   void run_until(time_point end) {
     while (!events_.empty() && events_.front().when < end) {
       std::pop_heap(events_.begin(), events_.end());
@@ -33,14 +34,14 @@
  private:
   struct event {
     time_point when;
-    std::uint64_t number{};  // events of one moment run in the order in which they were added
+    std::uint64_t number{};  // events of the same time run in insertion order
     action what;
     bool operator<(const event& other) const {
       return when != other.when ? when > other.when : number > other.number;
     }
   };
 
-  std::vector<event> events_;  // a heap, the next one in front
+  std::vector<event> events_;  // a heap; the earliest event is in front
   std::uint64_t next_ = 0;
 };
 
--- a/src/request/event_relay.cpp
+++ b/src/request/event_relay.cpp
@@ -1,4 +1,4 @@
-// Whole events, in order.
+// Splits a stream of server-sent events and checks their order.
 #include "request/event_relay.h"
 
 #include <charconv>
@@ -10,7 +10,7 @@
 constexpr std::string_view event_end = "\n\n";
 constexpr std::string_view event_end_crlf = "\r\n\r\n";
 
-// Position behind the first event of `bytes`, or npos.
+// Position after the first event in `bytes`, or npos.
 std::size_t end_of_event(std::string_view bytes) {
   const auto plain = bytes.find(event_end);
   const auto crlf = bytes.find(event_end_crlf);
@@ -29,7 +29,7 @@
   return value;
 }
 
-// The value of the field `id` of an event; empty if it has none.
+// The value of an event's `id` field; empty if there is none.
 std::string_view id_of(std::string_view event) {
   std::string_view id;
   while (!event.empty()) {
--- a/src/request/event_relay.h
+++ b/src/request/event_relay.h
@@ -1,8 +1,8 @@
-// Passes the events of a stream on whole, each once, also when the stream is resumed on another
-// target.
+// Forwards the events of a stream complete and exactly once, also when the stream is resumed on
+// another target.
 //
-// A target may end in the middle of an event. What was passed on of it could not be taken back when
-// the next target sends the event again, so bytes wait until their event is whole.
+// A target may fail in the middle of an event, and the next target sends that event again from its
+// start. Bytes are therefore buffered until their event is complete.
 #pragma once
 
 #include <cstdint>
@@ -14,29 +14,29 @@
 
 class event_relay {
  public:
-  // `resume_after`: the last event that the caller has from an earlier request, if any.
+  // `resume_after`: id of the last event that the caller received from an earlier request, if any.
   explicit event_relay(std::string resume_after = {}) : last_id_(std::move(resume_after)) {}
 
-  // Takes bytes of the running attempt; returns those that may go to the caller now. The view lives
-  // until the next call.
+  // Takes bytes of the current attempt; returns those that may be sent to the caller now. The view
+  // is valid until the next call.
   [[nodiscard]] std::string_view take(std::string_view bytes);
 
-  // The attempt broke; another one follows behind last_id().
+  // The attempt failed; the next one resumes after last_id().
   void restart();
 
-  // Of the last whole event passed on; empty if none.
+  // Id of the last event forwarded; empty if none.
   [[nodiscard]] const std::string& last_id() const { return last_id_; }
   [[nodiscard]] std::uint64_t events() const { return events_; }
-  // Whether bytes of an event wait for its end: a stream that ends so is not complete.
+  // Whether bytes of an incomplete event are buffered. A stream that ends then is truncated.
   [[nodiscard]] bool inside_event() const { return !pending_.empty(); }
-  // An event came whose id is not behind the one before: it was sent twice, or the target did not
-  // go on where it was asked to. The attempt is of no more use.
+  // An event's id was not greater than the previous one: the event was sent twice, or the target
+  // did not resume where it was asked to. The attempt has to be abandoned.
   [[nodiscard]] bool out_of_order() const { return out_of_order_; }
 
  private:
   void note_event(std::string_view event);
 
-  std::string pending_;  // begins at the start of an event
+  std::string pending_;  // starts at an event boundary
   std::string passed_;
   std::string last_id_;
   std::uint64_t events_ = 0;
--- a/src/request/expected_completion.cpp
+++ b/src/request/expected_completion.cpp
@@ -1,4 +1,4 @@
-// Estimates of load, speed and completion per replica.
+// Estimates load, speed and completion time per replica.
 #include "request/expected_completion.h"
 
 #include <algorithm>
@@ -7,12 +7,13 @@
 
 namespace {
 
-// Candidates within this part of the best are equal: the choice among them is drawn, or nodes
-// with the same reports would all send to the same replica.
+// Candidates within this fraction of the best count as ties. Ties are broken at random; otherwise
+// nodes with the same reports would all send to the same replica.
 constexpr double equal_within = 0.01;
-// Part of its slots that a replica is trusted with directly after a repair.
+// Fraction of a replica's slots that is assumed usable directly after a repair.
 constexpr double least_slow_start = 0.1;
-// A lone observation must not turn a replica into a straggler or a marvel.
+// Caps an observation relative to the current estimate, so that a single outlier does not make a
+// replica look like a straggler.
 constexpr double largest_observed_factor = 8.0;
 
 double as_double(std::uint32_t value) {
@@ -51,7 +52,7 @@
                       .last_resort = choice->avoided || choice->tried};
 }
 
-// A replica that was a straggler and got another member would else stay avoided by its name.
+// Without this, a straggler whose slow member was replaced would stay avoided under its id.
 void expected_completion::forget(const replica_id& replica) {
   learnt_.erase(replica);
   prefixes_.forget(replica);
@@ -69,8 +70,8 @@
     return;
   }
   known.failed_at.reset();
-  // The time before the first token holds the wait in the engine's queue, which is load, not
-  // speed. Without a stream the wait is taken as it was expected.
+  // The time before the first token includes the wait in the engine's queue, which reflects load,
+  // not speed. Without streaming, the expected wait is used instead.
   const duration waited =
       result.first_token > 0us ? result.first_token : std::min(result.expected_wait, result.total);
   double seconds = to_seconds(result.total - waited) / std::max(result.cost, 1e-6);
@@ -103,9 +104,9 @@
   return all;
 }
 
-// The report plus what happened since. Of the other nodes it is presumed that they did what this
-// one did: with the same reports they come to the same choices, and reckoning only with the own
-// part would send every node's requests to the replica that was idle a moment ago.
+// The reported load plus the changes since. Assumes that the other nodes sent as many requests as
+// this one, as they make the same choices from the same reports. Counting only this node's requests
+// would make all nodes send to the replica that was idle at the last report.
 double expected_completion::estimated_load(const replica_route& route,
                                            const in_flight& flights) const {
   const double sent = as_double(flights.sent_since(route.id, route.load_at));
@@ -159,8 +160,8 @@
   mark_avoided(now, all, median);
 }
 
-// Stragglers and replicas that just failed, worst first, up to the cap: if all look slow it is the
-// load or this node that is slow, and avoiding them would only move the crowd around.
+// Marks stragglers and replicas that just failed, slowest first, up to the cap. If all look slow,
+// the cause is the load or this node, and avoiding replicas would only shift the load around.
 void expected_completion::mark_avoided(time_point now, candidates& all, double median) const {
   std::vector<candidate*> bad;
   for (candidate& c : all) {
@@ -183,7 +184,8 @@
   }
 }
 
-// Without a request now and then, a replica that recovered would stay avoided for ever.
+// Sends an occasional request to an avoided replica; otherwise a replica that recovered would stay
+// avoided forever.
 expected_completion::candidate* expected_completion::due_for_probe(time_point now,
                                                                    const request_facts& facts,
                                                                    candidates& all) {
@@ -191,8 +193,8 @@
     return nullptr;
   }
   for (candidate& c : all) {
-    // Only while it is idle: a straggler that is kept full by probes of all nodes never recovers,
-    // and each of those requests waits behind the others.
+    // Only while it is idle: a straggler that the probes of all nodes keep full never recovers, and
+    // each of those requests waits behind the others.
     if (!c.avoided || c.tried || c.load >= 1) {
       continue;
     }
@@ -208,16 +210,17 @@
   return nullptr;
 }
 
-// In order: untried before tried, not avoided before avoided, and replicas that cross fabric
-// domains only when no other has a free slot; then by expected completion.
+// Ranks untried before tried replicas, and not avoided before avoided ones. Replicas that cross
+// fabric domains come last while another one has a free slot. Within a rank, the earliest expected
+// completion wins.
 expected_completion::candidate* expected_completion::best(candidates& all) {
   const auto is_free = [](const candidate& c) {
     return !c.tried && !c.avoided && !c.route->crosses_fabric_domains && c.wait <= 0;
   };
   const bool any_free = std::any_of(all.begin(), all.end(), is_free);
   const auto rank = [&](const candidate& c) {
-    const bool kept_back = c.route->crosses_fabric_domains && any_free;
-    return (c.tried ? 4 : 0) + (c.avoided ? 2 : 0) + (kept_back ? 1 : 0);
+    const bool deferred = c.route->crosses_fabric_domains && any_free;
+    return (c.tried ? 4 : 0) + (c.avoided ? 2 : 0) + (deferred ? 1 : 0);
   };
   const auto better = [&](const candidate& a, const candidate& b) {
     return rank(a) != rank(b) ? rank(a) < rank(b) : a.expected < b.expected;
--- a/src/request/expected_completion.h
+++ b/src/request/expected_completion.h
@@ -1,7 +1,7 @@
-// The default policy: the replica where the request is expected to be answered first.
+// The default routing policy: chooses the replica with the earliest expected completion.
 //
-// It corrects the reported load, which lags, by what this node did since, learns how fast each
-// replica is, credits a warm prefix cache, and avoids stragglers without ever avoiding all.
+// Corrects the delayed load reports by the requests sent and ended since, learns the speed of each
+// replica, credits a warm prefix cache, and avoids stragglers but never all replicas.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +15,20 @@
 namespace arbutus {
 
 struct expected_completion_settings {
-  std::uint32_t nodes = 1;           // that send to the same replicas, this one included
-  duration first_service_time = 2s;  // per unit of cost, until one was observed
+  std::uint32_t nodes = 1;           // nodes that send to the same replicas, this one included
+  duration first_service_time = 2s;  // per unit of cost, until the first observation
   double smoothing = 0.1;            // weight of a new observation
-  duration block_prefill = 2ms;      // saved per prefix block that is in the cache
-  // Affinity counts only while the replica's load is below this factor of the mean (plus one).
+  duration block_prefill = 2ms;      // prefill time saved per cached prefix block
+  // Prefix affinity counts only while the replica's load is at most this factor of the mean plus 1.
   double affinity_load_bound = 1.25;
-  // A replica slower than the median by this factor is a straggler ...
+  // A replica slower than the median by this factor is a straggler and avoided.
   double straggler_factor = 2.0;
-  // ... and avoided, but at most this part of the replicas at once (and one of two or more).
+  // At most this fraction of the replicas is avoided, but at least one if there are two or more.
   double max_avoided = 0.25;
-  duration probe_straggler_every = 2s;  // a repeatable request each, to see whether it recovered
-  duration slow_start = 10s;            // after a repair, the load rises over this time
-  double cross_domain_slowdown = 3.0;   // presumed until observed
-  duration failure_memory = 2s;         // avoided after a failed attempt
+  duration probe_straggler_every = 2s;  // one repeatable request each, to detect recovery
+  duration slow_start = 10s;            // ramp-up time of the load after a repair
+  double cross_domain_slowdown = 3.0;   // assumed until observed
+  duration failure_memory = 2s;         // how long a replica is avoided after a failed attempt
 };
 
 class expected_completion {
@@ -37,15 +37,15 @@
                                const expected_completion_settings& settings = {});
 
   void set_nodes(std::uint32_t nodes) { settings_.nodes = nodes; }
-  // For cache events.
+  // To be updated with the engines' cache events.
   [[nodiscard]] prefix_index& prefixes() { return prefixes_; }
-  // The replica has a new generation or is gone: other VMs, other speed, empty cache.
+  // The replica was removed or has a new generation: other VMs, another speed, an empty cache.
   void forget(const replica_id& replica);
 
   std::optional<route_choice> choose(time_point now, const routing_snapshot& routes,
                                      const request_facts& facts, const in_flight& flights,
                                      tried_replicas tried);
-  // The chosen request was really sent: its prefix will be in that replica's cache.
+  // The request was sent: its prefix will be in that replica's cache.
   void sent(time_point now, const replica_id& replica, const request_facts& facts);
   void observe(time_point now, const attempt_result& result);
 
@@ -58,7 +58,7 @@
   struct candidate {
     std::size_t index{};
     const replica_route* route{};
-    double load{};   // estimated requests there now
+    double load{};   // estimated number of requests at the replica now
     double speed{};  // seconds per unit of cost
     double wait{};   // seconds
     double expected{};
--- a/src/request/facts.h
+++ b/src/request/facts.h
@@ -1,4 +1,5 @@
-// What the deciding parts know of one request: a value made once, when the request arrives.
+// Properties of one request that admission and routing decide by. Set once, when the request
+// arrives.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,7 @@
 
 namespace arbutus {
 
-// Hashes of the leading blocks of a prompt, each one covering all text up to the block's end.
+// Hashes of the leading blocks of a prompt; each covers all text up to the end of its block.
 using prefix_blocks = std::vector<std::uint64_t>;
 
 struct request_facts {
@@ -18,10 +19,10 @@
   model_id model;
   std::uint32_t priority = 0;  // 0 first, as in class_rule
   time_point arrival;
-  time_point deadline = time_point::max();        // for the whole answer
-  time_point first_token_by = time_point::max();  // for its first token
-  double cost = 1.0;       // expected work; 1 is a mean request of the model, always above 0
-  bool repeatable = true;  // may run twice without harm
+  time_point deadline = time_point::max();        // for the complete response
+  time_point first_token_by = time_point::max();  // for the first token
+  double cost = 1.0;       // expected work, above 0; 1 is a mean request of the model
+  bool repeatable = true;  // idempotent: may run twice
   prefix_blocks prefix;    // may be empty: no affinity
 };
 
--- a/src/request/in_flight.cpp
+++ b/src/request/in_flight.cpp
@@ -1,4 +1,4 @@
-// Book-keeping of this node's own attempts.
+// Tracks this node's own attempts.
 #include "request/in_flight.h"
 
 #include <algorithm>
--- a/src/request/in_flight.h
+++ b/src/request/in_flight.h
@@ -1,5 +1,5 @@
-// What this node has sent to which replica and not seen ended: its own, undelayed part of the
-// replicas' load.
+// Attempts of this node in flight, by replica: the part of the replicas' load that this node knows
+// without delay.
 #pragma once
 
 #include <cstdint>
@@ -22,20 +22,20 @@
 
   // One request may have one attempt per replica (hedging).
   void sent(time_point now, const request_id& id, const replica_id& replica, double cost);
-  // Returns the attempt that ended; empty if it is not known.
+  // Returns the attempt that ended; empty if unknown.
   std::optional<attempt> ended(time_point now, const request_id& id, const replica_id& replica);
 
-  // The replica is gone for good; does nothing while attempts on it are open.
+  // The replica was removed for good; does nothing while attempts on it are open.
   void forget(const replica_id& replica);
 
   [[nodiscard]] std::uint32_t count(const replica_id& replica) const;
   [[nodiscard]] std::uint32_t total() const { return total_; }
-  // Sends and ends after `since`, as far as `history` reaches back.
+  // Attempts sent or ended after `since`, limited to the last `history`.
   [[nodiscard]] std::uint32_t sent_since(const replica_id& replica, time_point since) const;
   [[nodiscard]] std::uint32_t ended_since(const replica_id& replica, time_point since) const;
 
  private:
-  // Reported load is never used when older than this.
+  // Load reports older than this are never used.
   static constexpr duration history = 10s;
   static constexpr std::size_t max_history = 4096;  // per replica and kind
 
--- a/src/request/instance_choice.cpp
+++ b/src/request/instance_choice.cpp
@@ -1,4 +1,4 @@
-// Choosing instances of plain services.
+// Chooses instances of plain services.
 #include "request/instance_choice.h"
 
 #include <algorithm>
--- a/src/request/instance_choice.h
+++ b/src/request/instance_choice.h
@@ -1,8 +1,8 @@
-// Which instance of a plain service gets a call.
+// Chooses the instance of a plain service for a call.
 //
-// It answers uneven instances: slow ones, ones that fail a part of their calls while their health
-// check is good, and loads that lag. What counts is what this node sees: its own calls in flight,
-// the load that an instance told with its last answer, and how its last calls ended.
+// Instances may be slow, may fail some calls while their health check succeeds, and report their
+// load late. The choice uses this node's own calls in flight, the load that an instance reported
+// with its last response, and the outcomes of its last calls.
 #pragma once
 
 #include <cstdint>
@@ -25,22 +25,22 @@
 };
 
 enum class call_end : std::uint8_t {
-  answered,   // whatever the status: the instance works
-  not_run,    // it refused: full or leaving
-  failed,     // broken, silent, or an answer that is not to be believed
-  withdrawn,  // ended for a reason that says nothing of the instance
+  answered,   // with any status: the instance works
+  not_run,    // refused: full or leaving
+  failed,     // broken connection, no response, or an invalid response
+  withdrawn,  // ended for a reason unrelated to the instance
 };
 
 struct instance_settings {
-  // Weight of the newest call in the share of failed calls. At 0.25 three failures in a row push an
-  // instance behind one with a full queue, and four good calls bring it back.
+  // Weight of the newest call in the failure rate. At 0.25 three failures in a row rank an instance
+  // behind one with a full queue, and four successful calls restore it.
   double failure_weight = 0.25;
-  // A failed instance is tried again as its share of failures fades with this half-incarnation.
+  // Half-life of the failure rate: as it decays, a failed instance is tried again.
   duration failure_half_life = 2s;
-  // Calls' worth of load that an instance with only failures counts as having more.
+  // Added load, in calls, of an instance at a failure rate of 1.
   double failure_cost = 24;
-  // Calls' worth of load for an instance in another data centre: its slots are as good, its bytes
-  // are dear.
+  // Added load, in calls, of an instance in another data centre: its slots are equivalent, but
+  // traffic between data centres is expensive.
   double away_cost = 1.0;
   duration told_load_memory = 1s;
 };
@@ -49,7 +49,7 @@
  public:
   explicit instance_table(const instance_settings& settings = {}) : settings_(settings) {}
 
-  // Empty when there is none beside those in `avoided`.
+  // Empty if all candidates are in `avoided`.
   [[nodiscard]] std::optional<std::size_t> choose(time_point now,
                                                   std::span<const service_instance> candidates,
                                                   const data_centre_id& home,
@@ -57,11 +57,11 @@
 
   void sent(const target_id& id);
   void ended(time_point now, const target_id& id, call_end end);
-  // Running and waiting calls that the instance told with an answer.
+  // Running and waiting calls that the instance reported with a response.
   void told(time_point now, const target_id& id, double calls);
   void forget(const std::vector<target_id>& gone);
 
-  // Calls of this node that are with the instance.
+  // Calls of this node in flight at the instance.
   [[nodiscard]] double active(const target_id& id) const;
 
  private:
@@ -69,7 +69,7 @@
     double active = 0;
     double told_calls = 0;
     time_point told_at{};
-    double failures = 0;  // share of failed calls, newest weigh most
+    double failures = 0;  // exponential moving average of failed calls, at `failures_at`
     time_point failures_at{};
   };
 
--- a/src/request/keyed.cpp
+++ b/src/request/keyed.cpp
@@ -1,4 +1,4 @@
-// The state machine of a non-repeatable call.
+// The state machine of a call with an idempotency key.
 #include "request/keyed.h"
 
 #include <algorithm>
@@ -41,12 +41,12 @@
   if (const auto* done = std::get_if<table_written>(&result.result)) {
     row_version_ = done->version;
     backoff_ = settings_.first_backoff;
-    // What we want may have changed while the write was under way.
+    // The desired record may have changed while the write was in progress.
     const bool is_wanted = result.request.value == wanted_;
     return is_wanted ? standing(now, wall) : write(now, wall, record_.phase);
   }
-  // Refused: another record stands there, or an earlier write of ours whose reply was lost.
-  // Unknown: it may have taken effect. In both cases only the row itself can tell.
+  // Refused: the row holds another record, or an earlier write of this call whose reply was lost.
+  // Unknown: the write may have taken effect. Both are resolved by reading the row.
   if (std::holds_alternative<refused>(result.result)) {
     return read();
   }
@@ -74,7 +74,7 @@
       step_ = step::finished;
       return {};
     }
-    wrote_ = false;  // the damaged row is left for people to look at
+    wrote_ = false;  // the damaged row is kept for operators to inspect
     return stop_unsent(now, wall, "the record of this key is damaged");
   }
   const auto& standing_record = std::get<keyed_record>(found);
@@ -116,9 +116,9 @@
   return step_ == step::finished ? time_point::max() : next;
 }
 
-// A paused process does not know that it was paused. The record in `sending` keeps others from
-// running the call, but only until it expires; so the permission ends by this node's own clock
-// long before that.
+// A paused process cannot detect that it was paused. The record in `sending` keeps other nodes from
+// running the call, but only until the record expires. The permission therefore ends by this node's
+// own clock long before that.
 bool keyed_call::may_send(time_point now) const {
   return step_ == step::ready && send_until_ && now < *send_until_ && now < facts_.deadline;
 }
@@ -153,7 +153,7 @@
     out.insert(out.end(), more.begin(), more.end());
     return out;
   }
-  // The record stays in `sending`: whoever asks later learns that the call may have run.
+  // The record stays in `sending`: repeated calls are told that the call may have run.
   step_ = step::finished;
   return reply({.what = keyed_reply::kind::unknown, .reason = "no whole answer from the target"});
 }
@@ -186,7 +186,7 @@
   record_.answer_by = wall + std::max(facts_.deadline - now, duration{0});
   record_.expires = record_.answer_by + settings_.send_window + settings_.retention;
   if (phase == record_phase::sending) {
-    // Counted from before the write, which may take long.
+    // Measured from before the write, which may take long.
     send_until_ = now + settings_.send_window;
   }
   wanted_ = encode(record_);
@@ -207,7 +207,7 @@
   backoff_ = std::min(settings_.max_backoff, backoff_ * 2);
 }
 
-// Our record stands in the table as we want it.
+// The table holds this call's record in the desired phase.
 keyed_effects keyed_call::standing(time_point now, wall_time wall) {
   switch (step_) {
     case step::reserving:
@@ -227,7 +227,7 @@
 
 keyed_effects keyed_call::found_none(time_point now, wall_time wall) {
   if (step_ == step::marking) {
-    // The table was set back to an older copy: what it says of other calls may be old, too.
+    // The table was restored from an older copy: its records of other calls may be stale, too.
     return stop_unsent(now, wall, "the record is gone from the table");
   }
   if (step_ == step::recording && record_.phase == record_phase::not_run) {
@@ -255,8 +255,8 @@
       return write(now, wall, record_phase::reserved);
     }
   }
-  // In `marking`, somebody took our reservation over while we were paused: we have not sent and
-  // never will, but the call may run through them, so it is not called not-run.
+  // In `marking`, another node took over the reservation while this one was paused. This node will
+  // never send the call, but the other one may; so it is not reported as not run.
   return answer_for(wall, other);
 }
 
@@ -286,7 +286,7 @@
                 .retry_after = std::clamp(open, settings_.first_backoff, settings_.max_backoff)});
 }
 
-// We have not sent and never will: the step leaves the ones in which may_send() could be true.
+// The call was not sent and never will be: leaves the steps in which may_send() could be true.
 keyed_effects keyed_call::stop_unsent(time_point now, wall_time wall, std::string reason) {
   keyed_effects out = reply({.what = keyed_reply::kind::not_run,
                              .reason = std::move(reason),
@@ -305,11 +305,11 @@
   record_until_ = now + settings_.record_for;
   record_.phase = phase;
   if (asked_table_) {
-    wanted_.clear();  // the write under way is not the desired one; its result brings us back
+    wanted_.clear();  // the write in progress is outdated; its result triggers the new one
     return {};
   }
   if (retry_at_ != time_point::max()) {
-    return {};  // an earlier write is unresolved: the read that is due comes first
+    return {};  // an earlier write is unresolved: the scheduled read comes first
   }
   return write(now, wall, phase);
 }
--- a/src/request/keyed.h
+++ b/src/request/keyed.h
@@ -1,18 +1,19 @@
-// Calls that may not be repeated. A record in the platform's table is written before the call is
-// sent, so that it runs at most once, whichever node a repeated call meets and whoever pauses.
+// Calls with an idempotency key, which must run at most once. A record is written to the platform's
+// table before the call is sent. The guarantee holds whichever node receives a repeated call and
+// whichever process is paused.
 //
 //   reserved -> sending -> done
-//       |          |-----> not_run   (by the owner alone: only it knows that it never sent)
+//       |          |-----> not_run   (only by the owner, which knows that it never sent)
 //       |-> reserved by another node (takeover), or not_run
 //
-// Every arrow is a conditional write. `reserved` proves that nothing was sent: the owner sends
-// only after its own write to `sending` was accepted. So another node may take over a reserved
-// record at any time, and a paused owner finds out because its next write is refused. Clocks
-// decide when that is tried, never whether it is safe. A record in `sending` whose owner is gone
+// Every arrow is a conditional write. `reserved` proves that nothing was sent: the owner sends only
+// after its own write to `sending` was accepted. Another node may therefore take over a reserved
+// record at any time; a paused owner notices because its next write is refused. Clocks decide when
+// a takeover is tried, never whether it is safe. A record in `sending` whose owner has failed
 // stays: the call may have run.
 //
-// Expiry is the one place where safety leans on time: a record may be replaced after `expires`,
-// which lies `retention` after the last moment at which its owner may send.
+// Only expiry depends on time for safety: a record may be replaced after `expires`, which is
+// `retention` after the last time at which its owner may send.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +31,7 @@
 
 namespace arbutus {
 
-// Who writes a record: one attempt of one process.
+// The writer of a record: one attempt of one process.
 struct record_owner {
   node_id node;
   std::uint64_t incarnation{};  // of the node's process
@@ -45,9 +46,9 @@
   std::string body_hash;  // content_hash of method, path and body
   record_phase phase = record_phase::reserved;
   wall_time changed;
-  wall_time answer_by;  // the owner's call has ended by then, one way or the other
+  wall_time answer_by;  // the owner's call has ended by then, with any outcome
   wall_time expires;
-  // Of a done call. A body that is too large is kept as its hash only.
+  // Response of a done call. Of a body that is too large, only the hash is kept.
   std::uint32_t status{};
   std::string content_type;
   std::string body;
@@ -61,28 +62,28 @@
 [[nodiscard]] std::string keyed_row(const workspace_id& workspace, const idempotency_key& key);
 
 struct keyed_settings {
-  duration send_window = 2s;        // from the issue of the write to `sending` to the send
-  duration takeover_after = 5s;     // a record reserved for longer has lost its owner
+  duration send_window = 2s;        // from issuing the write to `sending` until the send
+  duration takeover_after = 5s;     // a record reserved for longer is assumed to have no owner
   duration retention = 24h;         // how long a repeated call is recognised
-  duration table_patience = 2s;     // without the record after that: not run, try again later
-  duration table_retry_after = 2s;  // told to the caller when the table is away
-  duration record_for = 10min;      // how long the outcome is tried to be recorded
-  duration first_backoff = 50ms;    // between tries to reach the table
+  duration table_patience = 2s;     // for writing the record; then the call ends as not run
+  duration table_retry_after = 2s;  // sent to the caller while the table is unavailable
+  duration record_for = 10min;      // how long writing the outcome is retried
+  duration first_backoff = 50ms;    // between attempts to reach the table
   duration max_backoff = 1s;
   std::size_t max_body = 16'384;
 };
 
-// ---- what the shell has to do ----
+// ---- effects to be executed by the caller of keyed_call ----
 
-// Send the call now, if may_send() still says so directly before; then say sent() or not_sent().
+// Send the call now, if begin_send() still permits it; then report ended() or answered().
 struct keyed_send {};
-// Tell the caller. Given exactly once per call.
+// Reply to the caller. Returned exactly once per call.
 struct keyed_reply {
   enum class kind {
-    done,         // status and body are the answer, own or recorded
+    done,         // status and body are the response, of this call or a recorded one
     not_run,      // proven; may be tried again after retry_after
     unknown,      // may have run
-    in_progress,  // an equal call is running; ask again after retry_after
+    in_progress,  // a call with the same key is running; may be repeated after retry_after
     conflict,     // the key was used with another body
   };
   kind what = kind::unknown;
@@ -91,13 +92,13 @@
   std::uint32_t status{};
   std::string content_type{};
   std::string body{};
-  bool replayed = false;      // recorded earlier
-  bool body_dropped = false;  // the call is done, but its answer was too large to keep
+  bool replayed = false;      // from the record of an earlier call
+  bool body_dropped = false;  // the call is done, but its response was too large to keep
 };
 using keyed_effect = std::variant<table_read, table_write, keyed_send, keyed_reply>;
 using keyed_effects = std::vector<keyed_effect>;
 
-// The target's whole answer.
+// The target's complete response.
 struct keyed_answer {
   std::uint32_t status{};
   std::string content_type;
@@ -106,13 +107,13 @@
 
 struct keyed_call_facts {
   workspace_id workspace;
-  idempotency_key key;  // from the caller, or made by the node for this request alone
+  idempotency_key key;  // from the caller, or generated by the node for this request alone
   record_owner owner;
   std::string body_hash;
   time_point deadline;
 };
 
-// One call. Lives until finished(); feed it all results and call tick() at next_tick().
+// One call. To be kept until finished(); pass it all results and call tick() at next_tick().
 class keyed_call {
  public:
   keyed_call(const keyed_call_facts& facts, const keyed_settings& settings = {});
@@ -123,30 +124,31 @@
   [[nodiscard]] keyed_effects tick(time_point now, wall_time wall);
   [[nodiscard]] time_point next_tick() const;
 
-  // Asks and marks in one step, directly before the first byte is written, with the connection
-  // already open: nothing that can suspend the caller may come between this and the write.
+  // Checks the permission and marks the call as sent in one step. To be called on an open
+  // connection directly before the first byte is written: nothing that can suspend the caller may
+  // come between.
   [[nodiscard]] bool begin_send(time_point now);
-  // The two halves of begin_send(). After sent() the first is false for good.
+  // The two halves of begin_send(). After sent(), may_send() stays false.
   [[nodiscard]] bool may_send(time_point now) const;
   void sent();
-  // The attempt ended without an answer. Proven not run only if `how` says so.
+  // The attempt ended without a complete response. Proven not run only if `how` is not_run.
   [[nodiscard]] keyed_effects ended(time_point now, wall_time wall, execution how);
   [[nodiscard]] keyed_effects answered(time_point now, wall_time wall, const keyed_answer& answer);
 
-  // The caller is gone. A call that was not sent by then never is.
+  // The caller disconnected. A call that was not sent by then is never sent.
   [[nodiscard]] keyed_effects cancel(time_point now, wall_time wall);
 
-  // Nothing is left to be done for this call.
+  // The call needs no further results or ticks.
   [[nodiscard]] bool finished() const { return step_ == step::finished; }
 
  private:
   enum class step {
     idle,
-    reserving,  // until our record stands
-    marking,    // until it says `sending`
+    reserving,  // until the record is written
+    marking,    // until the record is in `sending`
     ready,      // may be sent
     sent,
-    recording,  // the caller has its answer; the outcome is still to be recorded
+    recording,  // the caller has its reply; the outcome is still to be recorded
     finished,
   };
 
@@ -167,11 +169,11 @@
   keyed_settings settings_;
   std::string row_;
   step step_ = step::idle;
-  keyed_record record_;            // as we want it to stand
+  keyed_record record_;            // the desired record
   std::string wanted_;             // record_ encoded as last written
-  std::uint64_t row_version_ = 0;  // the table's version that the next write expects
-  bool asked_table_ = false;       // a table call is under way; there is never a second one
-  bool wrote_ = false;             // a write of ours may have taken effect
+  std::uint64_t row_version_ = 0;  // the row's version that the next write expects
+  bool asked_table_ = false;       // a table call is in progress; there is never a second one
+  bool wrote_ = false;             // a write of this call may have taken effect
   bool may_have_sent_ = false;     // never reset
   bool replied_ = false;
   std::optional<time_point> send_until_;
--- a/src/request/keyed_record.cpp
+++ b/src/request/keyed_record.cpp
@@ -1,4 +1,4 @@
-// How a keyed record looks in the table.
+// Encoding of keyed records in the table.
 #include <nlohmann/json.hpp>
 
 #include "base/hash.h"
@@ -63,8 +63,8 @@
   }
 }
 
-// Keys come from callers: hashed, they have a bounded length and no surprising characters, and
-// the workspace's length keeps two pairs from running together.
+// Keys come from callers. Hashing bounds their length and removes unexpected characters; the
+// length of the workspace name as a prefix keeps different pairs from giving the same text.
 std::string keyed_row(const workspace_id& workspace, const idempotency_key& key) {
   const std::string size = std::to_string(workspace.str().size());
   return "keyed/" + content_hash(size + ":" + workspace.str() + ":" + key.str());
--- a/src/request/limits.cpp
+++ b/src/request/limits.cpp
@@ -1,4 +1,4 @@
-// Leases of parts of a rate limit.
+// Distributed rate limits by leases between nodes.
 #include "request/limits.h"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 namespace {
 
-// A node with a small part must still be able to pass one request now and then.
+// A node with a small share must still be able to admit a single request.
 constexpr double least_burst = 1.0;
-// Workspaces that ask for less are left out of messages.
+// Workspaces with a smaller demand are omitted from messages.
 constexpr double least_told_demand = 0.01;
 constexpr duration shortest_retry_after = 1ms;
 constexpr duration longest_retry_after = 60s;
@@ -108,7 +108,8 @@
   if (std::find(others_.begin(), others_.end(), peer) == others_.end()) {
     return;
   }
-  // Messages may overtake each other; a stamp that falls back for longer is a restarted peer.
+  // Messages may be reordered; a stamp that stays behind for longer than a lease means that the
+  // peer restarted.
   const auto clock = clocks_.find(peer);
   if (clock != clocks_.end() && message.stamp <= clock->second.stamp && is_heard(now, peer)) {
     return;
@@ -119,9 +120,10 @@
     b.peers[peer].demand = 0;
     b.peers[peer].borrowed = {};
   }
-  // Counted from what this node sent before the peer lent: a message that was under way for long,
-  // or read late after a pause, then holds a lease that runs out here no later than at the
-  // lender. An echo from before this process is some other process's time.
+  // The lease starts at the time at which this node sent the message that the peer echoes, which is
+  // before the peer lent. So a lease in a delayed message, or one that is read late after a pause,
+  // expires here no later than at the lender. An echo from before the start of this process refers
+  // to the clock of an earlier one.
   const bool is_valid = message.echo && *message.echo >= created_ && *message.echo <= now;
   for (const limit_message::workspace_usage& usage : message.workspaces) {
     const auto found = buckets_.find(usage.workspace);
@@ -158,8 +160,8 @@
   b.counted = now;
 }
 
-// The parts of all nodes that hear each other, shared out by demand above a floor, would give each
-// a target. Whoever has more than its target lends the rest to those that have less.
+// Divides the shares of all reachable nodes by demand above a floor, which gives each node a target
+// rate. A node whose share is above its target lends the difference to those below theirs.
 void rate_limits::plan_lending(time_point now, bucket& b) const {
   const double own = own_part(b);
   const double floor = settings_.floor_part * own;
@@ -177,24 +179,24 @@
   }
   const double pool = (own - floor) * members;
   const auto target = [&](double of_node) { return floor + pool * of_node / demand; };
-  const auto lacks = [&](const node_id& peer) {
+  const auto deficit_of = [&](const node_id& peer) {
     return is_heard(now, peer) ? std::max(0.0, target(b.peers[peer].demand) - own) : 0.0;
   };
-  double lacking = 0;
+  double total_deficit = 0;
   double still_lent = 0;
   for (const node_id& peer : others_) {
     std::erase_if(b.peers[peer].lent, [&](const lease& l) { return l.until <= now; });
-    lacking += lacks(peer);
+    total_deficit += deficit_of(peer);
     still_lent += largest(now, b.peers[peer].lent);
   }
-  if (lacking <= 0) {
+  if (total_deficit <= 0) {
     return;
   }
-  // What a peer may still use of an earlier lease cannot be lent to another one.
+  // What a peer may still use under an earlier lease cannot be lent to another one.
   const double spare = std::max(0.0, own - target(b.demand));
   double available = std::max(0.0, own - floor - still_lent);
   for (const node_id& peer : others_) {
-    const double desired = spare * lacks(peer) / lacking;
+    const double desired = spare * deficit_of(peer) / total_deficit;
     const double held = largest(now, b.peers[peer].lent);
     const double more = std::clamp(desired - held, 0.0, available);
     available -= more;
--- a/src/request/limits.h
+++ b/src/request/limits.h
@@ -1,14 +1,14 @@
-// Rate limits of workspaces, held over all nodes without a coordinator.
+// Rate limits of workspaces, enforced over all nodes without a coordinator.
 //
-// Each node owns an equal part of every limit and lends what it does not need to peers that ask
-// for more, as leases that run out by themselves. The sum of what all nodes use therefore never
-// exceeds the limit, whatever is cut off, delayed or paused; a node that hears nobody falls back
-// to its own part within one lease.
+// Each node owns an equal share of every limit and lends what it does not need to peers with a
+// higher demand, as leases that expire on their own. The sum over all nodes therefore never exceeds
+// the limit under partitions, delays and pauses; a node that receives no messages falls back to its
+// own share within one lease.
 //
-// Stated bound: the limit, plus limit / nodes for at most one lease after each restart of a node
-// (it forgot what it lent), plus limit / nodes for each new node until all know of it, plus the
-// burst; each node's burst is at least one request. The price: the part of a node that is down or
-// cut off is not used elsewhere.
+// Guaranteed bound: the limit, plus limit / nodes for at most one lease after each restart of a
+// node (it has lost its record of what it lent), plus limit / nodes for each new node until all
+// nodes know it, plus the burst; each node's burst is at least one request. In return, the share of
+// a node that is down or partitioned is not used elsewhere.
 //
 // Not thread-safe.
 #pragma once
@@ -29,22 +29,22 @@
   double burst{};       // over all nodes
 };
 
-// What a node tells one peer, every `told_every`.
+// Sent by a node to each peer every `told_every`.
 struct limit_message {
   struct workspace_usage {
     workspace_id workspace;
-    double demand{};  // requests per second asked for here, refused ones included
+    double demand{};  // requests per second at the sender, refused ones included
     double lent{};    // to this peer, until `echo` plus the lease by the peer's clock
   };
   time_point stamp;                         // by the sender's clock
-  std::optional<time_point> echo;           // newest stamp the sender has heard from this peer
-  std::vector<workspace_usage> workspaces;  // those left out: no demand, nothing lent
+  std::optional<time_point> echo;           // newest stamp that the sender received from this peer
+  std::vector<workspace_usage> workspaces;  // omitted ones: no demand, nothing lent
 };
 
 struct limit_settings {
   duration told_every = 1s;     // how often messages are exchanged
-  duration lease = 4s;          // of what is lent; the same on all nodes
-  double floor_part = 0.2;      // of the own part, never lent
+  duration lease = 4s;          // duration of a lease; the same on all nodes
+  double floor_part = 0.2;      // fraction of a node's own share that is never lent
   duration demand_window = 5s;  // time constant of the demand's moving average
 };
 
@@ -65,12 +65,12 @@
   [[nodiscard]] limit_verdict take(time_point now, const workspace_id& workspace,
                                    double amount = 1.0);
 
-  // Counts demand and plans what to lend; call once every `told_every`, then tell() per peer.
+  // Updates the demand and plans what to lend; call every `told_every`, then tell() for each peer.
   void update(time_point now);
   [[nodiscard]] limit_message tell(time_point now, const node_id& peer);
   void heard(time_point now, const node_id& peer, const limit_message& message);
 
-  // Requests per second that this node may pass now.
+  // Requests per second that this node may admit now.
   [[nodiscard]] double share(time_point now, const workspace_id& workspace) const;
 
  private:
@@ -81,7 +81,7 @@
   struct peer_usage {
     double demand{};
     double planned{};         // to lend with the next message
-    std::vector<lease> lent;  // told and not run out; the peer uses one of them
+    std::vector<lease> lent;  // sent and not expired; the peer uses one of them
     lease borrowed;
   };
   struct bucket {
--- a/src/request/outcome.cpp
+++ b/src/request/outcome.cpp
@@ -1,4 +1,4 @@
-// How outcomes are proven and how they combine over attempts and hops.
+// Classifies outcomes and combines them over attempts and hops.
 #include "request/outcome.h"
 
 #include <algorithm>
@@ -24,9 +24,10 @@
   return seen.bytes_may_have_left ? execution::unknown : execution::not_run;
 }
 
-execution over_hop(const attempt_evidence& link, execution told) {
-  // A cut answer that began with "not run" proves nothing: it may belong to another request.
-  return link.whole_answer ? told : classify(link);
+execution over_hop(const attempt_evidence& link, execution reported) {
+  // A truncated response that began with "not run" proves nothing: it may belong to another
+  // request.
+  return link.whole_answer ? reported : classify(link);
 }
 
 execution combine(std::span<const execution> attempts) {
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -1,7 +1,8 @@
-// How one request can end for its caller, and what follows from it for a retry.
+// Outcomes of a request for its caller, and whether it may be retried.
 //
-// `not_run` is a promise: it is only given with proof that no byte of the request could reach a
-// target, or that the target itself refused it. Everything else without an answer is `unknown`.
+// `not_run` is a guarantee: it is reported only with proof that no byte of the request could reach
+// a target, or that the target itself refused it. Any other end without a complete response is
+// `unknown`.
 #pragma once
 
 #include <span>
@@ -10,31 +11,32 @@
 namespace arbutus {
 
 enum class execution {
-  done,     // one whole answer was received
+  done,     // a complete response was received
   not_run,  // proven
   unknown,  // may have run
 };
 
 [[nodiscard]] std::string_view to_string(execution e);
 
-// What the sender of an attempt saw of it.
+// What the sender of an attempt observed.
 struct attempt_evidence {
-  bool bytes_may_have_left = false;  // the first write to the target's connection was begun
-  bool target_refused = false;       // a whole answer that says: refused before it was run
-  bool whole_answer = false;         // a whole answer, matched by request id
+  bool bytes_may_have_left = false;  // the first write to the target's connection was started
+  bool target_refused = false;       // the response says that the request was refused and not run
+  bool whole_answer = false;         // a complete response with the right request id was received
 };
 
 [[nodiscard]] execution classify(const attempt_evidence& seen);
 
-// What a node may say after it passed a request to another node: `link` is what it saw of that
-// hop, `told` what the other node answered (only looked at when the hop gave a whole answer).
-[[nodiscard]] execution over_hop(const attempt_evidence& link, execution told);
+// The outcome that a node may report after it forwarded a request to another node. `link`: what it
+// observed of that hop; `reported`: the outcome that the other node reported, which counts only if
+// its response is complete.
+[[nodiscard]] execution over_hop(const attempt_evidence& link, execution reported);
 
 // The outcome of several attempts of one request, in any order: done if one is done, not_run only
-// if all are. No attempt at all is not_run.
+// if all are. Without any attempt, not_run.
 [[nodiscard]] execution combine(std::span<const execution> attempts);
 
-// Whether another attempt could do harm; budget and deadline are asked apart (retry.h).
+// Whether another attempt is safe; budget and deadline are checked separately (retry.h).
 [[nodiscard]] constexpr bool may_repeat(execution last, bool repeatable) {
   return last == execution::not_run || (last == execution::unknown && repeatable);
 }
