--- a/src/request/prefix_hash.cpp
+++ b/src/request/prefix_hash.cpp
@@ -1,4 +1,4 @@
-// Chained block hashes.
+// Chained hashes of prompt blocks.
 #include "request/prefix_hash.h"
 
 #include <algorithm>
--- a/src/request/prefix_index.cpp
+++ b/src/request/prefix_index.cpp
@@ -1,4 +1,4 @@
-// The index as a list by recency with a hash table into it.
+// A least-recently-used list with a hash table into it.
 #include "request/prefix_index.h"
 
 #include <iterator>
@@ -22,10 +22,10 @@
   }
   replica_state& state = state_of(events.replica);
   if (state.has_events && events.sequence <= state.sequence) {
-    return;  // a repetition
+    return;  // a duplicate
   }
-  // Lost batches may have held evictions: without this, the node would send prompts to a cache
-  // that dropped them long ago, seen as misses there, until the entries age out.
+  // Lost batches may have contained evictions. Without this, prompts would be sent to a cache that
+  // evicted them long ago, causing misses until the entries expire.
   if (state.has_events && events.sequence != state.sequence + 1) {
     ++state.epoch;
   }
@@ -68,7 +68,7 @@
   double expected = 0;
   for (const std::uint64_t block : blocks) {
     const auto it = by_key_.find({block, state.number});
-    // A cache can only use leading blocks without a hole.
+    // A cache can use only a contiguous prefix.
     if (it == by_key_.end() || now - it->second->seen > settings_.max_age) {
       break;
     }
--- a/src/request/prefix_index.h
+++ b/src/request/prefix_index.h
@@ -1,6 +1,6 @@
-// Which replica probably holds which prompt prefix in its cache. A guess only: learnt from where
-// this node sent prompts and from the engines' cache events, which come late and with gaps. A
-// wrong guess costs time, never correctness.
+// Estimates which replica holds which prompt prefix in its cache, from the prompts that this node
+// sent and from the engines' cache events, which arrive late and with gaps. A wrong estimate costs
+// time, not correctness.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,10 @@
 
 namespace arbutus {
 
-// A batch of cache events of one replica; `sequence` counts its batches from the engine's start.
+// A batch of cache events of one replica; `sequence` counts the batches since the engine's start.
 struct cache_events {
   replica_id replica;
-  std::uint64_t incarnation{};  // of the engine; another one means an empty cache
+  std::uint64_t incarnation{};  // of the engine; a new one starts with an empty cache
   std::uint64_t sequence{};
   std::vector<std::uint64_t> stored;
   std::vector<std::uint64_t> evicted;
@@ -25,9 +25,9 @@
 
 struct prefix_index_settings {
   std::size_t max_entries = 100'000;  // (replica, block) pairs; about 100 bytes each
-  duration max_age = 10min;           // untouched for longer: presumed evicted
-  // After a gap in the events, what was learnt before it may have been evicted unseen. Such an
-  // entry counts only by this part until something newer confirms it.
+  duration max_age = 10min;           // entries not used for longer are assumed evicted
+  // Weight of an entry from before a gap in the events, until it is confirmed again: its eviction
+  // may have been lost in the gap.
   double trust_after_gap = 0.25;
 };
 
@@ -38,7 +38,7 @@
   // This node sent a prompt with these blocks to the replica.
   void sent(time_point now, const replica_id& replica, const prefix_blocks& blocks);
   void heard(time_point now, const cache_events& events);
-  // The replica was re-formed, restarted or is gone: its cache is empty.
+  // The replica was formed again, restarted or removed: its cache is empty.
   void forget(const replica_id& replica);
 
   // Expected number of leading blocks that the replica holds (weighted by trust).
@@ -63,7 +63,7 @@
     std::uint32_t epoch{};  // of the replica when the entry was confirmed
   };
   struct replica_state {
-    std::uint32_t number{};  // stands for the replica in entry_key; never reused
+    std::uint32_t number{};  // identifies the replica in entry_key; never reused
     std::uint32_t epoch{};   // counts gaps
     std::uint64_t incarnation{};
     std::uint64_t sequence{};
--- a/src/request/replica_choice.cpp
+++ b/src/request/replica_choice.cpp
@@ -1,4 +1,4 @@
-// Expected times on a replica, and the choice by them.
+// Estimates response times per replica and chooses a replica by them.
 #include "request/replica_choice.h"
 
 #include <algorithm>
@@ -21,38 +21,38 @@
   }
 }
 
-// Goes wrong: counts of a head that was forgotten in between would wrap below zero.
+// Clamped at zero: the load of a head may have been erased since the value was added.
 void subtract(double& value, double by) {
   value = std::max(0.0, value - by);
 }
 
-// One token of each running request and of one more.
+// Time of one decode step with the running requests and one more.
 double estimate_step_ms(const engine_parameters& engine, double active) {
-  const double writers = std::min(active, static_cast<double>(engine.slots)) + 1;
+  const double generating = std::min(active, static_cast<double>(engine.slots)) + 1;
   const double context_k = (engine.mean_prompt_tokens + engine.mean_answer_tokens / 2) / 1000;
   return to_milliseconds(engine.step) +
-         writers * (engine.step_per_sequence_ms + engine.context_ms_per_1k_tokens * context_k);
+         generating * (engine.step_per_sequence_ms + engine.context_ms_per_1k_tokens * context_k);
 }
 
-// How long until a place is free, when one of the running requests has to end first: they end
-// spread over a usual generation. Below that the load is known in part only, so that the wait
-// rises before all places are taken: about as in a queue with as many servers as there are slots
-// (Erlang C for 26 to 30 servers is 0.1 at four fifths of the load, and hardly anything at half).
+// Expected wait for a slot. If all slots are taken, running requests end evenly spread over the
+// time of a mean generation. Below that, the load is known only in part, so the wait rises before
+// all slots are taken, approximating a queue with one server per slot (Erlang C for 26 to 30
+// servers is 0.1 at 80 % load and close to 0 at 50 %).
 double wait_for_place_ms(const engine_parameters& engine, double active, double generation_ms) {
   const double slots = std::max<double>(engine.slots, 1);
-  const double between_ends_ms = generation_ms / slots;
+  const double completion_interval_ms = generation_ms / slots;
   if (active >= slots) {
-    return between_ends_ms * (active - slots + 1);
+    return completion_interval_ms * (active - slots + 1);
   }
   constexpr double steepness = 8;
   const double use = active / slots;
   const double queue = std::pow(use, steepness) / (1 - use);
-  // One end away at most, as there is a place by all that is known.
-  return between_ends_ms * std::min(queue, 1.0);
+  // At most the time until the next request ends, as a slot is free according to the known load.
+  return completion_interval_ms * std::min(queue, 1.0);
 }
 
-// What the sends of others that this node has not heard of yet may add to a replica's time, on
-// average. By Little's law as many requests arrive in a generation's time as are running.
+// Mean delay that other nodes' requests not yet reported to this node may add at a replica. By
+// Little's law, as many requests arrive during one generation as are running.
 duration unseen_delay(const engine_parameters& engine, const model_spec& model,
                       std::span<const serving_replica> candidates, const load_table& loads,
                       duration load_age) {
@@ -68,13 +68,14 @@
       engine.mean_answer_tokens * estimate_step_ms(engine, all / count) * model.slowdown_factor;
   const double arrivals =
       of_others / count * std::min(1.0, to_milliseconds(load_age) / std::max(generation_ms, 1.0));
-  const double read_ms = engine.mean_prompt_tokens * 1000.0 /
-                         std::max(engine.prefill_tokens_per_s, 1.0) * model.slowdown_factor;
-  return from_seconds(arrivals * read_ms / 1000);
+  const double prefill_ms = engine.mean_prompt_tokens * 1000.0 /
+                            std::max(engine.prefill_tokens_per_s, 1.0) * model.slowdown_factor;
+  return from_seconds(arrivals * prefill_ms / 1000);
 }
 
-// Whether an answer of the declared length would not be whole in time. Goes wrong otherwise: a long
-// one begins on a replica across domains, two and a half times slower, and is cut at its deadline.
+// Whether a response of the declared length would miss its deadline. Without this check, a long
+// response may start on a replica across domains, which is 2.5 times slower, and be cut off at its
+// deadline.
 bool ends_late(const engine_parameters& engine, const replica_estimate& expected,
                const choice_request& request) {
   const double events = request.size.answer_tokens / std::max<double>(engine.stride, 1);
@@ -89,7 +90,7 @@
   double cost_s = 0;
 };
 
-// Among those about as good as the best: the draw falls on each by exp(-worse / spread).
+// Softmin sampling: each candidate has the weight exp(-(cost - best cost) / spread).
 const candidate& draw_one(std::vector<candidate>& candidates, double spread_s, double draw) {
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const candidate& a, const candidate& b) { return a.cost_s < b.cost_s; });
@@ -211,14 +212,14 @@
                         (crosses_domains ? engine.cross_domain_factor : 1.0);
   const double step_ms = estimate_step_ms(engine, load.active);
   const double pass_ms = step_ms * engine.stride;
-  const double read_ms_per_token = 1000.0 / std::max(engine.prefill_tokens_per_s, 1.0);
+  const double prefill_ms_per_token = 1000.0 / std::max(engine.prefill_tokens_per_s, 1.0);
   const double pairs_ms =
       size.prompt_tokens * size.prompt_tokens / 2e6 * engine.attention_ms_per_million_pairs;
-  const double own_read_ms = size.prompt_tokens * read_ms_per_token + pairs_ms;
-  const double others_read_ms = load.unread_tokens * read_ms_per_token;
-  // Half a pass until the running one ends, when there is one.
+  const double own_prefill_ms = size.prompt_tokens * prefill_ms_per_token + pairs_ms;
+  const double queued_prefill_ms = load.unread_tokens * prefill_ms_per_token;
+  // On average half a pass until the running one ends, if there is one.
   const double running_ms = load.active > 0.5 ? pass_ms / 2 : 0;
-  double first_ms = running_ms + others_read_ms + own_read_ms + pass_ms;
+  double first_ms = running_ms + queued_prefill_ms + own_prefill_ms + pass_ms;
   first_ms += wait_for_place_ms(engine, load.active, engine.mean_answer_tokens * step_ms);
   replica_estimate result;
   result.to_first_event = from_seconds(first_ms * factor / 1000);
@@ -255,7 +256,7 @@
       cost += to_seconds(settings.late_end_penalty);
     }
     if (contains(request.suspected, replica.head)) {
-      cost += 10;  // only when there is nothing else
+      cost += 10;  // chosen only if there is no other
     }
     usable.push_back({i, expected, cost});
   }
--- a/src/request/replica_choice.h
+++ b/src/request/replica_choice.h
@@ -1,17 +1,18 @@
-// Which replica gets a request of a model, and when none should.
+// Chooses the replica for a request of a model, or refuses the request.
 //
-// A replica batches: all its requests advance by passes. Reading a prompt takes time of its own in
-// a pass, and a pass with requests that generate runs `stride` steps. So the time to the first
-// event of a new request is: the rest of the running pass, the prompts still unread there, its own
-// prompt, and one pass; and, the fuller the replica, the wait for a place. All parameters are the
-// operators'; the load is what this node sent itself, plus what its peers told.
+// A replica batches its requests and advances all of them in passes. Prefill of a prompt takes
+// additional time in a pass, and a pass with generating requests runs `stride` decode steps. The
+// time to the first event of a new request is therefore the rest of the running pass, the pending
+// prefills at the replica, its own prefill and one pass, plus a wait for a slot that grows with the
+// load. The parameters come from the operators; the load is that of this node's requests plus what
+// its peers reported.
 //
-// It answers steady loads up to the replicas' slots, and bursts beyond them: there a request that
-// would only make others late is refused with the time until a place becomes free.
+// Load beyond the replicas' slots would only delay other requests. Such a request is refused with
+// the time until a slot is expected to be free.
 //
-// What peers told is some hundred milliseconds old. Were the best replica always taken, all nodes
-// would take the same one until they hear of each other. So one of those that are about as good is
-// drawn: about as good is what the sends of others that are not known yet may change.
+// Peer reports are some hundred milliseconds old. If every node took the best replica, all would
+// take the same one until they receive each other's reports. The choice is therefore random among
+// replicas whose costs differ by no more than the unreported requests of other nodes may change.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +30,7 @@
 
 namespace arbutus {
 
-// Size of a generation, as its caller declares it.
+// Size of a generation as declared by the caller.
 struct generation_size {
   double prompt_tokens = 0;
   double answer_tokens = 0;
@@ -38,35 +39,36 @@
 // Requests of this node and its peers at one replica.
 struct replica_load {
   double active = 0;         // requests
-  double unread_tokens = 0;  // of prompts whose first event has not come yet
+  double unread_tokens = 0;  // prompt tokens of requests without a first event
 };
 
-// Loads by head; a head that lives again has another id.
+// Loads by head; a restarted head has a new id.
 class load_table {
  public:
   void sent(const target_id& head, const generation_size& size);
   void first_event(const target_id& head, const generation_size& size);
   void ended(const target_id& head, const generation_size& size, bool had_first_event);
 
-  // What a peer and those it speaks for have at each head, as it last told.
+  // Sets the last load per head that a peer reported, for itself and the nodes that it represents.
   void heard(const node_id& peer, const data_centre_id& data_centre, time_point now,
              std::map<target_id, replica_load> loads);
   void forget_peers(time_point now);
 
-  // To tell others: all that is known, own and peers'; of that all but what `peer` told; own and
-  // peers' of one data centre.
+  // Loads to report to peers: own and peers' loads; `all` without what `peer` reported; own and
+  // peers' loads of one data centre.
   [[nodiscard]] std::map<target_id, replica_load> all() const;
   [[nodiscard]] std::map<target_id, replica_load> all_but(
       const node_id& peer, std::map<target_id, replica_load> all) const;
   [[nodiscard]] std::map<target_id, replica_load> all_of(const data_centre_id& data_centre) const;
 
-  // Own load alone, to tell peers.
+  // The load of this node alone, to report to peers.
   [[nodiscard]] const std::map<target_id, replica_load>& own() const { return own_; }
   [[nodiscard]] replica_load total(const target_id& head) const;
   [[nodiscard]] double own_active(const target_id& head) const;
 
-  // A peer that is not heard for so long has ended, or its requests have: twice the longest usual
-  // generation would hide capacity, a heartbeat's loss would double-book it.
+  // A peer without a report for this time is assumed to have ended, or its requests have. Twice the
+  // longest typical generation would hide free capacity; a time that a lost heartbeat exceeds would
+  // double-book it.
   static constexpr duration peer_memory = 1500ms;
 
  private:
@@ -80,28 +82,29 @@
 };
 
 struct choice_settings {
-  // Added for a replica in another data centre: its bytes are dear, and it has its own callers.
+  // Added for a replica in another data centre: traffic to it is expensive, and it has its own
+  // callers.
   duration away_penalty = 8ms;
-  // One-way delay between data centres where the operators name none.
+  // One-way delay between data centres if the operators configure none.
   duration away_delay = 2ms;
-  // Age of what a node knows of the others' sends: a beat to the hub and one from it, 200 ms apart
-  // each, half of that on average, and another 100 ms between hubs.
+  // Age of the known load of other nodes: a heartbeat to the hub and one from it, at intervals of
+  // 200 ms, half of that each on average, and another 100 ms between hubs.
   duration load_age = 300ms;
-  // For a replica where the answer would not be whole in time: more than any wait for a place
-  // elsewhere, less than a silent one costs.
+  // Added for a replica where the response would miss its deadline: more than any wait for a slot
+  // elsewhere, less than the cost of an unresponsive replica.
   duration late_end_penalty = 2s;
-  // Requests beyond a replica's slots wait in the engine for one to end; such a wait ends in no
-  // known time, so only this many are sent beyond the slots.
+  // Requests beyond a replica's slots wait in the engine for an unknown time, so only this many are
+  // sent beyond the slots.
   double beyond_slots = 2;
 };
 
 struct replica_estimate {
   duration to_first_event{};
   duration between_events{};
-  double active = 0;  // requests there now
+  double active = 0;  // requests at the replica now
 };
 
-// Expected times of a request of `size` on a replica that has `load`.
+// Expected times of a request of `size` on a replica with `load`.
 [[nodiscard]] replica_estimate estimate(const engine_parameters& engine, const model_spec& model,
                                         const replica_load& load, const generation_size& size,
                                         double slowdown_factor, bool crosses_domains);
@@ -111,7 +114,7 @@
   replica_estimate expected;
 };
 struct no_replica {
-  duration retry_after{};  // until a place is expected
+  duration retry_after{};  // until a slot is expected to be free
   std::string_view reason;
 };
 using replica_choice = std::variant<chosen_replica, no_replica>;
@@ -121,7 +124,7 @@
   generation_size size;
   duration time_left{};
   std::span<const target_id> avoided;    // heads tried already
-  std::span<const target_id> suspected;  // heads that have gone silent
+  std::span<const target_id> suspected;  // unresponsive heads
   double draw = 0;                       // uniform in [0, 1); 0: always the best
 };
 
--- a/src/request/request_print.cpp
+++ b/src/request/request_print.cpp
@@ -1,4 +1,4 @@
-// Hashes of requests.
+// Request fingerprints.
 #include "request/request_print.h"
 
 #include <array>
--- a/src/request/request_print.h
+++ b/src/request/request_print.h
@@ -1,5 +1,5 @@
-// What makes two requests of callers the same one that came again: the workspace, the path with its
-// query, and the body. Each attempt of a caller has an id of its own, so ids do not tell.
+// Identifies repetitions of a caller's request by the workspace, the path with its query, and the
+// body. Request ids cannot, as each attempt of a caller has its own.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +11,10 @@
 
 namespace arbutus {
 
-// The workspace stands beside the hash, not in it: whoever finds two bodies with one hash makes
-// trouble for its own workspace alone.
+// The workspace is kept next to the hash, not hashed: a caller that constructs a hash collision
+// affects only its own workspace.
 struct request_print {
-  workspace_id workspace;  // empty: a route without keys
+  workspace_id workspace;  // empty for a route without keys
   std::uint64_t hash{};
   auto operator<=>(const request_print&) const = default;
 };
@@ -22,9 +22,9 @@
 [[nodiscard]] request_print print_of(const workspace_id& workspace, std::string_view target,
                                      std::string_view body);
 
-// "0123456789abcdef", as logs and operators name it.
+// 16 hexadecimal digits, as in logs and in operators' requests.
 [[nodiscard]] std::string hash_text(const request_print& print);
-// Empty unless it is such a text.
+// Empty unless `text` has that format.
 [[nodiscard]] std::optional<std::uint64_t> parse_hash(std::string_view text);
 
 }  // namespace arbutus
--- a/src/request/retry.cpp
+++ b/src/request/retry.cpp
@@ -1,4 +1,4 @@
-// Retry budget, retry decision and hedging.
+// Retry budget, retry decisions and hedging.
 #include "request/retry.h"
 
 #include <algorithm>
@@ -8,15 +8,16 @@
 
 namespace {
 
-// Largest relative step of the quantile estimate; steps shrink to the smallest with the samples.
+// Relative steps of the quantile estimate: they start at the first value and shrink to the minimum
+// as samples arrive.
 constexpr double first_quantile_step = 1.0;
-constexpr double least_quantile_step = 0.1;
+constexpr double min_quantile_step = 0.1;
 
 duration backoff(const retry_settings& settings, std::uint32_t attempt, rng& random) {
   const std::uint32_t doublings = std::min(attempt - 1, 20U);
   const duration limit =
       std::min(settings.max_backoff, settings.first_backoff * (std::int64_t{1} << doublings));
-  // Full jitter: what failed together must not come back together.
+  // Full jitter: requests that failed together must not be retried together.
   return random.jitter(limit);
 }
 
@@ -44,9 +45,9 @@
 }
 
 void retry_budget::refill(time_point now) {
-  const duration passed = now - filled_.value_or(now);
+  const duration passed = now - refilled_at_.value_or(now);
   tokens_ = std::min(settings_.reserve, tokens_ + settings_.floor_per_second * to_seconds(passed));
-  filled_ = now;
+  refilled_at_ = now;
 }
 
 std::string_view to_string(give_up_reason reason) {
@@ -104,7 +105,7 @@
     return;
   }
   const double step = std::max(first_quantile_step / std::sqrt(static_cast<double>(seen.samples)),
-                               least_quantile_step);
+                               min_quantile_step);
   const double move = value > seen.quantile_seconds ? settings_.quantile : settings_.quantile - 1.0;
   seen.quantile_seconds *= std::exp(step * move);
 }
@@ -123,7 +124,7 @@
     return false;
   }
   const std::optional<time_point> due = ask_at(request_class, sent);
-  // A second attempt that takes as long as the first would have to end in time, too.
+  // A second attempt that takes as long as the first one must also end before the deadline.
   if (!due || now < *due || now + (*due - sent) > deadline) {
     return false;
   }
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -1,7 +1,7 @@
-// Retries and hedges: when another attempt may be made, and when not.
+// Retries and hedges: when another attempt may be made.
 //
-// Retries must not amplify an overload: they are paid from a budget that first attempts fill, and
-// only the first hop makes them. Each hop gets an `attempt_note` that says so.
+// Retries must not amplify an overload. They draw from a budget that first attempts fill, and only
+// the first hop makes them; the `attempt_note` of a request tells each hop whether it may retry.
 #pragma once
 
 #include <cstdint>
@@ -18,32 +18,32 @@
 
 namespace arbutus {
 
-// Travels with a request over every hop.
+// Sent with a request over every hop.
 struct attempt_note {
   std::uint32_t attempt = 1;  // from 1
-  bool may_retry = true;      // false for all but the hop that met the caller
-  bool spilled = false;       // came from another data centre's node
+  bool may_retry = true;      // only at the hop that received the caller's request
+  bool spilled = false;       // forwarded by a node of another data centre
 };
 
-// The note to send along with an attempt.
+// The note to send with an attempt.
 [[nodiscard]] attempt_note next_hop(const attempt_note& own, std::uint32_t attempt,
                                     bool spilled = false);
 
 struct retry_settings {
   double ratio = 0.1;             // retries per first attempt
-  double reserve = 10;            // retries that may be saved up; also the budget at the start
-  double floor_per_second = 0.5;  // so that a model with few requests can retry at all
+  double reserve = 10;            // maximum of the budget, and its initial value
+  double floor_per_second = 0.5;  // added per second, so that a model with few requests can retry
   std::uint32_t max_attempts = 3;
   duration first_backoff = 20ms;
   duration max_backoff = 1s;
 };
 
-// One per model, on the node that meets the caller.
+// One per model, on the node that receives the callers' requests.
 class retry_budget {
  public:
   explicit retry_budget(const retry_settings& settings = {});
   void first_attempt(time_point now);
-  // Takes one retry from the budget, if there is one.
+  // Takes one retry from the budget, if available.
   [[nodiscard]] bool take(time_point now);
   [[nodiscard]] const retry_settings& settings() const { return settings_; }
 
@@ -52,7 +52,7 @@
 
   retry_settings settings_;
   double tokens_;  // 0..reserve
-  std::optional<time_point> filled_;
+  std::optional<time_point> refilled_at_;
 };
 
 enum class give_up_reason { done, not_repeatable, attempts_used, no_time, no_budget, not_here };
@@ -68,28 +68,28 @@
 };
 using retry_decision = std::variant<retry_at, give_up>;
 
-// After an attempt ended as `last`. `needed`: expected time of another attempt; it has to end
-// before `deadline`. Takes from the budget only if it answers retry_at.
+// Decides after an attempt ended as `last`. `needed`: expected time of another attempt, which has
+// to end before `deadline`. Takes from the budget only if the result is retry_at.
 [[nodiscard]] retry_decision decide_retry(time_point now, const attempt_note& note, execution last,
                                           bool repeatable, time_point deadline, duration needed,
                                           retry_budget& budget, rng& random);
 
 struct hedge_settings {
-  double quantile = 0.95;   // hedge what takes longer than this part of its class
+  double quantile = 0.95;   // of the class's latency, after which a request is hedged
   double max_ratio = 0.05;  // hedges per request
-  double reserve = 5;       // hedges that may be saved up
+  double reserve = 5;       // maximum of the budget, in hedges
   std::uint32_t min_samples = 50;
   duration min_delay = 10ms;
 };
 
-// Second attempts of repeatable requests that take unusually long to their first token. The
-// caller cancels the loser. One per model; classes are told apart by name.
+// Second attempts of repeatable requests whose first token takes unusually long. The caller of this
+// class cancels the slower attempt. One object per model; request classes are identified by name.
 class hedging {
  public:
   explicit hedging(const hedge_settings& settings = {});
-  // A request of this class had its first token after `latency` from the send.
+  // The first token of a request of this class arrived `latency` after the send.
   void observe(std::string_view request_class, duration latency);
-  // When to ask decide() for a request sent at `sent`; empty: too little is known.
+  // When to call decide() for a request sent at `sent`; empty while there are too few samples.
   [[nodiscard]] std::optional<time_point> ask_at(std::string_view request_class,
                                                  time_point sent) const;
   // Whether to start a second attempt now; takes from the budget if so.
--- a/src/request/retry_window.h
+++ b/src/request/retry_window.h
@@ -1,8 +1,8 @@
-// The budget of repeated sends that all nodes share, without asking each other.
+// The budget of retries that all nodes share without communicating.
 //
 // The bound holds for all nodes together over any window: `ratio` x requests + `burst`. Requests
-// spread unevenly, so each node earns `ratio` by its own requests, and gets an equal part of the
-// burst. The sum over the nodes then stays within the bound, whoever is heard or not.
+// are spread unevenly, so each node earns `ratio` per own request and gets an equal share of the
+// burst. The sum over the nodes then stays within the bound under any partition.
 #pragma once
 
 #include <array>
@@ -14,12 +14,12 @@
 namespace arbutus {
 
 struct retry_window_settings {
-  double ratio = 0.2;     // repeated sends per request, from operators
-  double burst = 100;     // beyond that in a window, of all nodes together
-  duration window = 10s;  // any span of this length counts
-  std::size_t nodes = 6;  // that may send; more than there are is safe
-  // Part of the bound that is used: a send may arrive later than it was counted, and nodes may be
-  // added before this one knows.
+  double ratio = 0.2;     // retries per request, configured by operators
+  double burst = 100;     // additional retries in a window, of all nodes together
+  duration window = 10s;  // the bound holds for any interval of this length
+  std::size_t nodes = 6;  // nodes that may send; a number that is too large is safe
+  // Fraction of the bound that is available: a send may arrive later than it was counted, and nodes
+  // may be added before this one is informed.
   double used = 0.7;
 };
 
@@ -31,7 +31,7 @@
 
   void first_send(time_point now) { slot(now).requests += 1; }
 
-  // Takes one repeated send, if there is one left.
+  // Takes one retry from the budget, if available.
   [[nodiscard]] bool take(time_point now) {
     bucket& current = slot(now);
     if (left() < 1) {
@@ -41,7 +41,7 @@
     return true;
   }
 
-  // Repeated sends that may follow now.
+  // Retries that may be sent now.
   [[nodiscard]] double left() const {
     double requests = 0;
     double repeats = 0;
@@ -62,7 +62,7 @@
   };
   static constexpr std::size_t bucket_count = 20;
 
-  // Clears what is older than the window.
+  // The bucket of `now`; clears buckets older than the window.
   bucket& slot(time_point now) {
     const duration width = settings_.window / bucket_count;
     const std::int64_t tick = now.time_since_epoch() / width;
--- a/src/request/route_policy.cpp
+++ b/src/request/route_policy.cpp
@@ -1,4 +1,4 @@
-// Permission to use a route, and the simple policies.
+// Permission to use a route, and the baseline policies.
 #include "request/route_policy.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 using indices = std::vector<std::size_t>;
 
-// Permitted replicas of the model; those already tried only when there is no other.
+// Permitted replicas of the model; those already tried only if there is no other.
 indices permitted(time_point now, const routing_snapshot& routes, const model_id& model,
                   tried_replicas tried) {
   indices fresh;
--- a/src/request/route_policy.h
+++ b/src/request/route_policy.h
@@ -1,10 +1,10 @@
-// What all policies for the choice of a replica share, and the simple policies that the default
-// one is measured against.
+// The interface of routing policies, and the baseline policies that the default one is compared
+// with.
 //
-// A policy is a value that is asked for a choice and told how attempts went. One rule none may
-// bend: a route is used only while it is permitted (`may_use`).
+// A policy chooses a replica for a request and observes the results of attempts. Every policy must
+// use a route only while it is permitted (`may_use`).
 //
-// Not thread-safe: under its shard's lock.
+// Not thread-safe: protected by its shard's lock.
 #pragma once
 
 #include <concepts>
@@ -21,26 +21,26 @@
 
 namespace arbutus {
 
-// Whether new work may go to this route now. To be asked again directly before the send: the
-// caller may have been paused since it chose.
+// Whether new requests may be sent to this route now. To be checked again directly before the send:
+// the process may have been paused since the choice.
 [[nodiscard]] bool may_use(time_point now, const replica_route& route);
 
 struct route_choice {
   replica_id replica;
   std::size_t index{};       // in routing_snapshot::replicas
   duration expected_wait{};  // before the request gets a slot there
-  duration expected{};       // to the whole answer
-  bool last_resort = false;  // all looked bad
+  duration expected{};       // until the complete response
+  bool last_resort = false;  // no replica was left that is neither avoided nor tried
 };
 
-// How an attempt ended, as this node saw it.
+// The result of an attempt as observed by this node.
 struct attempt_result {
   replica_id replica;
   double cost{};
-  duration first_token{};    // from the send; 0: the answer was not streamed
+  duration first_token{};    // from the send; 0: the response was not streamed
   duration total{};          // from the send
-  duration expected_wait{};  // of the choice that led to it
-  bool failed = false;       // broken off or refused; the times are not used
+  duration expected_wait{};  // of the route_choice
+  bool failed = false;       // aborted or refused; the times are not used
 };
 
 using tried_replicas = std::span<const replica_id>;
@@ -91,7 +91,7 @@
   rng random_;
 };
 
-// The less loaded (as reported) of two replicas drawn at random.
+// Power of two choices: of two random replicas, the one with the lower reported load.
 class two_choices {
  public:
   explicit two_choices(std::uint64_t seed) : random_(seed) {}
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -1,4 +1,4 @@
-// All that is needed to choose where a request runs: the policies, and spill-over.
+// Includes everything for routing a request: the policies and spill-over.
 #pragma once
 
 #include "request/expected_completion.h"
--- a/src/request/send_limits.cpp
+++ b/src/request/send_limits.cpp
@@ -1,4 +1,4 @@
-// What targets say of their limits.
+// Rate limits that targets report in their responses.
 #include "request/send_limits.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Over this the count of calls fades; it then says how many came in a second.
+// Time constant of the decay of the call count, which therefore estimates calls per second.
 constexpr duration demand_memory = 1s;
 
 }  // namespace
@@ -24,9 +24,9 @@
     known_[target] = {word.per_second, now};
     return is_new ? change::named : change::none;
   }
-  const bool lifts =
+  const bool clears_limit =
       found != known_.end() && found->second.per_second && sent_at > found->second.seen_at;
-  if (!lifts) {
+  if (!clears_limit) {
     return change::none;
   }
   found->second = {std::nullopt, now};
--- a/src/request/send_limits.h
+++ b/src/request/send_limits.h
@@ -1,9 +1,9 @@
-// Limits that targets name in their answers: requests a second that a target takes from all nodes
-// together, for as long as its answers say so.
+// Rate limits that targets report in their responses: requests per second that a target accepts
+// from all nodes together, in force while its responses carry the limit.
 //
-// A node knows of a limit by an answer to itself or by its peers. It sends a limited target only
-// what its hub has granted it (process/send_grants); each send takes one grant, whatever it is: a
-// first one, a repeated one, a stream that goes on. A target with none left here is not chosen.
+// A node learns a limit from a response to itself or from its peers. It sends a limited target only
+// what its hub has granted (process/send_grants). Each send uses one grant, be it a first attempt,
+// a retry or a resumed stream. A target without grants at this node is not chosen.
 #pragma once
 
 #include <cstdint>
@@ -17,35 +17,35 @@
 
 namespace arbutus {
 
-// What the head of an answer says of its target's limit.
+// The target's limit in the headers of a response.
 struct limit_word {
   bool is_named = false;
-  bool is_readable = true;           // false: at least one value is no rate
-  std::optional<double> per_second;  // the lowest that is readable
+  bool is_readable = true;           // false: at least one value is not a valid rate
+  std::optional<double> per_second;  // the lowest valid rate
 };
 
-// A limit as a node knows it. Grants and demand are counted apart from it.
+// A limit as known to a node. Grants and demand are tracked separately.
 struct send_limit {
-  std::optional<double> per_second;  // none: the target has stopped naming one
-  time_point seen_at{};              // of the newest word of it
+  std::optional<double> per_second;  // none: the target no longer reports one
+  time_point seen_at{};              // time of the newest report
 };
 
 class send_limits {
  public:
   enum class change : std::uint8_t { none, named, gone, unreadable };
 
-  // An answer of the target came; `sent_at`: its request was sent. An answer without a limit lifts
-  // one only if its request was sent after the limit was last heard.
+  // Processes a response of the target; `sent_at`: when its request was sent. A response without a
+  // limit clears one only if its request was sent after the limit was last received.
   change told(time_point sent_at, time_point now, const target_id& target, const limit_word& word);
 
-  // A peer knows of it; `seen_at`: when the target said so, or earlier.
+  // A peer reported the limit; its `seen_at` is not later than the target's response.
   void heard(const target_id& target, const send_limit& limit);
 
-  // Null: none is known.
+  // Null if none is known.
   [[nodiscard]] const send_limit* find(const target_id& target) const;
   [[nodiscard]] const std::map<target_id, send_limit>& all() const { return known_; }
   [[nodiscard]] bool is_limited(const target_id& target) const;
-  // `keep`: whether the target may still live.
+  // Erases limits not seen for `memory`. `keep`: whether the target may still be alive.
   template <class Keep>
   void forget(time_point now, Keep&& keep) {
     std::erase_if(known_, [&](const auto& entry) {
@@ -56,27 +56,27 @@
     std::erase_if(own_, [&](const auto& entry) { return !is_limited(entry.first); });
   }
 
-  // A call could go to this limited target.
+  // A call could be sent to this limited target.
   void note_demand(time_point now, const target_id& target);
-  // Calls a second that could have gone to each lately.
+  // Recent calls per second that could have been sent to each target.
   [[nodiscard]] std::map<target_id, double> demand(time_point now) const;
 
   void granted(time_point now, const target_id& target, std::uint64_t count);
-  // It has no limit, or there is a grant left.
+  // Whether the target has no limit or there is a grant left.
   [[nodiscard]] bool may_send(time_point now, const target_id& target) const;
-  // Takes a grant, if the target is limited.
+  // Uses one grant, if the target is limited.
   void sent(time_point now, const target_id& target);
 
-  // A grant that is not used by then has lapsed: at most so many seconds' worth of a limit come at
-  // once.
+  // Unused grants expire after this time, which bounds a burst to the requests that the limit
+  // allows in it.
   static constexpr duration grant_life = 1200ms;
   static constexpr duration memory = 10s;
 
  private:
   struct own_use {
-    double demand = 0;  // calls, fading
+    double demand = 0;  // calls, decaying exponentially
     time_point demand_at{};
-    std::vector<time_point> grants;  // when each came, oldest first
+    std::vector<time_point> grants;  // when each was received, oldest first
   };
   [[nodiscard]] static double faded(time_point now, const own_use& use);
 
--- a/src/request/spill.cpp
+++ b/src/request/spill.cpp
@@ -1,4 +1,4 @@
-// Usable slots, and the choice of another data centre.
+// Usable slots and spill-over to other data centres.
 #include "request/spill.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::int64_t free_now(const replica_route& route, const in_flight& flights) {
+std::int64_t free_slots_of(const replica_route& route, const in_flight& flights) {
   const std::int64_t busy = std::int64_t{route.running} + route.queued +
                             flights.sent_since(route.id, route.load_at) -
                             flights.ended_since(route.id, route.load_at);
@@ -23,7 +23,7 @@
   return found == distances.end() ? std::nullopt : std::optional(found->round_trip);
 }
 
-// Expected time until the request gets a slot there.
+// Expected time until the request gets a slot in that data centre.
 std::optional<duration> remote_wait(time_point now, const remote_capacity& remote,
                                     std::span<const data_centre_distance> distances,
                                     const spill_settings& settings) {
@@ -32,7 +32,7 @@
     return std::nullopt;
   }
   if (remote.free_slots == 0 && remote.queueing_delay <= 0us) {
-    return std::nullopt;  // it serves nobody
+    return std::nullopt;  // the data centre serves no requests of the model
   }
   return *distance + (remote.free_slots > 0 ? 0us : remote.queueing_delay);
 }
@@ -45,12 +45,12 @@
   std::uint32_t slots = 0;
   for (const replica_route& route : routes.replicas) {
     if (route.model == model && may_use(now, route)) {
-      free += free_now(route, flights);
+      free += free_slots_of(route, flights);
       slots += route.slots;
     }
   }
-  const std::int64_t sharers = std::max<std::int64_t>(1, nodes);
-  return {static_cast<std::uint32_t>((free + sharers - 1) / sharers), slots};
+  const std::int64_t sharing_nodes = std::max<std::int64_t>(1, nodes);
+  return {static_cast<std::uint32_t>((free + sharing_nodes - 1) / sharing_nodes), slots};
 }
 
 std::optional<remote_capacity> choose_spill(time_point now, const routing_snapshot& routes,
--- a/src/request/spill.h
+++ b/src/request/spill.h
@@ -1,4 +1,4 @@
-// Capacity as one node may use it, and when to pass a request on to another data centre.
+// The capacity that one node may use, and spill-over of requests to other data centres.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,9 @@
 
 namespace arbutus {
 
-// Slots of a model's replicas that one of `nodes` nodes may use now: the free ones as reported,
-// corrected by what this node sent since and divided among the nodes (rounded up).
+// Slots of a model's replicas that one of `nodes` nodes may use now: the reported free slots,
+// corrected by this node's requests since the report and divided by the number of nodes (rounded
+// up).
 struct slot_count {
   std::uint32_t free_slots{};
   std::uint32_t slots{};  // all slots of usable replicas, not divided
@@ -24,20 +25,21 @@
                                       std::uint32_t nodes);
 
 struct spill_settings {
-  duration max_summary_age = 10s;  // older summaries of other data centres are not trusted
+  duration max_summary_age = 10s;  // older summaries of other data centres are ignored
   double margin = 1.5;             // local wait over remote wait: the remote one is less certain
   duration min_gain = 100ms;
 };
 
-// Round trip to another data centre, as this node's links measure it.
+// Round-trip time to another data centre, measured by this node's links.
 struct data_centre_distance {
   data_centre_id data_centre;
   duration round_trip{};
 };
 
-// The data centre to pass a request to when it is expected to be answered earlier there than by
-// waiting here. `local_wait` is empty if nobody here serves the model. A request that was passed
-// on once stays where it is: two full data centres must not play ball with it.
+// The data centre to forward a request to if it is expected to be answered earlier there than by
+// waiting here. `local_wait` is empty if no local replica serves the model. A request that was
+// forwarded once is not forwarded again; otherwise two full data centres would pass it back and
+// forth.
 [[nodiscard]] std::optional<remote_capacity> choose_spill(
     time_point now, const routing_snapshot& routes, const request_facts& facts,
     std::optional<duration> local_wait, std::span<const data_centre_distance> distances,
