--- a/src/request/instance_choice.cpp
+++ b/src/request/instance_choice.cpp
@@ -27,7 +27,7 @@
     double cost = candidate.data_centre == home ? 0 : settings_.away_cost;
     if (const auto found = known_.find(candidate.id); found != known_.end()) {
       const known& k = found->second;
-      const bool fresh = now - k.told_at < settings_.told_load_memory;
+      const bool fresh = now - k.load_reported_at < settings_.told_load_memory;
       cost += std::max(k.active, fresh ? k.told_calls : 0.0);
       cost += settings_.failure_cost * failure_share(now, k);
     }
@@ -58,7 +58,7 @@
 void instance_table::told(time_point now, const target_id& id, double calls) {
   known& k = known_[id];
   k.told_calls = calls;
-  k.told_at = now;
+  k.load_reported_at = now;
 }
 
 void instance_table::forget(const std::vector<target_id>& gone) {
--- a/src/request/instance_choice.h
+++ b/src/request/instance_choice.h
@@ -68,7 +68,7 @@
   struct known {
     double active = 0;
     double told_calls = 0;
-    time_point told_at{};
+    time_point load_reported_at{};
     double failures = 0;  // exponential moving average of failed calls, at `failures_at`
     time_point failures_at{};
   };
--- a/src/request/replica_choice.cpp
+++ b/src/request/replica_choice.cpp
@@ -79,9 +79,9 @@
 bool ends_late(const engine_parameters& engine, const replica_estimate& expected,
                const choice_request& request) {
   const double events = request.size.answer_tokens / std::max<double>(engine.stride, 1);
-  const duration whole =
+  const duration response_time =
       expected.to_first_event + from_seconds(events * to_seconds(expected.between_events));
-  return whole > request.time_left;
+  return response_time > request.time_left;
 }
 
 struct candidate {
@@ -145,19 +145,19 @@
 
 std::map<target_id, replica_load> load_table::all() const {
   std::map<target_id, replica_load> sum = own_;
-  for (const auto& [id, told] : peers_) {
-    add_loads(sum, told.loads);
+  for (const auto& [id, reported] : peers_) {
+    add_loads(sum, reported.loads);
   }
   return sum;
 }
 
 std::map<target_id, replica_load> load_table::all_but(const node_id& peer,
                                                       std::map<target_id, replica_load> all) const {
-  const auto told = peers_.find(peer);
-  if (told == peers_.end()) {
+  const auto reported = peers_.find(peer);
+  if (reported == peers_.end()) {
     return all;
   }
-  for (const auto& [id, load] : told->second.loads) {
+  for (const auto& [id, load] : reported->second.loads) {
     const auto found = all.find(id);
     if (found == all.end()) {
       continue;
@@ -173,9 +173,9 @@
 
 std::map<target_id, replica_load> load_table::all_of(const data_centre_id& data_centre) const {
   std::map<target_id, replica_load> sum = own_;
-  for (const auto& [id, told] : peers_) {
-    if (told.data_centre == data_centre) {
-      add_loads(sum, told.loads);
+  for (const auto& [id, reported] : peers_) {
+    if (reported.data_centre == data_centre) {
+      add_loads(sum, reported.loads);
     }
   }
   return sum;
@@ -191,8 +191,8 @@
   if (const auto found = own_.find(head); found != own_.end()) {
     sum = found->second;
   }
-  for (const auto& [peer, told] : peers_) {
-    if (const auto found = told.loads.find(head); found != told.loads.end()) {
+  for (const auto& [peer, reported] : peers_) {
+    if (const auto found = reported.loads.find(head); found != reported.loads.end()) {
       sum.active += found->second.active;
       sum.unread_tokens += found->second.unread_tokens;
     }
--- a/src/request/retry_window.h
+++ b/src/request/retry_window.h
@@ -37,28 +37,28 @@
     if (left() < 1) {
       return false;
     }
-    current.repeats += 1;
+    current.retries += 1;
     return true;
   }
 
   // Retries that may be sent now.
   [[nodiscard]] double left() const {
     double requests = 0;
-    double repeats = 0;
+    double retries = 0;
     for (const bucket& b : buckets_) {
       requests += b.requests;
-      repeats += b.repeats;
+      retries += b.retries;
     }
     const auto nodes = static_cast<double>(settings_.nodes == 0 ? 1 : settings_.nodes);
     const double bound = settings_.ratio * requests + settings_.burst / nodes;
-    return settings_.used * bound - repeats;
+    return settings_.used * bound - retries;
   }
 
  private:
   struct bucket {
     std::int64_t tick = -1;
     double requests = 0;
-    double repeats = 0;
+    double retries = 0;
   };
   static constexpr std::size_t bucket_count = 20;
 
--- a/tests/core/event_relay_test.cpp
+++ b/tests/core/event_relay_test.cpp
@@ -1,4 +1,4 @@
-// Whole events, each once, also when a stream goes on at another target.
+// Events are forwarded complete and exactly once, also when a stream resumes on another target.
 #include "request/event_relay.h"
 
 #include <gtest/gtest.h>
@@ -27,9 +27,9 @@
 }
 
 TEST(EventRelay, AStreamThatBreaksAnywhereGoesOnWithoutGapOrRepetition) {
-  // Symptom: a caller sees half an event, or the same one twice. Sequence: a target ends at any
-  // byte, another one goes on behind the last event that was named to it. Cause: bytes of an event
-  // that was not whole were passed on, or the position was taken from them.
+  // Guards against a caller receiving a partial event or an event twice. It happens if a target
+  // fails at any byte, another one resumes, and bytes of an incomplete event were forwarded or the
+  // resume position was taken from them.
   std::string whole;
   for (int i = 1; i <= 20; ++i) {
     whole += event(i);
--- a/tests/core/replica_choice_test.cpp
+++ b/tests/core/replica_choice_test.cpp
@@ -1,4 +1,4 @@
-// Expected times on a replica, and the choice by them; with the loads it answers.
+// Estimated response times of replicas and the choice by them, also under load.
 #include "request/replica_choice.h"
 
 #include <gtest/gtest.h>
@@ -48,7 +48,7 @@
   const auto full = estimate(engine(), model, {27, 0}, {1000, 200}, 1, false);
   EXPECT_LT(idle.to_first_event, reading.to_first_event);
   EXPECT_LT(reading.to_first_event, full.to_first_event + 200ms);
-  // An idle replica reads 1,000 tokens in 20 ms and runs a pass of seven steps of 6 ms.
+  // An idle replica prefills 1,000 tokens in 20 ms and runs a pass of seven steps of 6 ms.
   EXPECT_NEAR(to_milliseconds(idle.to_first_event), 62, 5);
 }
 
@@ -85,8 +85,8 @@
 }
 
 TEST(ReplicaChoice, RefusesAtOnceWhatNoReplicaCanTake) {
-  // Symptom: callers wait for nothing until their deadline. Sequence: every replica has all its
-  // places taken and some more waiting. Cause: the request is sent all the same.
+  // Guards against callers waiting in vain until their deadline: every replica has all slots taken
+  // and some requests waiting, and the request is sent nevertheless.
   load_table loads;
   const std::vector<serving_replica> one = {replica("x")};
   for (int i = 0; i < 28; ++i) {
@@ -99,8 +99,8 @@
 }
 
 TEST(ReplicaChoice, SpreadsASteadyLoadEvenly) {
-  // Load: 200 requests at once over ten replicas of 26 places. Before, by turns at random, the
-  // fullest replica has 30 of them on average; by expected time it has 20.
+  // 200 simultaneous requests over ten replicas of 26 slots. With random choice, the fullest
+  // replica gets 30 of them on average; by expected time it gets 20.
   load_table loads;
   std::vector<serving_replica> ten;
   for (int i = 0; i < 10; ++i) {
@@ -120,9 +120,9 @@
 }
 
 TEST(ReplicaChoice, ManyNodesDoNotAllTakeTheSameReplica) {
-  // Symptom: first events take 450 ms where 60 ms are expected, on a fleet that is half used.
-  // Load: 70 nodes and six replicas; each node sends one request in 300 ms, before it hears of the
-  // others' sends. Taking the best of what is known, all 70 sends went to one replica.
+  // Guards against first events that take 450 ms instead of 60 ms on a fleet at half load. 70 nodes
+  // send one request each within 300 ms, before the others' requests are reported; if each chose
+  // the best replica by its own view, all 70 requests would go to one of the six replicas.
   std::vector<serving_replica> six;
   std::map<target_id, replica_load> told;
   for (int i = 0; i < 6; ++i) {
@@ -155,9 +155,9 @@
 }
 
 TEST(ReplicaChoice, LongAnswersAvoidSlowReplicas) {
-  // Symptom: long answers are cut at their deadline on a calm day. Sequence: left over engines of
-  // two domains make a replica, two and a half times slower; it is idle, so its first event is
-  // soonest. Cause: only the first event is looked at.
+  // Guards against long responses being cut off at their deadline at low load. A replica of
+  // leftover engines from two domains is 2.5 times slower but idle, so its first event is the
+  // earliest; choosing by the first event alone selects it.
   load_table loads;
   std::vector<serving_replica> two = {replica("across"), replica("busy")};
   two[0].crosses_domains = true;
@@ -172,8 +172,8 @@
 }
 
 TEST(ReplicaChoice, GoesAwayBeforeHomeIsFull) {
-  // Symptom: a data centre's callers wait for places while another's replicas are half empty.
-  // Load: home has 24 of 26 places taken and away 12. The time of a pass hardly tells them apart.
+  // Guards against callers of one data centre waiting for slots while replicas of another are half
+  // empty. Home has 24 of 26 slots taken and the other one 12; the time of a pass hardly differs.
   load_table loads;
   const std::vector<serving_replica> two = {replica("home", "a"), replica("away", "b")};
   loads.heard(node_id{"p"}, data_centre_id{"a"}, time_point{1s},
--- a/tests/core/request_admission_test.cpp
+++ b/tests/core/request_admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission: order, fairness, refusal by deadline, and learning, in virtual time.
+// Admission control in virtual time: order, fairness, refusal by deadline, and estimates.
 #include <gtest/gtest.h>
 
 #include "request/admission.h"
@@ -108,7 +108,7 @@
   admission a;
   ASSERT_NE(refusal(a.submit(start, request("r"))), nullptr);
   EXPECT_EQ(refusal(a.submit(start, request("r")))->reason, reject_reason::no_capacity);
-  // A repair is expected to end in time: wait for it.
+  // A repair is expected to complete before the deadline: the request waits for it.
   EXPECT_TRUE(a.on_capacity(start, {0, 0, 3s}).empty());
   EXPECT_TRUE(is_queued(a.submit(start, request("patient", "w", 0, 30s))));
   EXPECT_NE(refusal(a.submit(start, request("hasty", "w", 0, 4s))), nullptr);
@@ -131,9 +131,10 @@
   EXPECT_EQ(a.waiting(), 3U);
 }
 
-// Symptom: the survivors of a failure are overrun, and callers wait out their deadline in vain.
-// Sequence: ten requests run and thirty wait for ten slots; nine slots are lost with what they ran.
-// Cause: slots of lost replicas taken for free ones; waiting requests not looked at again.
+// Guards against overloading the replicas that survive a failure, and against callers waiting in
+// vain until their deadline. Ten requests run and thirty wait for ten slots; nine slots are lost
+// with their requests. Slots of lost replicas must not count as free, and waiting requests have to
+// be evaluated again.
 TEST(Admission, LostCapacityStartsNothingAndRefusesTheHopeless) {
   admission a;
   EXPECT_TRUE(a.on_capacity(start, {10, 10, 0us}).empty());
@@ -146,7 +147,8 @@
     EXPECT_TRUE(a.finished(start + 20ms, request_id(std::to_string(i)), false).empty());
   }
   const std::vector<rejection> given_up = a.tick(start + 40ms);
-  // Ten seconds to start, two for each: five can be served, twice as many may keep their hope.
+  // Ten seconds to start and two for each request: five can be served; up to twice as many may
+  // wait.
   EXPECT_GE(a.waiting(), 5U);
   EXPECT_LE(a.waiting(), 10U);
   EXPECT_EQ(given_up.size() + a.waiting(), 30U);
@@ -176,9 +178,9 @@
   EXPECT_EQ(given_up[0].id, request_id("r"));
 }
 
-// Symptom: a model is refused to everybody although its replicas idle.
-// Sequence: a stall makes requests take a minute; afterwards the estimate exceeds every deadline.
-// Cause: with nothing admitted, nothing is learnt.
+// Guards against refusing all requests of a model whose replicas are idle. A stall makes requests
+// take a minute, after which the estimate exceeds every deadline; with nothing admitted, no new
+// observation would correct it.
 TEST(Admission, RecoversFromAWrongEstimate) {
   admission a;
   time_point now = start;
@@ -206,9 +208,8 @@
   EXPECT_LT(a.service_time(1), 4s);
 }
 
-// Symptom: every request is cut at its deadline, and admission goes on admitting.
-// Sequence: the service becomes slower than all deadlines; no request ends by itself.
-// Cause: only ended requests are observed.
+// Guards against admitting requests that are all aborted at their deadline: the service becomes
+// slower than every deadline, and only completed requests are observed.
 TEST(Admission, LearnsFromWhatWasCutOff) {
   admission a;
   time_point now = start;
@@ -242,23 +243,24 @@
   return load;
 }
 
-// Symptom: at twice the capacity nearly every answer is late, so nobody is helped.
-// Sequence: the queue grows until each request has used up its deadline when it starts.
-// Cause: accepting what cannot be timely.
+// Guards against nearly every response being late at twice the capacity: if requests that cannot
+// meet their deadline are accepted, the queue grows until each has used up its deadline when it
+// starts.
 TEST(AdmissionLoad, OverloadKeepsTheGoodput) {
   const admission_figures at_capacity = run_admission(overload(1.0), 7);
   for (const double times : {1.5, 2.0, 3.0}) {
     const admission_figures f = run_admission(overload(times), 7);
     EXPECT_GT(f.goodput, 0.9) << times;
     EXPECT_GT(static_cast<double>(f.useful), 0.9 * static_cast<double>(at_capacity.useful));
-    EXPECT_LT(f.workspaces[0].refused_waiting * 50, f.workspaces[0].refused) << "held back";
+    EXPECT_LT(f.workspaces[0].refused_waiting * 50, f.workspaces[0].refused)
+        << "refused only after waiting";
   }
   admission_load baseline = overload(2.0);
   baseline.first_come = true;
-  EXPECT_LT(run_admission(baseline, 7).goodput, 0.2) << "the load is no challenge";
+  EXPECT_LT(run_admission(baseline, 7).goodput, 0.2) << "the baseline copes with the load";
 }
 
-// Symptom: small workspaces stall in the rush of a large one.
+// Guards against small workspaces stalling under the load of a large one.
 TEST(AdmissionLoad, LargeWorkspaceDoesNotHurtTheSmall) {
   admission_load load;
   for (const char* name : {"a", "b", "c", "d"}) {
--- a/tests/core/request_answer_test.cpp
+++ b/tests/core/request_answer_test.cpp
@@ -1,4 +1,4 @@
-// Answers reach the right caller, whole, each token once.
+// Responses reach the right caller, whole and with each token once.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -21,7 +21,7 @@
   EXPECT_EQ(s.closed(), end_verdict::whole);
 }
 
-// Symptom: a caller reads half a summary as if it were all.
+// Guards against a caller treating a truncated response as whole.
 TEST(AnswerStream, CutAnswerIsNotWhole) {
   answer_stream cut(mine);
   EXPECT_EQ(cut.accept(mine, 0), token_verdict::deliver);
@@ -58,9 +58,9 @@
   EXPECT_EQ(s.finish(mine, 3), end_verdict::whole);
 }
 
-// Symptom: tokens doubled, lost or of another request.
-// Sequence: attempts on several replicas, cut anywhere, with repeated, skipped and crossed tokens.
-// Cause: late answers on a connection that was used before.
+// Guards against duplicate, lost or foreign tokens. Attempts on several replicas break at random
+// points, with repeated, skipped and foreign tokens, as late responses on a reused connection cause
+// them.
 TEST(AnswerStream, RandomStreams) {
   int whole = 0;
   int resumed = 0;
--- a/tests/core/request_keyed_fakes.h
+++ b/tests/core/request_keyed_fakes.h
@@ -1,4 +1,4 @@
-// What the tests of keyed calls share: a table in memory and equal calls.
+// Shared by the tests of keyed calls: an in-memory table and calls with the same key.
 #pragma once
 
 #include <map>
--- a/tests/core/request_keyed_random_test.cpp
+++ b/tests/core/request_keyed_random_test.cpp
@@ -1,5 +1,5 @@
-// Keyed calls through random sequences: lost replies, late writes, outages, pauses, crashes and
-// equal calls on other nodes.
+// Keyed calls under random sequences of lost replies, late writes, outages, pauses, crashes and
+// calls with the same key on other nodes.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -18,8 +18,8 @@
   std::int64_t skew{};  // of its wall clock
   bool paused = false;
   bool crashed = false;
-  bool wants_send = false;
-  bool checked = false;  // may_send said yes; nothing but the send comes next
+  bool send_requested = false;
+  bool checked = false;  // may_send() returned true; the send follows directly
   bool executed = false;
   int executions_seen = 0;
   std::vector<keyed_reply> replies{};
@@ -28,13 +28,13 @@
 struct table_call {
   std::size_t from{};
   keyed_effect asked;
-  bool replied = false;  // by a timeout; a write may still take effect
+  bool replied = false;  // possibly as lost; a write may still take effect
   bool applied = false;
   outcome<table_written> written = unknown{"lost"};
   outcome<table_row> row = unknown{"lost"};
 };
 
-// Equal calls of one key at several nodes.
+// Calls with the same key at several nodes.
 class keyed_fuzz {
  public:
   explicit keyed_fuzz(std::uint64_t seed) : random_(seed) {}
@@ -58,7 +58,7 @@
   void step() {
     now_ += chance(0.03) ? duration(7s) : random_.jitter(150ms);
     if (chance(0.05)) {
-      away_ = !away_;
+      table_unavailable_ = !table_unavailable_;
     }
     if (actors_.size() < 6 && chance(0.08)) {
       begin();
@@ -83,7 +83,7 @@
   void take(std::size_t from, const keyed_effects& effects) {
     for (const keyed_effect& e : effects) {
       if (std::holds_alternative<keyed_send>(e)) {
-        actors_[from]->wants_send = true;
+        actors_[from]->send_requested = true;
       } else if (const auto* r = std::get_if<keyed_reply>(&e)) {
         actors_[from]->replies.push_back(*r);
       } else {
@@ -103,7 +103,7 @@
 
   void handle(std::size_t i) {
     table_call& c = calls_[i];
-    if (!c.applied && !away_ && chance(0.8)) {
+    if (!c.applied && !table_unavailable_ && chance(0.8)) {
       apply(c);
     }
     if (c.replied) {
@@ -146,8 +146,8 @@
     }
     if (a.checked) {
       execute(n);
-    } else if (a.wants_send && chance(0.5)) {
-      a.wants_send = false;
+    } else if (a.send_requested && chance(0.5)) {
+      a.send_requested = false;
       a.checked = a.call.may_send(now_);
       a.paused = !settling_ && chance(0.3);  // between the check and the send
     } else {
@@ -176,9 +176,9 @@
     }
   }
 
-  // All is well again: every call that did not crash has to come to its end.
+  // Without further faults, every call that did not crash has to finish.
   void settle() {
-    away_ = false;
+    table_unavailable_ = false;
     settling_ = true;
     for (int i = 0; i < 3000; ++i) {
       now_ += 20ms;
@@ -197,18 +197,19 @@
   rng random_;
   time_point now_;
   fake_table table_;
-  bool away_ = false;
+  bool table_unavailable_ = false;
   bool settling_ = false;
   std::vector<std::unique_ptr<actor>> actors_;
   std::vector<table_call> calls_;
   int executions_ = 0;
 };
 
-// Symptom: two crews at one drain; or a caller who was told "not run" finds the job card done.
-// Sequence: any order of lost replies, late writes, outages, pauses, crashes and equal calls.
+// Guards against a call that runs twice, and against one that was reported as not run but ran,
+// under any order of lost replies, late writes, outages, pauses, crashes and calls with the same
+// key.
 TEST(KeyedRandom, RunsAtMostOnceAndNotRunIsTrue) {
   int executed = 0;
-  int told_not_run = 0;
+  int reported_not_run = 0;
   int taken_over = 0;
   for (std::uint64_t seed = 1; seed <= 4000; ++seed) {
     keyed_fuzz fuzz(seed);
@@ -227,7 +228,7 @@
       ASSERT_TRUE(a->call.finished()) << "seed " << seed;
       const keyed_reply& r = a->replies[0];
       if (r.what == kind::not_run) {
-        ++told_not_run;
+        ++reported_not_run;
         ASSERT_FALSE(a->executed) << "seed " << seed;
       }
       if (r.what == kind::done) {
@@ -235,12 +236,12 @@
       }
     }
   }
-  // The sequences really reach the cases that matter.
+  // The sequences cover the relevant cases.
   EXPECT_GT(executed, 1000);
-  EXPECT_GT(told_not_run, 500);
+  EXPECT_GT(reported_not_run, 500);
   EXPECT_GT(taken_over, 100);
   RecordProperty("executed", executed);
-  RecordProperty("told_not_run", told_not_run);
+  RecordProperty("told_not_run", reported_not_run);
   RecordProperty("executed_by_later_call", taken_over);
 }
 
--- a/tests/core/request_keyed_test.cpp
+++ b/tests/core/request_keyed_test.cpp
@@ -1,4 +1,4 @@
-// Calls that may not be repeated, against a fake table: one sequence per test.
+// Calls with an idempotency key against a fake table: one sequence per test.
 #include <gtest/gtest.h>
 
 #include "core/request_keyed_fakes.h"
@@ -7,15 +7,15 @@
 namespace arbutus {
 namespace {
 
-// One call with a table that answers at once, for the directed tests.
+// One call with a table that replies immediately.
 struct driven_call {
   fake_table& table;
   keyed_call call;
   time_point now{};
   wall_time wall{1'000'000};
-  bool send_asked = false;
+  bool send_requested = false;
   std::vector<keyed_reply> replies;
-  bool table_away = false;
+  bool table_unavailable = false;
   bool lose_replies = false;  // writes take effect, their replies are lost
   bool hold = false;          // table calls are kept in `held`
   keyed_effects held;
@@ -42,7 +42,7 @@
     for (const keyed_effect& e : effects) {
       match(
           e, [&](const table_read& r) { on_read(r); }, [&](const table_write& w) { on_write(w); },
-          [&](const keyed_send&) { send_asked = true; },
+          [&](const keyed_send&) { send_requested = true; },
           [&](const keyed_reply& r) { replies.push_back(r); });
     }
   }
@@ -51,7 +51,7 @@
       held.push_back(r);
       return;
     }
-    const outcome<table_row> result = table_away ? unknown{"away"} : table.apply(r);
+    const outcome<table_row> result = table_unavailable ? unknown{"away"} : table.apply(r);
     take(call.on(now, wall, table_read_result{r, result}));
   }
   void on_write(const table_write& w) {
@@ -60,7 +60,7 @@
       return;
     }
     outcome<table_written> result = unknown{"away"};
-    if (!table_away) {
+    if (!table_unavailable) {
       result = table.apply(w);
     }
     if (lose_replies) {
@@ -99,7 +99,7 @@
   fake_table table;
   driven_call first(table, facts_of("n1", 1, time_point{} + 30s));
   first.start();
-  ASSERT_TRUE(first.send_asked);
+  ASSERT_TRUE(first.send_requested);
   ASSERT_TRUE(first.send());
   EXPECT_FALSE(first.send()) << "one attempt only";
   first.take(first.call.answered(first.now, first.wall, {201, "application/json", "{\"id\":1}"}));
@@ -112,7 +112,7 @@
   EXPECT_TRUE(second.replies[0].replayed);
   EXPECT_EQ(second.replies[0].status, 201U);
   EXPECT_EQ(second.replies[0].body, "{\"id\":1}");
-  EXPECT_FALSE(second.send_asked);
+  EXPECT_FALSE(second.send_requested);
 
   driven_call other(table, facts_of("n2", 2, time_point{} + 30s, "other body"));
   other.start();
@@ -133,38 +133,36 @@
   EXPECT_TRUE(second.replies.at(0).body.empty());
 }
 
-// Symptom: a booking is refused as a duplicate of itself.
-// Sequence: the insert takes effect, its reply is lost, the node finds a record of this key.
-// Cause: not telling the own record from another's.
+// Guards against refusing a call as a duplicate of itself: its insert takes effect, the reply is
+// lost, and the node mistakes its own record for that of another call.
 TEST(Keyed, LostReplyIsResolvedByReadingBack) {
   fake_table table;
   driven_call call(table, facts_of("n1", 1, time_point{} + 30s));
   call.lose_replies = true;
   call.start();
   call.run_for(500ms);
-  EXPECT_TRUE(call.send_asked);
+  EXPECT_TRUE(call.send_requested);
   EXPECT_TRUE(call.send());
   EXPECT_TRUE(call.replies.empty());
 }
 
-// Symptom: a unit is booked twice.
-// Sequence: node 1 reserves and is paused; the caller repeats the call at node 2, which takes the
-// reservation over and sends; node 1 wakes and sends, too.
-// Cause: a paused process does not know that it was paused.
+// Guards against a call that runs twice: node 1 reserves and is paused; the caller repeats the call
+// at node 2, which takes over the reservation and sends; node 1 resumes and sends, too, as it
+// cannot detect its pause.
 TEST(Keyed, PausedOwnerNoticesThatItWasReplaced) {
   fake_table table;
   driven_call paused(table, facts_of("n1", 1, time_point{} + 60s));
-  paused.start();  // stands in the table as `sending` from here on
-  fake_table before_mark;
-  driven_call early(before_mark, facts_of("n1", 1, time_point{} + 60s));
+  paused.start();  // its record is in `sending` from here on
+  fake_table table_before_sending;
+  driven_call early(table_before_sending, facts_of("n1", 1, time_point{} + 60s));
   early.hold = true;
   early.start();
   const keyed_effects insert = std::exchange(early.held, {});
   const auto& w = std::get<table_write>(insert.at(0));
-  const outcome<table_written> inserted = before_mark.apply(w);
+  const outcome<table_written> inserted = table_before_sending.apply(w);
   early.pass(6s);
 
-  driven_call second(before_mark, facts_of("n2", 1, time_point{} + 60s));
+  driven_call second(table_before_sending, facts_of("n2", 1, time_point{} + 60s));
   second.pass(6s);
   second.start();
   ASSERT_TRUE(second.send()) << "a reservation without an owner is taken over";
@@ -176,14 +174,14 @@
   EXPECT_EQ(early.replies[0].what, kind::in_progress);
 }
 
-// Symptom: a call that was told to be not run runs a minute later.
-// Sequence: the record stands, the node is paused before the send, and wakes after the window.
-// Cause: permission that does not lapse by itself.
+// Guards against a call that runs a minute after it was reported as not run: the record is written,
+// the node is paused before the send and resumes after the send window. The permission to send has
+// to expire on its own.
 TEST(Keyed, PermissionToSendLapses) {
   fake_table table;
   driven_call call(table, facts_of("n1", 1, time_point{} + 60s));
   call.start();
-  ASSERT_TRUE(call.send_asked);
+  ASSERT_TRUE(call.send_requested);
   call.pass(2s);
   EXPECT_FALSE(call.send());
   call.tick();
@@ -192,42 +190,43 @@
 
   driven_call again(table, facts_of("n2", 1, time_point{} + 60s));
   again.start();
-  EXPECT_TRUE(again.send()) << "closed as not run, so it may be tried at once";
+  EXPECT_TRUE(again.send()) << "recorded as not run, so it may be repeated immediately";
 }
 
-// Symptom: callers wait for the whole outage of the table, or a call runs without a record.
+// Guards against callers waiting for the entire outage of the table, and against a call that runs
+// without a record.
 TEST(Keyed, TableAwayRefusesAsNotRun) {
   fake_table table;
   driven_call call(table, facts_of("n1", 1, time_point{} + 60s));
-  call.table_away = true;
+  call.table_unavailable = true;
   call.start();
   call.run_for(2100ms);
   ASSERT_EQ(call.replies.size(), 1U);
   EXPECT_EQ(call.replies[0].what, kind::not_run);
   EXPECT_GT(call.replies[0].retry_after, 0us);
-  EXPECT_FALSE(call.send_asked);
-  call.table_away = false;
+  EXPECT_FALSE(call.send_requested);
+  call.table_unavailable = false;
   call.run_for(5s);
   EXPECT_TRUE(call.call.finished());
-  EXPECT_FALSE(call.send_asked);
+  EXPECT_FALSE(call.send_requested);
 }
 
-// Symptom: a call told to be not run blocks its key: repeats are told that it may have run.
-// Sequence: the mark takes effect, its reply is lost, the table goes away, the node gives up.
-// Cause: the record stays in `sending` although nothing was sent.
+// Guards against a call that was reported as not run but blocks its key, so that repeated calls are
+// told that it may have run. The write to `sending` takes effect, its reply is lost, the table
+// becomes unavailable and the node gives up; the record must not stay in `sending`.
 TEST(Keyed, RecordOfUnsentCallIsClosedWhenTheTableReturns) {
   fake_table table;
   driven_call call(table, facts_of("n1", 1, time_point{} + 60s));
   call.hold = true;
   call.start();
-  call.release();  // reserved and marked
-  ASSERT_TRUE(call.send_asked);
-  call.table_away = true;
+  call.release();  // the record is in `sending`
+  ASSERT_TRUE(call.send_requested);
+  call.table_unavailable = true;
   call.take(call.call.ended(call.now, call.wall, execution::not_run));
   EXPECT_EQ(call.replies.at(0).what, kind::not_run);
   call.run_for(3s);
   EXPECT_FALSE(call.call.finished());
-  call.table_away = false;
+  call.table_unavailable = false;
   call.run_for(3s);
   EXPECT_TRUE(call.call.finished());
   driven_call again(table, facts_of("n2", 1, time_point{} + 60s));
@@ -235,9 +234,8 @@
   EXPECT_TRUE(again.send());
 }
 
-// Symptom: as above, but the caller hangs up while the mark is under way.
-// Sequence: the mark is written after the call was given up, and its reply arrives.
-// Cause: the reply to an older write taken for the reply to the closing one.
+// As above, but the caller disconnects during the write to `sending`, which takes effect after the
+// call was given up. Its reply must not be mistaken for the reply to the write of `not_run`.
 TEST(Keyed, LateMarkOfUnsentCallIsClosed) {
   fake_table table;
   driven_call call(table, facts_of("n1", 1, time_point{} + 60s));
@@ -246,12 +244,12 @@
   const keyed_effects insert = std::exchange(call.held, {});
   const auto& w = std::get<table_write>(insert.at(0));
   call.take(call.call.on(call.now, call.wall, table_write_result{w, table.apply(w)}));
-  ASSERT_EQ(call.held.size(), 1U) << "the mark";
+  ASSERT_EQ(call.held.size(), 1U) << "the write to `sending`";
   call.take(call.call.cancel(call.now, call.wall));
   EXPECT_EQ(call.replies.at(0).what, kind::not_run);
   call.release();
   EXPECT_TRUE(call.call.finished());
-  EXPECT_FALSE(call.send_asked);
+  EXPECT_FALSE(call.send_requested);
   driven_call again(table, facts_of("n2", 1, time_point{} + 60s));
   again.start();
   EXPECT_TRUE(again.send());
@@ -271,7 +269,7 @@
   later.pass(6s);
   later.start();
   EXPECT_EQ(later.replies.at(0).what, kind::unknown);
-  EXPECT_FALSE(later.send_asked);
+  EXPECT_FALSE(later.send_requested);
 }
 
 TEST(Keyed, RecordIsReplacedOnlyAfterItExpired) {
@@ -283,7 +281,7 @@
     driven_call later(table, facts_of("n2", 1, time_point{} + wait + 30s));
     later.pass(wait);
     later.start();
-    EXPECT_EQ(later.send_asked, wait > 24h);
+    EXPECT_EQ(later.send_requested, wait > 24h);
   }
 }
 
--- a/tests/core/request_limits_test.cpp
+++ b/tests/core/request_limits_test.cpp
@@ -1,4 +1,4 @@
-// Rate limits over six nodes that tell each other, with cuts.
+// Rate limits over six nodes that exchange messages, with network partitions.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -53,9 +53,9 @@
   EXPECT_DOUBLE_EQ(limits.share(time_point{} + 1s, w), 20);
 }
 
-// Symptom: a limit is exceeded for as long as a paused node needs to read its old messages.
-// Sequence: a lends to b; b is paused with the message unread and wakes after the lease.
-// Cause: a lease counted from when its message is read.
+// Guards against exceeding a limit while a resumed node reads old messages: a lends to b; b is
+// paused with the message unread and resumes after the lease. The lease must not start when its
+// message is read.
 TEST(Limits, LeaseReadLateHasRunOut) {
   const node_id a("a");
   const node_id b("b");
@@ -71,12 +71,13 @@
   lender.heard(t + 1s, b, borrower.tell(t + 1s, a));
   lender.update(t + 2s);
   const limit_message message = lender.tell(t + 2s, b);
-  EXPECT_LT(lender.share(t + 2s, w), 10) << "gives up before it is used elsewhere";
+  EXPECT_LT(lender.share(t + 2s, w), 10) << "the share drops before the borrower uses it";
   EXPECT_DOUBLE_EQ(lender.share(t + 6s, w), 10);
   rate_limits paused = borrower;
   borrower.heard(t + 2s, a, message);
   EXPECT_GT(borrower.share(t + 2s, w), 10);
-  EXPECT_DOUBLE_EQ(borrower.share(t + 5s, w), 10) << "four seconds after it asked";
+  EXPECT_DOUBLE_EQ(borrower.share(t + 5s, w), 10)
+      << "expires four seconds after the echoed message";
   paused.heard(t + 7s, a, message);
   EXPECT_DOUBLE_EQ(paused.share(t + 7s, w), 10);
 }
@@ -95,9 +96,9 @@
   limit_message message;
 };
 
-// Symptom: a workspace gets far more than its limit while data centres are cut off.
-// Sequence: random cuts, also of single directions, while the demand jumps between nodes.
-// Cause: each side taking up the part of the peers that it does not hear.
+// Guards against exceeding a workspace's limit during network partitions: random cuts, also of
+// single directions, while the demand moves between nodes. No side may use the shares of peers that
+// it cannot reach.
 TEST(Limits, SharesStayBoundedThroughRandomCuts) {
   const std::vector<node_id> names = six_nodes();
   double worst = 0;
@@ -161,7 +162,7 @@
 TEST(Limits, FollowDemandAndStayBounded) {
   const std::vector<limit_phase_figures> figures = run_limits(5);
   for (const limit_phase_figures& f : figures) {
-    // A second may hold the burst, a tenth of the limit, beside what flows in.
+    // A second may include the burst, a tenth of the limit, in addition to the rate.
     EXPECT_LT(f.worst_second, 1.11) << f.phase;
     if (f.phase == "that demand, settled" || f.phase == "even demand, joined" ||
         f.phase == "cut in halves, all want 2x" || f.phase == "joined again") {
--- a/tests/core/request_prefix_test.cpp
+++ b/tests/core/request_prefix_test.cpp
@@ -1,4 +1,4 @@
-// Prefix hashes, and the guess of which replica holds what.
+// Prefix hashes and the estimate of the replicas' cache contents.
 #include <gtest/gtest.h>
 
 #include "request/prefix_hash.h"
@@ -39,9 +39,8 @@
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2, 3}), 0) << "only leading blocks help";
 }
 
-// Symptom: prompts go on to a replica that dropped their prefix long ago.
-// Sequence: the batch with the eviction is lost.
-// Cause: a gap in the events taken for silence.
+// Guards against sending prompts to a replica that evicted their prefix long ago: the batch with
+// the eviction is lost and the gap in the sequence numbers is ignored.
 TEST(PrefixIndex, GapTakesTrustFromWhatItMayHaveHidden) {
   prefix_index index;
   index.heard(start, {a, 1, 1, {1, 2}, {}});
@@ -49,7 +48,7 @@
   index.heard(start, {a, 1, 3, {1}, {}});
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 1.25);
   index.heard(start, {a, 1, 2, {}, {1}});
-  EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 1.25) << "too old to count";
+  EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 1.25) << "a late batch is ignored";
 }
 
 TEST(PrefixIndex, RestartedEngineHasAnEmptyCache) {
--- a/tests/core/request_retry_test.cpp
+++ b/tests/core/request_retry_test.cpp
@@ -1,4 +1,4 @@
-// Outcomes, retries and hedges.
+// Outcomes, retries and hedging.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -15,7 +15,7 @@
   EXPECT_EQ(classify({}), execution::not_run);
   EXPECT_EQ(classify({.bytes_may_have_left = true}), execution::unknown);
   EXPECT_EQ(classify({.bytes_may_have_left = true, .target_refused = true}), execution::unknown)
-      << "a cut refusal proves nothing";
+      << "a truncated refusal proves nothing";
   EXPECT_EQ(classify({true, true, true}), execution::not_run);
   EXPECT_EQ(classify({true, false, true}), execution::done);
 }
@@ -64,7 +64,7 @@
       EXPECT_LE(again->at + 1s, start + 1020ms);
     } else {
       EXPECT_EQ(given_up(d), give_up_reason::no_time);
-      EXPECT_TRUE(budget.take(start)) << "what is not made is not paid";
+      EXPECT_TRUE(budget.take(start)) << "a retry that is not made costs no budget";
     }
   }
 }
@@ -87,9 +87,8 @@
   EXPECT_TRUE(budget.take(start + 3s)) << "a model with few requests can retry, too";
 }
 
-// Symptom: a target that came back is kept down by nine times its load.
-// Sequence: the target fails for a minute; each of two hops tries three times.
-// Cause: retries that multiply over hops and know no budget.
+// Guards against nine times the load on a target that has recovered: the target fails for a minute
+// and each of two hops tries three times, so retries multiply over the hops without a budget.
 TEST(Retry, StormIsBoundedOverTwoHops) {
   const retry_figures with = run_retries(true, 1.0, 1);
   const retry_figures without = run_retries(false, 1.0, 1);
@@ -129,7 +128,7 @@
   EXPECT_EQ(hedges, 5);
 }
 
-// Symptom: a stall of all replicas doubles the load.
+// Guards against a stall of all replicas doubling the load.
 TEST(Hedging, StallDoesNotDoubleTheLoad) {
   hedging h;
   for (int i = 0; i < 1000; ++i) {
--- a/tests/core/request_router_test.cpp
+++ b/tests/core/request_router_test.cpp
@@ -1,4 +1,4 @@
-// Choice of a replica: permission, estimates, and the policies against each other under load.
+// Routing: permission, estimates, and a comparison of the policies under load.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -61,15 +61,14 @@
     ASSERT_TRUE(choice);
     ASSERT_EQ(choice->replica, only);
   }
-  // Also when it was tried before, and never beyond.
+  // Also if it was tried before, but never after its permission expired.
   ASSERT_TRUE(policy.choose(now, routes, request(), {}, tried_replicas(&only, 1)));
   routes.replicas[3].valid_until = now - 1us;
   EXPECT_FALSE(policy.choose(now, routes, request(), {}, {}));
 }
 
-// Symptom: requests reach a replica that lost a member.
-// Sequence: the node is paused; its observations are stale when it wakes.
-// Cause: choosing by a snapshot without looking at its age.
+// Guards against sending requests to a replica that lost a member: after a pause, the node's
+// observations are stale, and the age of the snapshot is not checked.
 TEST(Router, NeverUsesWhatIsNotPermitted) {
   expect_permission_is_kept(random_choice(1));
   expect_permission_is_kept(round_robin());
@@ -88,7 +87,7 @@
   EXPECT_FALSE(choice->last_resort);
 }
 
-// Symptom: all nodes send to the replica that was idle at the last report.
+// Guards against all nodes sending to the replica that was idle at the last report.
 TEST(Router, OwnSendsCorrectTheReport) {
   routing_snapshot routes;
   routes.replicas = {route("a", 0), route("b", 2)};
@@ -131,7 +130,7 @@
   EXPECT_EQ(count_choices(all_slow, routes).count("none"), 0U);
 }
 
-// Symptom: a straggler that recovered stays unused; or probes keep one full that did not.
+// Guards against a recovered straggler staying unused, and against probes keeping a slow one full.
 TEST(Router, ProbesAnIdleStragglerNowAndThen) {
   routing_snapshot routes;
   expected_completion policy(1);
@@ -154,7 +153,8 @@
   EXPECT_NE(fresh.choose(now, routes, once, {}, {})->replica.str(), "a");
 }
 
-// Symptom: a repaired replica gets no requests. Cause: its speed was learnt on another VM.
+// Guards against a repaired replica getting no requests because its speed was observed on another
+// VM.
 TEST(Router, ForgetsTheSpeedOfAFormerComposition) {
   routing_snapshot routes;
   routes.replicas = {route("a"), route("b", 3), route("c", 3)};
@@ -207,7 +207,7 @@
   for (int i = 0; i < 50; ++i) {
     EXPECT_EQ(policy.choose(now, routes, f, {}, {})->replica.str(), "b");
   }
-  // Three of four slots in use, the others idle: no wait yet, but more than its part of the load.
+  // Three of four slots in use, the others idle: no wait yet, but more than its share of the load.
   routes.replicas[1].running = 3;
   int to_warm = 0;
   for (int i = 0; i < 300; ++i) {
@@ -273,9 +273,9 @@
 
 // ---- under load ----
 
-// Symptom: the first token of one in a hundred takes seconds although most replicas idle.
-// Sequence: one straggler, reports that lag, prompts of which a few are common.
-// Cause: choosing by reports alone, which sends every node to the same replica.
+// Guards against a p99 of the time to first token of seconds while most replicas are idle. With one
+// straggler, delayed reports and a few common prompts, choosing by reports alone makes all nodes
+// send to the same replica.
 TEST(RouterLoad, HalfTheFirstTokenTailOfTheBaselines) {
   for (const duration lag : {duration(0ms), duration(500ms), duration(2s)}) {
     routing_load load;
--- a/tests/core/retry_window_test.cpp
+++ b/tests/core/retry_window_test.cpp
@@ -1,4 +1,4 @@
-// The budget of repeated sends that all nodes share without asking each other.
+// The budget of retries that all nodes share without communicating.
 #include "request/retry_window.h"
 
 #include <gtest/gtest.h>
@@ -9,9 +9,9 @@
 namespace {
 
 TEST(RetryWindow, AllNodesTogetherStayWithinTheBoundInAnyWindow) {
-  // Symptom: a service that fails is sent twice its load. Sequence: six nodes, requests spread
-  // unevenly, every request fails and wants to be sent again at once. Cause: each node counts alone
-  // and takes the whole budget.
+  // Guards against sending a failing service twice its load: requests are spread unevenly over six
+  // nodes, every request fails and is retried immediately, and each node takes the entire budget
+  // for itself.
   constexpr std::size_t nodes = 6;
   constexpr double ratio = 0.2;
   constexpr double burst = 130;
@@ -31,16 +31,16 @@
   }
   std::size_t first = 0;
   double requests = 0;
-  double repeats = 0;
+  double retries = 0;
   for (const auto& [at, repeated] : sends) {
-    (repeated ? repeats : requests) += 1;
+    (repeated ? retries : requests) += 1;
     while (sends[first].first <= at - 10s) {
-      (sends[first].second ? repeats : requests) -= 1;
+      (sends[first].second ? retries : requests) -= 1;
       ++first;
     }
-    ASSERT_LE(repeats, ratio * requests + burst);
+    ASSERT_LE(retries, ratio * requests + burst);
   }
-  EXPECT_GT(repeats, 0.5 * ratio * requests);
+  EXPECT_GT(retries, 0.5 * ratio * requests);
 }
 
 TEST(RetryWindow, IsFullAgainAfterAWindow) {
