--- a/src/request/request_print.h
+++ b/src/request/request_print.h
@@ -22,7 +22,7 @@
 [[nodiscard]] request_print print_of(const workspace_id& workspace, std::string_view target,
                                      std::string_view body);
 
-// 16 hexadecimal digits, as in logs and in operators' requests.
+// 16 hexadecimal digits such as "0123456789abcdef", as in logs and operators' requests.
 [[nodiscard]] std::string hash_text(const request_print& print);
 // Empty unless `text` has that format.
 [[nodiscard]] std::optional<std::uint64_t> parse_hash(std::string_view text);
--- a/tests/core/request_admission_test.cpp
+++ b/tests/core/request_admission_test.cpp
@@ -253,7 +253,7 @@
     EXPECT_GT(f.goodput, 0.9) << times;
     EXPECT_GT(static_cast<double>(f.useful), 0.9 * static_cast<double>(at_capacity.useful));
     EXPECT_LT(f.workspaces[0].refused_waiting * 50, f.workspaces[0].refused)
-        << "refused only after waiting";
+        << "held back before the refusal";
   }
   admission_load baseline = overload(2.0);
   baseline.first_come = true;
--- a/tests/core/request_limits_test.cpp
+++ b/tests/core/request_limits_test.cpp
@@ -76,8 +76,7 @@
   rate_limits paused = borrower;
   borrower.heard(t + 2s, a, message);
   EXPECT_GT(borrower.share(t + 2s, w), 10);
-  EXPECT_DOUBLE_EQ(borrower.share(t + 5s, w), 10)
-      << "expires four seconds after the echoed message";
+  EXPECT_DOUBLE_EQ(borrower.share(t + 5s, w), 10) << "four seconds after the echoed message";
   paused.heard(t + 7s, a, message);
   EXPECT_DOUBLE_EQ(paused.share(t + 7s, w), 10);
 }
--- a/tests/core/request_prefix_test.cpp
+++ b/tests/core/request_prefix_test.cpp
@@ -48,7 +48,7 @@
   index.heard(start, {a, 1, 3, {1}, {}});
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 1.25);
   index.heard(start, {a, 1, 2, {}, {1}});
-  EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 1.25) << "a late batch is ignored";
+  EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 1.25) << "a late batch does not count";
 }
 
 TEST(PrefixIndex, RestartedEngineHasAnEmptyCache) {
--- a/tests/core/request_retry_test.cpp
+++ b/tests/core/request_retry_test.cpp
@@ -15,7 +15,7 @@
   EXPECT_EQ(classify({}), execution::not_run);
   EXPECT_EQ(classify({.bytes_may_have_left = true}), execution::unknown);
   EXPECT_EQ(classify({.bytes_may_have_left = true, .target_refused = true}), execution::unknown)
-      << "a truncated refusal proves nothing";
+      << "a refusal that was cut off proves nothing";
   EXPECT_EQ(classify({true, true, true}), execution::not_run);
   EXPECT_EQ(classify({true, false, true}), execution::done);
 }
@@ -64,7 +64,7 @@
       EXPECT_LE(again->at + 1s, start + 1020ms);
     } else {
       EXPECT_EQ(given_up(d), give_up_reason::no_time);
-      EXPECT_TRUE(budget.take(start)) << "a retry that is not made costs no budget";
+      EXPECT_TRUE(budget.take(start)) << "what is not made is not charged to the budget";
     }
   }
 }
