--- a/tests/core/request_admission_test.cpp
+++ b/tests/core/request_admission_test.cpp
@@ -257,7 +257,7 @@
   }
   admission_load baseline = overload(2.0);
   baseline.first_come = true;
-  EXPECT_LT(run_admission(baseline, 7).goodput, 0.2) << "the baseline copes with the load";
+  EXPECT_LT(run_admission(baseline, 7).goodput, 0.2) << "the load is no challenge for the baseline";
 }
 
 // Guards against small workspaces stalling under the load of a large one.
