--- a/src/node/call_context.cpp
+++ b/src/node/call_context.cpp
@@ -103,7 +103,7 @@
     const auto longest = static_cast<std::uint64_t>(to_milliseconds(call.request_class.deadline));
     call.deadline = call.arrival + std::chrono::milliseconds(std::min(*asked, longest));
   }
-  const limit_verdict verdict = node.limits.take(call.arrival, call.workspace->id);
+  const limit_result verdict = node.limits.take(call.arrival, call.workspace->id);
   if (const auto* exceeded = std::get_if<limit_exceeded>(&verdict)) {
     return over_limit(exceeded->retry_after);
   }
--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -40,7 +40,7 @@
       return false;
     }
     set_deadline();
-    call_.print = print_of(call_.workspace, call_.wire.target, call_.wire.body);
+    call_.fingerprint = fingerprint_of(call_.workspace, call_.wire.target, call_.wire.body);
     return find_service();
   }
 
@@ -192,7 +192,7 @@
   // A failure may come from a part of the target that knows of no limit: only a success lifts one.
   const bool lifts = answer.kind == answer_kind::own && status / 100 == 2;
   const bool speaks = answer.kind == answer_kind::own || answer.kind == answer_kind::not_run;
-  if (answer.is_misdirected || !speaks || (!answer.limit.is_named && !lifts)) {
+  if (answer.is_misdirected || !speaks || (!answer.limit.is_present && !lifts)) {
     return;
   }
   const auto change = node.limits.told(sent_at, monotonic_now(), target, answer.limit);
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -9,7 +9,7 @@
 #include "connection/http_server.h"
 #include "node/hosted_state.h"
 #include "platform/dialect.h"
-#include "request/request_print.h"
+#include "request/request_fingerprint.h"
 
 namespace arbutus {
 
@@ -23,7 +23,7 @@
   const service_spec* service = nullptr;
   workspace_id workspace;
   std::optional<std::uint32_t> urgency;
-  request_print print;  // the same for the same request that comes again
+  request_fingerprint fingerprint;  // the same for the same request that comes again
   time_point arrived;
   time_point deadline;
 
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -65,7 +65,7 @@
 
   void next_attempt() {
     // Its earlier attempts, here and at other nodes, had other ids; what they did to their targets
-    // is known by its print.
+    // is known by its fingerprint.
     if (!may_run(node_, call_)) {
       end_own(503, retry_after_poison(node_, call_), poison_reason);
       return;
@@ -155,7 +155,7 @@
            {"target", replica.head},
            {"reason", last_reason_},
            {"ran", how == ending::broken ? "perhaps" : "no"},
-           {"print", hash_text(call_.print)},
+           {"print", hash_text(call_.fingerprint)},
            {"answered", answered()},
            {"running_ms", had_first_ ? to_milliseconds(monotonic_now() - first_event_at_) : 0.0},
            {"last_event", relay_.last_id()},
@@ -174,7 +174,8 @@
       note_harmless(node_, call_);
     } else if (how == ending::broken && connection_lost_ &&
                had_hardly_begun(now, first_event_at_)) {
-      look_into(node_, {call_.head.id, call_.print, replica.head, replica.address, sent_at_, now});
+      look_into(node_,
+                {call_.head.id, call_.fingerprint, replica.head, replica.address, sent_at_, now});
     }
   }
 
@@ -264,7 +265,7 @@
       }
     }
     const replica_load load = node_.loads.total(head_);
-    const auto reading = from_seconds(load.unread_tokens /
+    const auto reading = from_seconds(load.pending_prefill_tokens /
                                       std::max(call_.service->engine->prefill_tokens_per_s, 1.0));
     node_.silence.event(now, head_, expected_.between_events + reading);
   }
--- a/src/node/hosted_whole.cpp
+++ b/src/node/hosted_whole.cpp
@@ -40,7 +40,7 @@
 
   void next_attempt() {
     // Its earlier attempts, here and at other nodes, had other ids; what they did to their targets
-    // is known by its print.
+    // is known by its fingerprint.
     if (!may_run(node_, call_)) {
       end_own(503, retry_after_poison(node_, call_), poison_reason);
       return;
@@ -130,7 +130,7 @@
       ++call_.may_have_run;
       if (result.failure == call_failure::connection_lost && !own_reason) {
         look_into(node_,
-                  {call_.head.id, call_.print, instance.id, instance.address, sent_at_, now});
+                  {call_.head.id, call_.fingerprint, instance.id, instance.address, sent_at_, now});
       }
       broken(instance, to_string(result.failure));
       return;
@@ -173,7 +173,7 @@
                {{"request", call_.head.id},
                 {"target", instance.id},
                 {"reason", reason},
-                {"print", hash_text(call_.print)},
+                {"print", hash_text(call_.fingerprint)},
                 {"may_have_run", call_.may_have_run},
                 {"sends", call_.sends}});
     }
--- a/src/node/keeper_beats.cpp
+++ b/src/node/keeper_beats.cpp
@@ -149,7 +149,7 @@
   }
   if (beat.hub) {
     // A node of this data centre hears of all others, another hub of this data centre.
-    beat.loads = same ? node_.loads.all_but(peer, all_loads_) : node_.loads.all_of(home);
+    beat.loads = same ? node_.loads.all_except(peer, all_loads_) : node_.loads.all_of(home);
   } else if (node_.peers.hub_of(now, home) == peer) {
     beat.loads = node_.loads.own();
   }
--- a/src/node/limit_exchange.cpp
+++ b/src/node/limit_exchange.cpp
@@ -86,7 +86,7 @@
   told_ = peers_to_tell(config.assets, self_);
 }
 
-limit_verdict limit_exchange::take(time_point now, const workspace_id& workspace) {
+limit_result limit_exchange::take(time_point now, const workspace_id& workspace) {
   const std::lock_guard guard(lock_);
   return limits_.take(now, workspace);
 }
--- a/src/node/limit_exchange.h
+++ b/src/node/limit_exchange.h
@@ -30,13 +30,13 @@
   limit_exchange(time_point now, node_id self);
 
   void configure(time_point now, const configuration& config);
-  [[nodiscard]] limit_verdict take(time_point now, const workspace_id& workspace);
+  [[nodiscard]] limit_result take(time_point now, const workspace_id& workspace);
 
   // To be sent together with another message to `peer`, which is about to go; empty if there is
   // nothing to say or the peer was told since the last tell().
   [[nodiscard]] std::optional<peer_send> tell_with(time_point now, const node_id& peer);
   // What to send to peers that no other message went to meanwhile; call once every
-  // limit_settings::told_every.
+  // limit_settings::message_interval.
   [[nodiscard]] std::vector<peer_send> tell(time_point now);
   // Damaged bytes are ignored: the next message comes in a second.
   void heard(time_point now, const node_id& peer, std::string_view bytes);
--- a/src/node/log_story.cpp
+++ b/src/node/log_story.cpp
@@ -73,8 +73,8 @@
 std::set<std::string> prints_of(const std::vector<logged_line>& own) {
   std::set<std::string> result;
   for (const logged_line& line : own) {
-    if (const auto print = line.field("print"); !print.empty()) {
-      result.emplace(print);
+    if (const auto fingerprint = line.field("print"); !fingerprint.empty()) {
+      result.emplace(fingerprint);
     }
   }
   return result;
@@ -300,7 +300,7 @@
   const wall_clock_time from = beginning(story.own) - looked_back;
   const wall_clock_time until = story.own.back().time;
   const std::set<std::string> targets = targets_of(story.own);
-  const std::set<std::string> prints = prints_of(story.own);
+  const std::set<std::string> fingerprints = prints_of(story.own);
   std::set<std::string> nodes;
   for (const logged_line& line : story.own) {
     nodes.insert(line.node);
@@ -313,7 +313,7 @@
     const bool of_target = targets.contains(std::string(line.field("target"))) ||
                            targets.contains(std::string(line.field("head")));
     const bool of_print =
-        line.part == "poison" && prints.contains(std::string(line.field("print")));
+        line.part == "poison" && fingerprints.contains(std::string(line.field("print")));
     if ((of_target && line.time >= from) || of_print) {
       story.around.push_back(line);
     }
--- a/src/node/model_attempt.cpp
+++ b/src/node/model_attempt.cpp
@@ -64,7 +64,7 @@
   return text;
 }
 
-// Without a whole answer: what the connection proves.
+// Without a complete answer: what the connection proves.
 void set_unanswered(const call_result& result, attempt_end& end) {
   end.ran = result.outcome == call_outcome::not_sent ? execution::not_run : execution::unknown;
   end.reason = describe(result);
@@ -72,7 +72,7 @@
                     result.failure == call_failure::connection_lost;
 }
 
-// With a whole answer of status other than 200.
+// With a complete answer of status other than 200.
 void set_refusal(const call_result& result, attempt_end& end) {
   end.status = result.response.status;
   if (refused_by_target(end.status)) {
@@ -173,14 +173,14 @@
 
   bool on_token(const engine_frame& frame, std::string_view text) {
     switch (answer_.accept(frame.id, frame.offset)) {
-      case token_verdict::deliver:
+      case token_status::deliver:
         break;
-      case token_verdict::duplicate:
-      case token_verdict::after_end:
+      case token_status::duplicate:
+      case token_status::after_end:
         return true;
-      case token_verdict::gap:
+      case token_status::gap:
         return give_up("a token is missing");
-      case token_verdict::wrong_id:
+      case token_status::wrong_id:
         return give_up("a token of another request");
     }
     if (end_.first_token == time_point::min()) {
@@ -197,7 +197,7 @@
   }
 
   bool is_whole(const request_id& id, std::uint64_t tokens) {
-    return answer_.finish(id, tokens) == end_verdict::whole ||
+    return answer_.finish(id, tokens) == end_status::complete ||
            give_up("the finish does not match the tokens");
   }
 
@@ -237,7 +237,7 @@
                          cancel, permit_for(node, route));
   if (result.ok() && status != status_ok) {
     set_refusal(result, end);
-  } else if (answer.whole()) {
+  } else if (answer.complete()) {
     end.ran = execution::done;
     end.status = status_ok;
   } else if (!result.ok() && end.reason.empty()) {
--- a/src/node/model_attempt.h
+++ b/src/node/model_attempt.h
@@ -18,7 +18,7 @@
   std::uint32_t priority{};
   workspace_id workspace;
   time_point deadline;
-  attempt_note note;
+  attempt_context note;
 };
 
 struct attempt_end {
--- a/src/node/model_call.cpp
+++ b/src/node/model_call.cpp
@@ -305,7 +305,7 @@
   call_state call_;
   model_request body_;
   request_facts facts_;
-  attempt_note note_;
+  attempt_context note_;
   model_gate* gate_ = nullptr;
   admission_waiter waiter_;
   cancel_token cancel_;
--- a/src/node/model_gate.cpp
+++ b/src/node/model_gate.cpp
@@ -158,23 +158,24 @@
   budget_.first_attempt(now);
 }
 
-retry_decision model_gate::retry(time_point now, const attempt_note& note, execution last,
+retry_decision model_gate::retry(time_point now, const attempt_context& context, execution last,
                                  const request_facts& facts) {
   const std::lock_guard guard(lock_);
   const duration needed = admission_.service_time(facts.cost);
-  return decide_retry(now, note, last, facts.repeatable, facts.deadline, needed, budget_, random_);
+  return decide_retry(now, context, last, facts.repeatable, facts.deadline, needed, budget_,
+                      random_);
 }
 
 std::optional<time_point> model_gate::ask_hedge_at(std::string_view request_class,
                                                    time_point sent) {
   const std::lock_guard guard(lock_);
-  return hedging_.ask_at(request_class, sent);
+  return hedging_.hedge_at(request_class, sent);
 }
 
 bool model_gate::decide_hedge(time_point now, std::string_view request_class, time_point sent,
-                              const attempt_note& note, const request_facts& facts) {
+                              const attempt_context& context, const request_facts& facts) {
   const std::lock_guard guard(lock_);
-  return hedging_.decide(now, request_class, sent, note, facts.repeatable, facts.deadline);
+  return hedging_.decide(now, request_class, sent, context, facts.repeatable, facts.deadline);
 }
 
 duration model_gate::expected_wait(const request_facts& facts) {
--- a/src/node/model_gate.h
+++ b/src/node/model_gate.h
@@ -61,11 +61,11 @@
   std::uint32_t ended(time_point now, const request_facts& facts, const attempt_result& result);
 
   void first_attempt(time_point now);
-  retry_decision retry(time_point now, const attempt_note& note, execution last,
+  retry_decision retry(time_point now, const attempt_context& context, execution last,
                        const request_facts& facts);
   std::optional<time_point> ask_hedge_at(std::string_view request_class, time_point sent);
   bool decide_hedge(time_point now, std::string_view request_class, time_point sent,
-                    const attempt_note& note, const request_facts& facts);
+                    const attempt_context& context, const request_facts& facts);
 
   [[nodiscard]] duration expected_wait(const request_facts& facts);
   [[nodiscard]] std::uint32_t in_flight_at(const replica_id& replica);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -183,8 +183,8 @@
 void node::start() {
   parts_->running = true;
   parts_->core.start();
-  parts_->limit_teller = std::make_unique<periodic>(parts_->runtime, 0, limit_settings{}.told_every,
-                                                    [this] { parts_->tell_limits(); });
+  parts_->limit_teller = std::make_unique<periodic>(
+      parts_->runtime, 0, limit_settings{}.message_interval, [this] { parts_->tell_limits(); });
 }
 
 bool node::stop() {
--- a/src/node/poison_state.h
+++ b/src/node/poison_state.h
@@ -6,7 +6,7 @@
 
 #include "base/id.h"
 #include "process/poison_tracker.h"
-#include "request/request_print.h"
+#include "request/request_fingerprint.h"
 #include "version/inventory.h"
 
 namespace arbutus {
@@ -14,7 +14,7 @@
 // A run that broke off when it had hardly begun, as far as its node can tell.
 struct broken_run {
   request_id request;
-  request_print print;
+  request_fingerprint fingerprint;
   target_id target;
   endpoint address;
   time_point sent_at;
--- a/src/node/poison_watch.cpp
+++ b/src/node/poison_watch.cpp
@@ -22,8 +22,8 @@
 constexpr duration ends_remembered = 1s;
 constexpr duration judge_interval = 50ms;
 
-std::string_view name_of(const request_print& print) {
-  return print.workspace.empty() ? std::string_view("-") : print.workspace.str();
+std::string_view name_of(const request_fingerprint& fingerprint) {
+  return fingerprint.workspace.empty() ? std::string_view("-") : fingerprint.workspace.str();
 }
 
 std::string list_of(const std::vector<target_id>& targets) {
@@ -34,24 +34,24 @@
   return text;
 }
 
-std::size_t marks_of(const hosted_state& node, const request_print& print) {
-  const auto found = node.poison.ledger.all().find(print);
+std::size_t marks_of(const hosted_state& node, const request_fingerprint& fingerprint) {
+  const auto found = node.poison.ledger.all().find(fingerprint);
   return found == node.poison.ledger.all().end() ? 0 : found->second.strikes.size();
 }
 
 void note_evidence(hosted_state& node, const broken_run& run) {
   const bool is_new =
-      node.poison.ledger.strike(run.print, {run.target, run.sent_at, run.broken_at});
+      node.poison.ledger.strike(run.fingerprint, {run.target, run.sent_at, run.broken_at});
   node.metrics.count("arbutusworks_poison_evidence", is_new ? "counts=\"yes\"" : "counts=\"no\"");
-  // Under another name than "request", so that it is found for all that have this print.
+  // Under another name than "request", so that it is found for all that have this fingerprint.
   log_line(log_level::info, "poison", "evidence",
            {{"run_of", run.request},
-            {"print", hash_text(run.print)},
-            {"workspace", name_of(run.print)},
+            {"print", hash_text(run.fingerprint)},
+            {"workspace", name_of(run.fingerprint)},
             {"target", run.target},
             {"ran_ms", to_milliseconds(run.broken_at - run.sent_at)},
             {"counts", is_new},
-            {"marks", std::uint64_t{marks_of(node, run.print)}}});
+            {"marks", std::uint64_t{marks_of(node, run.fingerprint)}}});
 }
 
 // The address refuses, or another incarnation answers there.
@@ -94,12 +94,13 @@
   tell_end(node, target, sign);
 }
 
-void tell_verdict(hosted_state& node, const request_print& print, std::string_view told_by,
-                  std::size_t events, double probability, const std::vector<target_id>& targets) {
+void tell_verdict(hosted_state& node, const request_fingerprint& fingerprint,
+                  std::string_view told_by, std::size_t events, double probability,
+                  const std::vector<target_id>& targets) {
   node.metrics.count("arbutusworks_poison_verdicts", "told_by=\"" + std::string(told_by) + "\"");
   log_line(log_level::warning, "poison", "convicted",
-           {{"print", hash_text(print)},
-            {"workspace", name_of(print)},
+           {{"print", hash_text(fingerprint)},
+            {"workspace", name_of(fingerprint)},
             {"told_by", told_by},
             {"marks", std::uint64_t{targets.size()}},
             {"targets", list_of(targets)},
@@ -138,14 +139,14 @@
 }
 
 void note_harmless(hosted_state& node, const hosted_request& call) {
-  if (!node.poison.ledger.clear_request(monotonic_now(), call.print)) {
+  if (!node.poison.ledger.clear_request(monotonic_now(), call.fingerprint)) {
     return;
   }
   node.metrics.count("arbutusworks_poison_acquitted", "by=\"run\"");
   log_line(log_level::info, "poison", "acquitted",
            {{"request", call.head.id},
-            {"print", hash_text(call.print)},
-            {"workspace", name_of(call.print)},
+            {"print", hash_text(call.fingerprint)},
+            {"workspace", name_of(call.fingerprint)},
             {"reason", "a run of it did no harm"}});
 }
 
@@ -153,35 +154,35 @@
   const poison_tracker& ledger = node.poison.ledger;
   for (;;) {
     const time_point now = monotonic_now();
-    const auto until = ledger.held_until(now, call.print);
+    const auto until = ledger.held_until(now, call.fingerprint);
     if (!until || now >= call.deadline) {
       break;
     }
     node.metrics.count("arbutusworks_poison_held");
     log_line(log_level::info, "poison", "held",
              {{"request", call.head.id},
-              {"print", hash_text(call.print)},
-              {"marks", std::uint64_t{marks_of(node, call.print)}},
+              {"print", hash_text(call.fingerprint)},
+              {"marks", std::uint64_t{marks_of(node, call.fingerprint)}},
               {"for_ms", to_milliseconds(*until - now)}});
     // The evaluate looks shortly after.
     if (!sleep_until(std::min(*until + 2 * judge_interval, call.deadline))) {
       break;
     }
   }
-  if (!ledger.is_quarantined(call.print)) {
+  if (!ledger.is_quarantined(call.fingerprint)) {
     return true;
   }
   node.metrics.count("arbutusworks_poison_refused");
   log_line(log_level::info, "poison", "refused",
            {{"request", call.head.id},
-            {"print", hash_text(call.print)},
-            {"workspace", name_of(call.print)},
-            {"marks", std::uint64_t{marks_of(node, call.print)}}});
+            {"print", hash_text(call.fingerprint)},
+            {"workspace", name_of(call.fingerprint)},
+            {"marks", std::uint64_t{marks_of(node, call.fingerprint)}}});
   return false;
 }
 
 duration retry_after_poison(const hosted_state& node, const hosted_request& call) {
-  return node.poison.ledger.quarantine_remaining(monotonic_now(), call.print).value_or(0ms);
+  return node.poison.ledger.quarantine_remaining(monotonic_now(), call.fingerprint).value_or(0ms);
 }
 
 void judge_poison(hosted_state& node, time_point now) {
@@ -190,36 +191,37 @@
   }
   node.poison.judged_at = now;
   for (const quarantine_decision& v : node.poison.ledger.evaluate(now)) {
-    tell_verdict(node, v.print, "evidence", v.events, v.probability, v.targets);
+    tell_verdict(node, v.fingerprint, "evidence", v.events, v.probability, v.targets);
   }
 }
 
 void take_crash_row(hosted_state& node, time_point now, const poison_row& row,
                     std::string_view told_by) {
-  const bool was = node.poison.ledger.is_quarantined(row.print);
+  const bool was = node.poison.ledger.is_quarantined(row.fingerprint);
   const bool quarantined = node.poison.ledger.merge_row(now, row);
   if (quarantined) {
     std::vector<target_id> targets;
     for (const poison_row::strike& m : row.strikes) {
       targets.push_back(m.target);
     }
-    tell_verdict(node, row.print, told_by, 0, 0, targets);
-  } else if (was && !node.poison.ledger.is_quarantined(row.print)) {
+    tell_verdict(node, row.fingerprint, told_by, 0, 0, targets);
+  } else if (was && !node.poison.ledger.is_quarantined(row.fingerprint)) {
     node.metrics.count("arbutusworks_poison_acquitted", "by=\"peer\"");
-    log_line(
-        log_level::info, "poison", "acquitted",
-        {{"print", hash_text(row.print)}, {"workspace", name_of(row.print)}, {"reason", told_by}});
+    log_line(log_level::info, "poison", "acquitted",
+             {{"print", hash_text(row.fingerprint)},
+              {"workspace", name_of(row.fingerprint)},
+              {"reason", told_by}});
   }
 }
 
 std::string poison_text(const hosted_state& node, time_point now) {
   std::string text;
-  for (const auto& [print, entry] : node.poison.ledger.all()) {
+  for (const auto& [fingerprint, entry] : node.poison.ledger.all()) {
     if (entry.strikes.empty() && !entry.quarantined_at) {
       continue;
     }
-    const auto left = node.poison.ledger.quarantine_remaining(now, print);
-    text += hash_text(print) + ' ' + std::string(name_of(print)) + ' ' +
+    const auto left = node.poison.ledger.quarantine_remaining(now, fingerprint);
+    text += hash_text(fingerprint) + ' ' + std::string(name_of(fingerprint)) + ' ' +
             (left ? "refused for " + std::to_string(static_cast<std::int64_t>(to_seconds(*left))) +
                         " s, "
                   : "suspected, ");
@@ -233,19 +235,19 @@
 }
 
 bool lift_verdict(hosted_state& node, time_point now, std::uint64_t hash) {
-  std::vector<request_print> prints;
-  for (const auto& [print, entry] : node.poison.ledger.all()) {
-    if (print.hash == hash) {
-      prints.push_back(print);
+  std::vector<request_fingerprint> fingerprints;
+  for (const auto& [fingerprint, entry] : node.poison.ledger.all()) {
+    if (fingerprint.hash == hash) {
+      fingerprints.push_back(fingerprint);
     }
   }
   bool any = false;
-  for (const request_print& print : prints) {
-    any = node.poison.ledger.release(now, print) || any;
+  for (const request_fingerprint& fingerprint : fingerprints) {
+    any = node.poison.ledger.release(now, fingerprint) || any;
     node.metrics.count("arbutusworks_poison_acquitted", "by=\"operator\"");
     log_line(log_level::warning, "poison", "acquitted",
-             {{"print", hash_text(print)},
-              {"workspace", name_of(print)},
+             {{"print", hash_text(fingerprint)},
+              {"workspace", name_of(fingerprint)},
               {"reason", "lifted by an operator"}});
   }
   return any;
--- a/src/node/store_poison.cpp
+++ b/src/node/store_poison.cpp
@@ -18,8 +18,8 @@
 constexpr std::uint32_t most_doublings = 6;
 
 // Workspaces have no bound here that fits a key, and prints are told apart by both.
-std::string key_of(const request_print& print) {
-  return hash_text(print) + "-" + hash_text({{}, stable_hash(print.workspace.str())});
+std::string key_of(const request_fingerprint& fingerprint) {
+  return hash_text(fingerprint) + "-" + hash_text({{}, stable_hash(fingerprint.workspace.str())});
 }
 
 void count_call(hosted_state& node, std::string_view what, bool answered) {
@@ -54,13 +54,13 @@
   const poison_tracker::store_changes changes = node.poison.ledger.pending_store_changes();
   transaction t;
   const time_point now = monotonic_now();
-  for (const request_print& print : changes.to_write) {
-    if (const auto row = node.poison.ledger.quarantine_row(now, print)) {
-      t.writes.push_back({std::string(poison_table), key_of(print), encode(*row)});
+  for (const request_fingerprint& fingerprint : changes.to_write) {
+    if (const auto row = node.poison.ledger.quarantine_row(now, fingerprint)) {
+      t.writes.push_back({std::string(poison_table), key_of(fingerprint), encode(*row)});
     }
   }
-  for (const request_print& print : changes.to_remove) {
-    t.removals.push_back({std::string(poison_table), key_of(print)});
+  for (const request_fingerprint& fingerprint : changes.to_remove) {
+    t.removals.push_back({std::string(poison_table), key_of(fingerprint)});
   }
   constexpr std::size_t most_entries = 50;
   t.writes.resize(std::min(t.writes.size(), most_entries));
--- a/src/process/node_heartbeat.cpp
+++ b/src/process/node_heartbeat.cpp
@@ -128,7 +128,7 @@
   json loads = json::array();
   for (const auto& [id, load] : message.loads) {
     loads.push_back({id.str(), static_cast<std::int64_t>(std::lround(load.active)),
-                     static_cast<std::int64_t>(std::lround(load.unread_tokens))});
+                     static_cast<std::int64_t>(std::lround(load.pending_prefill_tokens))});
   }
   json lost = json::array();
   for (const target_id& id : message.lost) {
--- a/src/process/poison_evaluation.cpp
+++ b/src/process/poison_evaluation.cpp
@@ -37,8 +37,8 @@
 }  // namespace
 
 std::optional<time_point> poison_tracker::held_until(time_point now,
-                                                     const request_print& print) const {
-  const auto found = entries_.find(print);
+                                                     const request_fingerprint& fingerprint) const {
+  const auto found = entries_.find(fingerprint);
   if (found == entries_.end() || found->second.quarantined_at || found->second.strikes.empty()) {
     return std::nullopt;
   }
--- a/src/process/poison_tracker.cpp
+++ b/src/process/poison_tracker.cpp
@@ -38,16 +38,17 @@
   mean_first_event_s_ += weight * (to_seconds(waited) - mean_first_event_s_);
 }
 
-bool poison_tracker::has_known_cause(const request_print& print, const target_id& target) const {
+bool poison_tracker::has_known_cause(const request_fingerprint& fingerprint,
+                                     const target_id& target) const {
   const auto found = known_causes_.find(target);
-  return found != known_causes_.end() && found->second != print;
+  return found != known_causes_.end() && found->second != fingerprint;
 }
 
 // Evicts the entry with the fewest strikes, the oldest among equals. Entries with several strikes
 // are never evicted: otherwise a caller who sends thousands of different requests would push out
 // the one that crashes the engines.
-bool poison_tracker::make_room(const request_print& print) {
-  const auto count = entries_of_workspace_.find(print.workspace);
+bool poison_tracker::make_room(const request_fingerprint& fingerprint) {
+  const auto count = entries_of_workspace_.find(fingerprint.workspace);
   const bool own_full =
       count != entries_of_workspace_.end() && count->second >= settings_.max_entries_per_workspace;
   if (!own_full && entries_.size() < settings_.max_entries) {
@@ -58,7 +59,7 @@
     return std::pair(e.quarantined_at ? std::size_t{1} << 32U : e.strikes.size(), e.changed);
   };
   for (auto i = entries_.begin(); i != entries_.end(); ++i) {
-    const bool may_evict = !own_full || i->first.workspace == print.workspace;
+    const bool may_evict = !own_full || i->first.workspace == fingerprint.workspace;
     if (may_evict && (weakest == entries_.end() || weight(i->second) < weight(weakest->second))) {
       weakest = i;
     }
@@ -72,24 +73,24 @@
   return true;
 }
 
-poison_entry* poison_tracker::entry_for(const request_print& print) {
-  const auto found = entries_.find(print);
+poison_entry* poison_tracker::entry_for(const request_fingerprint& fingerprint) {
+  const auto found = entries_.find(fingerprint);
   if (found != entries_.end()) {
     return &found->second;
   }
-  if (!make_room(print)) {
+  if (!make_room(fingerprint)) {
     ++rejected_strikes_;
     return nullptr;
   }
-  ++entries_of_workspace_[print.workspace];
-  return &entries_[print];
+  ++entries_of_workspace_[fingerprint.workspace];
+  return &entries_[fingerprint];
 }
 
-bool poison_tracker::add_strike(const request_print& print, poison_entry& entry,
+bool poison_tracker::add_strike(const request_fingerprint& fingerprint, poison_entry& entry,
                                 const poison_strike& strike) {
   const bool acquitted =
       entry.cleared_at && strike.ended_at <= *entry.cleared_at + settings_.cleared_duration;
-  if (acquitted || is_known_end(entry, strike) || has_known_cause(print, strike.target) ||
+  if (acquitted || is_known_end(entry, strike) || has_known_cause(fingerprint, strike.target) ||
       entry.strikes.size() >= settings_.max_strikes_per_request) {
     return false;
   }
@@ -97,20 +98,20 @@
       std::upper_bound(entry.strikes.begin(), entry.strikes.end(), strike, ended_before);
   entry.strikes.insert(place, strike);
   if (entry.quarantined_at) {
-    known_causes_[strike.target] = print;
+    known_causes_[strike.target] = fingerprint;
   }
   touch(entry);
   return true;
 }
 
-bool poison_tracker::strike(const request_print& print, const poison_strike& strike) {
-  const cleared_run& cleared = cleared_runs_[print.hash % cleared_slots];
-  if (cleared.print == print && cleared.at != time_point{} &&
+bool poison_tracker::strike(const request_fingerprint& fingerprint, const poison_strike& strike) {
+  const cleared_run& cleared = cleared_runs_[fingerprint.hash % cleared_slots];
+  if (cleared.fingerprint == fingerprint && cleared.at != time_point{} &&
       strike.ended_at <= cleared.at + settings_.cleared_duration) {
     return false;
   }
-  poison_entry* entry = entry_for(print);
-  return entry != nullptr && add_strike(print, *entry, strike);
+  poison_entry* entry = entry_for(fingerprint);
+  return entry != nullptr && add_strike(fingerprint, *entry, strike);
 }
 
 void poison_tracker::clear_entry(poison_entry& entry, time_point cleared_at) {
@@ -129,9 +130,9 @@
   touch(entry);
 }
 
-bool poison_tracker::clear_request(time_point now, const request_print& print) {
-  cleared_runs_[print.hash % cleared_slots] = {print, now};
-  const auto found = entries_.find(print);
+bool poison_tracker::clear_request(time_point now, const request_fingerprint& fingerprint) {
+  cleared_runs_[fingerprint.hash % cleared_slots] = {fingerprint, now};
+  const auto found = entries_.find(fingerprint);
   if (found == entries_.end()) {
     return false;
   }
@@ -143,8 +144,8 @@
   return suspected;
 }
 
-bool poison_tracker::release(time_point now, const request_print& print) {
-  const auto found = entries_.find(print);
+bool poison_tracker::release(time_point now, const request_fingerprint& fingerprint) {
+  const auto found = entries_.find(fingerprint);
   if (found == entries_.end()) {
     return false;
   }
@@ -152,14 +153,14 @@
   return true;
 }
 
-bool poison_tracker::is_quarantined(const request_print& print) const {
-  const auto found = entries_.find(print);
+bool poison_tracker::is_quarantined(const request_fingerprint& fingerprint) const {
+  const auto found = entries_.find(fingerprint);
   return found != entries_.end() && found->second.quarantined_at;
 }
 
-std::optional<duration> poison_tracker::quarantine_remaining(time_point now,
-                                                             const request_print& print) const {
-  const auto found = entries_.find(print);
+std::optional<duration> poison_tracker::quarantine_remaining(
+    time_point now, const request_fingerprint& fingerprint) const {
+  const auto found = entries_.find(fingerprint);
   if (found == entries_.end() || !found->second.quarantined_at) {
     return std::nullopt;
   }
@@ -175,7 +176,7 @@
 // Expired quarantines are cleared, not erased: the store still has their rows, and peers may still
 // hold them.
 void poison_tracker::expire_quarantines(time_point now) {
-  for (auto& [print, entry] : entries_) {
+  for (auto& [fingerprint, entry] : entries_) {
     if (entry.quarantined_at && now - newest_time(entry) > settings_.quarantine_duration) {
       clear_entry(entry, now - settings_.cleared_duration);
     }
@@ -190,11 +191,11 @@
   last_expiry_at_ = now;
   expire_quarantines(now);
   std::erase_if(entries_, [&](const entry_map::value_type& known) {
-    const auto& [print, entry] = known;
+    const auto& [fingerprint, entry] = known;
     if (entry.quarantined_at || now - newest_time(entry) <= settings_.suspect_duration) {
       return false;
     }
-    --entries_of_workspace_[print.workspace];
+    --entries_of_workspace_[fingerprint.workspace];
     for (const poison_strike& m : entry.strikes) {
       known_causes_.erase(m.target);
     }
@@ -207,14 +208,15 @@
 
 // The crashes of its targets now have a known cause, so they no longer count as strikes against the
 // other requests that ran there.
-void poison_tracker::quarantine(const request_print& print, poison_entry& entry, time_point at) {
+void poison_tracker::quarantine(const request_fingerprint& fingerprint, poison_entry& entry,
+                                time_point at) {
   entry.quarantined_at = at;
   entry.stored = false;
   for (const poison_strike& m : entry.strikes) {
-    known_causes_.try_emplace(m.target, print);
+    known_causes_.try_emplace(m.target, fingerprint);
   }
   for (entry_map::value_type& other : entries_) {
-    if (other.first != print && !other.second.quarantined_at) {
+    if (other.first != fingerprint && !other.second.quarantined_at) {
       std::erase_if(other.second.strikes,
                     [&](const poison_strike& m) { return has_known_cause(other.first, m.target); });
     }
@@ -223,16 +225,16 @@
 }
 
 bool poison_tracker::merge_row(time_point now, const poison_row& row) {
-  poison_entry* entry = entry_for(row.print);
+  poison_entry* entry = entry_for(row.fingerprint);
   if (entry == nullptr) {
     return false;
   }
-  const cleared_run& cleared = cleared_runs_[row.print.hash % cleared_slots];
+  const cleared_run& cleared = cleared_runs_[row.fingerprint.hash % cleared_slots];
   std::optional<time_point> cleared_at;
   if (row.cleared_ago) {
     cleared_at = now - *row.cleared_ago;
   }
-  const bool cleared_here = cleared.print == row.print && cleared.at != time_point{};
+  const bool cleared_here = cleared.fingerprint == row.fingerprint && cleared.at != time_point{};
   if (cleared_here && (!cleared_at || *cleared_at < cleared.at)) {
     cleared_at = cleared.at;
   }
@@ -244,13 +246,13 @@
     clear_entry(*entry, *cleared_at);
   }
   for (const poison_row::strike& m : row.strikes) {
-    add_strike(row.print, *entry, {m.target, now - m.sent_ago, now - m.ended_ago});
+    add_strike(row.fingerprint, *entry, {m.target, now - m.sent_ago, now - m.ended_ago});
   }
   bool quarantined = false;
   if (row.quarantined_ago && !entry->quarantined_at) {
     const time_point at = now - *row.quarantined_ago;
     if (!entry->cleared_at || at > *entry->cleared_at + settings_.cleared_duration) {
-      quarantine(row.print, *entry, at);
+      quarantine(row.fingerprint, *entry, at);
       quarantined = true;
     }
   }
@@ -262,9 +264,9 @@
 }
 
 poison_row poison_tracker::to_row(time_point now, const entry_map::value_type& known) {
-  const auto& [print, entry] = known;
+  const auto& [fingerprint, entry] = known;
   poison_row row;
-  row.print = print;
+  row.fingerprint = fingerprint;
   for (const poison_strike& m : entry.strikes) {
     row.strikes.push_back({m.target, now - m.sent_at, now - m.ended_at});
   }
@@ -304,27 +306,27 @@
 
 poison_tracker::store_changes poison_tracker::pending_store_changes() const {
   store_changes changes;
-  for (const auto& [print, entry] : entries_) {
+  for (const auto& [fingerprint, entry] : entries_) {
     if (entry.quarantined_at && !entry.stored) {
-      changes.to_write.push_back(print);
+      changes.to_write.push_back(fingerprint);
     } else if (!entry.quarantined_at && entry.stored) {
-      changes.to_remove.push_back(print);
+      changes.to_remove.push_back(fingerprint);
     }
   }
   return changes;
 }
 
-void poison_tracker::set_stored(const request_print& print, bool stored) {
-  const auto found = entries_.find(print);
+void poison_tracker::set_stored(const request_fingerprint& fingerprint, bool stored) {
+  const auto found = entries_.find(fingerprint);
   if (found != entries_.end() && found->second.stored != stored) {
     found->second.stored = stored;
     touch(found->second);
   }
 }
 
-std::optional<poison_row> poison_tracker::quarantine_row(time_point now,
-                                                         const request_print& print) const {
-  const auto found = entries_.find(print);
+std::optional<poison_row> poison_tracker::quarantine_row(
+    time_point now, const request_fingerprint& fingerprint) const {
+  const auto found = entries_.find(fingerprint);
   if (found == entries_.end() || !found->second.quarantined_at) {
     return std::nullopt;
   }
--- a/src/process/poison_tracker.h
+++ b/src/process/poison_tracker.h
@@ -31,7 +31,7 @@
 
 #include "base/id.h"
 #include "base/units.h"
-#include "request/request_print.h"
+#include "request/request_fingerprint.h"
 
 namespace arbutus {
 
@@ -89,7 +89,7 @@
 // What a node sends to peers about one request. Times are sent as ages, since the clocks of nodes
 // differ.
 struct poison_row {
-  request_print print;
+  request_fingerprint fingerprint;
   struct strike {
     target_id target;
     duration sent_ago{};
@@ -102,7 +102,7 @@
 };
 
 struct quarantine_decision {
-  request_print print;
+  request_fingerprint fingerprint;
   std::vector<target_id> targets;  // that ended under the request
   std::size_t events = 0;          // number of separate events
   double probability = 0;          // that a harmless request is cut off in so many events
@@ -119,20 +119,20 @@
   // Records that a target ended before or shortly after the first event of a run that this node
   // sent. False if the strike is known already, the crash is attributed to a quarantined request,
   // the request was cleared, or there is no room.
-  bool strike(const request_print& print, const poison_strike& strike);
+  bool strike(const request_fingerprint& fingerprint, const poison_strike& strike);
   // A run succeeded, or delivered events for a long time. True if the request was a suspect.
-  bool clear_request(time_point now, const request_print& print);
+  bool clear_request(time_point now, const request_fingerprint& fingerprint);
   // An operator releases the request; strikes from now on count again. True if there was an entry.
-  bool release(time_point now, const request_print& print);
+  bool release(time_point now, const request_fingerprint& fingerprint);
 
-  [[nodiscard]] bool is_quarantined(const request_print& print) const;
+  [[nodiscard]] bool is_quarantined(const request_fingerprint& fingerprint) const;
   // Until when the request is held, since strikes of other nodes may still arrive; empty if it may
   // be sent now.
   [[nodiscard]] std::optional<time_point> held_until(time_point now,
-                                                     const request_print& print) const;
+                                                     const request_fingerprint& fingerprint) const;
   // Time until the quarantine expires if no new strike comes; empty if there is no quarantine.
-  [[nodiscard]] std::optional<duration> quarantine_remaining(time_point now,
-                                                             const request_print& print) const;
+  [[nodiscard]] std::optional<duration> quarantine_remaining(
+      time_point now, const request_fingerprint& fingerprint) const;
   // Removes expired entries and quarantines requests with sufficient strikes. Returns the new
   // quarantines.
   std::vector<quarantine_decision> evaluate(time_point now);
@@ -147,36 +147,38 @@
 
   // Quarantines that the platform's store lacks, and rows whose quarantine is no longer in force.
   struct store_changes {
-    std::vector<request_print> to_write;
-    std::vector<request_print> to_remove;
+    std::vector<request_fingerprint> to_write;
+    std::vector<request_fingerprint> to_remove;
   };
   [[nodiscard]] store_changes pending_store_changes() const;
-  void set_stored(const request_print& print, bool stored);
+  void set_stored(const request_fingerprint& fingerprint, bool stored);
   // The row to store for a request; empty if it is not quarantined.
-  [[nodiscard]] std::optional<poison_row> quarantine_row(time_point now,
-                                                         const request_print& print) const;
+  [[nodiscard]] std::optional<poison_row> quarantine_row(
+      time_point now, const request_fingerprint& fingerprint) const;
 
-  [[nodiscard]] const std::map<request_print, poison_entry>& all() const { return entries_; }
+  [[nodiscard]] const std::map<request_fingerprint, poison_entry>& all() const { return entries_; }
   [[nodiscard]] std::size_t quarantined() const;
   // Strikes and rows that were dropped for lack of room.
   [[nodiscard]] std::uint64_t rejected_strikes() const { return rejected_strikes_; }
 
  private:
-  using entry_map = std::map<request_print, poison_entry>;
+  using entry_map = std::map<request_fingerprint, poison_entry>;
   // Suspects by the targets that ended while running them.
   using suspects_by_target = std::map<target_id, std::vector<const entry_map::value_type*>>;
 
-  poison_entry* entry_for(const request_print& print);
-  bool make_room(const request_print& print);
+  poison_entry* entry_for(const request_fingerprint& fingerprint);
+  bool make_room(const request_fingerprint& fingerprint);
   void touch(poison_entry& entry) { entry.changed = ++position_; }
-  bool add_strike(const request_print& print, poison_entry& entry, const poison_strike& strike);
+  bool add_strike(const request_fingerprint& fingerprint, poison_entry& entry,
+                  const poison_strike& strike);
   // Drops the strikes that a successful run at this time covers, and a quarantine based on them.
   void clear_entry(poison_entry& entry, time_point cleared_at);
-  void quarantine(const request_print& print, poison_entry& entry, time_point at);
+  void quarantine(const request_fingerprint& fingerprint, poison_entry& entry, time_point at);
   void expire_quarantines(time_point now);
   void remove_expired(time_point now);
   [[nodiscard]] static poison_row to_row(time_point now, const entry_map::value_type& known);
-  [[nodiscard]] bool has_known_cause(const request_print& print, const target_id& target) const;
+  [[nodiscard]] bool has_known_cause(const request_fingerprint& fingerprint,
+                                     const target_id& target) const;
   [[nodiscard]] suspects_by_target index_by_target(time_point settled) const;
   [[nodiscard]] std::set<target_id> mass_failures(const suspects_by_target& ended) const;
   [[nodiscard]] bool has_likelier_cause(const suspects_by_target& ended,
@@ -195,14 +197,15 @@
   // node may arrive after the run that cleared the request.
   static constexpr std::size_t cleared_slots = 4096;
   struct cleared_run {
-    request_print print;
+    request_fingerprint fingerprint;
     time_point at{};
   };
 
   poison_tracker_settings settings_;
   entry_map entries_;
   std::map<workspace_id, std::size_t> entries_of_workspace_;
-  std::map<target_id, request_print> known_causes_;  // ended targets, and the quarantined cause
+  std::map<target_id, request_fingerprint>
+      known_causes_;  // ended targets, and the quarantined cause
   std::uint64_t position_ = 0;
   std::uint64_t rejected_strikes_ = 0;
   std::map<target_id, time_point> last_sent_to_;  // when this node last sent to each target
--- a/src/process/poison_wire.cpp
+++ b/src/process/poison_wire.cpp
@@ -42,7 +42,7 @@
 
 poison_row decode_row(const json& from) {
   poison_row row;
-  row.print = {workspace_id{decode_name(from.at(0))}, from.at(1).get<std::uint64_t>()};
+  row.fingerprint = {workspace_id{decode_name(from.at(0))}, from.at(1).get<std::uint64_t>()};
   row.cleared_ago = decode_optional_age(from.at(2));
   row.quarantined_ago = decode_optional_age(from.at(3));
   row.stored = from.at(4).get<bool>();
@@ -62,8 +62,8 @@
   for (const poison_row::strike& m : row.strikes) {
     strikes.push_back({m.target.str(), to_ms(m.sent_ago), to_ms(m.ended_ago)});
   }
-  const json document = {row.print.workspace.str(),
-                         row.print.hash,
+  const json document = {row.fingerprint.workspace.str(),
+                         row.fingerprint.hash,
                          row.cleared_ago ? to_ms(*row.cleared_ago) : absent,
                          row.quarantined_ago ? to_ms(*row.quarantined_ago) : absent,
                          row.stored,
--- a/src/request/answer.cpp
+++ b/src/request/answer.cpp
@@ -1,4 +1,4 @@
-// Matching of streamed answers.
+// Checks the tokens of streamed responses.
 #include "request/answer.h"
 
 namespace arbutus {
@@ -7,52 +7,53 @@
   broken_ = false;
 }
 
-token_verdict answer_stream::accept(const request_id& id, std::uint64_t offset) {
-  if (whole_ || broken_) {
-    return token_verdict::after_end;
+token_status answer_stream::accept(const request_id& id, std::uint64_t offset) {
+  if (complete_ || broken_) {
+    return token_status::after_end;
   }
-  // A late answer of an earlier request on the same connection. Without this check its tokens
-  // would reach a caller who asked something else.
+  // A late response to an earlier request on the same connection. Without this check, its tokens
+  // would be delivered to the wrong caller.
   if (id != id_) {
     broken_ = true;
-    return token_verdict::wrong_id;
+    return token_status::wrong_id;
   }
   if (offset < next_) {
-    return token_verdict::duplicate;
+    return token_status::duplicate;
   }
   if (offset > next_) {
     broken_ = true;
-    return token_verdict::gap;
+    return token_status::gap;
   }
   ++next_;
-  return token_verdict::deliver;
+  return token_status::deliver;
 }
 
-end_verdict answer_stream::finish(const request_id& id, std::uint64_t total) {
-  if (whole_) {
-    return end_verdict::whole;
+end_status answer_stream::finish(const request_id& id, std::uint64_t total) {
+  if (complete_) {
+    return end_status::complete;
   }
   if (broken_) {
-    return end_verdict::broken;
+    return end_status::broken;
   }
   if (id != id_) {
     broken_ = true;
-    return end_verdict::wrong_id;
+    return end_status::wrong_id;
   }
   if (total != next_) {
     broken_ = true;
-    // Fewer than were delivered: this attempt generated another answer than the one before.
-    return total > next_ ? end_verdict::truncated : end_verdict::broken;
+    // Fewer tokens than were delivered: this attempt generated a different response than the
+    // previous one.
+    return total > next_ ? end_status::truncated : end_status::broken;
   }
-  whole_ = true;
-  return end_verdict::whole;
+  complete_ = true;
+  return end_status::complete;
 }
 
-end_verdict answer_stream::closed() {
-  if (whole_) {
-    return end_verdict::whole;
+end_status answer_stream::closed() {
+  if (complete_) {
+    return end_status::complete;
   }
-  const end_verdict result = broken_ ? end_verdict::broken : end_verdict::truncated;
+  const end_status result = broken_ ? end_status::broken : end_status::truncated;
   broken_ = true;
   return result;
 }
--- a/src/request/event_relay.cpp
+++ b/src/request/event_relay.cpp
@@ -1,4 +1,4 @@
-// Whole events, in order.
+// Splits a stream of server-sent events and checks their order.
 #include "request/event_relay.h"
 
 #include <charconv>
@@ -10,7 +10,7 @@
 constexpr std::string_view event_end = "\n\n";
 constexpr std::string_view event_end_crlf = "\r\n\r\n";
 
-// Position behind the first event of `bytes`, or npos.
+// Position after the first event in `bytes`, or npos.
 std::size_t end_of_event(std::string_view bytes) {
   const auto plain = bytes.find(event_end);
   const auto crlf = bytes.find(event_end_crlf);
@@ -29,7 +29,7 @@
   return value;
 }
 
-// The value of the field `id` of an event; empty if it has none.
+// The value of an event's `id` field; empty if there is none.
 std::string_view id_of(std::string_view event) {
   std::string_view id;
   while (!event.empty()) {
@@ -56,18 +56,18 @@
 
 std::string_view event_relay::take(std::string_view bytes) {
   pending_.append(bytes);
-  passed_.clear();
+  forwarded_.clear();
   for (;;) {
     const auto end = end_of_event(pending_);
     if (end == std::string_view::npos || out_of_order_) {
-      return passed_;
+      return forwarded_;
     }
     const std::string_view event = std::string_view(pending_).substr(0, end);
     note_event(event);
     if (out_of_order_) {
-      return passed_;
+      return forwarded_;
     }
-    passed_.append(event);
+    forwarded_.append(event);
     pending_.erase(0, end);
   }
 }
--- a/src/request/instance_choice.cpp
+++ b/src/request/instance_choice.cpp
@@ -1,4 +1,4 @@
-// Choosing instances of plain services.
+// Chooses instances of plain services.
 #include "request/instance_choice.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace arbutus {
 
-double instance_table::failure_share(time_point now, const known& k) const {
+double instance_table::failure_rate(time_point now, const instance_stats& k) const {
   const double half_lives =
       to_seconds(now - k.failures_at) / to_seconds(settings_.failure_half_life);
   return k.failures * std::exp2(-std::max(0.0, half_lives));
@@ -24,12 +24,12 @@
     if (std::find(avoided.begin(), avoided.end(), candidate.id) != avoided.end()) {
       continue;
     }
-    double cost = candidate.data_centre == home ? 0 : settings_.away_cost;
+    double cost = candidate.data_centre == home ? 0 : settings_.remote_cost;
     if (const auto found = known_.find(candidate.id); found != known_.end()) {
-      const known& k = found->second;
-      const bool fresh = now - k.told_at < settings_.told_load_memory;
-      cost += std::max(k.active, fresh ? k.told_calls : 0.0);
-      cost += settings_.failure_cost * failure_share(now, k);
+      const instance_stats& k = found->second;
+      const bool fresh = now - k.load_reported_at < settings_.reported_load_validity;
+      cost += std::max(k.active, fresh ? k.reported_calls : 0.0);
+      cost += settings_.failure_cost * failure_rate(now, k);
     }
     if (cost < best_cost) {
       best_cost = cost;
@@ -44,21 +44,21 @@
 }
 
 void instance_table::ended(time_point now, const target_id& id, call_end end) {
-  known& k = known_[id];
+  instance_stats& k = known_[id];
   k.active = std::max(0.0, k.active - 1);
   if (end == call_end::withdrawn) {
     return;
   }
-  const double before = failure_share(now, k);
+  const double before = failure_rate(now, k);
   const double outcome = end == call_end::answered ? 0 : 1;
   k.failures = before + settings_.failure_weight * (outcome - before);
   k.failures_at = now;
 }
 
 void instance_table::told(time_point now, const target_id& id, double calls) {
-  known& k = known_[id];
-  k.told_calls = calls;
-  k.told_at = now;
+  instance_stats& k = known_[id];
+  k.reported_calls = calls;
+  k.load_reported_at = now;
 }
 
 void instance_table::forget(const std::vector<target_id>& gone) {
--- a/src/request/keyed.cpp
+++ b/src/request/keyed.cpp
@@ -1,4 +1,4 @@
-// The state machine of a non-repeatable call.
+// The state machine of a call with an idempotency key.
 #include "request/keyed.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 }  // namespace
 
 keyed_call::keyed_call(const keyed_call_facts& facts, const keyed_settings& settings)
-    : facts_(facts), settings_(settings), row_(keyed_row(facts.workspace, facts.key)) {
+    : facts_(facts), settings_(settings), row_(keyed_table_key(facts.workspace, facts.key)) {
   record_.owner = facts.owner;
   record_.body_hash = facts.body_hash;
   backoff_ = settings.first_backoff;
@@ -29,24 +29,24 @@
 
 keyed_effects keyed_call::start(time_point now, wall_time wall) {
   step_ = step::reserving;
-  patience_until_ = std::min(facts_.deadline, now + settings_.table_patience);
+  table_deadline_ = std::min(facts_.deadline, now + settings_.table_timeout);
   return write(now, wall, record_phase::reserved);
 }
 
 keyed_effects keyed_call::on(time_point now, wall_time wall, const table_write_result& result) {
-  if (!asked_table_ || result.request.key != row_ || step_ == step::finished) {
+  if (!table_call_pending_ || result.request.key != row_ || step_ == step::finished) {
     return {};
   }
-  asked_table_ = false;
+  table_call_pending_ = false;
   if (const auto* done = std::get_if<table_written>(&result.result)) {
     row_version_ = done->version;
     backoff_ = settings_.first_backoff;
-    // What we want may have changed while the write was under way.
-    const bool is_wanted = result.request.value == wanted_;
-    return is_wanted ? standing(now, wall) : write(now, wall, record_.phase);
+    // The desired record may have changed while the write was in progress.
+    const bool is_current = result.request.value == written_value_;
+    return is_current ? record_confirmed(now, wall) : write(now, wall, record_.phase);
   }
-  // Refused: another record stands there, or an earlier write of ours whose reply was lost.
-  // Unknown: it may have taken effect. In both cases only the row itself can tell.
+  // Refused: the row holds another record, or an earlier write of this call whose reply was lost.
+  // Unknown: the write may have taken effect. Both are resolved by reading the row.
   if (std::holds_alternative<refused>(result.result)) {
     return read();
   }
@@ -55,10 +55,10 @@
 }
 
 keyed_effects keyed_call::on(time_point now, wall_time wall, const table_read_result& result) {
-  if (!asked_table_ || result.request.key != row_ || step_ == step::finished) {
+  if (!table_call_pending_ || result.request.key != row_ || step_ == step::finished) {
     return {};
   }
-  asked_table_ = false;
+  table_call_pending_ = false;
   const auto* row = std::get_if<table_row>(&result.result);
   if (row == nullptr) {
     retry_later(now);
@@ -74,29 +74,29 @@
       step_ = step::finished;
       return {};
     }
-    wrote_ = false;  // the damaged row is left for people to look at
-    return stop_unsent(now, wall, "the record of this key is damaged");
+    wrote_ = false;  // the damaged row is kept for operators to inspect
+    return abort_unsent(now, wall, "the record of this key is damaged");
   }
-  const auto& standing_record = std::get<keyed_record>(found);
-  if (standing_record.owner == facts_.owner) {
-    return found_own(now, wall, standing_record.phase);
+  const auto& stored_record = std::get<keyed_record>(found);
+  if (stored_record.owner == facts_.owner) {
+    return found_own(now, wall, stored_record.phase);
   }
-  return found_other(now, wall, standing_record);
+  return found_other(now, wall, stored_record);
 }
 
 keyed_effects keyed_call::tick(time_point now, wall_time wall) {
-  if (step_ == step::recording && record_until_ && now >= *record_until_) {
+  if (step_ == step::recording && record_deadline_ && now >= *record_deadline_) {
     step_ = step::finished;
     return {};
   }
   const bool before_ready = step_ == step::reserving || step_ == step::marking;
-  if (before_ready && patience_until_ && now >= *patience_until_) {
-    return stop_unsent(now, wall, "the table did not take the record in time");
+  if (before_ready && table_deadline_ && now >= *table_deadline_) {
+    return abort_unsent(now, wall, "the table did not take the record in time");
   }
   if (step_ == step::ready && !may_send(now)) {
-    return stop_unsent(now, wall, "the time to send has passed");
+    return abort_unsent(now, wall, "the time to send has passed");
   }
-  if (now >= retry_at_ && !asked_table_ && step_ != step::finished) {
+  if (now >= retry_at_ && !table_call_pending_ && step_ != step::finished) {
     return read();
   }
   return {};
@@ -104,21 +104,21 @@
 
 time_point keyed_call::next_tick() const {
   time_point next = retry_at_;
-  if ((step_ == step::reserving || step_ == step::marking) && patience_until_) {
-    next = std::min(next, *patience_until_);
+  if ((step_ == step::reserving || step_ == step::marking) && table_deadline_) {
+    next = std::min(next, *table_deadline_);
   }
   if (step_ == step::ready && send_until_) {
     next = std::min({next, *send_until_, facts_.deadline});
   }
-  if (step_ == step::recording && record_until_) {
-    next = std::min(next, *record_until_);
+  if (step_ == step::recording && record_deadline_) {
+    next = std::min(next, *record_deadline_);
   }
   return step_ == step::finished ? time_point::max() : next;
 }
 
-// A paused process does not know that it was paused. The record in `sending` keeps others from
-// running the call, but only until it expires; so the permission ends by this node's own clock
-// long before that.
+// A paused process cannot detect that it was paused. The record in `sending` keeps other nodes from
+// running the call, but only until the record expires. The permission therefore ends by this node's
+// own clock long before that.
 bool keyed_call::may_send(time_point now) const {
   return step_ == step::ready && send_until_ && now < *send_until_ && now < facts_.deadline;
 }
@@ -140,7 +140,7 @@
 
 keyed_effects keyed_call::ended(time_point now, wall_time wall, execution how) {
   if (step_ == step::ready) {
-    return stop_unsent(now, wall, "the target could not be reached");
+    return abort_unsent(now, wall, "the target could not be reached");
   }
   if (step_ != step::sent) {
     return {};
@@ -153,7 +153,7 @@
     out.insert(out.end(), more.begin(), more.end());
     return out;
   }
-  // The record stays in `sending`: whoever asks later learns that the call may have run.
+  // The record stays in `sending`: repeated calls are told that the call may have run.
   step_ = step::finished;
   return reply({.what = keyed_reply::kind::unknown, .reason = "no whole answer from the target"});
 }
@@ -177,7 +177,7 @@
 
 keyed_effects keyed_call::cancel(time_point now, wall_time wall) {
   const bool unsent = step_ == step::reserving || step_ == step::marking || step_ == step::ready;
-  return unsent ? stop_unsent(now, wall, "the caller is gone") : keyed_effects{};
+  return unsent ? abort_unsent(now, wall, "the caller is gone") : keyed_effects{};
 }
 
 keyed_effects keyed_call::write(time_point now, wall_time wall, record_phase phase) {
@@ -186,18 +186,18 @@
   record_.answer_by = wall + std::max(facts_.deadline - now, duration{0});
   record_.expires = record_.answer_by + settings_.send_window + settings_.retention;
   if (phase == record_phase::sending) {
-    // Counted from before the write, which may take long.
+    // Measured from before the write, which may take long.
     send_until_ = now + settings_.send_window;
   }
-  wanted_ = encode(record_);
+  written_value_ = encode(record_);
   wrote_ = true;
-  asked_table_ = true;
+  table_call_pending_ = true;
   retry_at_ = time_point::max();
-  return {table_write{row_, wanted_, row_version_}};
+  return {table_write{row_, written_value_, row_version_}};
 }
 
 keyed_effects keyed_call::read() {
-  asked_table_ = true;
+  table_call_pending_ = true;
   retry_at_ = time_point::max();
   return {table_read{row_}};
 }
@@ -207,8 +207,8 @@
   backoff_ = std::min(settings_.max_backoff, backoff_ * 2);
 }
 
-// Our record stands in the table as we want it.
-keyed_effects keyed_call::standing(time_point now, wall_time wall) {
+// The table holds this call's record in the desired phase.
+keyed_effects keyed_call::record_confirmed(time_point now, wall_time wall) {
   switch (step_) {
     case step::reserving:
       step_ = step::marking;
@@ -216,7 +216,7 @@
     case step::marking:
       step_ = step::ready;
       return may_send(now) ? keyed_effects{keyed_send{}}
-                           : stop_unsent(now, wall, "the time to send has passed");
+                           : abort_unsent(now, wall, "the time to send has passed");
     case step::recording:
       step_ = step::finished;
       return {};
@@ -227,8 +227,8 @@
 
 keyed_effects keyed_call::found_none(time_point now, wall_time wall) {
   if (step_ == step::marking) {
-    // The table was set back to an older copy: what it says of other calls may be old, too.
-    return stop_unsent(now, wall, "the record is gone from the table");
+    // The table was restored from an older copy: its records of other calls may be stale, too.
+    return abort_unsent(now, wall, "the record is gone from the table");
   }
   if (step_ == step::recording && record_.phase == record_phase::not_run) {
     step_ = step::finished;
@@ -238,7 +238,7 @@
 }
 
 keyed_effects keyed_call::found_own(time_point now, wall_time wall, record_phase phase) {
-  return phase == record_.phase ? standing(now, wall) : write(now, wall, record_.phase);
+  return phase == record_.phase ? record_confirmed(now, wall) : write(now, wall, record_.phase);
 }
 
 keyed_effects keyed_call::found_other(time_point now, wall_time wall, const keyed_record& other) {
@@ -255,12 +255,12 @@
       return write(now, wall, record_phase::reserved);
     }
   }
-  // In `marking`, somebody took our reservation over while we were paused: we have not sent and
-  // never will, but the call may run through them, so it is not called not-run.
-  return answer_for(wall, other);
+  // In `marking`, another node took over the reservation while this one was paused. This node will
+  // never send the call, but the other one may; so it is not reported as not run.
+  return reply_from_record(wall, other);
 }
 
-keyed_effects keyed_call::answer_for(wall_time wall, const keyed_record& other) {
+keyed_effects keyed_call::reply_from_record(wall_time wall, const keyed_record& other) {
   step_ = step::finished;
   if (other.body_hash != facts_.body_hash) {
     return reply({.what = keyed_reply::kind::conflict,
@@ -286,8 +286,8 @@
                 .retry_after = std::clamp(open, settings_.first_backoff, settings_.max_backoff)});
 }
 
-// We have not sent and never will: the step leaves the ones in which may_send() could be true.
-keyed_effects keyed_call::stop_unsent(time_point now, wall_time wall, std::string reason) {
+// The call was not sent and never will be: leaves the steps in which may_send() could be true.
+keyed_effects keyed_call::abort_unsent(time_point now, wall_time wall, std::string reason) {
   keyed_effects out = reply({.what = keyed_reply::kind::not_run,
                              .reason = std::move(reason),
                              .retry_after = settings_.table_retry_after});
@@ -302,14 +302,14 @@
 
 keyed_effects keyed_call::record_outcome(time_point now, wall_time wall, record_phase phase) {
   step_ = step::recording;
-  record_until_ = now + settings_.record_for;
+  record_deadline_ = now + settings_.record_timeout;
   record_.phase = phase;
-  if (asked_table_) {
-    wanted_.clear();  // the write under way is not the desired one; its result brings us back
+  if (table_call_pending_) {
+    written_value_.clear();  // the write in progress is outdated; its result triggers the new one
     return {};
   }
   if (retry_at_ != time_point::max()) {
-    return {};  // an earlier write is unresolved: the read that is due comes first
+    return {};  // an earlier write is unresolved: the scheduled read comes first
   }
   return write(now, wall, phase);
 }
--- a/src/request/limits.cpp
+++ b/src/request/limits.cpp
@@ -1,4 +1,4 @@
-// Leases of parts of a rate limit.
+// Distributed rate limits by leases between nodes.
 #include "request/limits.h"
 
 #include <algorithm>
@@ -8,12 +8,12 @@
 
 namespace {
 
-// A node with a small part must still be able to pass one request now and then.
-constexpr double least_burst = 1.0;
-// Workspaces that ask for less are left out of messages.
-constexpr double least_told_demand = 0.01;
-constexpr duration shortest_retry_after = 1ms;
-constexpr duration longest_retry_after = 60s;
+// A node with a small share must still be able to admit a single request.
+constexpr double min_burst = 1.0;
+// Workspaces with a smaller demand are omitted from messages.
+constexpr double min_reported_demand = 0.01;
+constexpr duration min_limit_wait = 1ms;
+constexpr duration max_limit_wait = 60s;
 
 template <class Leases>
 double largest(time_point now, const Leases& leases) {
@@ -43,30 +43,30 @@
   bucket& b = it->second;
   if (is_new || b.limit.per_second <= 0) {
     b.limit = limit;
-    b.filled = now;
-    b.counted = now;
-    b.tokens = std::max(least_burst, limit.burst / static_cast<double>(others_.size() + 1));
+    b.refilled_at = now;
+    b.demand_updated_at = now;
+    b.tokens = std::max(min_burst, limit.burst / static_cast<double>(others_.size() + 1));
     return;
   }
   refill(now, b);
   b.limit = limit;
 }
 
-limit_verdict rate_limits::take(time_point now, const workspace_id& workspace, double amount) {
+limit_result rate_limits::take(time_point now, const workspace_id& workspace, double amount) {
   const auto found = buckets_.find(workspace);
   if (found == buckets_.end() || found->second.limit.per_second <= 0) {
     return limit_pass{};
   }
   bucket& b = found->second;
   refill(now, b);
-  b.asked += amount;
+  b.requested += amount;
   if (b.tokens >= amount) {
     b.tokens -= amount;
     return limit_pass{};
   }
   const double seconds = (amount - b.tokens) / std::max(share_of(now, b), 1e-6);
-  const double longest = to_seconds(longest_retry_after);
-  return limit_exceeded{std::max(shortest_retry_after, from_seconds(std::min(seconds, longest)))};
+  const double longest = to_seconds(max_limit_wait);
+  return limit_exceeded{std::max(min_limit_wait, from_seconds(std::min(seconds, longest)))};
 }
 
 void rate_limits::update(time_point now) {
@@ -97,7 +97,7 @@
     if (lent > 0) {
       p.lent.push_back({lent, now + settings_.lease});
     }
-    if (lent > 0 || b.demand >= least_told_demand) {
+    if (lent > 0 || b.demand >= min_reported_demand) {
       message.workspaces.push_back({workspace, b.demand, lent});
     }
   }
@@ -108,9 +108,11 @@
   if (std::find(others_.begin(), others_.end(), peer) == others_.end()) {
     return;
   }
-  // Messages may overtake each other; a stamp that falls back for longer is a restarted peer.
+  // Messages may be reordered; a stamp that stays behind for longer than a lease means that the
+  // peer restarted.
   const auto clock = clocks_.find(peer);
-  if (clock != clocks_.end() && message.stamp <= clock->second.stamp && is_heard(now, peer)) {
+  if (clock != clocks_.end() && message.stamp <= clock->second.stamp &&
+      is_peer_current(now, peer)) {
     return;
   }
   clocks_[peer] = {now, message.stamp};
@@ -119,9 +121,10 @@
     b.peers[peer].demand = 0;
     b.peers[peer].borrowed = {};
   }
-  // Counted from what this node sent before the peer lent: a message that was under way for long,
-  // or read late after a pause, then holds a lease that runs out here no later than at the
-  // lender. An echo from before this process is some other process's time.
+  // The lease starts at the time at which this node sent the message that the peer echoes, which is
+  // before the peer lent. So a lease in a delayed message, or one that is read late after a pause,
+  // expires here no later than at the lender. An echo from before the start of this process refers
+  // to the clock of an earlier one.
   const bool is_valid = message.echo && *message.echo >= created_ && *message.echo <= now;
   for (const limit_message::workspace_usage& usage : message.workspaces) {
     const auto found = buckets_.find(usage.workspace);
@@ -142,32 +145,32 @@
 void rate_limits::refill(time_point now, bucket& b) const {
   const double rate = share_of(now, b);
   const double part = b.limit.per_second > 0 ? rate / b.limit.per_second : 0;
-  const double most = std::max(least_burst, b.limit.burst * part);
-  b.tokens = std::min(most, b.tokens + rate * to_seconds(now - b.filled));
-  b.filled = now;
+  const double most = std::max(min_burst, b.limit.burst * part);
+  b.tokens = std::min(most, b.tokens + rate * to_seconds(now - b.refilled_at));
+  b.refilled_at = now;
 }
 
 void rate_limits::count_demand(time_point now, bucket& b) const {
-  const double seconds = to_seconds(now - b.counted);
+  const double seconds = to_seconds(now - b.demand_updated_at);
   if (seconds <= 0) {
     return;
   }
   const double weight = 1.0 - std::exp(-seconds / to_seconds(settings_.demand_window));
-  b.demand += weight * (b.asked / seconds - b.demand);
-  b.asked = 0;
-  b.counted = now;
+  b.demand += weight * (b.requested / seconds - b.demand);
+  b.requested = 0;
+  b.demand_updated_at = now;
 }
 
-// The parts of all nodes that hear each other, shared out by demand above a floor, would give each
-// a target. Whoever has more than its target lends the rest to those that have less.
+// Divides the shares of all reachable nodes by demand above a floor, which gives each node a target
+// rate. A node whose share is above its target lends the difference to those below theirs.
 void rate_limits::plan_lending(time_point now, bucket& b) const {
-  const double own = own_part(b);
-  const double floor = settings_.floor_part * own;
+  const double own = equal_share(b);
+  const double floor = settings_.floor_fraction * own;
   double demand = b.demand;
   double members = 1;
   for (const node_id& peer : others_) {
     b.peers[peer].planned = 0;
-    if (is_heard(now, peer)) {
+    if (is_peer_current(now, peer)) {
       demand += b.peers[peer].demand;
       members += 1;
     }
@@ -177,24 +180,24 @@
   }
   const double pool = (own - floor) * members;
   const auto target = [&](double of_node) { return floor + pool * of_node / demand; };
-  const auto lacks = [&](const node_id& peer) {
-    return is_heard(now, peer) ? std::max(0.0, target(b.peers[peer].demand) - own) : 0.0;
+  const auto deficit_of = [&](const node_id& peer) {
+    return is_peer_current(now, peer) ? std::max(0.0, target(b.peers[peer].demand) - own) : 0.0;
   };
-  double lacking = 0;
+  double total_deficit = 0;
   double still_lent = 0;
   for (const node_id& peer : others_) {
     std::erase_if(b.peers[peer].lent, [&](const lease& l) { return l.until <= now; });
-    lacking += lacks(peer);
+    total_deficit += deficit_of(peer);
     still_lent += largest(now, b.peers[peer].lent);
   }
-  if (lacking <= 0) {
+  if (total_deficit <= 0) {
     return;
   }
-  // What a peer may still use of an earlier lease cannot be lent to another one.
+  // What a peer may still use under an earlier lease cannot be lent to another one.
   const double spare = std::max(0.0, own - target(b.demand));
   double available = std::max(0.0, own - floor - still_lent);
   for (const node_id& peer : others_) {
-    const double desired = spare * lacks(peer) / lacking;
+    const double desired = spare * deficit_of(peer) / total_deficit;
     const double held = largest(now, b.peers[peer].lent);
     const double more = std::clamp(desired - held, 0.0, available);
     available -= more;
@@ -203,7 +206,7 @@
 }
 
 double rate_limits::share_of(time_point now, const bucket& b) const {
-  double rate = own_part(b);
+  double rate = equal_share(b);
   for (const auto& [peer, usage] : b.peers) {
     rate -= largest(now, usage.lent);
     rate += now < usage.borrowed.until ? usage.borrowed.amount : 0.0;
@@ -211,11 +214,11 @@
   return std::max(0.0, rate);
 }
 
-double rate_limits::own_part(const bucket& b) const {
+double rate_limits::equal_share(const bucket& b) const {
   return b.limit.per_second / static_cast<double>(others_.size() + 1);
 }
 
-bool rate_limits::is_heard(time_point now, const node_id& peer) const {
+bool rate_limits::is_peer_current(time_point now, const node_id& peer) const {
   const auto found = clocks_.find(peer);
   return found != clocks_.end() && now - found->second.heard_at <= settings_.lease;
 }
--- a/src/request/outcome.cpp
+++ b/src/request/outcome.cpp
@@ -1,4 +1,4 @@
-// How outcomes are proven and how they combine over attempts and hops.
+// Classifies outcomes and combines them over attempts and hops.
 #include "request/outcome.h"
 
 #include <algorithm>
@@ -18,15 +18,16 @@
 }
 
 execution classify(const attempt_evidence& seen) {
-  if (seen.whole_answer) {
+  if (seen.complete_answer) {
     return seen.target_refused ? execution::not_run : execution::done;
   }
   return seen.bytes_may_have_left ? execution::unknown : execution::not_run;
 }
 
-execution over_hop(const attempt_evidence& link, execution told) {
-  // A cut answer that began with "not run" proves nothing: it may belong to another request.
-  return link.whole_answer ? told : classify(link);
+execution classify_hop(const attempt_evidence& link, execution reported) {
+  // A truncated response that began with "not run" proves nothing: it may belong to another
+  // request.
+  return link.complete_answer ? reported : classify(link);
 }
 
 execution combine(std::span<const execution> attempts) {
--- a/src/request/policy_bench_budgets.cpp
+++ b/src/request/policy_bench_budgets.cpp
@@ -20,9 +20,9 @@
 
 // One hop's attempts at what lies behind it, `behind` returning how an attempt ended.
 template <class Behind>
-execution try_hop(time_point now, const attempt_note& note, bool with_budget, retry_budget& budget,
-                  rng& random, Behind behind) {
-  attempt_note own = note;
+execution try_hop(time_point now, const attempt_context& context, bool with_budget,
+                  retry_budget& budget, rng& random, Behind behind) {
+  attempt_context own = context;
   budget.first_attempt(now);
   for (;;) {
     const execution result = behind(own);
@@ -165,14 +165,14 @@
     std::uint64_t attempts = 0;
     for (int i = 0; i < requests_per_second; ++i) {
       const time_point now = time_point{} + std::chrono::seconds(second) + i * 10ms;
-      const auto target = [&](const attempt_note&) {
+      const auto target = [&](const attempt_context&) {
         ++attempts;
         const bool fails = failing && random.unit() < failing_part;
         return fails ? execution::unknown : execution::done;
       };
-      const auto second_hop = [&](const attempt_note& note) {
-        return try_hop(now, next_hop(note, with_budget ? note.attempt : 1), with_budget, inner,
-                       random, target);
+      const auto second_hop = [&](const attempt_context& context) {
+        return try_hop(now, next_hop_context(context, with_budget ? context.attempt : 1),
+                       with_budget, inner, random, target);
       };
       const execution result = try_hop(now, {}, with_budget, outer, random, second_hop);
       figures.answered += result == execution::done ? 1 : 0;
--- a/src/request/policy_bench_routing.cpp
+++ b/src/request/policy_bench_routing.cpp
@@ -223,7 +223,7 @@
       if (!lost) {
         events_.at(now + load_.event_lag, [this, batch](time_point at) {
           for (node_state& node : nodes_) {
-            node.policy.prefixes().heard(at, batch);
+            node.policy.prefixes().on_cache_events(at, batch);
           }
         });
       }
--- a/src/request/replica_choice.cpp
+++ b/src/request/replica_choice.cpp
@@ -1,4 +1,4 @@
-// Expected times on a replica, and the choice by them.
+// Estimates response times per replica and chooses a replica by them.
 #include "request/replica_choice.h"
 
 #include <algorithm>
@@ -17,45 +17,45 @@
   for (const auto& [id, load] : loads) {
     replica_load& total = sum[id];
     total.active += load.active;
-    total.unread_tokens += load.unread_tokens;
+    total.pending_prefill_tokens += load.pending_prefill_tokens;
   }
 }
 
-// Goes wrong: counts of a head that was forgotten in between would wrap below zero.
+// Clamped at zero: the load of a head may have been erased since the value was added.
 void subtract(double& value, double by) {
   value = std::max(0.0, value - by);
 }
 
-// One token of each running request and of one more.
+// Time of one decode step with the running requests and one more.
 double estimate_step_ms(const engine_parameters& engine, double active) {
-  const double writers = std::min(active, static_cast<double>(engine.slots)) + 1;
+  const double generating = std::min(active, static_cast<double>(engine.slots)) + 1;
   const double context_k = (engine.mean_prompt_tokens + engine.mean_answer_tokens / 2) / 1000;
   return to_milliseconds(engine.step) +
-         writers * (engine.step_per_sequence_ms + engine.context_ms_per_1k_tokens * context_k);
+         generating * (engine.step_per_sequence_ms + engine.context_ms_per_1k_tokens * context_k);
 }
 
-// How long until a place is free, when one of the running requests has to end first: they end
-// spread over a usual generation. Below that the load is known in part only, so that the wait
-// rises before all places are taken: about as in a queue with as many servers as there are slots
-// (Erlang C for 26 to 30 servers is 0.1 at four fifths of the load, and hardly anything at half).
-double wait_for_place_ms(const engine_parameters& engine, double active, double generation_ms) {
+// Expected wait for a slot. If all slots are taken, running requests end evenly spread over the
+// time of a mean generation. Below that, the load is known only in part, so the wait rises before
+// all slots are taken, approximating a queue with one server per slot (Erlang C for 26 to 30
+// servers is 0.1 at 80 % load and close to 0 at 50 %).
+double wait_for_slot_ms(const engine_parameters& engine, double active, double generation_ms) {
   const double slots = std::max<double>(engine.slots, 1);
-  const double between_ends_ms = generation_ms / slots;
+  const double completion_interval_ms = generation_ms / slots;
   if (active >= slots) {
-    return between_ends_ms * (active - slots + 1);
+    return completion_interval_ms * (active - slots + 1);
   }
   constexpr double steepness = 8;
   const double use = active / slots;
   const double queue = std::pow(use, steepness) / (1 - use);
-  // One end away at most, as there is a place by all that is known.
-  return between_ends_ms * std::min(queue, 1.0);
+  // At most the time until the next request ends, as a slot is free according to the known load.
+  return completion_interval_ms * std::min(queue, 1.0);
 }
 
-// What the sends of others that this node has not heard of yet may add to a replica's time, on
-// average. By Little's law as many requests arrive in a generation's time as are running.
-duration unseen_delay(const engine_parameters& engine, const model_spec& model,
-                      std::span<const serving_replica> candidates, const load_table& loads,
-                      duration load_age) {
+// Mean delay that other nodes' requests not yet reported to this node may add at a replica. By
+// Little's law, as many requests arrive during one generation as are running.
+duration unreported_load_delay(const engine_parameters& engine, const model_spec& model,
+                               std::span<const serving_replica> candidates, const load_table& loads,
+                               duration load_age) {
   double all = 0;
   double of_others = 0;
   for (const serving_replica& replica : candidates) {
@@ -68,19 +68,20 @@
       engine.mean_answer_tokens * estimate_step_ms(engine, all / count) * model.slowdown_factor;
   const double arrivals =
       of_others / count * std::min(1.0, to_milliseconds(load_age) / std::max(generation_ms, 1.0));
-  const double read_ms = engine.mean_prompt_tokens * 1000.0 /
-                         std::max(engine.prefill_tokens_per_s, 1.0) * model.slowdown_factor;
-  return from_seconds(arrivals * read_ms / 1000);
+  const double prefill_ms = engine.mean_prompt_tokens * 1000.0 /
+                            std::max(engine.prefill_tokens_per_s, 1.0) * model.slowdown_factor;
+  return from_seconds(arrivals * prefill_ms / 1000);
 }
 
-// Whether an answer of the declared length would not be whole in time. Goes wrong otherwise: a long
-// one begins on a replica across domains, two and a half times slower, and is cut at its deadline.
-bool ends_late(const engine_parameters& engine, const replica_estimate& expected,
-               const choice_request& request) {
+// Whether a response of the declared length would miss its deadline. Without this check, a long
+// response may start on a replica across domains, which is 2.5 times slower, and be cut off at its
+// deadline.
+bool misses_deadline(const engine_parameters& engine, const replica_estimate& expected,
+                     const choice_request& request) {
   const double events = request.size.answer_tokens / std::max<double>(engine.stride, 1);
-  const duration whole =
+  const duration response_time =
       expected.to_first_event + from_seconds(events * to_seconds(expected.between_events));
-  return whole > request.time_left;
+  return response_time > request.time_left;
 }
 
 struct candidate {
@@ -89,8 +90,9 @@
   double cost_s = 0;
 };
 
-// Among those about as good as the best: the draw falls on each by exp(-worse / spread).
-const candidate& draw_one(std::vector<candidate>& candidates, double spread_s, double draw) {
+// Softmin sampling: each candidate has the weight exp(-(cost - best cost) / spread).
+const candidate& sample_candidate(std::vector<candidate>& candidates, double spread_s,
+                                  double random_sample) {
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const candidate& a, const candidate& b) { return a.cost_s < b.cost_s; });
   const double best = candidates.front().cost_s;
@@ -101,7 +103,7 @@
   for (const candidate& c : candidates) {
     sum += weight(c);
   }
-  double left = draw * sum;
+  double left = random_sample * sum;
   for (const candidate& c : candidates) {
     left -= weight(c);
     if (left < 0) {
@@ -116,11 +118,11 @@
 void load_table::sent(const target_id& head, const generation_size& size) {
   replica_load& load = own_[head];
   load.active += 1;
-  load.unread_tokens += size.prompt_tokens;
+  load.pending_prefill_tokens += size.prompt_tokens;
 }
 
 void load_table::first_event(const target_id& head, const generation_size& size) {
-  subtract(own_[head].unread_tokens, size.prompt_tokens);
+  subtract(own_[head].pending_prefill_tokens, size.prompt_tokens);
 }
 
 void load_table::ended(const target_id& head, const generation_size& size, bool had_first_event) {
@@ -130,7 +132,7 @@
   }
   subtract(found->second.active, 1);
   if (!had_first_event) {
-    subtract(found->second.unread_tokens, size.prompt_tokens);
+    subtract(found->second.pending_prefill_tokens, size.prompt_tokens);
   }
   if (found->second.active < 0.5) {
     own_.erase(found);
@@ -144,25 +146,25 @@
 
 std::map<target_id, replica_load> load_table::all() const {
   std::map<target_id, replica_load> sum = own_;
-  for (const auto& [id, told] : peers_) {
-    add_loads(sum, told.loads);
+  for (const auto& [id, reported] : peers_) {
+    add_loads(sum, reported.loads);
   }
   return sum;
 }
 
-std::map<target_id, replica_load> load_table::all_but(const node_id& peer,
-                                                      std::map<target_id, replica_load> all) const {
-  const auto told = peers_.find(peer);
-  if (told == peers_.end()) {
+std::map<target_id, replica_load> load_table::all_except(
+    const node_id& peer, std::map<target_id, replica_load> all) const {
+  const auto reported = peers_.find(peer);
+  if (reported == peers_.end()) {
     return all;
   }
-  for (const auto& [id, load] : told->second.loads) {
+  for (const auto& [id, load] : reported->second.loads) {
     const auto found = all.find(id);
     if (found == all.end()) {
       continue;
     }
     subtract(found->second.active, load.active);
-    subtract(found->second.unread_tokens, load.unread_tokens);
+    subtract(found->second.pending_prefill_tokens, load.pending_prefill_tokens);
     if (found->second.active < 0.5) {
       all.erase(found);
     }
@@ -172,17 +174,18 @@
 
 std::map<target_id, replica_load> load_table::all_of(const data_centre_id& data_centre) const {
   std::map<target_id, replica_load> sum = own_;
-  for (const auto& [id, told] : peers_) {
-    if (told.data_centre == data_centre) {
-      add_loads(sum, told.loads);
+  for (const auto& [id, reported] : peers_) {
+    if (reported.data_centre == data_centre) {
+      add_loads(sum, reported.loads);
     }
   }
   return sum;
 }
 
 void load_table::forget_peers(time_point now) {
-  std::erase_if(peers_,
-                [now](const auto& entry) { return now - entry.second.heard_at > peer_memory; });
+  std::erase_if(peers_, [now](const auto& entry) {
+    return now - entry.second.heard_at > peer_load_validity;
+  });
 }
 
 replica_load load_table::total(const target_id& head) const {
@@ -190,10 +193,10 @@
   if (const auto found = own_.find(head); found != own_.end()) {
     sum = found->second;
   }
-  for (const auto& [peer, told] : peers_) {
-    if (const auto found = told.loads.find(head); found != told.loads.end()) {
+  for (const auto& [peer, reported] : peers_) {
+    if (const auto found = reported.loads.find(head); found != reported.loads.end()) {
       sum.active += found->second.active;
-      sum.unread_tokens += found->second.unread_tokens;
+      sum.pending_prefill_tokens += found->second.pending_prefill_tokens;
     }
   }
   return sum;
@@ -211,15 +214,15 @@
                         (crosses_domains ? engine.cross_domain_factor : 1.0);
   const double step_ms = estimate_step_ms(engine, load.active);
   const double pass_ms = step_ms * engine.stride;
-  const double read_ms_per_token = 1000.0 / std::max(engine.prefill_tokens_per_s, 1.0);
+  const double prefill_ms_per_token = 1000.0 / std::max(engine.prefill_tokens_per_s, 1.0);
   const double pairs_ms =
       size.prompt_tokens * size.prompt_tokens / 2e6 * engine.attention_ms_per_million_pairs;
-  const double own_read_ms = size.prompt_tokens * read_ms_per_token + pairs_ms;
-  const double others_read_ms = load.unread_tokens * read_ms_per_token;
-  // Half a pass until the running one ends, when there is one.
+  const double own_prefill_ms = size.prompt_tokens * prefill_ms_per_token + pairs_ms;
+  const double queued_prefill_ms = load.pending_prefill_tokens * prefill_ms_per_token;
+  // On average half a pass until the running one ends, if there is one.
   const double running_ms = load.active > 0.5 ? pass_ms / 2 : 0;
-  double first_ms = running_ms + others_read_ms + own_read_ms + pass_ms;
-  first_ms += wait_for_place_ms(engine, load.active, engine.mean_answer_tokens * step_ms);
+  double first_ms = running_ms + queued_prefill_ms + own_prefill_ms + pass_ms;
+  first_ms += wait_for_slot_ms(engine, load.active, engine.mean_answer_tokens * step_ms);
   replica_estimate result;
   result.to_first_event = from_seconds(first_ms * factor / 1000);
   result.between_events = from_seconds(pass_ms * factor / 1000);
@@ -243,25 +246,26 @@
                                                replica.slowdown_factor, replica.crosses_domains);
     any_known = true;
     soonest = std::min(soonest, expected.to_first_event);
-    const bool full = load.active >= static_cast<double>(engine.slots) + settings.beyond_slots;
+    const bool full = load.active >= static_cast<double>(engine.slots) + settings.max_engine_queue;
     if (full || expected.to_first_event > request.time_left) {
       continue;
     }
     double cost = to_seconds(expected.to_first_event);
     if (replica.data_centre != request.home) {
-      cost += to_seconds(settings.away_penalty + 2 * settings.away_delay);
+      cost += to_seconds(settings.remote_penalty + 2 * settings.default_remote_delay);
     }
-    if (ends_late(engine, expected, request)) {
-      cost += to_seconds(settings.late_end_penalty);
+    if (misses_deadline(engine, expected, request)) {
+      cost += to_seconds(settings.deadline_miss_penalty);
     }
     if (contains(request.suspected, replica.head)) {
-      cost += 10;  // only when there is nothing else
+      cost += 10;  // chosen only if there is no other
     }
     usable.push_back({i, expected, cost});
   }
   if (!usable.empty()) {
-    const duration spread = unseen_delay(engine, model, candidates, loads, settings.load_age);
-    const candidate& chosen = draw_one(usable, to_seconds(spread), request.draw);
+    const duration spread =
+        unreported_load_delay(engine, model, candidates, loads, settings.load_age);
+    const candidate& chosen = sample_candidate(usable, to_seconds(spread), request.random_sample);
     return chosen_replica{chosen.index, chosen.expected};
   }
   if (!any_known) {
--- a/src/request/request_print.cpp
+++ b/src/request/request_fingerprint.cpp
@@ -1,5 +1,5 @@
-// Hashes of requests.
-#include "request/request_print.h"
+// Request fingerprints.
+#include "request/request_fingerprint.h"
 
 #include <array>
 #include <charconv>
@@ -15,14 +15,15 @@
 
 }  // namespace
 
-request_print print_of(const workspace_id& workspace, std::string_view target,
-                       std::string_view body) {
+request_fingerprint fingerprint_of(const workspace_id& workspace, std::string_view target,
+                                   std::string_view body) {
   return {workspace, stable_hash(body, stable_hash(target))};
 }
 
-std::string hash_text(const request_print& print) {
+std::string hash_text(const request_fingerprint& fingerprint) {
   std::array<char, hash_digits + 1> text{};
-  std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(print.hash));
+  std::snprintf(text.data(), text.size(), "%016llx",
+                static_cast<unsigned long long>(fingerprint.hash));
   return text.data();
 }
 
--- a/src/request/retry.cpp
+++ b/src/request/retry.cpp
@@ -1,4 +1,4 @@
-// Retry budget, retry decision and hedging.
+// Retry budget, retry decisions and hedging.
 #include "request/retry.h"
 
 #include <algorithm>
@@ -8,21 +8,22 @@
 
 namespace {
 
-// Largest relative step of the quantile estimate; steps shrink to the smallest with the samples.
+// Relative steps of the quantile estimate: they start at the first value and shrink to the minimum
+// as samples arrive.
 constexpr double first_quantile_step = 1.0;
-constexpr double least_quantile_step = 0.1;
+constexpr double min_quantile_step = 0.1;
 
 duration backoff(const retry_settings& settings, std::uint32_t attempt, rng& random) {
   const std::uint32_t doublings = std::min(attempt - 1, 20U);
   const duration limit =
       std::min(settings.max_backoff, settings.first_backoff * (std::int64_t{1} << doublings));
-  // Full jitter: what failed together must not come back together.
+  // Full jitter: requests that failed together must not be retried together.
   return random.jitter(limit);
 }
 
 }  // namespace
 
-attempt_note next_hop(const attempt_note& own, std::uint32_t attempt, bool spilled) {
+attempt_context next_hop_context(const attempt_context& own, std::uint32_t attempt, bool spilled) {
   return {.attempt = attempt, .may_retry = false, .spilled = own.spilled || spilled};
 }
 
@@ -44,9 +45,9 @@
 }
 
 void retry_budget::refill(time_point now) {
-  const duration passed = now - filled_.value_or(now);
+  const duration passed = now - refilled_at_.value_or(now);
   tokens_ = std::min(settings_.reserve, tokens_ + settings_.floor_per_second * to_seconds(passed));
-  filled_ = now;
+  refilled_at_ = now;
 }
 
 std::string_view to_string(give_up_reason reason) {
@@ -61,13 +62,13 @@
       return "no time";
     case give_up_reason::no_budget:
       return "no budget";
-    case give_up_reason::not_here:
+    case give_up_reason::not_first_hop:
       break;
   }
   return "another hop retries";
 }
 
-retry_decision decide_retry(time_point now, const attempt_note& note, execution last,
+retry_decision decide_retry(time_point now, const attempt_context& context, execution last,
                             bool repeatable, time_point deadline, duration needed,
                             retry_budget& budget, rng& random) {
   if (last == execution::done) {
@@ -76,20 +77,20 @@
   if (!may_repeat(last, repeatable)) {
     return give_up{give_up_reason::not_repeatable};
   }
-  if (!note.may_retry) {
-    return give_up{give_up_reason::not_here};
+  if (!context.may_retry) {
+    return give_up{give_up_reason::not_first_hop};
   }
-  if (note.attempt >= budget.settings().max_attempts) {
+  if (context.attempt >= budget.settings().max_attempts) {
     return give_up{give_up_reason::attempts_used};
   }
-  const time_point at = now + backoff(budget.settings(), note.attempt, random);
+  const time_point at = now + backoff(budget.settings(), context.attempt, random);
   if (at > deadline - needed) {
     return give_up{give_up_reason::no_time};
   }
   if (!budget.take(now)) {
     return give_up{give_up_reason::no_budget};
   }
-  return retry_at{at, note.attempt + 1};
+  return retry_at{at, context.attempt + 1};
 }
 
 hedging::hedging(const hedge_settings& settings) : settings_(settings) {}
@@ -104,12 +105,12 @@
     return;
   }
   const double step = std::max(first_quantile_step / std::sqrt(static_cast<double>(seen.samples)),
-                               least_quantile_step);
+                               min_quantile_step);
   const double move = value > seen.quantile_seconds ? settings_.quantile : settings_.quantile - 1.0;
   seen.quantile_seconds *= std::exp(step * move);
 }
 
-std::optional<time_point> hedging::ask_at(std::string_view request_class, time_point sent) const {
+std::optional<time_point> hedging::hedge_at(std::string_view request_class, time_point sent) const {
   const auto found = classes_.find(std::string(request_class));
   if (found == classes_.end() || found->second.samples < settings_.min_samples) {
     return std::nullopt;
@@ -118,12 +119,12 @@
 }
 
 bool hedging::decide(time_point now, std::string_view request_class, time_point sent,
-                     const attempt_note& note, bool repeatable, time_point deadline) {
-  if (!repeatable || !note.may_retry || tokens_ < 1) {
+                     const attempt_context& context, bool repeatable, time_point deadline) {
+  if (!repeatable || !context.may_retry || tokens_ < 1) {
     return false;
   }
-  const std::optional<time_point> due = ask_at(request_class, sent);
-  // A second attempt that takes as long as the first would have to end in time, too.
+  const std::optional<time_point> due = hedge_at(request_class, sent);
+  // A second attempt that takes as long as the first one must also end before the deadline.
   if (!due || now < *due || now + (*due - sent) > deadline) {
     return false;
   }
--- a/src/request/send_limits.cpp
+++ b/src/request/send_limits.cpp
@@ -1,4 +1,4 @@
-// What targets say of their limits.
+// Rate limits that targets report in their responses.
 #include "request/send_limits.h"
 
 #include <algorithm>
@@ -8,29 +8,29 @@
 
 namespace {
 
-// Over this the count of calls fades; it then says how many came in a second.
+// Time constant of the decay of the call count, which therefore estimates calls per second.
 constexpr duration demand_memory = 1s;
 
 }  // namespace
 
 send_limits::change send_limits::told(time_point sent_at, time_point now, const target_id& target,
-                                      const limit_word& word) {
-  if (word.is_named && !word.per_second) {
+                                      const announced_limit& word) {
+  if (word.is_present && !word.per_second) {
     return change::unreadable;
   }
   const auto found = known_.find(target);
-  if (word.is_named) {
+  if (word.is_present) {
     const bool is_new = found == known_.end() || found->second.per_second != word.per_second;
     known_[target] = {word.per_second, now};
-    return is_new ? change::named : change::none;
+    return is_new ? change::announced : change::none;
   }
-  const bool lifts =
+  const bool clears_limit =
       found != known_.end() && found->second.per_second && sent_at > found->second.seen_at;
-  if (!lifts) {
+  if (!clears_limit) {
     return change::none;
   }
   found->second = {std::nullopt, now};
-  return change::gone;
+  return change::removed;
 }
 
 const send_limit* send_limits::find(const target_id& target) const {
@@ -54,13 +54,13 @@
   return limit != nullptr && limit->per_second;
 }
 
-double send_limits::faded(time_point now, const own_use& use) {
+double send_limits::decayed_demand(time_point now, const local_usage& use) {
   return use.demand * std::exp(-to_seconds(now - use.demand_at) / to_seconds(demand_memory));
 }
 
 void send_limits::note_demand(time_point now, const target_id& target) {
-  own_use& use = own_[target];
-  use.demand = faded(now, use) + 1;
+  local_usage& use = own_[target];
+  use.demand = decayed_demand(now, use) + 1;
   use.demand_at = now;
 }
 
@@ -68,7 +68,7 @@
   constexpr double least = 0.01;
   std::map<target_id, double> result;
   for (const auto& [target, use] : own_) {
-    if (const double demand = faded(now, use); demand >= least) {
+    if (const double demand = decayed_demand(now, use); demand >= least) {
       result.emplace(target, demand);
     }
   }
@@ -86,7 +86,7 @@
   }
   const auto found = own_.find(target);
   return found != own_.end() && std::ranges::any_of(found->second.grants, [&](time_point came) {
-           return now - came < grant_life;
+           return now - came < grant_validity;
          });
 }
 
@@ -96,7 +96,7 @@
     return;
   }
   std::vector<time_point>& grants = found->second.grants;
-  std::erase_if(grants, [&](time_point came) { return now - came >= grant_life; });
+  std::erase_if(grants, [&](time_point came) { return now - came >= grant_validity; });
   if (!grants.empty()) {
     grants.erase(grants.begin());
   }
@@ -106,9 +106,9 @@
   switch (change) {
     case send_limits::change::none:
       return "none";
-    case send_limits::change::named:
+    case send_limits::change::announced:
       return "named";
-    case send_limits::change::gone:
+    case send_limits::change::removed:
       return "gone";
     case send_limits::change::unreadable:
       return "unreadable";
--- a/tests/core/event_relay_test.cpp
+++ b/tests/core/event_relay_test.cpp
@@ -1,4 +1,4 @@
-// Whole events, each once, also when a stream goes on at another target.
+// Events are forwarded complete and exactly once, also when a stream resumes on another target.
 #include "request/event_relay.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
   return "id: " + std::to_string(id) + "\ndata: piece " + std::to_string(id) + "\n\n";
 }
 
-TEST(EventRelay, PassesWholeEventsOnly) {
+TEST(EventRelay, ForwardsCompleteEventsOnly) {
   event_relay relay;
   EXPECT_EQ(relay.take("id: 1\ndata: pie"), "");
   EXPECT_TRUE(relay.inside_event());
@@ -26,10 +26,10 @@
   EXPECT_EQ(relay.last_id(), "5");
 }
 
-TEST(EventRelay, AStreamThatBreaksAnywhereGoesOnWithoutGapOrRepetition) {
-  // Symptom: a caller sees half an event, or the same one twice. Sequence: a target ends at any
-  // byte, another one goes on behind the last event that was named to it. Cause: bytes of an event
-  // that was not whole were passed on, or the position was taken from them.
+TEST(EventRelay, ResumedStreamHasNoGapOrRepetition) {
+  // Guards against a caller receiving a partial event or an event twice. It happens if a target
+  // fails at any byte, another one resumes, and bytes of an incomplete event were forwarded or the
+  // resume position was taken from them.
   std::string whole;
   for (int i = 1; i <= 20; ++i) {
     whole += event(i);
@@ -60,7 +60,7 @@
   }
 }
 
-TEST(EventRelay, NoticesATargetThatDoesNotGoOnWhereItWasAsked) {
+TEST(EventRelay, DetectsATargetThatResumesAtTheWrongEvent) {
   event_relay relay("7");
   EXPECT_EQ(relay.take(event(7)), "");
   EXPECT_TRUE(relay.out_of_order());
--- a/tests/core/hosted_values_test.cpp
+++ b/tests/core/hosted_values_test.cpp
@@ -336,7 +336,7 @@
   const auto back = decode_node_heartbeat(bytes);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->echo_us, 99);
-  EXPECT_EQ(back->loads.at(target_id{"x"}).unread_tokens, 500);
+  EXPECT_EQ(back->loads.at(target_id{"x"}).pending_prefill_tokens, 500);
   EXPECT_EQ(back->targets->rows, beat.targets->rows);
   EXPECT_FALSE(back->follows_records);
   EXPECT_EQ(back->incarnation, beat.incarnation);
--- a/tests/core/poison_simulation.h
+++ b/tests/core/poison_simulation.h
@@ -83,7 +83,7 @@
   void submit(std::size_t at, std::uint64_t hash, bool poison = false) {
     run_state r;
     r.at_node = at;
-    r.print = {workspace_id{"w" + std::to_string(hash % 10)}, hash};
+    r.fingerprint = {workspace_id{"w" + std::to_string(hash % 10)}, hash};
     r.poison = poison;
     send(std::move(r));
   }
@@ -93,7 +93,7 @@
   // The head that runs this request; heads() if there is none.
   [[nodiscard]] std::size_t head_of(std::uint64_t hash) const {
     for (const run_state& r : runs_) {
-      if (r.print.hash == hash) {
+      if (r.fingerprint.hash == hash) {
         return r.at_head;
       }
     }
@@ -137,7 +137,7 @@
   };
   struct run_state {
     std::size_t at_node = 0;
-    request_print print;
+    request_fingerprint fingerprint;
     bool poison = false;
     std::size_t at_head = 0;
     std::size_t sends = 0;
@@ -149,7 +149,7 @@
   struct pending_strike {
     time_point known_at;
     std::size_t at_node;
-    request_print print;
+    request_fingerprint fingerprint;
     poison_strike strike;
   };
   struct scheduled_attempt {
@@ -186,11 +186,11 @@
     if (r.sends == 0 && r.tries == 1) {
       ++submitted;
     }
-    if (ledger.is_quarantined(r.print)) {
+    if (ledger.is_quarantined(r.fingerprint)) {
       refused_harmless += r.poison ? 0 : 1;
       return;
     }
-    if (const auto until = ledger.held_until(now_, r.print)) {
+    if (const auto until = ledger.held_until(now_, r.fingerprint)) {
       held_harmless += r.poison ? 0 : 1;
       scheduled_.push_back({*until + 100ms, std::move(r)});
       return;
@@ -204,10 +204,10 @@
     if (usable.empty()) {
       return;
     }
-    const auto third = third_crash_at_.find(r.print.hash);
+    const auto third = third_crash_at_.find(r.fingerprint.hash);
     if (r.poison && r.sends == 0 && third != third_crash_at_.end() &&
         now_ - third->second > detection_delay) {
-      ++late_visits[r.print.hash];
+      ++late_visits[r.fingerprint.hash];
     }
     r.at_head = usable[random_.below(usable.size())];
     ++r.sends;
@@ -233,14 +233,14 @@
         if (is_up(r.at_head)) {
           runs_.push_back(r);  // cut off with the others there
           constexpr std::size_t crashes_before_bound = 3;
-          if (++heads_ended_by[r.print.hash] == crashes_before_bound) {
-            third_crash_at_[r.print.hash] = now_;
+          if (++heads_ended_by[r.fingerprint.hash] == crashes_before_bound) {
+            third_crash_at_[r.fingerprint.hash] = now_;
           }
           end_head(r.at_head);
         }
       } else {
         ++served;
-        nodes_[r.at_node]->ledger.clear_request(now_, r.print);
+        nodes_[r.at_node]->ledger.clear_request(now_, r.fingerprint);
       }
     }
   }
@@ -248,9 +248,10 @@
   void interrupt_run(run_state& r, const target_id& target) {
     const bool began = !r.poison && r.first_event_at <= now_;
     if (!began || now_ - r.first_event_at < strike_window) {
-      pending_strikes_.push_back({now_ + 40ms, r.at_node, r.print, {target, r.sent_at, now_}});
+      pending_strikes_.push_back(
+          {now_ + 40ms, r.at_node, r.fingerprint, {target, r.sent_at, now_}});
     } else if (now_ - r.first_event_at > 1s) {
-      nodes_[r.at_node]->ledger.clear_request(now_, r.print);
+      nodes_[r.at_node]->ledger.clear_request(now_, r.fingerprint);
     }
     constexpr std::size_t max_sends = 3;
     constexpr std::size_t max_tries = 2;
@@ -269,7 +270,7 @@
       if (e.known_at > now_) {
         return false;
       }
-      nodes_[e.at_node]->ledger.strike(e.print, e.strike);
+      nodes_[e.at_node]->ledger.strike(e.fingerprint, e.strike);
       return true;
     });
   }
@@ -321,14 +322,14 @@
       n->ledger.evaluate(now_);
     }
     for (const auto& n : nodes_) {
-      for (const auto& [print, entry] : n->ledger.all()) {
+      for (const auto& [fingerprint, entry] : n->ledger.all()) {
         if (!entry.quarantined_at) {
           continue;
         }
-        if (poison_hashes.contains(print.hash)) {
-          quarantined_at.try_emplace(print.hash, now_);
+        if (poison_hashes.contains(fingerprint.hash)) {
+          quarantined_at.try_emplace(fingerprint.hash, now_);
         } else {
-          quarantined_harmless.insert(print.hash);
+          quarantined_harmless.insert(fingerprint.hash);
         }
       }
     }
--- a/tests/core/poison_tracker_test.cpp
+++ b/tests/core/poison_tracker_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr time_point start{1000s};
-const request_print poison{workspace_id{"desk"}, 42};
-const request_print bystander{workspace_id{"desk"}, 7};
+const request_fingerprint poison{workspace_id{"desk"}, 42};
+const request_fingerprint bystander{workspace_id{"desk"}, 7};
 
 target_id target(int i) {
   return target_id{"i-" + std::to_string(i)};
@@ -23,10 +23,10 @@
   return {target(i), start + i * 1s, start + i * 1s + 300ms};
 }
 
-void add_strikes(poison_tracker& ledger, const request_print& print, int from, int to) {
+void add_strikes(poison_tracker& ledger, const request_fingerprint& fingerprint, int from, int to) {
   for (int i = from; i < to; ++i) {
     ledger.run_sent(strike_at(i).sent_at, target(i));
-    ledger.strike(print, strike_at(i));
+    ledger.strike(fingerprint, strike_at(i));
   }
 }
 
@@ -84,7 +84,7 @@
   add_strikes(ledger, bystander, 0, 4);
   const auto verdicts = ledger.evaluate(start + 10s);
   ASSERT_EQ(verdicts.size(), 1U);
-  EXPECT_EQ(verdicts.front().print, poison);
+  EXPECT_EQ(verdicts.front().fingerprint, poison);
   // Crashes that are attributed to the poison request no longer count against the bystander.
   EXPECT_TRUE(ledger.all().at(bystander).strikes.empty());
 }
@@ -170,7 +170,7 @@
 TEST(PoisonTracker, FloodOfRequestsEvictsNoSuspect) {
   poison_tracker ledger;
   add_strikes(ledger, poison, 0, 2);
-  const request_print other{workspace_id{"clerks"}, 1};
+  const request_fingerprint other{workspace_id{"clerks"}, 1};
   add_strikes(ledger, other, 0, 1);
   for (std::uint64_t i = 0; i < 5000; ++i) {
     ledger.strike({workspace_id{"desk"}, 1000 + i}, strike_at(50));
@@ -373,11 +373,11 @@
       world.submit(world.any_node(), 42, true);
     }
   });
-  const request_print print{workspace_id{"w2"}, 42};
-  ASSERT_TRUE(w.ledger(1).is_quarantined(print));
+  const request_fingerprint fingerprint{workspace_id{"w2"}, 42};
+  ASSERT_TRUE(w.ledger(1).is_quarantined(fingerprint));
   w.restart_node(1);
   w.run(2s);
-  EXPECT_TRUE(w.ledger(1).is_quarantined(print));
+  EXPECT_TRUE(w.ledger(1).is_quarantined(fingerprint));
 }
 
 }  // namespace
--- a/tests/core/request_prefix_test.cpp
+++ b/tests/core/request_prefix_test.cpp
@@ -1,4 +1,4 @@
-// Prefix hashes, and the guess of which replica holds what.
+// Prefix hashes and the estimate of the replicas' cache contents.
 #include <gtest/gtest.h>
 
 #include "request/prefix_hash.h"
@@ -11,7 +11,7 @@
 const replica_id b("b");
 const time_point start{};
 
-TEST(PrefixHash, EqualUpToTheFirstDifference) {
+TEST(PrefixHash, HashesAreEqualUpToTheFirstDifference) {
   std::string one(2000, 'x');
   std::string two = one;
   two[600] = 'y';
@@ -33,29 +33,28 @@
   index.sent(start, a, {1, 2, 3});
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2, 9}), 2);
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, b, {1, 2, 9}), 0);
-  index.heard(start, {b, 1, 1, {1}, {}});
+  index.on_cache_events(start, {b, 1, 1, {1}, {}});
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, b, {1, 2}), 1);
-  index.heard(start, {a, 1, 1, {}, {1}});
+  index.on_cache_events(start, {a, 1, 1, {}, {1}});
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2, 3}), 0) << "only leading blocks help";
 }
 
-// Symptom: prompts go on to a replica that dropped their prefix long ago.
-// Sequence: the batch with the eviction is lost.
-// Cause: a gap in the events taken for silence.
-TEST(PrefixIndex, GapTakesTrustFromWhatItMayHaveHidden) {
+// Guards against sending prompts to a replica that evicted their prefix long ago: the batch with
+// the eviction is lost and the gap in the sequence numbers is ignored.
+TEST(PrefixIndex, GapInEventsReducesTrustInEarlierEntries) {
   prefix_index index;
-  index.heard(start, {a, 1, 1, {1, 2}, {}});
+  index.on_cache_events(start, {a, 1, 1, {1, 2}, {}});
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 2);
-  index.heard(start, {a, 1, 3, {1}, {}});
+  index.on_cache_events(start, {a, 1, 3, {1}, {}});
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 1.25);
-  index.heard(start, {a, 1, 2, {}, {1}});
-  EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 1.25) << "too old to count";
+  index.on_cache_events(start, {a, 1, 2, {}, {1}});
+  EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 1.25) << "a late batch does not count";
 }
 
 TEST(PrefixIndex, RestartedEngineHasAnEmptyCache) {
   prefix_index index;
-  index.heard(start, {a, 1, 1, {1, 2}, {}});
-  index.heard(start, {a, 2, 1, {7}, {}});
+  index.on_cache_events(start, {a, 1, 1, {1, 2}, {}});
+  index.on_cache_events(start, {a, 2, 1, {7}, {}});
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {1, 2}), 0);
   EXPECT_DOUBLE_EQ(index.expected_blocks(start, a, {7}), 1);
   index.forget(a);
--- a/tests/core/request_retry_test.cpp
+++ b/tests/core/request_retry_test.cpp
@@ -1,4 +1,4 @@
-// Outcomes, retries and hedges.
+// Outcomes, retries and hedging.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -15,16 +15,16 @@
   EXPECT_EQ(classify({}), execution::not_run);
   EXPECT_EQ(classify({.bytes_may_have_left = true}), execution::unknown);
   EXPECT_EQ(classify({.bytes_may_have_left = true, .target_refused = true}), execution::unknown)
-      << "a cut refusal proves nothing";
+      << "a refusal that was cut off proves nothing";
   EXPECT_EQ(classify({true, true, true}), execution::not_run);
   EXPECT_EQ(classify({true, false, true}), execution::done);
 }
 
-TEST(Outcome, HopsPassOnOnlyWholeAnswers) {
-  EXPECT_EQ(over_hop({true, false, true}, execution::not_run), execution::not_run);
-  EXPECT_EQ(over_hop({true, false, true}, execution::unknown), execution::unknown);
-  EXPECT_EQ(over_hop({.bytes_may_have_left = true}, execution::not_run), execution::unknown);
-  EXPECT_EQ(over_hop({}, execution::done), execution::not_run);
+TEST(Outcome, HopsForwardOnlyCompleteResponses) {
+  EXPECT_EQ(classify_hop({true, false, true}, execution::not_run), execution::not_run);
+  EXPECT_EQ(classify_hop({true, false, true}, execution::unknown), execution::unknown);
+  EXPECT_EQ(classify_hop({.bytes_may_have_left = true}, execution::not_run), execution::unknown);
+  EXPECT_EQ(classify_hop({}, execution::done), execution::not_run);
 }
 
 TEST(Outcome, AttemptsCombine) {
@@ -42,14 +42,15 @@
 TEST(Retry, OnlyWhatMayBeRepeated) {
   retry_budget budget;
   rng random(1);
-  const auto decide = [&](execution last, bool repeatable, attempt_note note = {}) {
-    return decide_retry(start, note, last, repeatable, start + 10s, 1s, budget, random);
+  const auto decide = [&](execution last, bool repeatable, attempt_context context = {}) {
+    return decide_retry(start, context, last, repeatable, start + 10s, 1s, budget, random);
   };
   EXPECT_TRUE(std::holds_alternative<retry_at>(decide(execution::not_run, false)));
   EXPECT_TRUE(std::holds_alternative<retry_at>(decide(execution::unknown, true)));
   EXPECT_EQ(given_up(decide(execution::unknown, false)), give_up_reason::not_repeatable);
   EXPECT_EQ(given_up(decide(execution::done, true)), give_up_reason::done);
-  EXPECT_EQ(given_up(decide(execution::unknown, true, next_hop({}, 1))), give_up_reason::not_here);
+  EXPECT_EQ(given_up(decide(execution::unknown, true, next_hop_context({}, 1))),
+            give_up_reason::not_first_hop);
   EXPECT_EQ(given_up(decide(execution::unknown, true, {.attempt = 3})),
             give_up_reason::attempts_used);
 }
@@ -64,7 +65,7 @@
       EXPECT_LE(again->at + 1s, start + 1020ms);
     } else {
       EXPECT_EQ(given_up(d), give_up_reason::no_time);
-      EXPECT_TRUE(budget.take(start)) << "what is not made is not paid";
+      EXPECT_TRUE(budget.take(start)) << "what is not made is not charged to the budget";
     }
   }
 }
@@ -87,9 +88,8 @@
   EXPECT_TRUE(budget.take(start + 3s)) << "a model with few requests can retry, too";
 }
 
-// Symptom: a target that came back is kept down by nine times its load.
-// Sequence: the target fails for a minute; each of two hops tries three times.
-// Cause: retries that multiply over hops and know no budget.
+// Guards against nine times the load on a target that has recovered: the target fails for a minute
+// and each of two hops tries three times, so retries multiply over the hops without a budget.
 TEST(Retry, StormIsBoundedOverTwoHops) {
   const retry_figures with = run_retries(true, 1.0, 1);
   const retry_figures without = run_retries(false, 1.0, 1);
@@ -98,17 +98,17 @@
   EXPECT_GT(without.worst_ratio, 8.9);
 }
 
-TEST(Hedging, AsksNearTheQuantileOfItsClass) {
+TEST(Hedging, HedgesNearTheQuantileOfTheClass) {
   hedging h;
   rng random(3);
   for (int i = 0; i < 5000; ++i) {
     h.observe("fast", from_seconds(0.1 + 0.1 * random.unit()));
     h.observe("slow", from_seconds(1.0 + random.unit()));
   }
-  ASSERT_TRUE(h.ask_at("fast", start));
-  EXPECT_NEAR(to_seconds(*h.ask_at("fast", start) - start), 0.195, 0.03);
-  EXPECT_NEAR(to_seconds(*h.ask_at("slow", start) - start), 1.95, 0.3);
-  EXPECT_FALSE(h.ask_at("unseen", start));
+  ASSERT_TRUE(h.hedge_at("fast", start));
+  EXPECT_NEAR(to_seconds(*h.hedge_at("fast", start) - start), 0.195, 0.03);
+  EXPECT_NEAR(to_seconds(*h.hedge_at("slow", start) - start), 1.95, 0.3);
+  EXPECT_FALSE(h.hedge_at("unseen", start));
 }
 
 TEST(Hedging, OnlyRepeatableLateAndBudgeted) {
@@ -120,7 +120,7 @@
   const time_point deadline = start + 10s;
   EXPECT_FALSE(h.decide(late, "c", start, {}, false, deadline));
   EXPECT_FALSE(h.decide(start + 1ms, "c", start, {}, true, deadline));
-  EXPECT_FALSE(h.decide(late, "c", start, next_hop({}, 1), true, deadline));
+  EXPECT_FALSE(h.decide(late, "c", start, next_hop_context({}, 1), true, deadline));
   EXPECT_FALSE(h.decide(late, "c", start, {}, true, late));
   int hedges = 0;
   while (hedges < 1000 && h.decide(late, "c", start, {}, true, deadline)) {
@@ -129,7 +129,7 @@
   EXPECT_EQ(hedges, 5);
 }
 
-// Symptom: a stall of all replicas doubles the load.
+// Guards against a stall of all replicas doubling the load.
 TEST(Hedging, StallDoesNotDoubleTheLoad) {
   hedging h;
   for (int i = 0; i < 1000; ++i) {
--- a/tests/core/send_limits_test.cpp
+++ b/tests/core/send_limits_test.cpp
@@ -20,17 +20,17 @@
 const target_id target{"i-7~1"};
 constexpr time_point start{1000s};
 
-limit_word named(double per_second) {
+announced_limit announced(double per_second) {
   return {true, true, per_second};
 }
 
 TEST(SendLimits, ResponseToAnEarlierRequestRemovesNoLimit) {
   send_limits limits;
   EXPECT_TRUE(limits.may_send(start, target));
-  EXPECT_EQ(limits.told(start, start + 1s, target, named(2)), send_limits::change::named);
+  EXPECT_EQ(limits.told(start, start + 1s, target, announced(2)), send_limits::change::announced);
   EXPECT_EQ(limits.told(start + 500ms, start + 2s, target, {}), send_limits::change::none);
   EXPECT_FALSE(limits.may_send(start + 2s, target));
-  EXPECT_EQ(limits.told(start + 1500ms, start + 3s, target, {}), send_limits::change::gone);
+  EXPECT_EQ(limits.told(start + 1500ms, start + 3s, target, {}), send_limits::change::removed);
   EXPECT_TRUE(limits.may_send(start + 3s, target));
   // An older observation of a peer does not restore the limit.
   limits.heard(target, {2.0, start + 1s});
@@ -39,10 +39,10 @@
 
 TEST(SendLimits, AnUnreadableValueChangesNothing) {
   send_limits limits;
-  const limit_word unreadable{true, false, std::nullopt};
+  const announced_limit unreadable{true, false, std::nullopt};
   EXPECT_EQ(limits.told(start, start, target, unreadable), send_limits::change::unreadable);
   EXPECT_TRUE(limits.may_send(start, target));
-  limits.told(start, start, target, named(2));
+  limits.told(start, start, target, announced(2));
   EXPECT_EQ(limits.told(start + 1s, start + 2s, target, unreadable),
             send_limits::change::unreadable);
   EXPECT_FALSE(limits.may_send(start + 2s, target));
@@ -50,23 +50,23 @@
 
 TEST(SendLimits, EachSendUsesAGrantAndUnusedGrantsExpire) {
   send_limits limits;
-  limits.told(start, start, target, named(2));
+  limits.told(start, start, target, announced(2));
   limits.granted(start, target, 2);
   limits.sent(start, target);
   EXPECT_TRUE(limits.may_send(start, target));
   limits.sent(start, target);
   EXPECT_FALSE(limits.may_send(start, target));
   limits.granted(start, target, 1);
-  EXPECT_FALSE(limits.may_send(start + send_limits::grant_life, target));
+  EXPECT_FALSE(limits.may_send(start + send_limits::grant_validity, target));
 }
 
 TEST(SendLimits, RemovedTargetIsForgotten) {
   send_limits limits;
-  limits.told(start, start, target, named(2));
-  const auto gone = [](const target_id&) { return false; };
-  limits.forget(start + 1s, gone);
+  limits.told(start, start, target, announced(2));
+  const auto removed = [](const target_id&) { return false; };
+  limits.forget(start + 1s, removed);
   EXPECT_TRUE(limits.is_limited(target));
-  limits.forget(start + send_limits::memory + 1s, gone);
+  limits.forget(start + send_limits::memory + 1s, removed);
   EXPECT_FALSE(limits.is_limited(target));
 }
 
@@ -320,7 +320,7 @@
         n.limits.sent(now_, target);
         n.own_sends.push_back(now_);
         sends_.push_back(now_);
-        n.limits.told(now_, now_, target, named(setup_.limit));
+        n.limits.told(now_, now_, target, announced(setup_.limit));
       }
     }
   }
