--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -1,4 +1,4 @@
-// First steps of a hosted call, and its end.
+// The start and the end of a hosted call, shared by streams and buffered calls.
 #include "node/hosted_call.h"
 
 #include "node/hosted_parts.h"
@@ -8,14 +8,14 @@
 
 namespace {
 
-// Beyond this a caller's wish is not honoured: no route waits for longer.
+// Upper bound of a call's time, whatever the route or the caller asks for.
 constexpr duration longest_wait = 120s;
 
 class call_start {
  public:
   call_start(hosted_state& node, hosted_request& call) : node_(node), call_(call) {}
 
-  // False if the call was answered.
+  // False if the call has been answered already.
   bool run() {
     if (call_.head.id.empty()) {
       return end(400, {}, "the request has no id");
@@ -31,7 +31,8 @@
     call_.way = call_.map->find_route(call_.head.host, call_.head.path);
     const bool current = node_.lease.valid(call_.arrived);
     if (call_.way == nullptr) {
-      // Only a current version may say that something is not there.
+      // Only a confirmed version proves that there is no such route; another node may have a newer
+      // one.
       return current ? end(404, {}, "no route has this host and path")
                      : end(503, retry_after_stale(node_, call_.arrived),
                            "the configuration may be out of date");
@@ -100,7 +101,7 @@
   if (call.workspace.empty()) {
     return true;
   }
-  // The newest version decides: the key may have been withdrawn while the call waited.
+  // Checked against the newest version: the key may have been revoked while the call waited.
   const time_point now = monotonic_now();
   return node.lease.valid(now) && node.map->find_workspace(call.head.key) != nullptr;
 }
@@ -124,7 +125,8 @@
   answer.status = status;
   answer.reason = std::string(reason);
   const bool promises_not_run = status == 503 || status == 429 || status == 408;
-  // Goes wrong: a caller that is told "not run" repeats the request, and it runs twice.
+  // These statuses promise that the request did not run, and callers then repeat it. If a target may
+  // have run it, such a status would make it run twice.
   if (promises_not_run && call.may_have_run > 0) {
     const bool repeatable = call.way != nullptr && call.way->repeatable();
     answer.status = repeatable ? 502 : 504;
@@ -181,7 +183,7 @@
   return may;
 }
 
-// Spread, so that those who were refused together do not come back together.
+// Randomized, so that callers that were refused together do not all return simultaneously.
 duration retry_after_limit(hosted_state& node) {
   constexpr duration middle = 800ms;
   return from_seconds(to_seconds(middle) * (0.5 + node.random.unit()));
@@ -189,7 +191,8 @@
 
 void note_limit(hosted_state& node, time_point sent_at, const target_id& target, int status,
                 const answer_head& answer) {
-  // A failure may come from a part of the target that knows of no limit: only a success lifts one.
+  // A failure may come from a component of the target that does not report the limit, so only a
+  // success without a limit removes it.
   const bool lifts = answer.kind == answer_kind::own && status / 100 == 2;
   const bool speaks = answer.kind == answer_kind::own || answer.kind == answer_kind::not_run;
   if (answer.is_misdirected || !speaks || (!answer.limit.is_named && !lifts)) {
--- a/src/node/hosted_call.h
+++ b/src/node/hosted_call.h
@@ -1,8 +1,8 @@
-// A caller's request on a hosted node: from its head to its one answer.
+// Serves one request of a caller on a hosted node, from its header to its single response.
 //
-// The pipeline is the same for all kinds: find the route, check the key, choose a target, send, and
-// read what came of it. What differs is what may be repeated (version/service_map.h) and whether
-// the answer is passed on event by event or whole.
+// The steps are the same for all kinds of routes: find the route, check the key, choose a target,
+// send the request, and evaluate the result. Routes differ in whether a request may be repeated
+// (version/service_map.h) and in whether the response is streamed by event or buffered.
 #pragma once
 
 #include "connection/http_server.h"
@@ -10,7 +10,7 @@
 
 namespace arbutus {
 
-// Answers the request, always; returns when nothing of it is left.
+// Always answers the request, and returns when nothing of the call is running any more.
 void serve_hosted_call(hosted_state& node, const http_request& request, response_writer& writer);
 
 }  // namespace arbutus
--- a/src/node/hosted_metrics.h
+++ b/src/node/hosted_metrics.h
@@ -12,12 +12,13 @@
 
 class hosted_metrics {
  public:
-  // Labels are from bounded sets: routes' kinds, reasons, actions. Never ids of requests.
+  // Label values must come from bounded sets, such as kinds of routes, reasons or actions, and never
+  // be request ids.
   void count(std::string_view name, std::string_view labels = {}, std::uint64_t by = 1) {
     calls_.count(0, name, labels, by);
   }
   void record(const finished_call& call) { calls_.record(0, call); }
-  // How long something took that is no request; its histogram is named by `step`.
+  // The time of a step that is not a request; `step` names its histogram.
   void record_step(std::string_view step, duration took) { calls_.record_step(0, step, took); }
   [[nodiscard]] std::string text(std::string_view gauges) const { return calls_.text(gauges); }
 
--- a/src/node/hosted_node.cpp
+++ b/src/node/hosted_node.cpp
@@ -1,4 +1,4 @@
-// A hosted node's parts.
+// Components of a hosted node, and its start and shutdown.
 #include "node/hosted_node.h"
 
 #include "connection/clock.h"
@@ -19,22 +19,23 @@
   return {e.host, e.port};
 }
 
-// The balancer asks once a second and takes a node out after two answers that are not 200, so that
-// new connections may come for this long after readiness failed.
+// The load balancer checks readiness once a second and removes a node after two responses other than
+// 200, so new connections may arrive for this long after readiness fails.
 constexpr duration balancer_lag = 2500ms;
-// Left of the grace for the process to end in order.
+// Part of the grace period that is reserved for the orderly exit of the process.
 constexpr duration end_margin = 800ms;
 
 http_server_limits caller_server_limits() {
   http_server_limits limits;
-  // Operators' limits may rise with a version; these bound memory: at most 16 KiB of header and the
-  // largest body that the platform's operators may allow.
+  // These bound memory. The operators' limits, of at most 16 KiB of header and the largest body that
+  // the platform lets them allow, may change with a configuration version and are lower.
   limits.header_bytes = 64UL * 1024;
   limits.body_bytes = 8UL * 1024 * 1024;
   limits.connections = 3000;
   limits.read_timeout = 10s;
   limits.idle_timeout = 60s;
-  // A caller that takes nothing for so long is gone: its stream would be late by far.
+  // A caller that reads nothing for this long is treated as disconnected; its stream would be far
+  // too late anyway.
   limits.write_timeout = 8s;
   return limits;
 }
@@ -64,7 +65,7 @@
       if (const auto beat = decode_node_heartbeat(m.bytes)) {
         keeper->heard(monotonic_now(), m.from, *beat);
       } else {
-        log_line(log_level::warning, "links", "unreadable beat", {{"peer", m.from}});
+        log_line(log_level::warning, "links", "unreadable heartbeat", {{"peer", m.from}});
       }
     });
     ready = std::make_unique<http_server>(
@@ -78,8 +79,8 @@
         [this](const http_request& r, response_writer& w) { serve_hosted_call(state, r, w); });
   }
 
-  // Ready: a configuration is in force and confirmed, and some target is known. A node that cannot
-  // confirm keys would refuse most requests; its callers are better off elsewhere.
+  // Ready means that a confirmed configuration is in force and targets are known. A node that cannot
+  // confirm keys would refuse most requests, so its callers should use other nodes.
   [[nodiscard]] bool is_ready() const {
     const time_point now = monotonic_now();
     return !state.stopping && state.map && state.fleet_known && state.lease.valid(now) &&
@@ -100,8 +101,8 @@
     send_text(writer, is ? 200 : 503, is ? "ready\n" : "not ready\n");
   }
 
-  // The metrics address: figures, requests that are refused as they end their targets, and the way
-  // to lift such a verdict.
+  // Serves the metrics address: metrics, the list of poison requests, and the release of their
+  // quarantines.
   void serve_operator(const http_request& request, response_writer& writer) {
     constexpr std::string_view lift = "/poison/lift/";
     const std::string_view target = request.target;
@@ -164,9 +165,10 @@
 }
 
 hosted_node::~hosted_node() {
-  // Goes wrong: parts that end on their worker wait for ever when it ends between the question
-  // whether it runs and their turn. One would see a process that logs its end and stays. So they
-  // end before the runtime is stopped, and the keeper, whose fibers use the links, before them.
+  // Components whose destructors post work to their worker must be destroyed before the runtime
+  // stops. If the worker stopped between the check that it runs and their turn, they would wait
+  // forever: the process would log its exit but never exit. The controller's fibers use the links,
+  // so it is stopped before them.
   parts_->callers.reset();
   parts_->ready.reset();
   parts_->metrics.reset();
--- a/src/node/hosted_node.h
+++ b/src/node/hosted_node.h
@@ -1,5 +1,5 @@
-// A node on a platform that keeps the configuration and the list of targets: joins the parts, and
-// ends them gracefully.
+// A node on a hosted platform, which stores the configuration and the list of targets. Owns the
+// node's components and shuts them down gracefully.
 #pragma once
 
 #include <memory>
@@ -10,7 +10,7 @@
 
 class hosted_node {
  public:
-  // Listens at once; throws boost::system::system_error when an address cannot be listened on.
+  // Starts listening; throws boost::system::system_error if an address cannot be listened on.
   explicit hosted_node(const hosted_settings& settings);
   ~hosted_node();
   hosted_node(const hosted_node&) = delete;
@@ -20,8 +20,8 @@
 
   void start();
 
-  // Graceful: readiness fails first, new requests are served until the balancer has taken note,
-  // those in flight end. True if nothing was cut off.
+  // Graceful shutdown: readiness fails first, new requests are served until the load balancer has
+  // removed the node, and requests in flight complete. True if no request was cut off.
   bool stop();
 
  private:
--- a/src/node/hosted_state.cpp
+++ b/src/node/hosted_state.cpp
@@ -15,8 +15,7 @@
   return {e.host, e.port};
 }
 
-// Random, since neither the time of day nor a counter is safe: the one may step back, the other is
-// not kept.
+// Random, since the time of day may step back and a counter would not survive a restart.
 std::string fresh_origin() {
   std::random_device device;
   std::array<char, 16> text{};
@@ -24,16 +23,16 @@
   return text.data();
 }
 
-// Nodes of a deployment at the least, while none has been heard: each takes a small part of the
-// burst.
+// Assumed size of the deployment until enough peers are known, so that each node uses only a small
+// share of the burst.
 constexpr std::size_t least_nodes = 6;
 
 }  // namespace
 
 http_client_limits target_client_limits() {
   http_client_limits limits;
-  // A live target accepts within two round trips, 6 ms; a lost opening packet is sent again only
-  // after a second, so waiting longer than this gains nothing over another target.
+  // A live target accepts a connection within two round trips, 6 ms. A lost SYN is retransmitted only
+  // after a second, so it is better to try another target than to wait longer than this.
   limits.connect_timeout = 300ms;
   limits.idle_per_target = 64;
   limits.idle_expiry = 10s;
--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -1,8 +1,8 @@
-// What the parts of a hosted node share: it lives as long as the process.
+// State shared by the components of a hosted node, for the lifetime of the process.
 //
-// A hosted node runs on one worker: an entry VM there has a quarter of a core, and a second thread
-// would only add switches. Fibers of one worker run one at a time, so nothing here needs a lock; a
-// fiber may be suspended at any call that waits, and what it read before may have changed after.
+// A hosted node runs on one worker: the VMs have a quarter of a core, and a second thread would only
+// add context switches. Fibers of a worker run one at a time, so the state needs no locks. But a
+// fiber may be suspended at any call that waits, and the state may have changed when it resumes.
 #pragma once
 
 #include <cstdint>
@@ -41,55 +41,56 @@
   hosted_state(hosted_settings s, fiber_runtime& r);
 
   hosted_settings settings;
-  std::string origin;  // of this incarnation of the process: differs after every start
+  std::string origin;  // identifies this start of the process
   fiber_runtime& runtime;
-  http_client targets;  // requests that are passed on
-  http_client control;  // reports and orders: a target that does not answer at once is a finding
+  http_client targets;  // for forwarded requests
+  http_client control;  // for reports and orders; short timeout, as a late response is a failure
   http_client platform;
   platform_store store;
   platform_engines engines;
 
   std::shared_ptr<const service_map> map;  // null until the first version was read
   config_lease lease;
-  config_history configurations;  // texts, for the nodes that hear them from this one
+  config_history configurations;  // texts, for the nodes that receive them from this one
   config_lag lag;
   fleet_view fleet;
-  bool fleet_known = false;  // what serves is known, or the list of targets was read
-  // The record of every target is known. Only then may this node keep replicas: it would take
-  // those apart whose members it does not know.
+  bool fleet_known = false;  // the serving replicas are known, or the list of targets was read
+  // The record of every target is known. Required to control replicas: otherwise this node would
+  // dissolve replicas whose members it does not know.
   bool fleet_complete = false;
-  time_point fleet_read_at{};  // question of the newest answer from the list
+  time_point fleet_read_at{};  // when the query of the newest answer from the list was sent
   load_table loads;
   instance_table instances;
   std::map<service_id, retry_window> retries;
   stall_monitor silence;
-  lost_target_reports suspected;  // by peers
+  lost_target_reports suspected;  // received from peers
   misdirected_heads misdirected;
   send_limits limits;
   attempt_registry attempts;
-  poison_state poison;  // requests that end their targets
+  poison_state poison;
   peer_table peers;
-  // The followed tables, for the nodes that hear them from this one; the configuration itself is in
-  // `configurations`.
+  // Rows of the watched tables, for the nodes that receive them from this one. The text of the
+  // configuration is in `configurations`.
   feed_log target_rows;
-  serving_feed served;        // of a hub: what it passes on
-  serving_follower followed;  // of another node: what it was told
+  serving_feed served;        // on a hub: the serving replicas that it forwards
+  serving_follower followed;  // on other nodes: the serving replicas received from the hub
   feed_log configuration_rows;
   hosted_metrics metrics;
-  rng random;  // for what nodes must not all decide alike
+  rng random;  // for decisions that must differ between nodes
   bool requests_seen = false;
   bool stopping = false;
 
-  // Replicas of a model that may be sent requests now; built anew only when something changed.
+  // Replicas of a model that may be sent requests now; cached until the fleet or the configuration
+  // changes.
   [[nodiscard]] const std::vector<serving_replica>& replicas(const service_spec& service,
                                                              const model_id& model);
   [[nodiscard]] const std::vector<service_instance>& instances_of(const service_id& service);
-  // It knows of a version that it should act by since too long, and does not hold it.
+  // Whether this node has been missing a configuration version for too long.
   [[nodiscard]] bool is_outdated(time_point now) const {
     return lag.is_stale(now, settings.bounds.configuration);
   }
   [[nodiscard]] retry_window& retries_of(const service_id& service);
-  // The target at this address has started again.
+  // Drops pooled connections to an address whose target has restarted.
   void forget_connections(const endpoint& address);
 
  private:
@@ -101,7 +102,7 @@
   std::map<service_id, std::vector<service_instance>> cached_instances_;
 };
 
-// The rates and sizes at which a node talks to targets.
+// Limits of the clients for requests, control calls and the platform.
 [[nodiscard]] http_client_limits target_client_limits();
 [[nodiscard]] http_client_limits control_client_limits();
 [[nodiscard]] http_client_limits platform_client_limits();
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -1,5 +1,5 @@
-// Streams of a model: sent to a replica, passed on event by event, and gone on with on another
-// replica when theirs breaks.
+// Streams of a model: sent to a replica and forwarded event by event. If the replica breaks, the
+// stream is resumed on another one.
 #include <algorithm>
 #include <vector>
 
@@ -12,8 +12,8 @@
 
 namespace {
 
-// An attempt with less time than this cannot bring a first event any more: reading a prompt and one
-// pass take about 60 ms on an idle replica.
+// With less time than this before the deadline, an attempt cannot yield a first event: prefill and
+// one pass take about 60 ms on an idle replica.
 constexpr duration least_useful_time = 60ms;
 
 class stream_call {
@@ -42,13 +42,13 @@
   }
 
  private:
-  // Why an attempt did not end the call.
+  // How an attempt finished.
   enum class ending : std::uint8_t {
-    whole,          // the caller has its whole answer
-    not_run,        // the target did not run it
-    not_sent,       // no byte left
-    broken,         // it may have run in part
-    refused_by_us,  // the key was withdrawn meanwhile
+    whole,          // the caller received the entire response
+    not_run,        // the target did not run the request
+    not_sent,       // no byte was sent
+    broken,         // the request may have run in part
+    refused_by_us,  // the caller's key was revoked in the meantime
   };
 
   void end_own(int status, duration retry_after, std::string_view reason) {
@@ -56,7 +56,7 @@
     if (gone_) {
       finish_call(node_, call_, "caller_gone", reason, 0);
     } else if (started_) {
-      // The connection closes without the last chunk: the caller sees that the answer is cut.
+      // The connection closes without the last chunk, so the caller detects the truncation.
       finish_call(node_, call_, "cut", reason, 200);
     } else {
       answer_own(node_, call_, status, retry_after, reason);
@@ -64,8 +64,8 @@
   }
 
   void next_attempt() {
-    // Its earlier attempts, here and at other nodes, had other ids; what they did to their targets
-    // is known by its print.
+    // Earlier attempts of the same request, here and on other nodes, may have had other request ids.
+    // The fingerprint links them, so that a poison request is recognized.
     if (!may_run(node_, call_)) {
       end_own(503, retry_after_poison(node_, call_), poison_reason);
       return;
@@ -84,10 +84,10 @@
       return;
     }
     const auto& replicas = node_.replicas(*call_.service, model_->id);
-    const std::vector<target_id> suspected = suspected_heads(now, replicas);
+    const std::vector<target_id> suspects = suspected_heads(now, replicas);
     const std::vector<target_id> avoided = avoided_heads(now, replicas);
     const choice_request desired{
-        node_.settings.data_centre, call_.head.size, call_.deadline - now, avoided, suspected,
+        node_.settings.data_centre, call_.head.size, call_.deadline - now, avoided, suspects,
         node_.random.unit()};
     const replica_choice choice =
         choose_replica(*call_.service->engine, *model_, replicas, node_.loads, desired);
@@ -107,7 +107,7 @@
     judge(replica, how);
   }
 
-  // Those that were tried, and those that take no more now.
+  // Heads that were tried already, and heads whose send limit is exhausted.
   [[nodiscard]] std::vector<target_id> avoided_heads(
       time_point now, const std::vector<serving_replica>& replicas) const {
     std::vector<target_id> heads = avoided_;
@@ -119,8 +119,8 @@
     return heads;
   }
 
-  // Those that have gone stalled here or are not meant, and those of which a peer takes a member
-  // for lost.
+  // Heads of replicas that are stalled for this node, heads that rejected a request as misdirected,
+  // and heads of replicas with a member that a peer reports as lost.
   [[nodiscard]] std::vector<target_id> suspected_heads(
       time_point now, const std::vector<serving_replica>& replicas) const {
     std::vector<target_id> heads = node_.silence.stalled(now);
@@ -167,7 +167,8 @@
     relay_.restart();
   }
 
-  // Whether the run that broke off is evidence against the request, or for it.
+  // Clears the request if its run lasted long enough. Otherwise, if the target closed the connection
+  // shortly after the start, checks whether that is a strike against the request.
   void weigh(const serving_replica& replica, ending how) {
     const time_point now = monotonic_now();
     if (has_gone_on(first_event_at_, last_event_at_)) {
@@ -178,7 +179,7 @@
     }
   }
 
-  // What the target had answered of the last attempt when that ended.
+  // What had been received from the target when the last attempt finished.
   [[nodiscard]] std::string_view answered() const {
     if (had_first_) {
       return "events";
@@ -333,7 +334,8 @@
     return ending::whole;
   }
 
-  // A failure of the target's own counts as run. What may be repeated is tried elsewhere.
+  // A failure reported by the target counts as run. Requests that may be repeated are tried on
+  // another replica.
   ending pass_failure() {
     note_harmless(node_, call_);
     const bool again = call_.way->repeatable() &&
@@ -355,17 +357,17 @@
   attempt_registry::attempt* running_ = nullptr;
   std::string_view last_reason_ = "no attempt was made";
   bool gone_ = false;
-  bool started_ = false;  // the caller has the head of its answer
+  bool started_ = false;  // the header of the response was sent to the caller
   bool ended_ = false;
 
-  // Of the running attempt.
+  // State of the running attempt.
   target_id head_;
   time_point sent_at_{};
   time_point first_event_at_{};
   time_point last_event_at_{};
   replica_estimate expected_;
   bool had_first_ = false;
-  bool connection_lost_ = false;  // by the target's end of it
+  bool connection_lost_ = false;  // closed or reset by the target
   answer_head answer_;
   int status_ = 0;
   http_headers headers_;
--- a/src/node/hosted_whole.cpp
+++ b/src/node/hosted_whole.cpp
@@ -1,4 +1,4 @@
-// Calls of plain services on a hosted node: the answer is passed on whole.
+// Calls of plain services on a hosted node, whose responses are buffered and forwarded as a unit.
 #include <algorithm>
 #include <vector>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-// With less time than this left, another instance could not answer any more.
+// With less time than this before the deadline, another instance cannot answer.
 constexpr duration least_useful_time = 10ms;
 
 class whole_call {
@@ -39,8 +39,8 @@
   }
 
   void next_attempt() {
-    // Its earlier attempts, here and at other nodes, had other ids; what they did to their targets
-    // is known by its print.
+    // Earlier attempts of the same request, here and on other nodes, may have had other request ids.
+    // The fingerprint links them, so that a poison request is recognized.
     if (!may_run(node_, call_)) {
       end_own(503, retry_after_poison(node_, call_), poison_reason);
       return;
@@ -74,7 +74,7 @@
     attempt(instances[*chosen]);
   }
 
-  // Those that were tried, and those that take no more now.
+  // Instances that were tried already, and instances whose send limit is exhausted.
   [[nodiscard]] std::vector<target_id> avoided_instances(
       time_point now, const std::vector<service_instance>& instances) const {
     std::vector<target_id> ids = avoided_;
@@ -86,8 +86,8 @@
     return ids;
   }
 
-  // A kept connection may close just as the request is written to it, and it is then unknown
-  // whether it ran: what may not be repeated gets a fresh one.
+  // A pooled connection may be closed just as the request is written to it, and it is then unknown
+  // whether the request ran. Requests that may not be repeated use a fresh connection.
   [[nodiscard]] connection_use connection() const {
     return call_.way->repeatable() ? connection_use::pooled : connection_use::fresh;
   }
@@ -180,7 +180,8 @@
     node_.metrics.count("arbutusworks_attempts_broken");
   }
 
-  // A failure of the target's own counts as run: only what may be repeated is tried elsewhere.
+  // A failure reported by the target counts as run: only requests that may be repeated are tried on
+  // another instance.
   void pass_on(const service_instance& instance, const http_response& response) {
     const bool failed = response.status >= 500;
     if (failed && call_.way->repeatable() && call_.may_have_run + 1 < call_.way->max_attempts &&
--- a/src/node/keeper_beats.cpp
+++ b/src/node/keeper_beats.cpp
@@ -1,4 +1,4 @@
-// What nodes tell each other, and what they make of it.
+// Heartbeats between nodes: composing, sending and handling them.
 #include <algorithm>
 
 #include "connection/clock.h"
@@ -11,8 +11,8 @@
 
 namespace {
 
-// So long others are told of a lost engine that is in no list any more: by then its replica has
-// been taken apart.
+// A lost engine is reported to peers for this long after it was removed from the list of targets; its
+// replica has been dissolved by then.
 constexpr duration told_after_unlisting = 20s;
 
 std::size_t bytes_of(const std::vector<feed_row>& rows) {
@@ -40,7 +40,8 @@
                                          node_.peers.is_refused_by_store(peer)};
   auto next =
       config_distributor_.next_for(node_.configurations, to, node_.peers.alive_count(now) + 1);
-  // A node of an earlier release tells no row and reads no parts: it would take the position alone.
+  // A node of an earlier release reports no row and cannot read parts. It would advance its position
+  // without applying the configuration.
   const bool reads_no_parts = at.configuration_row == 0 && at.configuration > 0 &&
                               at.configuration < node_.configurations.newest();
   beat.configuration = configuration_news(now, at);
@@ -48,7 +49,7 @@
   beat.configuration_part = std::move(next.part);
 }
 
-// A whole list that this round has no room for comes in a later one.
+// A full list that exceeds the budget of this round is sent in a later one.
 void keeper_loop::withhold_beyond_budget(feed_update& news) {
   news.withheld = news.whole && !whole_lists_.take(bytes_of(news.rows));
   if (news.withheld) {
@@ -74,7 +75,8 @@
   return news;
 }
 
-// What this hub knows of the store, to a node of its data centre that has said how far it is.
+// Adds the store's rows that `peer` lacks; `peer` is a node of this hub's data centre that has
+// reported its positions.
 void keeper_loop::pass_on(time_point now, const node_id& peer, node_heartbeat& beat) {
   const auto found = positions_.find(peer);
   if (found == positions_.end()) {
@@ -91,7 +93,7 @@
   }
 }
 
-// What is the same in the beats to all peers.
+// Prepares the content that is the same in the heartbeats to all peers.
 void keeper_loop::begin_round(time_point now) {
   config_distributor_.begin_round();
   whole_lists_.begin_round();
@@ -148,7 +150,8 @@
     beat.lost.assign(lost.begin(), lost.end());
   }
   if (beat.hub) {
-    // A node of this data centre hears of all others, another hub of this data centre.
+    // Nodes of this data centre receive the loads of all other nodes, other hubs those of this data
+    // centre.
     beat.loads = same ? node_.loads.all_but(peer, all_loads_) : node_.loads.all_of(home);
   } else if (node_.peers.hub_of(now, home) == peer) {
     beat.loads = node_.loads.own();
@@ -164,7 +167,7 @@
   return beat;
 }
 
-// Of this node as a hub: one round of grants.
+// One round of send grants, if this node is a hub.
 void keeper_loop::grant_sends(time_point now) {
   node_.limits.forget(now, [this](const target_id& id) { return node_.fleet.find(id) != nullptr; });
   if (!node_.peers.is_hub(now)) {
@@ -232,7 +235,8 @@
   }
 }
 
-// Hubs, and the nodes of one's own as a hub: they answer. The next in line hears from the hub.
+// Poison updates are exchanged between hubs, and between a hub and its nodes, because these
+// acknowledge them with their own heartbeats. The next hub in line receives them from the hub.
 bool keeper_loop::hears_crashes(time_point now, const node_id& peer) const {
   return node_.peers.is_hub(now) ||
          node_.peers.hub_of(now, node_.peers.data_centre_of(peer)) == peer;
@@ -244,7 +248,7 @@
     if (const auto row = decode_poison_row(bytes)) {
       take_crash_row(node_, now, *row, "peer");
     } else {
-      log_line(log_level::warning, "poison", "unreadable evidence", {{"peer", peer}});
+      log_line(log_level::warning, "poison", "unreadable poison row", {{"peer", peer}});
     }
   }
   if (!beat.crashes.rows.empty()) {
@@ -252,7 +256,8 @@
   }
 }
 
-// Links to those that are told; each costs both sides a connection.
+// Maintains links only to the peers that are sent heartbeats; each link costs both sides a
+// connection.
 void keeper_loop::link_to(const std::vector<node_id>& peers) {
   if (peers == linked_) {
     return;
@@ -264,7 +269,7 @@
       records.push_back(n);
     }
   }
-  // In a fiber of its own, since ending a link may wait.
+  // In a separate fiber, since closing a link may block.
   ++linking_;
   node_.runtime.post(0, [this, records] {
     if (!ended_) {
@@ -281,7 +286,8 @@
   link_to(peers);
   begin_round(now);
   grant_sends(now);
-  // Another one is first each time, so that what is left of the round falls to all of them.
+  // Starts with a different peer each time, so that the budget of a round does not always go to the
+  // same peers.
   if (!peers.empty()) {
     const auto first = static_cast<std::ptrdiff_t>(random_.below(peers.size()));
     std::rotate(peers.begin(), peers.begin() + first, peers.end());
@@ -303,12 +309,13 @@
   node_.requests_seen = node_.requests_seen || beat.requests_seen;
   const bool same = beat.data_centre == node_.settings.data_centre;
   const bool hub = node_.peers.is_hub(now);
-  // Loads come to the hub from its data centre and from other hubs, and to others from their hub.
+  // A hub accepts loads from the nodes of its data centre and from other hubs, other nodes accept
+  // them from their hub.
   if (hub ? (same ? !beat.hub : beat.hub) : (same && beat.hub)) {
     node_.loads.heard(peer, beat.data_centre, now, beat.loads);
   }
   if (same && beat.hub && beat.echo_us > 0) {
-    // What the hub says was so after this node sent the stamp that it echoes.
+    // The hub's content is newer than the moment at which this node sent the echoed stamp.
     const time_point asked{duration{beat.echo_us}};
     watch_.take_news(asked, now, beat);
     hub_heard_at_ = now;
--- a/src/node/keeper_loop.cpp
+++ b/src/node/keeper_loop.cpp
@@ -1,4 +1,4 @@
-// The keeper's clockwork: what it orders, and what it tells of that.
+// The controller's main loop: periodic work, orders to engines, and log lines about them.
 #include "node/keeper_loop.h"
 
 #include <algorithm>
@@ -11,16 +11,17 @@
 
 namespace {
 
-// A replica's repair takes some 500 ms of engines' time; a tick of this adds 4 percent of that.
+// The engines need some 500 ms to repair a replica; a tick adds at most 4 percent to that.
 constexpr duration tick_interval = 20ms;
-// Peers learn of sends within this; the same load is then double-booked for 100 ms on average.
+// Peers learn of this node's sends within this time, so two nodes may assign the same capacity for
+// 100 ms on average.
 constexpr duration beat_interval = 200ms;
 constexpr duration plan_log_interval = 1s;
-// Each look counts the replicas of all models anew when a target changed: 1 ms at 1,100 engines,
-// while many change each second. On a node with an eighth of a core that was a third of it, for a
-// line of its log.
+// Counting the replicas of all models takes 1 ms with 1,100 engines and is repeated after each change
+// of a target, of which there are many per second. Done on every tick, the count for this log line
+// took a third of the processor time of a node with an eighth of a core.
 constexpr duration capacity_log_interval = 250ms;
-constexpr duration isolated_after = 2500ms;  // the feed may wait a second for its answer
+constexpr duration isolated_after = 2500ms;  // the feed alone may take a second to answer
 
 }  // namespace
 
@@ -57,8 +58,8 @@
 }
 
 void keeper_loop::keep(time_point now) {
-  // Cut off from the platform and from all peers, this node sees only what it had: peers of its
-  // data centre know better, if there are any.
+  // A node that is partitioned from the platform and all peers has only stale data. It leaves the
+  // control of replicas to the other nodes of its data centre, if there are any.
   const bool isolated = !node_.peers.any_alive(now) && now - node_.fleet_read_at > isolated_after &&
                         node_.peers.any_in(node_.settings.data_centre);
   const auto responsibilities =
@@ -76,7 +77,7 @@
               {"processor_permille", node_.settings.strength.processor_permille},
               {"link_mbps", node_.settings.strength.link_mbps}});
   }
-  // In the first moment no peer has been heard yet.
+  // Right after the start no heartbeat has been received yet.
   constexpr duration settle = 500ms;
   if (now - started_ < settle) {
     return;
@@ -113,7 +114,7 @@
   }
 }
 
-// What the keeper of a data centre has to work with, at most once a second.
+// Logs the replicas and engines available to the controller when they change, at most once a second.
 void keeper_loop::tell_plan(time_point now, const replica_controller& keeper) {
   if (now - told_plan_at_ < plan_log_interval || keeper.plan() == told_plan_) {
     return;
@@ -136,7 +137,7 @@
   log_line(log_level::info, "keeper", "plan", {{"domains", text}});
 }
 
-// One line for each change of what may be sent requests.
+// Logs each change of the number of replicas that may be sent requests.
 void keeper_loop::tell_capacity(const service_spec& service) {
   for (const model_spec& model : service.engine->models) {
     const std::size_t serving = node_.replicas(service, model.id).size();
@@ -192,8 +193,8 @@
                         "action=\"" + std::string(to_string(order.action)) + "\",outcome=\"" +
                             std::string(names[static_cast<std::size_t>(outcome)]) + "\"");
     keeper.on_order(monotonic_now(), node_.fleet, order, outcome);
-    // Goes wrong otherwise: replicas are formed with it again and again until its row lapses, and
-    // each time the others wait for it.
+    // Without this, the ended target is chosen for new replicas again and again until its row
+    // expires, and each time the other members wait for it.
     if (outcome == order_outcome::other_target) {
       log_line(log_level::info, "fleet", "ended", {{"target", order.to}, {"told_by", "order"}});
       node_.fleet.ended(order.to);
--- a/src/node/keeper_loop.h
+++ b/src/node/keeper_loop.h
@@ -1,5 +1,6 @@
-// Runs the replica keeper: asks and orders engines (keeper_loop), notices replicas that went silent
-// and targets that are lost (keeper_losses), and tells peers (keeper_beats).
+// Runs the replica controllers of a hosted node: queries engines and sends them orders
+// (keeper_loop.cpp), detects stalled replicas and lost targets (keeper_losses.cpp), and exchanges
+// heartbeats with peers (keeper_beats.cpp).
 #pragma once
 
 #include <map>
@@ -23,19 +24,21 @@
  public:
   keeper_loop(hosted_state& node, peer_links& links, store_watch& watch);
 
-  // In a fiber of its own until end() or the runtime stops.
+  // Runs in its own fiber until end() is called or the runtime stops.
   void run();
 
-  // On the worker: returns when nothing uses the links any more.
+  // To be called on the worker; returns when nothing uses the links any more.
   void end();
 
+  // Handles a heartbeat from a peer.
   void heard(time_point now, const node_id& peer, const node_heartbeat& beat);
 
  private:
-  // Answers of engines come within 3 ms. An order without one is asked about, not repeated blindly.
+  // Engines answer within 3 ms. After an order without an answer, the engine's state is queried
+  // first; the order is not repeated blindly.
   static constexpr duration order_timeout = 300ms;
 
-  // How far each peer said it is in the followed tables.
+  // Positions in the watched tables that a peer reported.
   struct positions {
     bool follows_records = true;
     std::uint64_t targets{};
@@ -56,9 +59,9 @@
   void check_replica(const target_id& head);
   [[nodiscard]] bool is_whole(const target_view& head);
   void count_question(std::string_view why);
-  // `why` is for the metrics: each question to a target has its price.
+  // `why` labels the metric, since each query to a target has a cost.
   bool probe(const target_id& id, duration timeout, std::string_view why);
-  // False: another incarnation of the engine answered.
+  // False if another incarnation of the engine answered.
   bool take_report(time_point asked, const target_id& id, const target_report& report);
   void doubt(const target_id& id);
   [[nodiscard]] feed_update configuration_news(time_point now, const positions& at);
@@ -85,29 +88,29 @@
   time_point started_;
   rng random_;
   std::map<service_id, replica_controller> keepers_;
-  std::set<target_id> checking_;  // heads whose replicas are being asked
+  std::set<target_id> checking_;  // heads whose replicas are being checked
   std::set<target_id> probing_;
   std::map<node_id, positions> positions_;
   poison_exchange crashes_;
-  // Of targets that name a limit.
+  // Send grants for targets that announce a limit.
   send_grants grants_;
   grant_receiver granted_;
-  // Of one round of beats.
+  // State of one round of heartbeats.
   config_distributor config_distributor_;
   list_budget whole_lists_;
-  std::set<target_id> lost_;          // targets that this node takes for lost
-  std::vector<target_id> suspected_;  // for the nodes that follow what serves
+  std::set<target_id> lost_;          // targets that this node marked as lost
+  std::vector<target_id> suspected_;  // for the nodes that follow the serving replicas only
   std::map<target_id, replica_load> all_loads_;
   std::vector<node_id> linked_;
   std::size_t linking_ = 0;  // fibers that change the links
   bool ended_ = false;
   std::set<data_centre_id> duties_;
-  std::map<model_id, std::size_t> capacity_;  // replicas that may be sent requests, as last told
+  std::map<model_id, std::size_t> capacity_;  // replicas that may be sent requests, as last logged
   time_point told_peers_at_{};
   time_point told_plan_at_{};
   time_point told_capacity_at_{};
   time_point asked_lost_at_{};
-  time_point hub_heard_at_{};  // its last answer that echoed a stamp of this node
+  time_point hub_heard_at_{};  // the hub's last heartbeat that echoed a stamp of this node
   std::vector<replica_controller::domain_plan> told_plan_;
 };
 
--- a/src/node/keeper_losses.cpp
+++ b/src/node/keeper_losses.cpp
@@ -1,4 +1,5 @@
-// Who is lost: stalled replicas, targets that do not answer, and what peers suspect.
+// Detection of lost targets: checks of stalled replicas, probes of targets that do not answer, and
+// verification of losses that peers report.
 #include <algorithm>
 #include <boost/fiber/condition_variable.hpp>
 #include <mutex>
@@ -11,19 +12,21 @@
 
 namespace {
 
-// A suspect's member is asked twice, so a dead one is known 2 x this after the silence. Live ones
-// answer within 3 ms; the rest is room for a node that is short of processor time.
+// Each member of a stalled replica is probed up to twice, so a dead one is detected within 2 x this
+// after the stall. Live ones answer within 3 ms; the rest is a margin for a node that is short of
+// processor time.
 constexpr duration probe_timeout = 90ms;
-// While the platform's list cannot be read, engines are asked themselves so often. The list itself
-// drops a stalled one after three heartbeats.
+// While the platform's list cannot be read, engines are probed after this many heartbeat intervals
+// without contact. The list itself drops a stalled engine after three heartbeats.
 constexpr double heartbeats_between_questions = 3;
-// Members of a stalled replica that a node asks: all of the usual 3 to 4; of 16, about five nodes
-// have streams there and find the dead one together.
+// Members of a stalled replica that one node probes. A replica usually has 3 to 4 members, and all
+// are probed. One of 16 members has streams of about five nodes, which together find the dead one.
 constexpr std::size_t most_asked = 6;
-// A lost engine that lives serves again within this; one that is dead is asked some ten times until
+// A lost engine that is alive is restored within this time; a dead one is probed some ten times until
 // the list drops it.
 constexpr duration lost_interval = 400ms;
-// An engine that was dropped from the list and ends is found by its replica's silence mostly.
+// Longer than for lost engines, since the end of an engine that was dropped from the list usually
+// shows as a stall of its replica.
 constexpr duration dropped_interval = 800ms;
 
 }  // namespace
@@ -60,8 +63,8 @@
   return false;
 }
 
-// Of a large replica, a part: every node with a stream there asks, and the first that finds the
-// dead member tells the hub, which tells all.
+// Of a large replica only some members are probed: every node with a stream there probes some, and
+// the first that finds the dead member reports it to the hub, which notifies all nodes.
 void keeper_loop::choose_asked(const target_id& head, std::vector<target_id>& members) {
   if (members.size() <= most_asked) {
     return;
@@ -74,7 +77,8 @@
   members.push_back(head);
 }
 
-// A member of a replica that left the list, and may work all the same; asked by its keeper.
+// Whether the target is a replica's member that was dropped from the list but may still work. Such
+// members are probed by the node that controls their replica.
 bool keeper_loop::is_dropped(time_point now, const target_view& view) const {
   return !view.listed && !view.lost && view.record.member_of &&
          !is_spare_name(view.record.member_of->replica.name) &&
@@ -82,15 +86,15 @@
          now - view.last_contact_at >= dropped_interval;
 }
 
-// Goes wrong: a lost engine that lives, as after a cut, writes no new record, since nothing of it
-// changed; it would stay lost. One would see a fleet that is whole and serves little. So lost
-// engines are asked until the platform's list drops them.
+// Probes lost engines until the platform's list drops them. Without this, an engine that is alive,
+// as after a network partition, stays lost: it writes no new record, since nothing about it has
+// changed. The symptom is a fleet whose engines all run but of which few serve.
 void keeper_loop::ask_lost(time_point now) {
   if (now - asked_lost_at_ < lost_interval) {
     return;
   }
   asked_lost_at_ = now;
-  // A hub asks for its data centre; the others hear from it who is back.
+  // The hub probes for its data centre and reports recovered engines to the other nodes.
   if (!node_.peers.is_hub(now) && now - hub_heard_at_ < peer_table::alive_timeout) {
     return;
   }
@@ -108,10 +112,10 @@
   }
 }
 
-// Whether requests would be sent to this head's replica. Goes wrong without the question: a member
-// has started again and the list has said so; those that are left all answer, and the streams of
-// their head stand still until it breaks off after the stall time. A node that stops then ends with
-// requests in flight.
+// Whether the replica of this head may be sent requests. Without this check, if the list shows that
+// a member has restarted, the remaining members all answer their probes, and the streams of the head
+// stall until it breaks them off after its stall timeout. A node that is shut down meanwhile exits
+// with requests in flight.
 bool keeper_loop::is_whole(const target_view& head) {
   const service_spec* service = node_.map ? node_.map->find_service(head.record.service) : nullptr;
   if (service == nullptr || !service->engine) {
@@ -123,7 +127,7 @@
                      [&](const serving_replica& r) { return r.head == head.record.id; });
 }
 
-// Asks every member of a stalled replica at once; one that does not answer is asked again.
+// Probes the members of a stalled replica in parallel; one that does not answer is probed again.
 void keeper_loop::check_replica(const target_id& head) {
   const target_view* view = node_.fleet.find(head);
   if (view == nullptr || !view->record.member_of) {
@@ -145,7 +149,7 @@
       members.push_back(id);
     }
   }
-  // Two witnesses: a peer that asked, and the streams here.
+  // Two independent indications: a peer that probed a member, and the stall of the streams here.
   if (node_.suspected.contains_any(monotonic_now(), members)) {
     const std::size_t moved = node_.attempts.move_away(head);
     log_line(log_level::info, "fleet", "suspected",
@@ -166,7 +170,8 @@
     node_.runtime.post(0, [this, member, head, state] {
       bool well = probe(member, probe_timeout, "silent");
       if (!well) {
-        // Whatever the second answer is, these streams are late already: they go on elsewhere.
+        // The streams are late already, whatever the second probe yields, so they are moved to other
+        // replicas.
         const std::size_t moved = node_.attempts.move_away(head);
         log_line(log_level::info, "fleet", "suspected",
                  {{"target", member}, {"head", head}, {"streams_moved", std::uint64_t{moved}}});
@@ -188,8 +193,8 @@
                       state->failed ? "found=\"lost\"" : "found=\"well\"");
 }
 
-// Spares carry no streams whose silence would tell that they died. Usually the platform's list
-// does; while it cannot be read, they are asked.
+// Spares have no streams whose stall would show that they died. Usually the platform's list shows
+// it; while the list cannot be read, they are probed.
 void keeper_loop::check_unheard(time_point now) {
   const auto late = from_seconds(to_seconds(node_.settings.bounds.target_heartbeat) *
                                  heartbeats_between_questions);
@@ -211,7 +216,7 @@
   }
 }
 
-// The keeper asks for itself, once, as the peer has asked twice.
+// Verifies a peer's report that a target is lost. One probe is enough, as the peer has probed twice.
 void keeper_loop::doubt(const target_id& id) {
   if (!probe(id, probe_timeout, "doubted")) {
     node_.fleet.probe_failed(monotonic_now(), id);
--- a/src/node/limit_exchange.cpp
+++ b/src/node/limit_exchange.cpp
@@ -1,4 +1,4 @@
-// Leases of limits between nodes.
+// Exchange of rate limit leases between nodes.
 #include "node/limit_exchange.h"
 
 #include <algorithm>
@@ -91,8 +91,9 @@
   return limits_.take(now, workspace);
 }
 
-// A message of its own costs a segment and its acknowledgement, more bytes than it carries. With a
-// heartbeat, which goes to the same peers as often, it costs its payload alone.
+// A separate message costs a TCP segment and its acknowledgement, more bytes than it carries. Sent
+// together with a heartbeat, which goes to the same peers at the same rate, it costs only its
+// payload.
 std::optional<peer_send> limit_exchange::tell_with(time_point now, const node_id& peer) {
   const std::lock_guard guard(lock_);
   const bool partner = std::find(told_.begin(), told_.end(), peer) != told_.end();
--- a/src/node/limit_exchange.h
+++ b/src/node/limit_exchange.h
@@ -1,5 +1,5 @@
-// Limits of workspaces at this node, shared with the other nodes: keeps the leases
-// (request/limits.h) and speaks of them with peers.
+// Rate limits of workspaces on this node: holds the leases (request/limits.h) and exchanges them with
+// the other nodes.
 #pragma once
 
 #include <functional>
@@ -20,11 +20,12 @@
 [[nodiscard]] std::string encode(const limit_message& message);
 [[nodiscard]] outcome<limit_message> decode_limit_message(std::string_view bytes);
 
-// Up to so many nodes, leases are exchanged between all of them; above, only within a data centre,
-// since one message a second to each of 340 nodes would cost more than the control budget.
+// Up to this number of nodes, leases are exchanged between all of them. With more nodes they are
+// exchanged only within a data centre, since one message a second to each of 340 nodes would exceed
+// the budget for control traffic.
 inline constexpr std::size_t limit_mesh_nodes = 24;
 
-// Under one lock; taken once per request and per message.
+// Thread-safe; its lock is taken once per request and once per message.
 class limit_exchange {
  public:
   limit_exchange(time_point now, node_id self);
@@ -32,13 +33,13 @@
   void configure(time_point now, const configuration& config);
   [[nodiscard]] limit_verdict take(time_point now, const workspace_id& workspace);
 
-  // To be sent together with another message to `peer`, which is about to go; empty if there is
-  // nothing to say or the peer was told since the last tell().
+  // A message to send to `peer` together with another one that is about to be sent. Empty if there is
+  // nothing to send, or if the peer got such a message since the last tell().
   [[nodiscard]] std::optional<peer_send> tell_with(time_point now, const node_id& peer);
-  // What to send to peers that no other message went to meanwhile; call once every
+  // Messages to the peers that got none by tell_with() since the last call. To be called once every
   // limit_settings::told_every.
   [[nodiscard]] std::vector<peer_send> tell(time_point now);
-  // Damaged bytes are ignored: the next message comes in a second.
+  // Handles a message of `peer`. Damaged bytes are ignored, as the next message comes in a second.
   void heard(time_point now, const node_id& peer, std::string_view bytes);
 
  private:
@@ -46,8 +47,8 @@
   std::mutex lock_;  // guards all below
   rate_limits limits_;
   std::vector<node_id> told_;      // peers that leases are exchanged with
-  std::set<node_id> accompanied_;  // of these, told by tell_with() since the last tell()
-  bool has_limits_ = false;        // some workspace has one: without any, nothing is sent
+  std::set<node_id> accompanied_;  // of these, sent a message by tell_with() since the last tell()
+  bool has_limits_ = false;        // some workspace has a limit; otherwise nothing is sent
   std::uint64_t config_version_ = 0;
 };
 
--- a/src/node/periodic.cpp
+++ b/src/node/periodic.cpp
@@ -1,4 +1,4 @@
-// Repeated work in a fiber.
+// Periodic work in a fiber.
 #include "node/periodic.h"
 
 #include <boost/fiber/condition_variable.hpp>
@@ -17,7 +17,7 @@
   bool stopping = false;
   bool ended = false;
 
-  // False when it is time to end.
+  // Waits for the interval; false if stopped meanwhile.
   bool wait(duration interval) {
     const auto until = to_steady(monotonic_now() + interval);
     std::unique_lock guard(lock);
--- a/src/node/periodic.h
+++ b/src/node/periodic.h
@@ -1,4 +1,4 @@
-// Work that a fiber repeats until it is stopped, as when a node ends.
+// Runs a function periodically in a fiber until it is stopped, for example when a node shuts down.
 #pragma once
 
 #include <functional>
@@ -10,17 +10,18 @@
 
 class periodic {
  public:
-  // Runs `work` on `worker` every `interval`, first after one interval. The runtime outlives this.
+  // Runs `work` on `worker` every `interval`, first after one interval. The runtime must outlive this
+  // object.
   periodic(fiber_runtime& runtime, std::size_t worker, duration interval,
            std::function<void()> work);
-  // Waits until a run of `work` that is under way has ended; none begins after that.
+  // Waits for a running call of `work`; no call starts after that.
   ~periodic();
   periodic(const periodic&) = delete;
   periodic& operator=(const periodic&) = delete;
 
  private:
   struct state;
-  std::shared_ptr<state> state_;  // shared with the fiber, which may see the end later
+  std::shared_ptr<state> state_;  // shared with the fiber, which may finish later than this object
 };
 
 }  // namespace arbutus
--- a/src/node/platform_client.cpp
+++ b/src/node/platform_client.cpp
@@ -1,4 +1,4 @@
-// The platform over HTTP.
+// HTTP client of the platform's services.
 #include "node/platform_client.h"
 
 #include <charconv>
--- a/src/node/platform_client.h
+++ b/src/node/platform_client.h
@@ -1,8 +1,8 @@
-// The platform's table service, object store and VM list over HTTP.
+// HTTP client of the platform's table service, object store and VM list.
 //
-// Every call ends in ok, refused or unknown. Only the service's own "another version is there"
-// counts as refused for a write: an error status, a timeout or a broken connection may hide a write
-// that took effect.
+// The outcome of a call is ok, refused or unknown. A write is refused only if the service reports
+// that the row has another version; after an error status, a timeout or a broken connection the
+// write may have taken effect, so the outcome is unknown.
 #pragma once
 
 #include <variant>
@@ -22,10 +22,10 @@
 
 class platform_client {
  public:
-  // The client outlives this object.
+  // The client must outlive this object.
   platform_client(http_client& client, platform_addresses addresses, data_centre_id data_centre);
 
-  // A row that does not exist is ok, with version 0.
+  // For a row that does not exist the outcome is ok, with version 0.
   outcome<table_row> read(const table_read& asked, time_point deadline);
   outcome<table_written> write(const table_write& asked, time_point deadline);
   outcome<std::string> get(const object_get& asked, time_point deadline);
--- a/src/node/poison_state.h
+++ b/src/node/poison_state.h
@@ -1,4 +1,4 @@
-// What a hosted node keeps on requests that end their targets.
+// State of a hosted node about poison requests.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace arbutus {
 
-// A run that broke off when it had hardly begun, as far as its node can tell.
+// A run that broke off within the strike window, as observed by the node that sent it.
 struct broken_run {
   request_id request;
   request_print print;
@@ -21,7 +21,7 @@
   time_point broken_at;
 };
 
-// Whether a target has ended, as a question to it told, and the runs that wait for the answer.
+// Result of querying a target whether it has ended, and the runs that wait for the result.
 struct target_end {
   bool asking = false;
   bool ended = false;
--- a/src/node/poison_watch.cpp
+++ b/src/node/poison_watch.cpp
@@ -1,4 +1,4 @@
-// Evidence on requests that end their targets, and what follows from it.
+// Strikes against poison requests, and their quarantines.
 #include "node/poison_watch.h"
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 
 namespace {
 
-// A run that has lasted so long acquits its request: longer by far than strike_window.
+// A run with events over this time clears its request; far longer than strike_window.
 constexpr duration shown_harmless_after = 1s;
-// A connection may break a moment before its process has gone.
+// A connection may break shortly before the target's process has exited.
 constexpr duration end_delay = 20ms;
 constexpr duration question_timeout = 150ms;
 constexpr std::uint32_t most_questions = 3;
 constexpr duration question_interval = 250ms;
-// All streams of a target break within some ms of its end. Longer, and it may have started again
-// under the name that is known here.
+// How long the result of a query is used for further runs. All streams of a target break within some
+// ms of its end; after a longer time it may have restarted under the same id.
 constexpr duration ends_remembered = 1s;
 constexpr duration judge_interval = 50ms;
 
@@ -43,7 +43,8 @@
   const bool is_new =
       node.poison.ledger.strike(run.print, {run.target, run.sent_at, run.broken_at});
   node.metrics.count("arbutusworks_poison_evidence", is_new ? "counts=\"yes\"" : "counts=\"no\"");
-  // Under another name than "request", so that it is found for all that have this print.
+  // The field is not named "request", so that the line is associated with all requests that have this
+  // fingerprint, not only with the one that ran.
   log_line(log_level::info, "poison", "evidence",
            {{"run_of", run.request},
             {"print", hash_text(run.print)},
@@ -54,7 +55,8 @@
             {"marks", std::uint64_t{marks_of(node, run.print)}}});
 }
 
-// The address refuses, or another incarnation answers there.
+// Queries whether the target has ended: its address refuses connections, or another incarnation
+// answers there.
 life_sign ask(hosted_state& node, const target_id& target, const endpoint& address) {
   const target_view* view = node.fleet.find(target);
   if (view == nullptr) {
@@ -79,7 +81,8 @@
   log_line(log_level::info, "poison", "no evidence",
            {{"target", target},
             {"runs", std::uint64_t{runs.size()}},
-            {"reason", sign == life_sign::lives ? "the target lives" : "the target is silent"}});
+            {"reason",
+             sign == life_sign::lives ? "the target is alive" : "the target does not respond"}});
   node.metrics.count("arbutusworks_poison_evidence", "counts=\"target_lives\"", runs.size());
 }
 
@@ -146,7 +149,7 @@
            {{"request", call.head.id},
             {"print", hash_text(call.print)},
             {"workspace", name_of(call.print)},
-            {"reason", "a run of it did no harm"}});
+            {"reason", "a run of it was harmless"}});
 }
 
 bool may_run(hosted_state& node, const hosted_request& call) {
@@ -163,7 +166,7 @@
               {"print", hash_text(call.print)},
               {"marks", std::uint64_t{marks_of(node, call.print)}},
               {"for_ms", to_milliseconds(*until - now)}});
-    // The evaluate looks shortly after.
+    // The evaluation runs shortly after that time.
     if (!sleep_until(std::min(*until + 2 * judge_interval, call.deadline))) {
       break;
     }
@@ -246,7 +249,7 @@
     log_line(log_level::warning, "poison", "acquitted",
              {{"print", hash_text(print)},
               {"workspace", name_of(print)},
-              {"reason", "lifted by an operator"}});
+              {"reason", "released by an operator"}});
   }
   return any;
 }
--- a/src/node/poison_watch.h
+++ b/src/node/poison_watch.h
@@ -1,5 +1,5 @@
-// What a hosted node does about requests that end their targets: gathers evidence from the runs
-// that break off here, judges it with that of the others, and keeps verdicts in the platform's
+// Handling of poison requests on a hosted node: records strikes from runs that break off on this
+// node, evaluates them together with those of other nodes, and stores quarantines in the platform's
 // store.
 #pragma once
 
@@ -9,36 +9,37 @@
 
 namespace arbutus {
 
-// Whether a run that breaks off `now` may be what ended its target: what went on for a while is
-// not. `first_event_at`: zero if none came.
+// Whether a run that breaks off `now` may have crashed its target; a run that lasted longer than the
+// strike window did not. `first_event_at`: zero if there was no event.
 [[nodiscard]] bool had_hardly_begun(time_point now, time_point first_event_at);
-// Whether a run has shown between its events that it does no harm. What came after its last event
-// may have been the silence of a target that had ended.
+// Whether the time between a run's first and last events shows that it is harmless. The time after
+// the last event does not count, since the target may have ended in it without closing connections.
 [[nodiscard]] bool has_gone_on(time_point first_event_at, time_point last_event_at);
 
-// Asks the target whether it has ended; if so, the run is evidence.
+// Queries whether the target has ended; if so, records a strike against the run's request.
 void look_into(hosted_state& node, broken_run run);
-// A run of the call ended well, or went on for long.
+// A run of the call succeeded or lasted long enough: clears the request.
 void note_harmless(hosted_state& node, const hosted_request& call);
 
-// Waits while the evidence against the request may be incomplete. False: it is refused, as it ends
-// its targets.
+// Waits while strikes of other nodes against the request may still arrive. Returns false if the
+// request is quarantined and has to be refused.
 [[nodiscard]] bool may_run(hosted_state& node, const hosted_request& call);
 inline constexpr std::string_view poison_reason = "it ended the targets that ran it";
-// Until the verdict on a request that may not run lapses.
+// Time until the quarantine of the request expires.
 [[nodiscard]] duration retry_after_poison(const hosted_state& node, const hosted_request& call);
 
-// Judges what is known; each tick.
+// Evaluates the known strikes; called on each tick.
 void judge_poison(hosted_state& node, time_point now);
-// What a peer told.
+// Merges a row from a peer or from the store; `told_by` names which, for the log.
 void take_crash_row(hosted_state& node, time_point now, const poison_row& row,
                     std::string_view told_by);
-// Keeps verdicts in the store, in a fiber of its own until the runtime stops.
+// Loads quarantines from the store and writes changes to it; runs in its own fiber until the runtime
+// stops.
 void keep_verdicts(hosted_state& node);
 
-// For people: one line for each request that is suspected or quarantined.
+// Text for operators, with one line for each request that is a suspect or quarantined.
 [[nodiscard]] std::string poison_text(const hosted_state& node, time_point now);
-// An operator lifts the verdict on all requests of this hash. False: there is none.
+// Releases all requests with this hash, on behalf of an operator. False if there is none.
 bool lift_verdict(hosted_state& node, time_point now, std::uint64_t hash);
 
 }  // namespace arbutus
--- a/src/node/service_health.cpp
+++ b/src/node/service_health.cpp
@@ -1,11 +1,11 @@
-// Memory of failed instances.
+// Recent failures of service instances.
 #include "node/service_health.h"
 
 namespace arbutus {
 
 namespace {
 
-// An instance that failed is tried after the others for this long.
+// For this long after a failure, an instance is tried after the others.
 constexpr duration failure_memory = 3s;
 
 }  // namespace
--- a/src/node/service_health.h
+++ b/src/node/service_health.h
@@ -1,4 +1,4 @@
-// Which instances of plain services failed lately; they are tried last.
+// Tracks which instances of plain services failed recently; those are tried last.
 #pragma once
 
 #include <map>
@@ -9,7 +9,7 @@
 
 namespace arbutus {
 
-// One per node, shared by all calls under its own lock.
+// One per node, shared by all calls. Thread-safe.
 class service_health {
  public:
   void failed(time_point now, const endpoint& instance);
--- a/src/node/sse.cpp
+++ b/src/node/sse.cpp
@@ -1,4 +1,4 @@
-// Frames of an engine's stream.
+// Parsing of an engine's event stream.
 #include "node/sse.h"
 
 #include <nlohmann/json.hpp>
--- a/src/node/sse.h
+++ b/src/node/sse.h
@@ -1,4 +1,4 @@
-// Server-sent events as engines stream them: splitting bytes into frames, and what a frame says.
+// Server-sent events of engines: splits bytes into frames and parses the frames.
 #pragma once
 
 #include <cstdint>
@@ -13,32 +13,32 @@
 // Frames end with an empty line; a read may hold part of one or several.
 class sse_splitter {
  public:
-  // A frame that is longer than this is not one of an engine's.
+  // Longer input without a frame end is not the stream of an engine.
   static constexpr std::size_t max_frame = 1024 * 1024;
 
   void append(std::string_view bytes) { buffer_.append(bytes); }
-  // The next whole frame with its empty line; the view lives until the next call.
+  // The next complete frame with its empty line; the view is valid until the next call.
   [[nodiscard]] std::optional<std::string_view> next();
   [[nodiscard]] bool overflown() const { return buffer_.size() - taken_ > max_frame; }
 
  private:
   std::string buffer_;
-  std::size_t taken_ = 0;  // bytes of buffer_ that were given out
+  std::size_t taken_ = 0;  // bytes of buffer_ that were returned by next()
 };
 
 enum class frame_kind {
   token,
   finish,  // no token; the answer is complete
   done,    // [DONE]
-  other,   // nothing of the answer
+  other,   // no part of the answer
   malformed,
 };
 
 struct engine_frame {
   frame_kind kind = frame_kind::malformed;
   request_id id;
-  std::uint64_t offset{};  // of the token; for finish: how many tokens the answer has
-  bool last = false;       // a token that completes the answer
+  std::uint64_t offset{};  // of the token; for finish: number of tokens in the answer
+  bool last = false;       // this token completes the answer
 };
 
 [[nodiscard]] engine_frame parse_frame(std::string_view frame);
