--- a/src/node/keeper_losses.cpp
+++ b/src/node/keeper_losses.cpp
@@ -20,7 +20,8 @@
 // without contact. The list itself drops a stalled engine after three heartbeats.
 constexpr double heartbeats_between_questions = 3;
 // Members of a stalled replica that one node probes. A replica usually has 3 to 4 members, and all
-// are probed. One of 16 members has streams of about five nodes, which together find the dead one.
+// are probed. A replica of 16 members has streams of about five nodes, which together find the dead
+// one.
 constexpr std::size_t most_asked = 6;
 // A lost engine that is alive is restored within this time; a dead one is probed some ten times until
 // the list drops it.
--- a/src/node/store_nodes.cpp
+++ b/src/node/store_nodes.cpp
@@ -1,4 +1,4 @@
-// The rows by which nodes find each other.
+// Node discovery: writes this node's row to the platform's store and reads those of its peers.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
@@ -12,18 +12,19 @@
 namespace {
 
 constexpr std::string_view node_table = "nodes";
-// A node that came to another address is found within this.
+// A node whose address changed is found within this time.
 constexpr duration node_interval = 5s;
-// Nodes that start in the same moment write their rows within some 300 ms. Whoever read them
-// earlier would have to read again; each read after the first waits twice as long.
+// Nodes that start simultaneously write their rows within some 300 ms; an earlier read would have to
+// be repeated. The interval doubles with each read.
 constexpr duration node_interval_at_start = 400ms;
 constexpr std::uint32_t most_node_doublings = 3;
-// A fed node needs them only when its hub ends, and has the row of the next one mostly.
+// A node that its hub keeps current needs the rows only when the hub fails, and usually has the row
+// of the next hub.
 constexpr duration node_interval_of_fed = 45s;
 
-// [data centre, link endpoint, processor in permille of a core, link in Mbit/s]. Empty for a row
-// that cannot be read; one that tells no strength is of a node that starts with other settings, and
-// comes last among hubs.
+// Parses [data centre, link endpoint, processor in permille of a core, link in Mbit/s]. Empty for an
+// unreadable row. A row without strength is of a node with other settings, which comes last in the
+// order of hubs.
 std::optional<node_record> read_node_record(const store_row& row) {
   const auto document = nlohmann::json::parse(row.value, nullptr, false);
   if (!document.is_array() || document.size() < 2 || !document[0].is_string() ||
@@ -46,10 +47,11 @@
 
 }  // namespace
 
-// Nodes that are fed know their hub; who is not, or is the hub, has to know who else is there.
+// Nodes that receive updates know their hub. A hub, or a node without updates, has to know the
+// other nodes.
 bool store_watch::must_read_nodes(time_point now) const {
   const bool fed = is_fed(now);
-  // A node that starts again finds the rows of the others as they were.
+  // A node that restarts alone finds the rows of the others in the store immediately.
   const bool all_start = node_.settings.cold_start && now - started_ < start_phase / 4;
   const bool searches = all_start || !nodes_known_;
   if (searches && !all_start && nodes_reads_ == 0) {
@@ -61,7 +63,7 @@
       fed ? node_interval_of_fed
           : (searches ? node_interval_at_start * (1U << doublings) : node_interval);
   const time_point read_at = nodes_reads_ == 0 ? started_ : nodes_read_at_;
-  // One who lost its hub a moment ago may hear the next one any time.
+  // A node that has just lost its hub may soon receive updates from the next one.
   return now - read_at >= interval && (fed || searches || now - fed_at_ > 2 * fed_for);
 }
 
--- a/src/node/store_poison.cpp
+++ b/src/node/store_poison.cpp
@@ -1,4 +1,5 @@
-// Verdicts on requests in the platform's store, for the case that all nodes end at once.
+// Stores quarantines in the platform's store, so that they survive a simultaneous failure of all
+// nodes.
 #include <algorithm>
 
 #include "base/hash.h"
@@ -14,10 +15,11 @@
 
 constexpr std::string_view poison_table = "poison";
 constexpr duration store_interval = 500ms;
-// After each failure in a row twice as long: a store that does not take them is left alone.
+// The pause doubles with each consecutive failure, to limit the load on a store that refuses writes.
 constexpr std::uint32_t most_doublings = 6;
 
-// Workspaces have no bound here that fits a key, and prints are told apart by both.
+// The hash of the request and that of the workspace, since both identify a fingerprint and the name
+// of a workspace may be too long for a key.
 std::string key_of(const request_print& print) {
   return hash_text(print) + "-" + hash_text({{}, stable_hash(print.workspace.str())});
 }
@@ -27,7 +29,7 @@
                                                      (answered ? "yes" : "no") + "\"");
 }
 
-// Verdicts count from now on: the store does not say how old they are.
+// The age of the quarantines counts from now, since the store does not return it.
 bool read_verdicts(hosted_state& node) {
   const auto result = node.store.read(poison_table, {}, monotonic_now() + read_timeout);
   const auto* rows = std::get_if<store_rows>(&result);
@@ -38,7 +40,8 @@
   for (const store_row& stored : rows->rows) {
     auto row = decode_poison_row(stored.value);
     if (!row || !row->quarantined_ago) {
-      log_line(log_level::warning, "poison", "unreadable verdict", {{"row", stored.version}});
+      log_line(log_level::warning, "poison", "unreadable quarantine row",
+               {{"row", stored.version}});
       continue;
     }
     row->quarantined_ago = 0ms;
@@ -49,7 +52,7 @@
   return true;
 }
 
-// False: the store did not take them.
+// False if the write failed.
 bool write_changes(hosted_state& node) {
   const poison_tracker::store_changes changes = node.poison.ledger.pending_store_changes();
   transaction t;
@@ -84,7 +87,7 @@
 
 }  // namespace
 
-// By hubs alone, each at another time: the first one tells the others that it is done.
+// Only hubs write, at random times: the first one to write notifies the others that the row is stored.
 void keep_verdicts(hosted_state& node) {
   bool read = false;
   std::uint32_t failures = 0;
--- a/src/node/store_targets.cpp
+++ b/src/node/store_targets.cpp
@@ -1,4 +1,4 @@
-// Following the list of targets.
+// Follows the list of targets, in the platform's store or by updates from the hub.
 #include <algorithm>
 
 #include "connection/clock.h"
@@ -12,27 +12,29 @@
 
 namespace {
 
-// Records of targets change only when a replica or a target does. The feed is asked to wait for the
-// next change: at rest that is a call a second, and a change is known at once.
+// Records of targets change only with a replica or a target. The feed answers when there is a change,
+// or after this time: one call a second without changes, and changes are known immediately.
 constexpr duration target_wait = 1s;
-// Changes come in bursts, as when a replica forms: those within this are read together.
-// Each hub reads them for itself, so that with more hubs each waits longer.
-constexpr duration target_pause_of_hub = 40ms;  // for each data centre
+// Changes come in bursts, as when a replica forms; those within the pause are read together. Each
+// hub reads the feed, so the pause grows with the number of data centres.
+constexpr duration target_pause_of_hub = 40ms;  // per data centre
 constexpr duration shortest_target_pause = 100ms;
 constexpr duration longest_target_pause = 250ms;
-// In the first seconds replicas form, and each wait costs loads that are cheap only then.
+// In the first seconds replicas form, and a delay wastes time in which loads of weights are cheap.
 constexpr duration target_pause_at_start = 60ms;
-// A node that is no hub keeps no replicas: until another hub feeds it, this is often enough. When a
-// hub of 59 nodes ended, each of them asked ten times a second.
+// A node that is no hub controls no replicas, so a longer pause is sufficient until another hub sends
+// it updates. Without this, when the hub of 59 nodes failed, each of them queried the store ten times
+// a second.
 constexpr duration target_pause_of_others = 500ms;
-// Between two looks at the list that is followed: the feed's wait, and a late answer.
+// Longest time between two answers while the list is followed: the feed's wait, and a late answer.
 constexpr duration longest_followed_gap = target_wait + 1s;
-// A node that lacks records waits so long for its hub before it reads the table itself: two of the
-// times after which another node takes over from a hub that is silent.
+// A node that lacks records waits this long for its hub before it reads the table itself: twice the
+// time after which another node takes over from an unresponsive hub.
 constexpr duration hub_passes_on_within = 3s;
-// At the start of a whole deployment, until the rows of the nodes must have been written and read.
+// At the start of an entire deployment, the rows of the nodes have been written and read after this
+// time.
 constexpr duration peers_known_within = 500ms;
-// Of a reason in a log line: what others wrote may be long.
+// Bytes of a reason in a log line; it may quote a long value of another writer.
 constexpr std::size_t longest_reason = 200;
 
 }  // namespace
@@ -55,12 +57,12 @@
 void store_watch::take_target_news(time_point asked, time_point now, const feed_update& news) {
   targets_withheld_ = news.withheld;
   if (news.withheld) {
-    return;  // to be asked for at the store
+    return;  // the rows have to be read from the store
   }
   if (news.whole && (news.position > node_.target_rows.position() || !node_.fleet_complete)) {
     replace_targets(asked, news.rows, news.position);
   } else if (!news.whole && node_.fleet_complete && node_.target_rows.can_resume(news.after)) {
-    // Rows of an answer to an older beat may come again.
+    // Rows that answer an older heartbeat may be duplicates.
     for (const feed_row& row : news.rows) {
       if (row.version > node_.target_rows.position()) {
         take_target(asked, row);
@@ -74,9 +76,9 @@
   targets_fed_at_ = now;
 }
 
-// What serves, and the position in the table of targets at which it was so: should the hub go
-// silent, this node goes on behind that position at the store. Records that come then are of
-// targets that changed, which is all that it needs of them.
+// Applies the serving replicas and the position in the table of targets that they correspond to. If
+// the hub fails, this node continues at the store from that position. It then gets the records of
+// changed targets only, which is sufficient.
 void store_watch::take_served_news(time_point asked, time_point now, const node_heartbeat& beat) {
   const feed_update& news = *beat.served;
   targets_withheld_ = news.withheld;
@@ -128,8 +130,8 @@
   }
   auto record = read_record(row);
   if (!record) {
-    // Whoever wrote it, the engine's own word is gone from the list: it gets nothing new until its
-    // next record, as if it had left.
+    // The engine's own record was overwritten, by whatever writer. Until its next record the engine
+    // gets no new requests, as if it had left.
     node_.fleet.unlisted(asked, known);
     return;
   }
@@ -150,8 +152,8 @@
   }
 }
 
-// A row behind the last position was written since this node was there. After a gap that is no
-// longer about now; without one it is, and nothing is said.
+// The earliest time at which a row after the last position can have been written. Empty without a gap
+// in following the list: such a row was written recently.
 std::optional<time_point> store_watch::written_after(time_point asked) const {
   if (!node_.fleet_known || asked - node_.fleet_read_at <= longest_followed_gap) {
     return std::nullopt;
@@ -159,7 +161,7 @@
   return node_.fleet_read_at;
 }
 
-// Empty for a record that names no target to use; the others hold.
+// Empty for a record that cannot be used; other records are not affected.
 std::optional<target_record> store_watch::read_record(const feed_row& row) {
   std::string problem = "its value cannot be decoded";
   std::optional<target_record> record;
@@ -168,7 +170,7 @@
   }
   if (!record) {
     node_.metrics.count("arbutusworks_unreadable_records");
-    // Once for each version of a row; a name may be anything.
+    // Logged once for each version of a row. The key may be any text.
     log_line(log_level::warning, "fleet", "unreadable record",
              {{"target", row.key.substr(0, max_engine_name_length)},
               {"version", row.version},
@@ -177,7 +179,7 @@
   return record;
 }
 
-// Goes wrong without it: 300 nodes that start together decode 1.3 MB each, on an eighth of a core.
+// Without this, 300 nodes that start together decode 1.3 MB each, on an eighth of a core.
 bool store_watch::may_read_pages(time_point now) const {
   return follows_records() || node_.peers.is_hub(now) ||
          (left_to_hub_ && now - lacking_since_ >= hub_passes_on_within);
@@ -195,7 +197,8 @@
     if (rows == nullptr || rows->version < records_position()) {
       return false;
     }
-    // Pages are read one after the other: what changed meanwhile comes again behind the first.
+    // Pages are read one after the other. Changes made meanwhile are read again from the feed, which
+    // continues from the version of the first page.
     first_version = first_version == 0 ? rows->version : first_version;
     if (rows->more && !may_read_pages(asked)) {
       left_to_hub_ = true;
@@ -216,7 +219,7 @@
 }
 
 void store_watch::look_at_duty(time_point now) {
-  // The rows of the nodes say who is strongest; they are read at once.
+  // The rows of the nodes, which are read at the start, show which node is the strongest.
   const bool peers_known =
       nodes_reads_ > 0 && node_.peers.known() > 0 && !node_.settings.cold_start;
   if (record_subscription_.decided() || peers_known || now - started_ >= peers_known_within) {
@@ -224,8 +227,9 @@
   }
 }
 
-// The hub passes on what is needed. Its nodes read the table at their start all the same, if it is
-// a single page, to serve at once; a hub reads it whatever it takes, and others when no hub does.
+// Usually the hub forwards what a node needs. A node still reads the table at its start, if it is a
+// single page, to serve immediately. A hub always reads it, and other nodes do when no hub sends
+// updates.
 bool store_watch::must_read_whole(time_point now) {
   const bool enough = targets_positioned_ && (node_.fleet_complete || !follows_records());
   if (enough) {
@@ -239,7 +243,7 @@
   return node_.peers.is_hub(now) || at_start || now - lacking_since_ >= hub_passes_on_within;
 }
 
-// How long until the next look.
+// Returns the pause until the next query.
 duration store_watch::watch_targets(time_point asked) {
   const auto result = node_.store.watch(target_table, node_.target_rows.position(), target_wait,
                                         asked + target_wait + answer_slack);
@@ -258,7 +262,7 @@
     const feed_row changed{row.key, row.value, row.version, row.removed, row.readable};
     take_target(asked, changed);
     node_.target_rows.take(changed);
-    // The hub's next rows do not follow on what is known now.
+    // The hub's next rows do not continue from this state.
     node_.followed.reset_position();
   }
   node_.target_rows.advance(rows->version);
@@ -270,7 +274,7 @@
 duration store_watch::follow_targets_once(time_point asked) {
   node_.fleet.remove_expired(asked);
   look_at_duty(asked);
-  // While the store does not answer about the configuration, that question alone is repeated.
+  // While the store does not answer queries about the configuration, only those are repeated.
   if (failures_ > 0) {
     return look_interval;
   }
--- a/src/node/store_timing.h
+++ b/src/node/store_timing.h
@@ -1,19 +1,20 @@
-// Times that the followers of the store share. Only for the store_*.cpp files here.
+// Timing constants shared by the store_*.cpp files; only for these.
 #pragma once
 
 #include "base/units.h"
 
 namespace arbutus {
 
-// Beyond the wait, for the store's own slowness (240 ms when it is sixty times slower); then the
-// connection may be a silent one. Wait, slack and a beat leave room for another hub's first
-// question before the nodes' proofs are too old.
+// Added to the wait of a feed, for a slow store: 240 ms if it is sixty times slower than usual. After
+// that the connection may be dead. Wait, slack and a heartbeat together leave time for the first query
+// of another hub before the nodes' proofs expire.
 inline constexpr duration answer_slack = 500ms;
 inline constexpr duration start_phase = 12s;
 inline constexpr duration retry_pause = 100ms;
-// Whether the hub still feeds this node is looked at so often.
+// How often a node checks whether it still receives updates from its hub.
 inline constexpr duration look_interval = 100ms;
-// Four beats of the hub: then this node asks the store itself, and its lease still has over 2 s.
+// Four heartbeats of the hub. After that this node queries the store itself; its lease is then valid
+// for over 2 s more.
 inline constexpr duration fed_for = 800ms;
 inline constexpr duration read_timeout = 1500ms;
 
--- a/src/node/store_watch.cpp
+++ b/src/node/store_watch.cpp
@@ -1,4 +1,4 @@
-// Following the accepted configuration, and what the hub passes on.
+// Follows the accepted configuration, and applies the updates that the hub forwards.
 #include "node/store_watch.h"
 
 #include "connection/clock.h"
@@ -10,36 +10,39 @@
 
 namespace {
 
-// The feed answers at once when there is a change, and otherwise after this: its answer is what
-// proves that the configuration is still the newest, and a proof counts from its question. With
-// 700 ms a node asks 1.4 times a second and its proof is 0.7 to 1.4 s old.
+// The feed answers immediately if there is a change, and otherwise after this time. Its answer proves
+// that the configuration is still the newest, and the age of a proof counts from its query. With
+// 700 ms a node sends 1.4 queries a second and its proof is 0.7 to 1.4 s old.
 constexpr duration configuration_wait = 700ms;
-// Versions in a row: one more read within this is coalesced with the next.
+// Consecutive versions that are accepted within this time are read together.
 constexpr duration configuration_pause = 40ms;
-// From its start until its hub feeds it a node waits so long before it asks the store what is new:
-// it has read the tables whole, which proves its configuration for longer. Goes wrong otherwise:
-// hundreds of nodes that start together make a dozen calls each until their first beat comes.
+// After reading the tables at its start, a node waits this long for updates from its hub before it
+// queries the store for changes; the read proves its configuration for longer than that. Without
+// this, hundreds of nodes that start together make a dozen calls each until their first heartbeat
+// arrives.
 constexpr duration hub_patience = 1500ms;
-// Each failure in a row doubles the pause up to this: a node that is cut off or turned away would
-// ask ten times a second. The lease is over four times as long.
+// Each consecutive failure doubles the pause up to this. Without this, a node that is partitioned or
+// refused by the store would send ten queries a second. The lease is over four times as long.
 constexpr duration longest_retry_pause = 800ms;
-// A node that would not be the next hub waits longer: the first that the store serves again passes
-// on to all others what they lack.
+// Nodes that are not next in line to be the hub wait longer: the first node that the store serves
+// again forwards to the others what they lack.
 constexpr duration longest_retry_pause_of_others = 3200ms;
-// Failures in a row after which a hub hands over; the first three take 300 ms.
+// Consecutive failures after which a hub hands over; the first three take 300 ms.
 constexpr std::uint32_t failures_to_hand_over = 3;
-// A node that was turned away and is fed by another hub asks so often whether it is served again.
+// A node that the store refused and that gets updates from another hub queries the store at this
+// interval, to find out whether it is served again.
 constexpr duration ask_again_interval = 2s;
-// While its hub withholds the newest configuration a node reads it itself, but in a storm of
-// versions only every so often; the operators' bound until it must be in force is 2 to 3 s.
+// While its hub withholds the newest configuration, a node reads it from the store, at most once per
+// interval if versions come in quick succession. The operators' bound until a version must be in
+// force is 2 to 3 s.
 constexpr duration withheld_interval = 400ms;
-// A node that lacks a version and gets no part of it for three beats reads it itself.
+// A node that lacks a version and gets no part of it for three heartbeats reads it from the store.
 constexpr duration part_patience = 600ms;
 constexpr duration fed_proof_age = 1700ms;
-// At most a line in so long, and none of a node that asks nothing.
+// Minimum time between two log lines about calls. A node without calls logs none.
 constexpr duration calls_log_interval = 5s;
 
-// Of an answer of the store that is none.
+// The reason why a call to the store gave no usable result.
 template <class Result>
 std::string why_unanswered(const Result& result) {
   if (const auto* no = std::get_if<refused>(&result)) {
@@ -48,7 +51,7 @@
   if (const auto* none = std::get_if<unknown>(&result)) {
     return none->reason;
   }
-  return "an older state of the table";
+  return "the store returned an older version of the table";
 }
 
 }  // namespace
@@ -67,7 +70,7 @@
             {"lease_age_ms", to_milliseconds(node_.lease.age(monotonic_now()).value_or(-1ms))}});
 }
 
-// Calls to the store are dear: which fiber makes them has to be seen.
+// Calls to the store are expensive, so they are counted by purpose.
 void store_watch::count_call(std::string_view what, bool answered) {
   node_.metrics.count("arbutusworks_store_calls", "what=\"" + std::string(what) + "\",answered=\"" +
                                                       (answered ? "yes" : "no") + "\"");
@@ -75,8 +78,8 @@
   ++(found == calls_.end() ? calls_.emplace(what, 0).first->second : found->second);
 }
 
-// Goes wrong without it: the metrics of hundreds of nodes are gone with their processes, and nobody
-// can say who made the calls of a bad evening.
+// Metrics are lost when a process exits. The log shows afterwards which of hundreds of nodes made the
+// calls in an incident.
 void store_watch::tell_calls(time_point now) {
   std::uint64_t all = 0;
   std::string text;
@@ -121,13 +124,13 @@
     }
     node_.configuration_rows.advance(beat.configuration->position);
     configuration_positioned_ = true;
-    // The hub held everything up to its position at its proof, and this node now row_applied the
-    // same.
+    // At the time of its proof the hub had all rows up to its position, and this node has the same
+    // rows now.
     if (node_.map && beat.configuration->position >= node_.configuration_rows.position()) {
       node_.lease.renew(asked - beat.configuration->age);
     }
   }
-  // A hub whose own proof grows old does not keep others current.
+  // Updates of a hub whose own proof is old do not keep this node current.
   if (beat.configuration->age < fed_proof_age) {
     fed_at_ = now;
   }
@@ -180,7 +183,7 @@
 void store_watch::note_answer(time_point now, bool answered) {
   failures_ = answered ? 0 : failures_ + 1;
   withheld_ = withheld_ && !answered;
-  // A silent question has waited for all of its time: that alone is long enough.
+  // A query that timed out has taken long enough to count as refused without further failures.
   const bool silent = now - asked_at_ >= configuration_wait + answer_slack;
   const bool refused_by_store =
       !answered && (node_.peers.refused_by_store() || silent || failures_ >= failures_to_hand_over);
@@ -210,14 +213,15 @@
     return;
   }
   if (node_.map && result.map->version() < node_.map->version()) {
-    log_line(log_level::error, "configuration", "kept: the store has an older version",
+    log_line(log_level::error, "configuration",
+             "ignored: the version in the store is older than the one in force",
              {{"version", node_.map->version()}, {"offered", result.map->version()}});
     return;
   }
   node_.map = std::make_shared<const service_map>(std::move(*result.map));
 }
 
-// How old a version is when it takes effect here, step by step.
+// Logs how long it took until a version was in force on this node, by step.
 void store_watch::tell_in_force(time_point asked, time_point arrived, duration behind,
                                 std::string_view source, const feed_row& row) {
   const time_point now = monotonic_now();
@@ -242,7 +246,7 @@
   }
 }
 
-// A row that was overtaken by a newer one changes nothing.
+// Ignores a row that was superseded by a newer one.
 void store_watch::take_configuration(time_point asked, std::string_view source,
                                      const feed_row& row) {
   if (row.version <= node_.configurations.newest()) {
@@ -259,7 +263,7 @@
   }
 }
 
-// A proof that grows old keeps callers out: each try that failed says how.
+// Logs a failed query. While queries fail, the proof gets older, until callers are refused.
 void store_watch::tell_unanswered(time_point asked, std::string_view reason) {
   const time_point now = monotonic_now();
   log_line(log_level::warning, "configuration", "not answered",
@@ -269,7 +273,7 @@
             {"lease_age_ms", to_milliseconds(node_.lease.age(now).value_or(-1ms))}});
 }
 
-// The whole table, when there is no position to go on from.
+// Reads the full table, when there is no position to continue from.
 bool store_watch::read_configuration() {
   const time_point asked = monotonic_now();
   const auto result = node_.store.read(configuration_table, {}, asked + read_timeout);
@@ -298,7 +302,8 @@
     const time_point asked = monotonic_now();
     tell_calls(asked);
     if (must_ask(asked)) {
-      // A first question, and one about a change that is known of, need not wait for the next.
+      // The first query, a retry, and a query for a version known to exist need not wait for the next
+      // change.
       const bool at_once = failures_ > 0 || withheld_ || asked - asked_at_ > 2 * configuration_wait;
       asked_at_ = asked;
       const bool answered = ask_configuration(asked, at_once ? 0ms : configuration_wait, pause);
@@ -313,7 +318,7 @@
   }
 }
 
-// False: no answer, or none that helps. `pause`: until the next question.
+// False if there was no usable answer. `pause` is set to the time until the next query.
 bool store_watch::ask_configuration(time_point asked, duration wait, duration& pause) {
   pause = 0ms;
   if (!configuration_positioned_) {
--- a/src/node/store_watch.h
+++ b/src/node/store_watch.h
@@ -1,5 +1,6 @@
-// Follows the platform's store: the accepted configuration, the list of targets, and the rows by
-// which nodes find each other.
+// Follows the platform's store: the accepted configuration, the list of targets, and the rows of the
+// nodes, by which they discover each other. While a hub sends updates, its nodes use those instead
+// of querying the store.
 #pragma once
 
 #include <functional>
@@ -19,26 +20,26 @@
  public:
   explicit store_watch(hosted_state& node);
 
-  // Each runs in a fiber of its own until the runtime stops.
+  // The follow_ functions run in their own fibers until the runtime stops.
   void follow_configuration();
   void follow_targets();
-  // What the hub of this data centre passed on, and was so after `asked`.
+  // Applies an update from the hub of this data centre; its content is newer than `asked`.
   void take_news(time_point asked, time_point now, const node_heartbeat& beat);
-  // Of a change of the configuration that the hub passes on.
+  // Progress of the configuration change that the hub sends in parts.
   [[nodiscard]] const config_progress& configuration_progress() const {
     return receiver_.progress();
   }
-  // Of the records of all targets, for the hub to go on behind; 0: they are not all known.
+  // Position in the records of all targets, from which the hub continues; 0: not all are known.
   [[nodiscard]] std::uint64_t records_position() const;
   [[nodiscard]] bool follows_records() const { return record_subscription_.follows_records(); }
-  // Writes this node's own row and reads those of its peers. `found`: called with all of them.
+  // Writes this node's row and reads those of its peers. `found` is called with all rows.
   void follow_nodes(const std::function<void(const std::vector<node_record>&)>& found);
 
  private:
   bool read_configuration();
   bool ask_configuration(time_point asked, duration wait, duration& pause);
   void read_nodes(const std::function<void(const std::vector<node_record>&)>& found);
-  // `asked`: the question whose answer, or the stamp whose echo, brought the row.
+  // `asked`: when the query that returned the row was sent, or the stamp that the hub echoed.
   void take_configuration_row(time_point asked, std::string_view source, const feed_row& row);
   void take_configuration(time_point asked, std::string_view source, const feed_row& row);
   void take_configuration_part(time_point asked, time_point now, const config_part& part);
@@ -46,7 +47,7 @@
   void tell_in_force(time_point asked, time_point arrived, duration behind, std::string_view source,
                      const feed_row& row);
   void note_newest(time_point now, const node_heartbeat& beat);
-  // The hub passes on what this node lacks, and nothing has come for a while.
+  // Whether this node lacks a version and has not received a part of it for some time.
   [[nodiscard]] bool waits_in_vain(time_point now) const;
   void tell_unanswered(time_point asked, std::string_view reason);
   bool read_targets();
@@ -64,12 +65,13 @@
   void note_dependency(std::string_view name, bool& up, bool now_up, std::string_view reason);
   void count_call(std::string_view what, bool answered);
   void tell_calls(time_point now);
-  // Whether the hub keeps this node current, so that it need not ask the store itself.
+  // Whether the hub keeps this node current, so that it need not query the store.
   [[nodiscard]] bool is_fed(time_point now) const;
-  // A node that has just started and has read its tables leaves what comes next to its hub.
+  // Whether this node has just started and waits for the first updates from its hub.
   [[nodiscard]] bool awaits_hub(time_point now) const;
   [[nodiscard]] duration target_pause(time_point now) const;
-  // A node that the store turned away asks now and then whether it is served again.
+  // Whether to query the store now. A node that the store refused still queries it occasionally, to
+  // find out whether it is served again.
   [[nodiscard]] bool must_ask(time_point now) const;
   void note_answer(time_point now, bool answered);
   [[nodiscard]] duration pause_after_failure() const;
@@ -79,24 +81,24 @@
   time_point started_;
   time_point nodes_read_at_{};
   std::uint32_t nodes_reads_ = 0;
-  bool nodes_known_ = false;               // read once, with an answer
-  bool configuration_positioned_ = false;  // the log holds all up to its position
-  bool targets_positioned_ = false;
-  bool targets_withheld_ = false;  // the hub has a list that it does not pass on in this round
-  bool left_to_hub_ = false;       // the list is longer than a page, and the hub passes on enough
+  bool nodes_known_ = false;               // the rows were read at least once
+  bool configuration_positioned_ = false;  // the log has all rows up to its position
+  bool targets_positioned_ = false;        // the same for the rows of targets
+  bool targets_withheld_ = false;  // the hub has a list that it does not send in this round
+  bool left_to_hub_ = false;       // the list is longer than a page, so the hub's updates are used
   record_subscription record_subscription_;
-  time_point targets_fed_at_{};  // the hub's last news of targets, or of what serves
-  time_point lacking_since_{};   // records that this node should know
+  time_point targets_fed_at_{};  // the hub's last update of targets or serving replicas
+  time_point lacking_since_{};   // since when this node lacks records that it needs; zero: it does not
   time_point fed_at_{};
-  time_point asked_at_{};       // last question about the configuration
-  std::uint32_t failures_ = 0;  // of such questions in a row
-  bool withheld_ = false;       // the hub has a newer configuration than it passes on
+  time_point asked_at_{};       // last query about the configuration
+  std::uint32_t failures_ = 0;  // consecutive failures of such queries
+  bool withheld_ = false;       // the hub has a newer configuration than it sends
   service_map_reader reader_;
-  config_receiver receiver_;    // of what it passes on in parts
-  time_point part_taken_at_{};  // the newest of them
+  config_receiver receiver_;    // of a configuration that the hub sends in parts
+  time_point part_taken_at_{};  // newest part
   std::map<std::string, std::uint64_t, std::less<>>
-      calls_;                     // by what they ask, in this incarnation
-  std::uint64_t calls_told_ = 0;  // of them in the log
+      calls_;                     // calls to the store by purpose, since the start of the process
+  std::uint64_t calls_told_ = 0;  // total at the last log line
   time_point told_calls_at_{};
   bool configuration_up_ = true;
   bool targets_up_ = true;
