--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -125,8 +125,8 @@
   answer.status = status;
   answer.reason = std::string(reason);
   const bool promises_not_run = status == 503 || status == 429 || status == 408;
-  // These statuses promise that the request did not run, and callers then repeat it. If a target may
-  // have run it, such a status would make it run twice.
+  // These statuses promise that the request did not run, and callers then repeat it. If a target
+  // may have run it, such a status would make it run twice.
   if (promises_not_run && call.may_have_run > 0) {
     const bool repeatable = call.way != nullptr && call.way->repeatable();
     answer.status = repeatable ? 502 : 504;
--- a/src/node/hosted_metrics.h
+++ b/src/node/hosted_metrics.h
@@ -12,8 +12,8 @@
 
 class hosted_metrics {
  public:
-  // Label values must come from bounded sets, such as kinds of routes, reasons or actions, and never
-  // be request ids.
+  // Label values must come from bounded sets, such as kinds of routes, reasons or actions, and
+  // never be request ids.
   void count(std::string_view name, std::string_view labels = {}, std::uint64_t by = 1) {
     calls_.count(0, name, labels, by);
   }
--- a/src/node/hosted_node.cpp
+++ b/src/node/hosted_node.cpp
@@ -19,16 +19,16 @@
   return {e.host, e.port};
 }
 
-// The load balancer checks readiness once a second and removes a node after two responses other than
-// 200, so new connections may arrive for this long after readiness fails.
+// The load balancer checks readiness once a second and removes a node after two responses other
+// than 200, so new connections may arrive for this long after readiness fails.
 constexpr duration balancer_lag = 2500ms;
 // Part of the grace period that is reserved for the orderly exit of the process.
 constexpr duration end_margin = 800ms;
 
 http_server_limits caller_server_limits() {
   http_server_limits limits;
-  // These bound memory. The operators' limits, of at most 16 KiB of header and the largest body that
-  // the platform lets them allow, may change with a configuration version and are lower.
+  // These bound memory. The operators' limits, of at most 16 KiB of header and the largest body
+  // that the platform lets them allow, may change with a configuration version and are lower.
   limits.header_bytes = 64UL * 1024;
   limits.body_bytes = 8UL * 1024 * 1024;
   limits.connections = 3000;
@@ -79,8 +79,8 @@
         [this](const http_request& r, response_writer& w) { serve_hosted_call(state, r, w); });
   }
 
-  // Ready means that a confirmed configuration is in force and targets are known. A node that cannot
-  // confirm keys would refuse most requests, so its callers should use other nodes.
+  // Ready means that a confirmed configuration is in force and targets are known. A node that
+  // cannot confirm keys would refuse most requests, so its callers should use other nodes.
   [[nodiscard]] bool is_ready() const {
     const time_point now = monotonic_now();
     return !state.stopping && state.map && state.fleet_known && state.lease.valid(now) &&
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -1,4 +1,5 @@
-// The steps of a hosted call that streams and buffered calls share. Only for the hosted_*.cpp files.
+// The steps of a hosted call that streams and buffered calls share. Only for the hosted_*.cpp
+// files.
 #pragma once
 
 #include <optional>
@@ -50,8 +51,8 @@
 [[nodiscard]] bool key_usable(const hosted_state& node, const hosted_request& call);
 
 // Whether the request may be sent, or sent again. A request that may have run is sent again only if
-// its route allows repetition, to no more targets than the route allows, and within the retry budget
-// shared by all nodes.
+// its route allows repetition, to no more targets than the route allows, and within the retry
+// budget shared by all nodes.
 [[nodiscard]] bool may_send_again(hosted_state& node, const hosted_request& call, time_point now);
 
 // Whether the target's send limit allows a request of this node now. Also counts the call as demand
@@ -74,8 +75,9 @@
 // For requests that found no target: a replica forms within about this time.
 inline constexpr duration retry_after_no_target = 400ms;
 // For requests that this node refuses because the platform does not confirm its configuration. A
-// caller that retries reaches another node. If the store serves a peer of the data centre, the caller
-// may retry soon and usually still meets its deadline; if it serves none, an early retry is useless.
+// caller that retries reaches another node. If the store serves a peer of the data centre, the
+// caller may retry soon and usually still meets its deadline; if it serves none, an early retry is
+// useless.
 inline constexpr duration retry_after_stale_here = 50ms;
 inline constexpr duration retry_after_stale_all = 700ms;
 [[nodiscard]] duration retry_after_stale(const hosted_state& node, time_point now);
--- a/src/node/hosted_state.cpp
+++ b/src/node/hosted_state.cpp
@@ -31,8 +31,8 @@
 
 http_client_limits target_client_limits() {
   http_client_limits limits;
-  // A live target accepts a connection within two round trips, 6 ms. A lost SYN is retransmitted only
-  // after a second, so it is better to try another target than to wait longer than this.
+  // A live target accepts a connection within two round trips, 6 ms. A lost SYN is retransmitted
+  // only after a second, so it is better to try another target than to wait longer than this.
   limits.connect_timeout = 300ms;
   limits.idle_per_target = 64;
   limits.idle_expiry = 10s;
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -64,8 +64,8 @@
   }
 
   void next_attempt() {
-    // Earlier attempts of the same request, here and on other nodes, may have had other request ids.
-    // The fingerprint links them, so that a poison request is recognized.
+    // Earlier attempts of the same request, here and on other nodes, may have had other request
+    // ids. The fingerprint links them, so that a poison request is recognized.
     if (!may_run(node_, call_)) {
       end_own(503, retry_after_poison(node_, call_), poison_reason);
       return;
@@ -167,8 +167,8 @@
     relay_.restart();
   }
 
-  // Clears the request if its run lasted long enough. Otherwise, if the target closed the connection
-  // shortly after the start, checks whether that is a strike against the request.
+  // Clears the request if its run lasted long enough. Otherwise, if the target closed the
+  // connection shortly after the start, checks whether that is a strike against the request.
   void weigh(const serving_replica& replica, ending how) {
     const time_point now = monotonic_now();
     if (has_gone_on(first_event_at_, last_event_at_)) {
--- a/src/node/hosted_whole.cpp
+++ b/src/node/hosted_whole.cpp
@@ -39,8 +39,8 @@
   }
 
   void next_attempt() {
-    // Earlier attempts of the same request, here and on other nodes, may have had other request ids.
-    // The fingerprint links them, so that a poison request is recognized.
+    // Earlier attempts of the same request, here and on other nodes, may have had other request
+    // ids. The fingerprint links them, so that a poison request is recognized.
     if (!may_run(node_, call_)) {
       end_own(503, retry_after_poison(node_, call_), poison_reason);
       return;
--- a/src/node/keeper_beats.cpp
+++ b/src/node/keeper_beats.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// A lost engine is reported to peers for this long after it was removed from the list of targets; its
-// replica has been dissolved by then.
+// A lost engine is reported to peers for this long after it was removed from the list of targets;
+// its replica has been dissolved by then.
 constexpr duration told_after_unlisting = 20s;
 
 std::size_t bytes_of(const std::vector<feed_row>& rows) {
@@ -40,8 +40,8 @@
                                          node_.peers.is_refused_by_store(peer)};
   auto next =
       config_distributor_.next_for(node_.configurations, to, node_.peers.alive_count(now) + 1);
-  // A node of an earlier release reports no row and cannot read parts. It would advance its position
-  // without applying the configuration.
+  // A node of an earlier release reports no row and cannot read parts. It would advance its
+  // position without applying the configuration.
   const bool reads_no_parts = at.configuration_row == 0 && at.configuration > 0 &&
                               at.configuration < node_.configurations.newest();
   beat.configuration = configuration_news(now, at);
--- a/src/node/keeper_loop.cpp
+++ b/src/node/keeper_loop.cpp
@@ -17,9 +17,9 @@
 // 100 ms on average.
 constexpr duration beat_interval = 200ms;
 constexpr duration plan_log_interval = 1s;
-// Counting the replicas of all models takes 1 ms with 1,100 engines and is repeated after each change
-// of a target, of which there are many per second. Done on every tick, the count for this log line
-// took a third of the processor time of a node with an eighth of a core.
+// Counting the replicas of all models takes 1 ms with 1,100 engines and is repeated after each
+// change of a target, of which there are many per second. Done on every tick, the count for this
+// log line took a third of the processor time of a node with an eighth of a core.
 constexpr duration capacity_log_interval = 250ms;
 constexpr duration isolated_after = 2500ms;  // the feed alone may take a second to answer
 
@@ -114,7 +114,8 @@
   }
 }
 
-// Logs the replicas and engines available to the controller when they change, at most once a second.
+// Logs the replicas and engines available to the controller when they change, at most once a
+// second.
 void keeper_loop::tell_plan(time_point now, const replica_controller& keeper) {
   if (now - told_plan_at_ < plan_log_interval || keeper.plan() == told_plan_) {
     return;
--- a/src/node/keeper_losses.cpp
+++ b/src/node/keeper_losses.cpp
@@ -23,8 +23,8 @@
 // are probed. A replica of 16 members has streams of about five nodes, which together find the dead
 // one.
 constexpr std::size_t most_asked = 6;
-// A lost engine that is alive is restored within this time; a dead one is probed some ten times until
-// the list drops it.
+// A lost engine that is alive is restored within this time; a dead one is probed some ten times
+// until the list drops it.
 constexpr duration lost_interval = 400ms;
 // Longer than for lost engines, since the end of an engine that was dropped from the list usually
 // shows as a stall of its replica.
@@ -114,9 +114,9 @@
 }
 
 // Whether the replica of this head may be sent requests. Without this check, if the list shows that
-// a member has restarted, the remaining members all answer their probes, and the streams of the head
-// stall until it breaks them off after its stall timeout. A node that is shut down meanwhile exits
-// with requests in flight.
+// a member has restarted, the remaining members all answer their probes, and the streams of the
+// head stall until it breaks them off after its stall timeout. A node that is shut down meanwhile
+// exits with requests in flight.
 bool keeper_loop::is_whole(const target_view& head) {
   const service_spec* service = node_.map ? node_.map->find_service(head.record.service) : nullptr;
   if (service == nullptr || !service->engine) {
@@ -171,8 +171,8 @@
     node_.runtime.post(0, [this, member, head, state] {
       bool well = probe(member, probe_timeout, "silent");
       if (!well) {
-        // The streams are late already, whatever the second probe yields, so they are moved to other
-        // replicas.
+        // The streams are late already, whatever the second probe yields, so they are moved to
+        // other replicas.
         const std::size_t moved = node_.attempts.move_away(head);
         log_line(log_level::info, "fleet", "suspected",
                  {{"target", member}, {"head", head}, {"streams_moved", std::uint64_t{moved}}});
@@ -217,7 +217,8 @@
   }
 }
 
-// Verifies a peer's report that a target is lost. One probe is enough, as the peer has probed twice.
+// Verifies a peer's report that a target is lost. One probe is enough, as the peer has probed
+// twice.
 void keeper_loop::doubt(const target_id& id) {
   if (!probe(id, probe_timeout, "doubted")) {
     node_.fleet.probe_failed(monotonic_now(), id);
--- a/src/node/limit_exchange.h
+++ b/src/node/limit_exchange.h
@@ -1,5 +1,5 @@
-// Rate limits of workspaces on this node: holds the leases (request/limits.h) and exchanges them with
-// the other nodes.
+// Rate limits of workspaces on this node: holds the leases (request/limits.h) and exchanges them
+// with the other nodes.
 #pragma once
 
 #include <functional>
@@ -33,8 +33,8 @@
   void configure(time_point now, const configuration& config);
   [[nodiscard]] limit_verdict take(time_point now, const workspace_id& workspace);
 
-  // A message to send to `peer` together with another one that is about to be sent. Empty if there is
-  // nothing to send, or if the peer got such a message since the last tell().
+  // A message to send to `peer` together with another one that is about to be sent. Empty if there
+  // is nothing to send, or if the peer got such a message since the last tell().
   [[nodiscard]] std::optional<peer_send> tell_with(time_point now, const node_id& peer);
   // Messages to the peers that got none by tell_with() since the last call. To be called once every
   // limit_settings::told_every.
--- a/src/node/periodic.h
+++ b/src/node/periodic.h
@@ -10,8 +10,8 @@
 
 class periodic {
  public:
-  // Runs `work` on `worker` every `interval`, first after one interval. The runtime must outlive this
-  // object.
+  // Runs `work` on `worker` every `interval`, first after one interval. The runtime must outlive
+  // this object.
   periodic(fiber_runtime& runtime, std::size_t worker, duration interval,
            std::function<void()> work);
   // Waits for a running call of `work`; no call starts after that.
--- a/src/node/poison_watch.cpp
+++ b/src/node/poison_watch.cpp
@@ -17,8 +17,8 @@
 constexpr duration question_timeout = 150ms;
 constexpr std::uint32_t most_questions = 3;
 constexpr duration question_interval = 250ms;
-// How long the result of a query is used for further runs. All streams of a target break within some
-// ms of its end; after a longer time it may have restarted under the same id.
+// How long the result of a query is used for further runs. All streams of a target break within
+// some ms of its end; after a longer time it may have restarted under the same id.
 constexpr duration ends_remembered = 1s;
 constexpr duration judge_interval = 50ms;
 
@@ -43,8 +43,8 @@
   const bool is_new =
       node.poison.ledger.strike(run.print, {run.target, run.sent_at, run.broken_at});
   node.metrics.count("arbutusworks_poison_evidence", is_new ? "counts=\"yes\"" : "counts=\"no\"");
-  // The field is not named "request", so that the line is associated with all requests that have this
-  // fingerprint, not only with the one that ran.
+  // The field is not named "request", so that the line is associated with all requests that have
+  // this fingerprint, not only with the one that ran.
   log_line(log_level::info, "poison", "evidence",
            {{"run_of", run.request},
             {"print", hash_text(run.print)},
@@ -81,8 +81,7 @@
   log_line(log_level::info, "poison", "no evidence",
            {{"target", target},
             {"runs", std::uint64_t{runs.size()}},
-            {"reason",
-             sign == life_sign::lives ? "the target is alive" : "the target does not respond"}});
+            {"reason", sign == life_sign::lives ? "the target is alive" : "the target is silent"}});
   node.metrics.count("arbutusworks_poison_evidence", "counts=\"target_lives\"", runs.size());
 }
 
@@ -149,7 +148,7 @@
            {{"request", call.head.id},
             {"print", hash_text(call.print)},
             {"workspace", name_of(call.print)},
-            {"reason", "a run of it was harmless"}});
+            {"reason", "a run of it did no harm"}});
 }
 
 bool may_run(hosted_state& node, const hosted_request& call) {
@@ -249,7 +248,7 @@
     log_line(log_level::warning, "poison", "acquitted",
              {{"print", hash_text(print)},
               {"workspace", name_of(print)},
-              {"reason", "released by an operator"}});
+              {"reason", "lifted by an operator"}});
   }
   return any;
 }
--- a/src/node/poison_watch.h
+++ b/src/node/poison_watch.h
@@ -9,8 +9,8 @@
 
 namespace arbutus {
 
-// Whether a run that breaks off `now` may have crashed its target; a run that lasted longer than the
-// strike window did not. `first_event_at`: zero if there was no event.
+// Whether a run that breaks off `now` may have crashed its target; a run that lasted longer than
+// the strike window did not. `first_event_at`: zero if there was no event.
 [[nodiscard]] bool had_hardly_begun(time_point now, time_point first_event_at);
 // Whether the time between a run's first and last events shows that it is harmless. The time after
 // the last event does not count, since the target may have ended in it without closing connections.
@@ -33,8 +33,8 @@
 // Merges a row from a peer or from the store; `told_by` names which, for the log.
 void take_crash_row(hosted_state& node, time_point now, const poison_row& row,
                     std::string_view told_by);
-// Loads quarantines from the store and writes changes to it; runs in its own fiber until the runtime
-// stops.
+// Loads quarantines from the store and writes changes to it; runs in its own fiber until the
+// runtime stops.
 void keep_verdicts(hosted_state& node);
 
 // Text for operators, with one line for each request that is a suspect or quarantined.
--- a/src/node/store_nodes.cpp
+++ b/src/node/store_nodes.cpp
@@ -14,17 +14,17 @@
 constexpr std::string_view node_table = "nodes";
 // A node whose address changed is found within this time.
 constexpr duration node_interval = 5s;
-// Nodes that start simultaneously write their rows within some 300 ms; an earlier read would have to
-// be repeated. The interval doubles with each read.
+// Nodes that start simultaneously write their rows within some 300 ms; an earlier read would have
+// to be repeated. The interval doubles with each read.
 constexpr duration node_interval_at_start = 400ms;
 constexpr std::uint32_t most_node_doublings = 3;
 // A node that its hub keeps current needs the rows only when the hub fails, and usually has the row
 // of the next hub.
 constexpr duration node_interval_of_fed = 45s;
 
-// Parses [data centre, link endpoint, processor in permille of a core, link in Mbit/s]. Empty for an
-// unreadable row. A row without strength is of a node with other settings, which comes last in the
-// order of hubs.
+// Parses [data centre, link endpoint, processor in permille of a core, link in Mbit/s]. Empty for
+// an unreadable row. A row without strength is of a node with other settings, which comes last in
+// the order of hubs.
 std::optional<node_record> read_node_record(const store_row& row) {
   const auto document = nlohmann::json::parse(row.value, nullptr, false);
   if (!document.is_array() || document.size() < 2 || !document[0].is_string() ||
--- a/src/node/store_poison.cpp
+++ b/src/node/store_poison.cpp
@@ -15,7 +15,8 @@
 
 constexpr std::string_view poison_table = "poison";
 constexpr duration store_interval = 500ms;
-// The pause doubles with each consecutive failure, to limit the load on a store that refuses writes.
+// The pause doubles with each consecutive failure, to limit the load on a store that refuses
+// writes.
 constexpr std::uint32_t most_doublings = 6;
 
 // The hash of the request and that of the workspace, since both identify a fingerprint and the name
@@ -87,7 +88,8 @@
 
 }  // namespace
 
-// Only hubs write, at random times: the first one to write notifies the others that the row is stored.
+// Only hubs write, at random times: the first one to write notifies the others that the row is
+// stored.
 void keep_verdicts(hosted_state& node) {
   bool read = false;
   std::uint32_t failures = 0;
--- a/src/node/store_targets.cpp
+++ b/src/node/store_targets.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Records of targets change only with a replica or a target. The feed answers when there is a change,
-// or after this time: one call a second without changes, and changes are known immediately.
+// Records of targets change only with a replica or a target. The feed answers when there is a
+// change, or after this time: one call a second without changes, and changes are known immediately.
 constexpr duration target_wait = 1s;
 // Changes come in bursts, as when a replica forms; those within the pause are read together. Each
 // hub reads the feed, so the pause grows with the number of data centres.
@@ -22,9 +22,9 @@
 constexpr duration longest_target_pause = 250ms;
 // In the first seconds replicas form, and a delay wastes time in which loads of weights are cheap.
 constexpr duration target_pause_at_start = 60ms;
-// A node that is no hub controls no replicas, so a longer pause is sufficient until another hub sends
-// it updates. Without this, when the hub of 59 nodes failed, each of them queried the store ten times
-// a second.
+// A node that is no hub controls no replicas, so a longer pause is sufficient until another hub
+// sends it updates. Without this, when the hub of 59 nodes failed, each of them queried the store
+// ten times a second.
 constexpr duration target_pause_of_others = 500ms;
 // Longest time between two answers while the list is followed: the feed's wait, and a late answer.
 constexpr duration longest_followed_gap = target_wait + 1s;
@@ -152,8 +152,8 @@
   }
 }
 
-// The earliest time at which a row after the last position can have been written. Empty without a gap
-// in following the list: such a row was written recently.
+// The earliest time at which a row after the last position can have been written. Empty without a
+// gap in following the list: such a row was written recently.
 std::optional<time_point> store_watch::written_after(time_point asked) const {
   if (!node_.fleet_known || asked - node_.fleet_read_at <= longest_followed_gap) {
     return std::nullopt;
@@ -197,8 +197,8 @@
     if (rows == nullptr || rows->version < records_position()) {
       return false;
     }
-    // Pages are read one after the other. Changes made meanwhile are read again from the feed, which
-    // continues from the version of the first page.
+    // Pages are read one after the other. Changes made meanwhile are read again from the feed,
+    // which continues from the version of the first page.
     first_version = first_version == 0 ? rows->version : first_version;
     if (rows->more && !may_read_pages(asked)) {
       left_to_hub_ = true;
--- a/src/node/store_timing.h
+++ b/src/node/store_timing.h
@@ -5,16 +5,16 @@
 
 namespace arbutus {
 
-// Added to the wait of a feed, for a slow store: 240 ms if it is sixty times slower than usual. After
-// that the connection may be dead. Wait, slack and a heartbeat together leave time for the first query
-// of another hub before the nodes' proofs expire.
+// Added to the wait of a feed, for a slow store: 240 ms if it is sixty times slower than usual.
+// After that the connection may be dead. Wait, slack and a heartbeat together leave time for the
+// first query of another hub before the nodes' proofs expire.
 inline constexpr duration answer_slack = 500ms;
 inline constexpr duration start_phase = 12s;
 inline constexpr duration retry_pause = 100ms;
 // How often a node checks whether it still receives updates from its hub.
 inline constexpr duration look_interval = 100ms;
-// Four heartbeats of the hub. After that this node queries the store itself; its lease is then valid
-// for over 2 s more.
+// Four heartbeats of the hub. After that this node queries the store itself; its lease is then
+// valid for over 2 s more.
 inline constexpr duration fed_for = 800ms;
 inline constexpr duration read_timeout = 1500ms;
 
--- a/src/node/store_watch.cpp
+++ b/src/node/store_watch.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-// The feed answers immediately if there is a change, and otherwise after this time. Its answer proves
-// that the configuration is still the newest, and the age of a proof counts from its query. With
-// 700 ms a node sends 1.4 queries a second and its proof is 0.7 to 1.4 s old.
+// The feed answers immediately if there is a change, and otherwise after this time. Its answer
+// proves that the configuration is still the newest, and the age of a proof counts from its query.
+// With 700 ms a node sends 1.4 queries a second and its proof is 0.7 to 1.4 s old.
 constexpr duration configuration_wait = 700ms;
 // Consecutive versions that are accepted within this time are read together.
 constexpr duration configuration_pause = 40ms;
@@ -21,8 +21,8 @@
 // this, hundreds of nodes that start together make a dozen calls each until their first heartbeat
 // arrives.
 constexpr duration hub_patience = 1500ms;
-// Each consecutive failure doubles the pause up to this. Without this, a node that is partitioned or
-// refused by the store would send ten queries a second. The lease is over four times as long.
+// Each consecutive failure doubles the pause up to this. Without this, a node that is partitioned
+// or refused by the store would send ten queries a second. The lease is over four times as long.
 constexpr duration longest_retry_pause = 800ms;
 // Nodes that are not next in line to be the hub wait longer: the first node that the store serves
 // again forwards to the others what they lack.
@@ -32,9 +32,9 @@
 // A node that the store refused and that gets updates from another hub queries the store at this
 // interval, to find out whether it is served again.
 constexpr duration ask_again_interval = 2s;
-// While its hub withholds the newest configuration, a node reads it from the store, at most once per
-// interval if versions come in quick succession. The operators' bound until a version must be in
-// force is 2 to 3 s.
+// While its hub withholds the newest configuration, a node reads it from the store, at most once
+// per interval if versions come in quick succession. The operators' bound until a version must be
+// in force is 2 to 3 s.
 constexpr duration withheld_interval = 400ms;
 // A node that lacks a version and gets no part of it for three heartbeats reads it from the store.
 constexpr duration part_patience = 600ms;
@@ -51,7 +51,7 @@
   if (const auto* none = std::get_if<unknown>(&result)) {
     return none->reason;
   }
-  return "the store returned an older version of the table";
+  return "the store returned an older state of the table";
 }
 
 }  // namespace
@@ -78,8 +78,8 @@
   ++(found == calls_.end() ? calls_.emplace(what, 0).first->second : found->second);
 }
 
-// Metrics are lost when a process exits. The log shows afterwards which of hundreds of nodes made the
-// calls in an incident.
+// Metrics are lost when a process exits. The log shows afterwards which of hundreds of nodes made
+// the calls in an incident.
 void store_watch::tell_calls(time_point now) {
   std::uint64_t all = 0;
   std::string text;
@@ -302,8 +302,8 @@
     const time_point asked = monotonic_now();
     tell_calls(asked);
     if (must_ask(asked)) {
-      // The first query, a retry, and a query for a version known to exist need not wait for the next
-      // change.
+      // The first query, a retry, and a query for a version known to exist need not wait for the
+      // next change.
       const bool at_once = failures_ > 0 || withheld_ || asked - asked_at_ > 2 * configuration_wait;
       asked_at_ = asked;
       const bool answered = ask_configuration(asked, at_once ? 0ms : configuration_wait, pause);
--- a/src/node/store_watch.h
+++ b/src/node/store_watch.h
@@ -1,6 +1,6 @@
-// Follows the platform's store: the accepted configuration, the list of targets, and the rows of the
-// nodes, by which they discover each other. While a hub sends updates, its nodes use those instead
-// of querying the store.
+// Follows the platform's store: the accepted configuration, the list of targets, and the rows of
+// the nodes, by which they discover each other. While a hub sends updates, its nodes use those
+// instead of querying the store.
 #pragma once
 
 #include <functional>
@@ -84,11 +84,12 @@
   bool nodes_known_ = false;               // the rows were read at least once
   bool configuration_positioned_ = false;  // the log has all rows up to its position
   bool targets_positioned_ = false;        // the same for the rows of targets
-  bool targets_withheld_ = false;  // the hub has a list that it does not send in this round
-  bool left_to_hub_ = false;       // the list is longer than a page, so the hub's updates are used
+  bool targets_withheld_ = false;          // the hub has a list that it does not send in this round
+  bool left_to_hub_ = false;  // the list is longer than a page, so the hub's updates are used
   record_subscription record_subscription_;
   time_point targets_fed_at_{};  // the hub's last update of targets or serving replicas
-  time_point lacking_since_{};   // since when this node lacks records that it needs; zero: it does not
+  time_point
+      lacking_since_{};  // since when this node lacks records that it needs; zero: it does not
   time_point fed_at_{};
   time_point asked_at_{};       // last query about the configuration
   std::uint32_t failures_ = 0;  // consecutive failures of such queries
--- a/tests/shell/hosted_fixture.h
+++ b/tests/shell/hosted_fixture.h
@@ -1,4 +1,4 @@
-// Two hosted nodes before a stand-in of the platform, over real sockets in one process.
+// Fixture with two hosted nodes and a stand-in of the platform, over real sockets in one process.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -27,8 +27,8 @@
   return !error;
 }
 
-// Tests run beside each other, and beside a soak whose nodes listen in the same range: what another
-// process has taken is passed over.
+// Tests run in parallel, and together with a soak whose nodes listen in the same range: ports that
+// another process uses are skipped.
 inline std::uint16_t next_port() {
   static std::uint16_t port = static_cast<std::uint16_t>(20000 + (getpid() % 300) * 32);
   while (!is_free(port)) {
@@ -83,7 +83,7 @@
     return result;
   }
 
-  // At the address for operators.
+  // Sends a request to the address for operators.
   call_result operate(const std::string& method, const std::string& target) {
     http_request request;
     request.method = method;
--- a/tests/shell/hosted_limit_test.cpp
+++ b/tests/shell/hosted_limit_test.cpp
@@ -1,4 +1,4 @@
-// Targets that say how many requests a second they take, before two hosted nodes.
+// Two hosted nodes with targets that announce how many requests a second they accept.
 #include "hosted_fixture.h"
 
 namespace arbutus::testing_support {
@@ -6,7 +6,7 @@
 
 class HostedLimit : public hosted_fixture {
  protected:
-  // Both nodes are asked without a pause, by two callers each; how often each status came.
+  // Two callers per node send requests 10 ms apart; returns how often each status occurred.
   std::map<int, int> ask_for(duration time, const std::string& path) {
     const time_point until = monotonic_now() + time;
     std::vector<std::map<int, int>> counts(4);
@@ -32,7 +32,7 @@
     return all;
   }
 
-  // The most that came to a target within four seconds, later than `from`.
+  // The largest number of requests that a target received within four seconds, after `from`.
   std::size_t most_at_a_target(time_point from) const {
     std::size_t most = 0;
     for (const auto& [target, all] : platform_.arrivals()) {
@@ -44,7 +44,8 @@
     return most;
   }
 
-  // Until both nodes have passed on an answer that names it, and half a second.
+  // Sets the limit, waits until both nodes have forwarded a response that announces it, and returns
+  // the time half a second after that.
   time_point name_limit(const std::string& value, const std::string& path) {
     platform_.set_send_limit(value);
     EXPECT_TRUE(eventually([&] {
@@ -54,14 +55,16 @@
   }
 };
 
-constexpr std::size_t allowed_of_five = 35;  // in four seconds: one and a half times, and five
+// Requests in four seconds with a limit of 5 a second: one and a half times the limit, and five
+// more.
+constexpr std::size_t allowed_of_five = 35;
 
 TEST_F(HostedLimit, ATargetThatNamesALimitIsNotSentMoreByAllNodesTogether) {
   ASSERT_TRUE(serves());
   const time_point counted = name_limit("5", "/card/1");
   const std::map<int, int> answers = ask_for(8s, "/card/1");
   EXPECT_LE(most_at_a_target(counted), allowed_of_five);
-  // What is over is refused, and nothing else happens to it.
+  // Requests above the limit are refused, and have no other outcome.
   EXPECT_TRUE(answers.contains(503));
   EXPECT_EQ(answers.size(), 2U);
 }
--- a/tests/shell/hosted_node_test.cpp
+++ b/tests/shell/hosted_node_test.cpp
@@ -1,4 +1,4 @@
-// Hosted nodes before a stand-in of the platform, over real sockets in one process.
+// Hosted nodes with a stand-in of the platform, over real sockets in one process.
 #include "hosted_fixture.h"
 #include "node/hosted_state.h"
 #include "node/store_watch.h"
@@ -28,9 +28,9 @@
 }
 
 TEST_F(HostedNode, StreamsGoOnWhenAMemberDies) {
-  // Symptom: callers get half a stream. Sequence: a member of the replica dies silently in the
-  // middle; the head sends nothing more. Cause: nobody notices, or the stream begins again from its
-  // start.
+  // Guards against truncated or repeated streams: a member of the replica dies without closing its
+  // connections, and the head sends no further events. The node must detect that and resume the
+  // streams on another replica after their last event.
   ASSERT_TRUE(serves());
   std::vector<std::thread> callers;
   std::vector<call_result> results(12);
@@ -44,7 +44,8 @@
   }
   for (std::size_t i = 0; i < results.size(); ++i) {
     const std::string id = "m" + std::to_string(i);
-    // A stream may be refused before it ran, but never be cut, doubled or mixed.
+    // A stream may be refused before it ran, but never be truncated, repeated or mixed with
+    // another.
     if (results[i].response.status == 200) {
       EXPECT_EQ(results[i].response.body, whole_stream(id));
     }
@@ -54,9 +55,9 @@
 }
 
 TEST_F(HostedNode, StreamsGoOnWhenAnEngineStartsAgain) {
-  // Symptom: streams stall until they are cut, or callers are sent to a replica that is none.
-  // Sequence: a member of a replica starts again under its id while streams run. Cause: the id is
-  // still listed, and what was known of it is taken for true.
+  // Guards against streams that stall, and against requests to a replica that no longer exists: a
+  // member restarts under its id while streams run. The id is still listed, so the node must not
+  // rely on the state of the previous incarnation.
   ASSERT_TRUE(serves());
   std::vector<std::thread> callers;
   std::vector<call_result> results(12);
@@ -80,8 +81,8 @@
 }
 
 TEST_F(HostedNode, EntriesOfAnotherWriterStopNothing) {
-  // Symptom: a node knows no target any more. Sequence: something else than an engine writes into
-  // the list, also bytes that are none. Cause: one row that cannot be read fails the whole answer.
+  // Guards against a node that loses all targets when another writer puts rows into the list of
+  // targets, also rows with invalid bytes, and one unreadable row fails the entire answer.
   ASSERT_TRUE(serves());
   platform_.write_entry("x", "{");
   platform_.write_entry("\x01\x02", R"({"service":"llm"})");
@@ -89,12 +90,12 @@
                         R"({"service":"llm","address":"127.0.0.1:1","zone":"lab-a","slots":"9"})");
   platform_.kill_engine(platform_.find_member(false));
   EXPECT_TRUE(eventually([&] { return platform_.serving() >= 2; }))
-      << "what the list says behind those rows is not heard";
+      << "rows of the list after the unreadable ones are ignored";
   EXPECT_EQ(ask(0, "/llm/2f", "beside").response.body, whole_stream("beside"));
 }
 
 TEST_F(HostedNode, AWithdrawnKeyIsRefusedWithinTheBound) {
-  // Symptom: a request runs with a key that the newest version no longer has.
+  // Guards against requests that run with a key that the newest version no longer has.
   ASSERT_TRUE(serves());
   platform_.configure(false);
   EXPECT_TRUE(eventually([&] {
@@ -104,7 +105,8 @@
 }
 
 TEST_F(HostedNode, AConfigurationThatOutgrowsTheTimeOfOneReadComesIntoForce) {
-  // At the rate below its answer takes 1.4 s, three times what a node waits for the store.
+  // At the rate below, the response takes 1.4 s to transfer, three times as long as a node waits
+  // for the store.
   ASSERT_TRUE(serves());
   constexpr std::size_t routes = 1400;
   platform_.set_store_rate(250'000);
@@ -115,9 +117,9 @@
 }
 
 TEST_F(HostedNode, WithoutTheStoreKeysAreNotTrustedForLong) {
-  // Symptom: a withdrawn key runs at a node that is cut off. Sequence: the store is away for longer
-  // than the bound; a key might have been withdrawn meanwhile. Cause: what was true once is
-  // believed.
+  // Guards against a partitioned node that accepts a revoked key: while the store is unavailable
+  // for longer than the bound, a key may have been revoked, and the node must not rely on its old
+  // configuration.
   ASSERT_TRUE(serves());
   platform_.set_store_down(true);
   EXPECT_TRUE(eventually([&] {
@@ -129,7 +131,8 @@
 }
 
 TEST_F(HostedNode, AListThatIsWithheldChangesNothing) {
-  // What the hub leaves out is no news: this node's list is as old as before.
+  // An update without rows because they are withheld must not count as an update: this node's list
+  // is as old as before.
   fiber_runtime own_runtime(1);
   hosted_state state(nodes_[0]->settings, own_runtime);
   store_watch watch(state);
@@ -145,10 +148,10 @@
 }
 
 TEST_F(HostedNode, NewsForAnEarlierLifeAreNotTaken) {
-  // Symptom: a node that was started again knows no configuration, or no replicas, for ever, while
-  // all others serve. Sequence: it starts while the store is away from it; its hub still answers on
-  // the position that its earlier incarnation had told, with no rows, and so with a proof. Cause:
-  // the node takes the hub's position for its own.
+  // Guards against a restarted node that never gets a configuration or replicas while all others
+  // serve: it starts while the store is unreachable, and its hub still answers the position that
+  // the previous incarnation had reported, with no rows but with a proof. The node must not adopt
+  // the hub's position.
   hosted_settings settings = nodes_[0]->settings;
   fiber_runtime own_runtime(1);
   hosted_state state(settings, own_runtime);
@@ -163,11 +166,11 @@
   EXPECT_EQ(state.configuration_rows.position(), 0U);
   EXPECT_EQ(state.target_rows.position(), 0U);
   EXPECT_FALSE(state.lease.age(now));
-  // Nor are differences to a table that this node has never had whole.
+  // Changes to a table that this node never had completely are ignored, too.
   beat.targets = feed_update{{{"i-1", "{}", 85, true}}, false, 90, 0, 0ms, false};
   watch.take_news(now, now, beat);
   EXPECT_EQ(state.target_rows.position(), 0U);
-  // The whole table is taken, and then what continues from it.
+  // The full table is applied, and then changes that continue from it.
   beat.targets = feed_update{{{"i-1", "{}", 85, false}}, true, 90, 0, 0ms, false};
   watch.take_news(now, now, beat);
   EXPECT_EQ(state.target_rows.position(), 90U);
@@ -196,16 +199,17 @@
   EXPECT_TRUE(state.fleet_known);
   EXPECT_NE(state.fleet.find(target_id{"i-7"}), nullptr);
   EXPECT_EQ(state.followed.at(), (serving_follower::position{"0a1b2c3d", 1}));
-  // It may keep no replicas on that, and goes on at the store from where its hub was.
+  // The node may not control replicas with this data, and continues at the store from the position
+  // of its hub.
   EXPECT_FALSE(state.fleet_complete);
   EXPECT_EQ(watch.records_position(), 0U);
   EXPECT_EQ(state.target_rows.position(), 90U);
-  // Rows of another incarnation of the hub do not follow on these.
+  // Rows of another incarnation of the hub do not continue from these.
   beat.incarnation = "4e5f6a7b";
   beat.served = feed_update{{{"i-7", {}, 2, true}}, false, 2, 1, 0ms, false};
   watch.take_news(now, now, beat);
   EXPECT_TRUE(state.fleet.find(target_id{"i-7"})->listed);
-  // The whole table makes it a keeper.
+  // With the full table the node may control replicas.
   beat.targets = feed_update{{}, true, 95, 0, 0ms, false};
   watch.take_news(now, now, beat);
   EXPECT_TRUE(state.fleet_complete);
@@ -213,7 +217,7 @@
 }
 
 TEST_F(HostedNode, ANodeThatStopsCutsNothing) {
-  // Symptom: a planned stop cuts answers in flight.
+  // Guards against a planned stop that cuts off responses in flight.
   ASSERT_TRUE(serves());
   call_result result;
   std::thread caller([&] { result = ask(0, "/llm/2f", "stop"); });
--- a/tests/shell/hosted_poison_test.cpp
+++ b/tests/shell/hosted_poison_test.cpp
@@ -1,4 +1,4 @@
-// Requests that end the engines which run them, before hosted nodes over real sockets.
+// Hosted nodes and poison requests, which crash the engines that run them; over real sockets.
 #include <atomic>
 
 #include "hosted_fixture.h"
@@ -10,16 +10,17 @@
 constexpr const char* poison_stream = "/llm/poison";
 constexpr const char* poison_call = "/card/poison";
 
-// Ends that a verdict needs: that many on each node, if none has heard of the others'.
+// Crashes needed for a quarantine: this many on each node, if no node knows the strikes of others.
 constexpr int ends_before_verdict = 4;
 constexpr int nodes_of_fixture = 2;
-// The operators' bound: later than this after the third end, no more than three visits of the
-// request may reach a target.
+// The operators' bound: from 3 s after the third crash, at most three visits (repetitions of the
+// request by its caller) may reach a target.
 constexpr int ends_of_bound = 3;
 constexpr int late_visits_of_bound = 3;
 constexpr auto bound_counts_after = std::chrono::seconds(3);
 
-// Guards against an acquittal by silence: the target had ended without closing its connections.
+// Guards against clearing a request after a long time without events, in which the target had ended
+// without closing its connections.
 TEST(PoisonWatch, OnlyEventsShowThatARunDoesNoHarm) {
   const time_point first{10s};
   EXPECT_FALSE(has_gone_on(time_point{}, time_point{}));
@@ -36,7 +37,7 @@
 
   int ends(const std::string& path) { return platform_.ends()[path]; }
 
-  // One more visit, at one node and the other in turn; whether it reached a target.
+  // Sends the request once more, to the nodes in turn. Returns whether it reached a target.
   bool visit(const std::string& path) {
     const std::string id = path + "-" + std::to_string(visits_);
     last_ = ask(visits_ % nodes_of_fixture, path, id);
@@ -62,7 +63,8 @@
     return eventually([&] { return is_refused(path) && is_refused(path); });
   }
 
-  // Visits that reach a target, of those for as long as a replica takes to come back several times.
+  // Number of visits that reach a target within 3 s, in which a replica can form again several
+  // times.
   int late_visits(const std::string& path) {
     std::this_thread::sleep_for(bound_counts_after);
     const time_point from = monotonic_now();
@@ -74,7 +76,7 @@
     return reached;
   }
 
-  // Ends that no more follow, once every node refuses the request.
+  // Number of crashes within a second after every node refuses the request.
   int ends_after_verdict(const std::string& path) {
     const int before = ends(path);
     const time_point from = monotonic_now();
@@ -95,13 +97,11 @@
 };
 
 TEST_F(HostedPoison, AStreamThatEndsItsEnginesIsSentNoMore) {
-  // Symptom: for minutes callers' streams break off, are refused or late, while engines end alone,
-  // one after the other. Sequence: a caller sends a request that ends the engine which begins to
-  // run it; the node passes it to the next replica, and the caller comes again under a new id, at
-  // any node. Cause: attempts were linked by nothing but their id, so that each was a first one; a
-  // request whose attempts broke at every engine it reached was sent on like any other.
-  // Evidence: with workspace, path and body hashed into the lines of broken attempts, one print was
-  // among those that had no whole event at each end; without a verdict this test saw 22 ends.
+  // Guards against a request that crashes one engine after the other: the node sends it to the next
+  // replica, and the caller repeats it under a new id at any node. For minutes other streams break
+  // off, are refused or late. If attempts are linked by the request id only, each seems to be the
+  // first one; the hash of workspace, path and body links them. Without a quarantine, 22 engines
+  // crashed in this test.
   ASSERT_TRUE(serves());
   come_again(poison_stream, [&] { return ends(poison_stream) >= ends_of_bound; });
   const int late = late_visits(poison_stream);
@@ -114,7 +114,7 @@
 }
 
 TEST_F(HostedPoison, ACallThatEndsItsInstancesIsSentNoMore) {
-  // The same for a plain service, whose only instance ended eight times.
+  // The same for a plain service, whose only instance crashed eight times without a quarantine.
   ASSERT_TRUE(serves());
   come_again(poison_call, [&] { return ends(poison_call) >= ends_of_bound; });
   const int late = late_visits(poison_call);
@@ -126,7 +126,7 @@
   EXPECT_LE(ends(poison_call), ends_before_verdict * nodes_of_fixture);
 }
 
-// Guards against a verdict on what ran beside the culprit: callers' proper requests.
+// Guards against a quarantine of harmless requests that ran together with the poison request.
 TEST_F(HostedPoison, WhatRanBesideIsServed) {
   ASSERT_TRUE(serves());
   std::vector<std::thread> callers;
@@ -157,7 +157,7 @@
   }
 }
 
-// Guards against a verdict on a request whose engines were killed under it, time after time.
+// Guards against a quarantine of a request whose engines were repeatedly killed while running it.
 TEST_F(HostedPoison, ARequestWhoseEnginesAreKilledIsServed) {
   ASSERT_TRUE(serves());
   constexpr int kills = 3;
@@ -174,7 +174,7 @@
   }));
 }
 
-// Guards against verdicts that end with the processes: all nodes lose their power.
+// Guards against quarantines that are lost when all nodes lose power simultaneously.
 TEST_F(HostedPoison, AVerdictOutlivesAllNodes) {
   ASSERT_TRUE(serves());
   come_again(poison_stream, [&] { return is_refused(poison_stream); });
@@ -188,7 +188,7 @@
   EXPECT_EQ(ends(poison_stream), before);
 }
 
-// Guards against a verdict that nobody can take back, here or in the store.
+// Guards against a quarantine that an operator cannot release, on the nodes and in the store.
 TEST_F(HostedPoison, AnOperatorLiftsAVerdict) {
   ASSERT_TRUE(serves());
   come_again(poison_stream, [&] { return is_refused(poison_stream); });
--- a/tests/shell/limit_exchange_test.cpp
+++ b/tests/shell/limit_exchange_test.cpp
@@ -1,4 +1,4 @@
-// When limits are spoken of with peers.
+// When rate limit leases are sent to which peers.
 #include "node/limit_exchange.h"
 
 #include <gtest/gtest.h>
@@ -38,9 +38,8 @@
   return nodes;
 }
 
-// Symptom: limits double the traffic between nodes. Sequence: each second a heartbeat and, at
-// another moment, a message about limits go to the same peer. Cause: two segments, both
-// acknowledged, where one would do.
+// Guards against limits doubling the traffic between nodes: each second a heartbeat and, at another
+// time, a message about limits go to the same peer, as two acknowledged segments instead of one.
 TEST(limit_exchange, a_peer_that_a_heartbeat_told_is_not_told_again) {
   const auto exchange = make(10);
   const auto with_heartbeat = exchange->tell_with(start + 500ms, near_peer);
@@ -48,7 +47,7 @@
   EXPECT_EQ(with_heartbeat->to, near_peer);
   EXPECT_FALSE(exchange->tell_with(start + 600ms, near_peer));
   EXPECT_EQ(receivers(exchange->tell(start + 1s)), (std::vector<node_id>{far_peer}));
-  // Without a heartbeat meanwhile, both are told alone.
+  // Without a heartbeat in the meantime, both peers get a separate message.
   EXPECT_EQ(receivers(exchange->tell(start + 2s)), (std::vector<node_id>{near_peer, far_peer}));
   EXPECT_TRUE(exchange->tell_with(start + 2500ms, near_peer));
 }
