--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -1,8 +1,9 @@
 // State shared by the components of a hosted node, for the lifetime of the process.
 //
-// A hosted node runs on one worker: the VMs have a quarter of a core, and a second thread would
-// only add context switches. Fibers of a worker run one at a time, so the state needs no locks. But
-// a fiber may be suspended at any call that waits, and the state may have changed when it resumes.
+// A hosted node runs on one worker: an entry-level VM has a quarter of a core, and a second thread
+// would only add context switches. Fibers of a worker run one at a time, so the state needs no
+// locks. But a fiber may be suspended at any call that waits, and the state may have changed when
+// it resumes.
 #pragma once
 
 #include <cstdint>
--- a/src/node/keeper_beats.cpp
+++ b/src/node/keeper_beats.cpp
@@ -248,7 +248,7 @@
     if (const auto row = decode_poison_row(bytes)) {
       take_crash_row(node_, now, *row, "peer");
     } else {
-      log_line(log_level::warning, "poison", "unreadable poison row", {{"peer", peer}});
+      log_line(log_level::warning, "poison", "unreadable evidence", {{"peer", peer}});
     }
   }
   if (!beat.crashes.rows.empty()) {
--- a/tests/shell/hosted_node_test.cpp
+++ b/tests/shell/hosted_node_test.cpp
@@ -90,7 +90,7 @@
                         R"({"service":"llm","address":"127.0.0.1:1","zone":"lab-a","slots":"9"})");
   platform_.kill_engine(platform_.find_member(false));
   EXPECT_TRUE(eventually([&] { return platform_.serving() >= 2; }))
-      << "rows of the list after the unreadable ones are ignored";
+      << "what the list contains behind the unreadable rows is not read";
   EXPECT_EQ(ask(0, "/llm/2f", "beside").response.body, whole_stream("beside"));
 }
 
