--- /dev/null
+++ b/src/node/controller_heartbeats.cpp
@@ -0,0 +1,344 @@
+// Heartbeats between nodes: composing, sending and handling them.
+#include <algorithm>
+
+#include "connection/clock.h"
+#include "node/controller_loop.h"
+#include "node/log.h"
+#include "node/poison_watch.h"
+#include "process/poison_wire.h"
+
+namespace arbutus {
+
+namespace {
+
+// A lost engine is reported to peers for this long after it was removed from the list of targets;
+// its replica has been dissolved by then.
+constexpr duration unlisted_loss_report_duration = 20s;
+
+std::size_t bytes_of(const std::vector<feed_row>& rows) {
+  std::size_t bytes = 0;
+  for (const feed_row& row : rows) {
+    bytes += row.key.size() + row.value.size();
+  }
+  return bytes;
+}
+
+}  // namespace
+
+feed_update controller_loop::configuration_update(time_point now, const positions& at) {
+  return {node_.configuration_rows.since(at.configuration),
+          false,
+          node_.configuration_rows.position(),
+          at.configuration,
+          *node_.lease.age(now),
+          false};
+}
+
+void controller_loop::pass_on_configuration(time_point now, const node_id& peer,
+                                            const positions& at, node_heartbeat& message) {
+  const config_distributor::recipient to{at.configuration_row, at.configuration_progress,
+                                         node_.peers.is_refused_by_store(peer)};
+  auto next =
+      config_distributor_.next_for(node_.configurations, to, node_.peers.alive_count(now) + 1);
+  // A node of an earlier release reports no row and cannot read parts. It would advance its
+  // position without applying the configuration.
+  const bool reads_no_parts = at.configuration_row == 0 && at.configuration > 0 &&
+                              at.configuration < node_.configurations.newest();
+  message.configuration = configuration_update(now, at);
+  message.configuration->withheld = next.withheld || reads_no_parts;
+  message.configuration_part = std::move(next.part);
+}
+
+// A full list that exceeds the budget of this round is sent in a later one.
+void controller_loop::withhold_beyond_budget(feed_update& update) {
+  update.withheld = update.complete && !list_budget_.take(bytes_of(update.rows));
+  if (update.withheld) {
+    update.rows.clear();
+  }
+}
+
+feed_update controller_loop::targets_update(time_point now, std::uint64_t after) {
+  feed_update update{node_.target_rows.since(after), node_.target_rows.needs_snapshot(after),
+                     node_.target_rows.position(),   after,
+                     now - node_.fleet_read_at,      false};
+  withhold_beyond_budget(update);
+  return update;
+}
+
+feed_update controller_loop::serving_update(time_point now,
+                                            const serving_follower::position& after) {
+  const feed_log& rows = node_.served.rows();
+  const std::uint64_t from = after.incarnation == node_.incarnation ? after.at : 0;
+  feed_update update{rows.since(from),          rows.needs_snapshot(from),
+                     rows.position(),           from,
+                     now - node_.fleet_read_at, false};
+  withhold_beyond_budget(update);
+  return update;
+}
+
+// Adds the store's rows that `peer` lacks; `peer` is a node of this hub's data centre that has
+// reported its positions.
+void controller_loop::forward_updates(time_point now, const node_id& peer,
+                                      node_heartbeat& message) {
+  const auto found = positions_.find(peer);
+  if (found == positions_.end()) {
+    return;
+  }
+  const positions& at = found->second;
+  if (node_.fleet_complete && at.follows_records) {
+    message.targets = targets_update(now, at.targets);
+  } else if (node_.fleet_complete) {
+    message.served = serving_update(now, at.serving);
+  }
+  if (node_.lease.age(now)) {
+    pass_on_configuration(now, peer, at, message);
+  }
+}
+
+// Prepares the content that is the same in the heartbeats to all peers.
+void controller_loop::begin_round(time_point now) {
+  config_distributor_.begin_round();
+  list_budget_.begin_round();
+  lost_.clear();
+  for (const auto& [id, view] : node_.fleet.all()) {
+    if (view.lost && (view.listed || now - view.unlisted_at < unlisted_loss_report_duration)) {
+      lost_.insert(id);
+    }
+  }
+  serving_suspects_.clear();
+  all_loads_.clear();
+  if (!node_.peers.is_hub(now)) {
+    return;
+  }
+  all_loads_ = node_.loads.all();
+  if (node_.map && node_.fleet_complete) {
+    node_.served.update(node_.fleet, *node_.map);
+    std::set<target_id> suspects = node_.lost_reports.reported_by_hubs(now);
+    suspects.insert(lost_.begin(), lost_.end());
+    serving_suspects_ = node_.served.first_suspect_per_row(suspects);
+  }
+}
+
+node_heartbeat controller_loop::heartbeat_for(time_point now, const node_id& peer) {
+  const data_centre_id& home = node_.settings.data_centre;
+  const bool same = node_.peers.data_centre_of(peer) == home;
+  node_heartbeat message;
+  message.data_centre = home;
+  message.link = node_.settings.listen.links;
+  message.strength = node_.settings.strength;
+  message.hub = !node_.stopping && node_.peers.is_hub(now);
+  message.leaving = node_.stopping;
+  message.refused_by_store = node_.peers.refused_by_store();
+  message.requests_seen = node_.requests_seen;
+  message.stamp_us = now.time_since_epoch().count();
+  message.echo_us = node_.peers.newest_stamp(peer);
+  message.targets_position = watch_.records_position();
+  message.follows_records = watch_.follows_records();
+  message.incarnation = node_.incarnation;
+  message.serving = node_.followed.at();
+  message.configuration_position = node_.configuration_rows.position();
+  message.configuration_row = node_.configurations.newest();
+  message.configuration_progress = watch_.configuration_progress();
+  const auto told = positions_.find(peer);
+  const bool follows_served =
+      message.hub && same && told != positions_.end() && !told->second.follows_records;
+  if (follows_served) {
+    message.lost = serving_suspects_;
+  } else {
+    std::set<target_id> lost = lost_;
+    if (message.hub && same) {
+      lost.merge(node_.lost_reports.reported_by_hubs(now));
+    }
+    message.lost.assign(lost.begin(), lost.end());
+  }
+  if (message.hub) {
+    // Nodes of this data centre receive the loads of all other nodes, other hubs those of this data
+    // centre.
+    message.loads = same ? node_.loads.all_except(peer, all_loads_) : node_.loads.all_of(home);
+  } else if (node_.peers.hub_of(now, home) == peer) {
+    message.loads = node_.loads.own();
+  }
+  if (message.hub && same) {
+    forward_updates(now, peer, message);
+  }
+  if (receives_poison_updates(now, peer)) {
+    message.poison_changes = poison_exchange_.update_for(now, peer, node_.poison.tracker);
+  }
+  message.received_poison_position = poison_exchange_.received_position(peer);
+  add_limits(now, peer, message);
+  return message;
+}
+
+// One round of send grants, if this node is a hub.
+void controller_loop::grant_sends(time_point now) {
+  node_.limits.forget(now, [this](const target_id& id) { return node_.fleet.find(id) != nullptr; });
+  if (!node_.peers.is_hub(now)) {
+    return;
+  }
+  std::map<target_id, double> issued;
+  for (const auto& [target, limit] : node_.limits.all()) {
+    const target_view* view = node_.fleet.find(target);
+    if (limit.per_second && view != nullptr &&
+        responsibilities_.contains(view->record.data_centre)) {
+      issued.emplace(target, *limit.per_second);
+    }
+  }
+  const node_id& self = node_.settings.id;
+  grants_.set_demand(now, self, node_.incarnation, false, node_.limits.demand(now));
+  grants_.round(now, random_, issued);
+  const grant_update own = grants_.update_for(now, self);
+  for (const auto& [target, count] :
+       granted_.take(now, now, self, node_.incarnation, node_.incarnation, own)) {
+    node_.limits.granted(now, target, count);
+  }
+}
+
+void controller_loop::add_limits(time_point now, const node_id& peer, node_heartbeat& message) {
+  const data_centre_id there = node_.peers.data_centre_of(peer);
+  const bool same = there == node_.settings.data_centre;
+  if (!message.hub && node_.peers.hub_of(now, node_.settings.data_centre) != peer) {
+    return;
+  }
+  const auto demand = message.hub
+                          ? (same ? std::map<target_id, double>{} : grants_.local_demand(now))
+                          : node_.limits.demand(now);
+  for (const auto& [target, limit] : node_.limits.all()) {
+    const auto found = demand.find(target);
+    message.limits.push_back(
+        {target, limit.per_second, now - limit.seen_at, found == demand.end() ? 0 : found->second});
+  }
+  if (message.hub) {
+    message.grants = grants_.update_for(now, peer);
+  }
+}
+
+void controller_loop::take_limits(time_point now, const node_id& peer,
+                                  const node_heartbeat& message) {
+  if (message.echo_us <= 0) {
+    return;
+  }
+  const time_point asked{duration{message.echo_us}};
+  std::map<target_id, double> demand;
+  for (const limit_update& update : message.limits) {
+    node_.limits.received(update.target, {update.per_second, asked - update.age});
+    if (update.demand > 0) {
+      demand.emplace(update.target, update.demand);
+    }
+  }
+  const bool same = message.data_centre == node_.settings.data_centre;
+  const bool hub = node_.peers.is_hub(now);
+  if (hub && same != message.hub) {
+    grants_.set_demand(now, peer, message.incarnation, message.hub, std::move(demand));
+  }
+  const auto fresh =
+      granted_.take(asked, now, peer, message.incarnation, node_.incarnation, message.grants);
+  for (const auto& [target, count] : fresh) {
+    if (same) {
+      node_.limits.granted(now, target, count);
+    } else if (hub) {
+      grants_.received(target, count);
+    }
+  }
+}
+
+// Poison updates are exchanged between hubs, and between a hub and its nodes, because these
+// acknowledge them with their own heartbeats. The next hub in line receives them from the hub.
+bool controller_loop::receives_poison_updates(time_point now, const node_id& peer) const {
+  return node_.peers.is_hub(now) ||
+         node_.peers.hub_of(now, node_.peers.data_centre_of(peer)) == peer;
+}
+
+void controller_loop::apply_poison_updates(time_point now, const node_id& peer,
+                                           const node_heartbeat& message) {
+  poison_exchange_.acknowledged(peer, message.received_poison_position);
+  for (const std::string& bytes : message.poison_changes.rows) {
+    if (const auto row = decode_poison_row(bytes)) {
+      merge_poison_row(node_, now, *row, "peer");
+    } else {
+      log_line(log_level::warning, "poison", "unreadable evidence", {{"peer", peer}});
+    }
+  }
+  if (!message.poison_changes.rows.empty()) {
+    poison_exchange_.received(peer, {message.incarnation, message.poison_changes.at});
+  }
+}
+
+// Maintains links only to the peers that are sent heartbeats; each link costs both sides a
+// connection.
+void controller_loop::update_links(const std::vector<node_id>& peers) {
+  if (peers == linked_peers_) {
+    return;
+  }
+  linked_peers_ = peers;
+  std::vector<node_record> records;
+  for (const node_record& n : node_.peers.records()) {
+    if (std::find(peers.begin(), peers.end(), n.id) != peers.end()) {
+      records.push_back(n);
+    }
+  }
+  // In a separate fiber, since closing a link may block.
+  ++running_link_updates_;
+  node_.runtime.post(0, [this, records] {
+    if (!ended_) {
+      links_.set_peers(records);
+    }
+    --running_link_updates_;
+  });
+}
+
+void controller_loop::send_peer_heartbeats(time_point now) {
+  node_.loads.forget_peers(now);
+  std::vector<node_id> peers = node_.peers.recipients(now);
+  std::sort(peers.begin(), peers.end());
+  update_links(peers);
+  begin_round(now);
+  grant_sends(now);
+  // Starts with a different peer each time, so that the budget of a round does not always go to the
+  // same peers.
+  if (!peers.empty()) {
+    const auto first = static_cast<std::ptrdiff_t>(random_.below(peers.size()));
+    std::rotate(peers.begin(), peers.begin() + first, peers.end());
+  }
+  for (const node_id& peer : peers) {
+    links_.send(link_channel::coordination, {peer, encode(heartbeat_for(now, peer)), false});
+    node_.peers.told(now, peer);
+  }
+}
+
+void controller_loop::received(time_point now, const node_id& peer, const node_heartbeat& message) {
+  if (message.link != endpoint{}) {
+    node_.peers.learn({peer, message.data_centre, message.link, {}, message.strength});
+  }
+  node_.peers.received(now, peer,
+                       {message.hub, message.leaving, message.refused_by_store, message.stamp_us});
+  positions_[peer] = {message.follows_records,   message.targets_position,
+                      message.serving,           message.configuration_position,
+                      message.configuration_row, message.configuration_progress};
+  node_.requests_seen = node_.requests_seen || message.requests_seen;
+  const bool same = message.data_centre == node_.settings.data_centre;
+  const bool hub = node_.peers.is_hub(now);
+  // A hub accepts loads from the nodes of its data centre and from other hubs, other nodes accept
+  // them from their hub.
+  if (hub ? (same ? !message.hub : message.hub) : (same && message.hub)) {
+    node_.loads.received(peer, message.data_centre, now, message.loads);
+  }
+  if (same && message.hub && message.echo_us > 0) {
+    // The hub's content is newer than the moment at which this node sent the echoed stamp.
+    const time_point asked{duration{message.echo_us}};
+    watch_.apply_hub_update(asked, now, message);
+    hub_reply_at_ = now;
+    node_.fleet.apply_hub_losses(now, message.lost);
+  }
+  apply_poison_updates(now, peer, message);
+  take_limits(now, peer, message);
+  node_.lost_reports.told(now, peer, message.hub, message.lost);
+  for (const target_id& id : message.lost) {
+    const target_view* view = node_.fleet.find(id);
+    const bool own = view != nullptr && responsibilities_.contains(view->record.data_centre);
+    if (own && view->listed && !view->lost && probing_.insert(id).second) {
+      node_.runtime.post(0, [this, id] { verify_lost_report(id); });
+    }
+  }
+}
+
+}  // namespace arbutus
--- a/src/node/keeper_loop.cpp
+++ b/src/node/controller_loop.cpp
@@ -1,5 +1,5 @@
-// The keeper's clockwork: what it orders, and what it tells of that.
-#include "node/keeper_loop.h"
+// The controller's main loop: periodic work, orders to engines, and log lines about them.
+#include "node/controller_loop.h"
 
 #include <algorithm>
 
@@ -11,61 +11,63 @@
 
 namespace {
 
-// A replica's repair takes some 500 ms of engines' time; a tick of this adds 4 percent of that.
+// The engines need some 500 ms to repair a replica; a tick adds at most 4 percent to that.
 constexpr duration tick_interval = 20ms;
-// Peers learn of sends within this; the same load is then double-booked for 100 ms on average.
-constexpr duration beat_interval = 200ms;
+// Peers learn of this node's sends within this time, so two nodes may assign the same capacity for
+// 100 ms on average.
+constexpr duration peer_heartbeat_interval = 200ms;
 constexpr duration plan_log_interval = 1s;
-// Each look counts the replicas of all models anew when a target changed: 1 ms at 1,100 engines,
-// while many change each second. On a node with an eighth of a core that was a third of it, for a
-// line of its log.
+// Counting the replicas of all models takes 1 ms with 1,100 engines and is repeated after each
+// change of a target, of which there are many per second. Done on every tick, the count for this
+// log line took a third of the processor time of a node with an eighth of a core.
 constexpr duration capacity_log_interval = 250ms;
-constexpr duration isolated_after = 2500ms;  // the feed may wait a second for its answer
+constexpr duration isolation_timeout = 2500ms;  // the feed alone may take a second to answer
 
 }  // namespace
 
-keeper_loop::keeper_loop(hosted_state& node, peer_links& links, store_watch& watch)
+controller_loop::controller_loop(hosted_state& node, peer_links& links, store_watch& watch)
     : node_(node),
       links_(links),
       watch_(watch),
       started_(monotonic_now()),
-      random_(stable_hash(node.origin)),
-      crashes_(node.origin),
+      random_(stable_hash(node.incarnation)),
+      poison_exchange_(node.incarnation),
       config_distributor_(node.settings.strength.link_mbps),
-      whole_lists_(node.settings.strength.link_mbps) {}
+      list_budget_(node.settings.strength.link_mbps) {}
 
-void keeper_loop::run() {
+void controller_loop::run() {
   while (!ended_ && sleep_until(monotonic_now() + tick_interval) && !ended_) {
     const time_point now = monotonic_now();
-    watch_silence(now);
-    ask_lost(now);
-    judge_poison(node_, now);
+    check_stalls(now);
+    probe_lost_targets(now);
+    evaluate_poison(node_, now);
     if (node_.map && node_.fleet_known && !node_.stopping) {
-      keep(now);
+      run_controllers(now);
     }
-    if (now - told_peers_at_ >= beat_interval) {
-      told_peers_at_ = now;
-      tell_peers(now);
+    if (now - heartbeats_sent_at_ >= peer_heartbeat_interval) {
+      heartbeats_sent_at_ = now;
+      send_peer_heartbeats(now);
     }
   }
 }
 
-void keeper_loop::end() {
+void controller_loop::end() {
   ended_ = true;
-  while (linking_ > 0 && sleep_until(monotonic_now() + tick_interval)) {
+  while (running_link_updates_ > 0 && sleep_until(monotonic_now() + tick_interval)) {
   }
 }
 
-void keeper_loop::keep(time_point now) {
-  // Cut off from the platform and from all peers, this node sees only what it had: peers of its
-  // data centre know better, if there are any.
-  const bool isolated = !node_.peers.any_alive(now) && now - node_.fleet_read_at > isolated_after &&
+void controller_loop::run_controllers(time_point now) {
+  // A node that is partitioned from the platform and all peers has only stale data. It leaves the
+  // control of replicas to the other nodes of its data centre, if there are any.
+  const bool isolated = !node_.peers.any_alive(now) &&
+                        now - node_.fleet_read_at > isolation_timeout &&
                         node_.peers.any_in(node_.settings.data_centre);
   const auto responsibilities =
       isolated ? std::set<data_centre_id>{}
                : node_.peers.responsibilities(now, node_.settings.data_centres);
-  if (responsibilities != duties_) {
-    duties_ = responsibilities;
+  if (responsibilities != responsibilities_) {
+    responsibilities_ = responsibilities;
     std::string names;
     for (const data_centre_id& d : responsibilities) {
       names += (names.empty() ? "" : ",") + d.str();
@@ -76,57 +78,59 @@
               {"processor_permille", node_.settings.strength.processor_permille},
               {"link_mbps", node_.settings.strength.link_mbps}});
   }
-  // In the first moment no peer has been heard yet.
+  // Right after the start no heartbeat has been received yet.
   constexpr duration settle = 500ms;
   if (now - started_ < settle) {
     return;
   }
-  if (!duties_.empty() && node_.fleet_complete) {
-    check_unheard(now);
+  if (!responsibilities_.empty() && node_.fleet_complete) {
+    probe_overdue(now);
   }
   for (const service_spec& service : node_.map->services()) {
     if (!service.engine) {
       continue;
     }
-    auto found = keepers_.find(service.id);
-    if (found == keepers_.end()) {
-      found = keepers_
-                  .emplace(service.id, replica_controller({}, node_.origin, started_,
+    auto found = controllers_.find(service.id);
+    if (found == controllers_.end()) {
+      found = controllers_
+                  .emplace(service.id, replica_controller({}, node_.incarnation, started_,
                                                           node_.settings.cold_start))
                   .first;
     }
-    if (now - told_capacity_at_ >= capacity_log_interval) {
-      tell_capacity(service);
+    if (now - capacity_logged_at_ >= capacity_log_interval) {
+      log_capacity(service);
     }
-    const replica_controller::responsibilities own{duties_, node_.settings.data_centres.size(),
+    const replica_controller::responsibilities own{responsibilities_,
+                                                   node_.settings.data_centres.size(),
                                                    node_.requests_seen, now - node_.fleet_read_at};
-    if (duties_.empty() || !node_.fleet_complete) {
+    if (responsibilities_.empty() || !node_.fleet_complete) {
       continue;
     }
     for (const controller_effect& desired : found->second.tick(now, node_.fleet, service, own)) {
       carry_out(service.id, desired);
     }
-    tell_plan(now, found->second);
+    log_plan(now, found->second);
   }
-  if (now - told_capacity_at_ >= capacity_log_interval) {
-    told_capacity_at_ = now;
+  if (now - capacity_logged_at_ >= capacity_log_interval) {
+    capacity_logged_at_ = now;
   }
 }
 
-// What the keeper of a data centre has to work with, at most once a second.
-void keeper_loop::tell_plan(time_point now, const replica_controller& keeper) {
-  if (now - told_plan_at_ < plan_log_interval || keeper.plan() == told_plan_) {
+// Logs the replicas and engines available to the controller when they change, at most once a
+// second.
+void controller_loop::log_plan(time_point now, const replica_controller& controller) {
+  if (now - plan_logged_at_ < plan_log_interval || controller.plan() == logged_plan_) {
     return;
   }
-  told_plan_at_ = now;
-  told_plan_ = keeper.plan();
+  plan_logged_at_ = now;
+  logged_plan_ = controller.plan();
   std::string text;
   const auto add = [&text](const std::vector<std::uint32_t>& counts) {
     for (const std::uint32_t n : counts) {
       text += (text.ends_with('[') ? "" : "+") + std::to_string(n);
     }
   };
-  for (const auto& d : told_plan_) {
+  for (const auto& d : logged_plan_) {
     text += (text.empty() ? "" : "; ") + d.domain.str() + " ready [";
     add(d.ready);
     text += "] wanted [";
@@ -136,8 +140,8 @@
   log_line(log_level::info, "keeper", "plan", {{"domains", text}});
 }
 
-// One line for each change of what may be sent requests.
-void keeper_loop::tell_capacity(const service_spec& service) {
+// Logs each change of the number of replicas that may be sent requests.
+void controller_loop::log_capacity(const service_spec& service) {
   for (const model_spec& model : service.engine->models) {
     const std::size_t serving = node_.replicas(service, model.id).size();
     const auto [known, is_new] = capacity_.emplace(model.id, serving);
@@ -152,23 +156,23 @@
   }
 }
 
-void keeper_loop::carry_out(const service_id& service, const controller_effect& desired) {
+void controller_loop::carry_out(const service_id& service, const controller_effect& desired) {
   node_.runtime.post(0, [this, service, desired] {
-    replica_controller& keeper = keepers_.at(service);
+    replica_controller& controller = controllers_.at(service);
     const time_point asked = monotonic_now();
     const time_point deadline = asked + order_timeout;
     if (const auto* question = std::get_if<report_request>(&desired)) {
-      count_question("order");
+      count_query("order");
       const auto result = node_.engines.report(question->to, question->address, deadline);
       const time_point now = monotonic_now();
       if (const auto* report = std::get_if<target_report>(&result)) {
         take_report(asked, question->to, *report);
-        keeper.on_report(now, question->to, *report);
+        controller.on_report(now, question->to, *report);
       } else {
         if (std::holds_alternative<unknown>(result)) {
           node_.fleet.probe_failed(now, question->to);
         }
-        keeper.on_report(now, question->to, std::nullopt);
+        controller.on_report(now, question->to, std::nullopt);
       }
       return;
     }
@@ -191,9 +195,9 @@
     node_.metrics.count("arbutusworks_orders",
                         "action=\"" + std::string(to_string(order.action)) + "\",outcome=\"" +
                             std::string(names[static_cast<std::size_t>(outcome)]) + "\"");
-    keeper.on_order(monotonic_now(), node_.fleet, order, outcome);
-    // Goes wrong otherwise: replicas are formed with it again and again until its row lapses, and
-    // each time the others wait for it.
+    controller.on_order(monotonic_now(), node_.fleet, order, outcome);
+    // Without this, the ended target is chosen for new replicas again and again until its row
+    // expires, and each time the other members wait for it.
     if (outcome == order_outcome::other_target) {
       log_line(log_level::info, "fleet", "ended", {{"target", order.to}, {"told_by", "order"}});
       node_.fleet.ended(order.to);
@@ -201,7 +205,8 @@
   });
 }
 
-bool keeper_loop::take_report(time_point asked, const target_id& id, const target_report& report) {
+bool controller_loop::take_report(time_point asked, const target_id& id,
+                                  const target_report& report) {
   const target_view* view = node_.fleet.find(id);
   const service_spec* service =
       view == nullptr || !node_.map ? nullptr : node_.map->find_service(view->record.service);
--- /dev/null
+++ b/src/node/controller_loop.h
@@ -0,0 +1,117 @@
+// Runs the replica controllers of a hosted node: queries engines and sends them orders
+// (controller_loop.cpp), detects stalled replicas and lost targets (controller_losses.cpp), and
+// exchanges heartbeats with peers (controller_heartbeats.cpp).
+#pragma once
+
+#include <map>
+#include <memory>
+#include <set>
+
+#include "base/hash.h"
+#include "base/rng.h"
+#include "node/hosted_state.h"
+#include "node/peer_links.h"
+#include "node/store_watch.h"
+#include "process/config_distributor.h"
+#include "process/list_budget.h"
+#include "process/poison_exchange.h"
+#include "process/replica_controller.h"
+#include "process/send_grants.h"
+
+namespace arbutus {
+
+class controller_loop {
+ public:
+  controller_loop(hosted_state& node, peer_links& links, store_watch& watch);
+
+  // Runs in its own fiber until end() is called or the runtime stops.
+  void run();
+
+  // To be called on the worker; returns when nothing uses the links any more.
+  void end();
+
+  // Handles a heartbeat from a peer.
+  void received(time_point now, const node_id& peer, const node_heartbeat& message);
+
+ private:
+  // Engines answer within 3 ms. After an order without an answer, the engine's state is queried
+  // first; the order is not repeated blindly.
+  static constexpr duration order_timeout = 300ms;
+
+  // Positions in the watched tables that a peer reported.
+  struct positions {
+    bool follows_records = true;
+    std::uint64_t targets{};
+    serving_follower::position serving;
+    std::uint64_t configuration{};
+    std::uint64_t configuration_row{};
+    config_progress configuration_progress;
+  };
+
+  void run_controllers(time_point now);
+  void log_capacity(const service_spec& service);
+  void log_plan(time_point now, const replica_controller& controller);
+  void carry_out(const service_id& service, const controller_effect& effect);
+  void check_stalls(time_point now);
+  void probe_overdue(time_point now);
+  void probe_lost_targets(time_point now);
+  [[nodiscard]] bool is_unlisted_member(time_point now, const target_view& view) const;
+  void check_replica(const target_id& head);
+  [[nodiscard]] bool is_serving_replica(const target_view& head);
+  void count_query(std::string_view why);
+  // `why` labels the metric, since each query to a target has a cost.
+  bool probe(const target_id& id, duration timeout, std::string_view why);
+  // False if another incarnation of the engine answered.
+  bool take_report(time_point asked, const target_id& id, const target_report& report);
+  void verify_lost_report(const target_id& id);
+  [[nodiscard]] feed_update configuration_update(time_point now, const positions& at);
+  void pass_on_configuration(time_point now, const node_id& peer, const positions& at,
+                             node_heartbeat& message);
+  void withhold_beyond_budget(feed_update& update);
+  [[nodiscard]] feed_update targets_update(time_point now, std::uint64_t after);
+  [[nodiscard]] feed_update serving_update(time_point now, const serving_follower::position& after);
+  void forward_updates(time_point now, const node_id& peer, node_heartbeat& message);
+  [[nodiscard]] bool receives_poison_updates(time_point now, const node_id& peer) const;
+  void apply_poison_updates(time_point now, const node_id& peer, const node_heartbeat& message);
+  void grant_sends(time_point now);
+  void add_limits(time_point now, const node_id& peer, node_heartbeat& message);
+  void take_limits(time_point now, const node_id& peer, const node_heartbeat& message);
+  void choose_probed(const target_id& head, std::vector<target_id>& members);
+  void send_peer_heartbeats(time_point now);
+  void update_links(const std::vector<node_id>& peers);
+  void begin_round(time_point now);
+  [[nodiscard]] node_heartbeat heartbeat_for(time_point now, const node_id& peer);
+
+  hosted_state& node_;
+  peer_links& links_;
+  store_watch& watch_;
+  time_point started_;
+  rng random_;
+  std::map<service_id, replica_controller> controllers_;
+  std::set<target_id> checking_;  // heads whose replicas are being checked
+  std::set<target_id> probing_;
+  std::map<node_id, positions> positions_;
+  poison_exchange poison_exchange_;
+  // Send grants for targets that announce a limit.
+  send_grants grants_;
+  grant_receiver granted_;
+  // State of one round of heartbeats.
+  config_distributor config_distributor_;
+  list_budget list_budget_;
+  std::set<target_id> lost_;                 // targets that this node marked as lost
+  std::vector<target_id> serving_suspects_;  // for the nodes that follow the serving replicas only
+  std::map<target_id, replica_load> all_loads_;
+  std::vector<node_id> linked_peers_;
+  std::size_t running_link_updates_ = 0;  // fibers that change the links
+  bool ended_ = false;
+  std::set<data_centre_id> responsibilities_;
+  std::map<model_id, std::size_t> capacity_;  // replicas that may be sent requests, as last logged
+  time_point heartbeats_sent_at_{};
+  time_point plan_logged_at_{};
+  time_point capacity_logged_at_{};
+  time_point lost_probed_at_{};
+  time_point hub_reply_at_{};  // the hub's last heartbeat that echoed a stamp of this node
+  std::vector<replica_controller::domain_plan> logged_plan_;
+};
+
+}  // namespace arbutus
--- a/src/node/hosted_whole.cpp
+++ b/src/node/hosted_buffered.cpp
@@ -1,4 +1,4 @@
-// Calls of plain services on a hosted node: the answer is passed on whole.
+// Calls of plain services on a hosted node, whose responses are buffered and forwarded as a unit.
 #include <algorithm>
 #include <vector>
 
@@ -10,16 +10,16 @@
 
 namespace {
 
-// With less time than this left, another instance could not answer any more.
-constexpr duration least_useful_time = 10ms;
+// With less time than this before the deadline, another instance cannot answer.
+constexpr duration min_useful_time = 10ms;
 
-class whole_call {
+class buffered_call {
  public:
-  whole_call(hosted_state& node, hosted_request& call) : node_(node), call_(call) {}
+  buffered_call(hosted_state& node, hosted_request& call) : node_(node), call_(call) {}
 
   void run() {
     call_.writer.on_gone([this] {
-      gone_ = true;
+      caller_gone_ = true;
       cancel_.cancel();
     });
     while (!ended_) {
@@ -29,33 +29,33 @@
   }
 
  private:
-  void end_own(int status, duration retry_after, std::string_view reason) {
+  void end_locally(int status, duration retry_after, std::string_view reason) {
     ended_ = true;
-    if (gone_) {
+    if (caller_gone_) {
       finish_call(node_, call_, "caller_gone", reason, 0);
     } else {
-      answer_own(node_, call_, status, retry_after, reason);
+      respond_locally(node_, call_, status, retry_after, reason);
     }
   }
 
   void next_attempt() {
-    // Its earlier attempts, here and at other nodes, had other ids; what they did to their targets
-    // is known by its fingerprint.
+    // Earlier attempts of the same request, here and on other nodes, may have had other request
+    // ids. The fingerprint links them, so that a poison request is recognized.
     if (!may_run(node_, call_)) {
-      end_own(503, retry_after_poison(node_, call_), poison_reason);
+      end_locally(503, retry_after_poison(node_, call_), poison_reason);
       return;
     }
     const time_point now = monotonic_now();
-    if (gone_) {
-      end_own(0, {}, "the caller has gone");
+    if (caller_gone_) {
+      end_locally(0, {}, "the caller has gone");
       return;
     }
-    if (now + least_useful_time >= call_.deadline) {
-      end_own(call_.may_have_run > 0 ? 504 : 503, retry_after_no_target, "no time is left");
+    if (now + min_useful_time >= call_.deadline) {
+      end_locally(call_.may_have_run > 0 ? 504 : 503, retry_after_no_target, "no time is left");
       return;
     }
     if (!key_usable(node_, call_)) {
-      end_own(503, retry_after_stale(node_, monotonic_now()), "the key cannot be confirmed");
+      end_locally(503, retry_after_stale(node_, monotonic_now()), "the key cannot be confirmed");
       return;
     }
     const std::vector<service_instance> instances = node_.instances_of(call_.service->id);
@@ -63,33 +63,33 @@
     const auto chosen = node_.instances.choose(now, instances, node_.settings.data_centre, avoided);
     if (!chosen) {
       const bool by_limit = avoided.size() > avoided_.size();
-      end_own(503, by_limit ? retry_after_limit(node_) : retry_after_no_target,
-              by_limit ? limit_reason : last_reason_);
+      end_locally(503, by_limit ? retry_after_limit(node_) : retry_after_no_target,
+                  by_limit ? limit_reason : last_reason_);
       return;
     }
     if (!may_send_again(node_, call_, now)) {
-      end_own(503, retry_after_no_target, last_reason_);
+      end_locally(503, retry_after_no_target, last_reason_);
       return;
     }
     attempt(instances[*chosen]);
   }
 
-  // Those that were tried, and those that take no more now.
+  // Instances that were tried already, and instances whose send limit is exhausted.
   [[nodiscard]] std::vector<target_id> avoided_instances(
       time_point now, const std::vector<service_instance>& instances) const {
     std::vector<target_id> ids = avoided_;
     for (const service_instance& instance : instances) {
-      if (!takes_request(node_, now, instance.id)) {
+      if (!check_send_limit(node_, now, instance.id)) {
         ids.push_back(instance.id);
       }
     }
     return ids;
   }
 
-  // A kept connection may close just as the request is written to it, and it is then unknown
-  // whether it ran: what may not be repeated gets a fresh one.
+  // A pooled connection may be closed just as the request is written to it, and it is then unknown
+  // whether the request ran. Requests that may not be repeated use a fresh connection.
   [[nodiscard]] connection_use connection() const {
-    return call_.way->repeatable() ? connection_use::pooled : connection_use::fresh;
+    return call_.matched_route->repeatable() ? connection_use::pooled : connection_use::fresh;
   }
 
   void attempt(const service_instance& instance) {
@@ -103,34 +103,36 @@
     node_.instances.sent(instance.id);
     sent_at_ = monotonic_now();
     node_.limits.sent(sent_at_, instance.id);
-    node_.poison.ledger.run_sent(sent_at_, instance.id);
+    node_.poison.tracker.run_sent(sent_at_, instance.id);
     const call_result result = node_.targets.fetch(
-        {instance.address.host, instance.address.port}, make_target_request(call_.wire, facts),
-        call_.deadline, cancel_, [this] { return key_usable(node_, call_); }, connection());
-    judge(instance, result);
+        {instance.address.host, instance.address.port},
+        make_target_request(call_.raw_request, facts), call_.deadline, cancel_,
+        [this] { return key_usable(node_, call_); }, connection());
+    handle_result(instance, result);
   }
 
-  void judge(const service_instance& instance, const call_result& result) {
+  void handle_result(const service_instance& instance, const call_result& result) {
     const time_point now = monotonic_now();
     avoided_.push_back(instance.id);
     if (result.failure == call_failure::not_permitted) {
       node_.instances.ended(now, instance.id, call_end::withdrawn);
-      end_own(503, retry_after_stale(node_, monotonic_now()), "the key was withdrawn");
+      end_locally(503, retry_after_stale(node_, monotonic_now()), "the key was withdrawn");
       return;
     }
     if (result.outcome == call_outcome::not_sent) {
-      node_.instances.ended(now, instance.id, gone_ ? call_end::withdrawn : call_end::failed);
+      node_.instances.ended(now, instance.id,
+                            caller_gone_ ? call_end::withdrawn : call_end::failed);
       --call_.sends;
       last_reason_ = "could not be sent";
       return;
     }
     if (!result.ok()) {
-      const bool own_reason = gone_ || result.failure == call_failure::cancelled;
+      const bool own_reason = caller_gone_ || result.failure == call_failure::cancelled;
       node_.instances.ended(now, instance.id, own_reason ? call_end::withdrawn : call_end::failed);
       ++call_.may_have_run;
       if (result.failure == call_failure::connection_lost && !own_reason) {
-        look_into(node_,
-                  {call_.head.id, call_.fingerprint, instance.id, instance.address, sent_at_, now});
+        check_for_strike(node_, {call_.head.id, call_.fingerprint, instance.id, instance.address,
+                                 sent_at_, now});
       }
       broken(instance, to_string(result.failure));
       return;
@@ -159,9 +161,9 @@
         return;
       case answer_kind::own:
         node_.instances.ended(now, instance.id, call_end::answered);
-        node_.poison.ledger.first_event_received(now - sent_at_);
+        node_.poison.tracker.first_event_received(now - sent_at_);
         note_harmless(node_, call_);
-        pass_on(instance, response);
+        forward_response(instance, response);
         return;
     }
   }
@@ -180,10 +182,12 @@
     node_.metrics.count("arbutusworks_attempts_broken");
   }
 
-  // A failure of the target's own counts as run: only what may be repeated is tried elsewhere.
-  void pass_on(const service_instance& instance, const http_response& response) {
+  // A failure reported by the target counts as run: only requests that may be repeated are tried on
+  // another instance.
+  void forward_response(const service_instance& instance, const http_response& response) {
     const bool failed = response.status >= 500;
-    if (failed && call_.way->repeatable() && call_.may_have_run + 1 < call_.way->max_attempts &&
+    if (failed && call_.matched_route->repeatable() &&
+        call_.may_have_run + 1 < call_.matched_route->max_attempts &&
         node_.retries_of(call_.service->id).left() >= 1) {
       ++call_.may_have_run;
       broken(instance, "the target failed");
@@ -205,14 +209,14 @@
   std::vector<target_id> avoided_;
   std::string_view last_reason_ = "no instance is known";
   time_point sent_at_{};  // of the running attempt
-  bool gone_ = false;
+  bool caller_gone_ = false;
   bool ended_ = false;
 };
 
 }  // namespace
 
-void serve_whole(hosted_state& node, hosted_request& call) {
-  whole_call(node, call).run();
+void serve_buffered(hosted_state& node, hosted_request& call) {
+  buffered_call(node, call).run();
 }
 
 }  // namespace arbutus
--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -1,4 +1,4 @@
-// First steps of a hosted call, and its end.
+// The start and the end of a hosted call, shared by streams and buffered calls.
 #include "node/hosted_call.h"
 
 #include "node/hosted_parts.h"
@@ -8,14 +8,14 @@
 
 namespace {
 
-// Beyond this a caller's wish is not honoured: no route waits for longer.
-constexpr duration longest_wait = 120s;
+// Upper bound of a call's time, whatever the route or the caller asks for.
+constexpr duration max_call_timeout = 120s;
 
-class call_start {
+class call_preparation {
  public:
-  call_start(hosted_state& node, hosted_request& call) : node_(node), call_(call) {}
+  call_preparation(hosted_state& node, hosted_request& call) : node_(node), call_(call) {}
 
-  // False if the call was answered.
+  // False if the call has been answered already.
   bool run() {
     if (call_.head.id.empty()) {
       return end(400, {}, "the request has no id");
@@ -28,25 +28,28 @@
                  "a newer configuration is accepted, and not here yet");
     }
     call_.map = node_.map;
-    call_.way = call_.map->find_route(call_.head.host, call_.head.path);
+    call_.matched_route = call_.map->find_route(call_.head.host, call_.head.path);
     const bool current = node_.lease.valid(call_.arrived);
-    if (call_.way == nullptr) {
-      // Only a current version may say that something is not there.
+    if (call_.matched_route == nullptr) {
+      // Only a confirmed version proves that there is no such route; another node may have a newer
+      // one.
       return current ? end(404, {}, "no route has this host and path")
                      : end(503, retry_after_stale(node_, call_.arrived),
                            "the configuration may be out of date");
     }
-    if (call_.map->has_workspaces() && call_.way->needs_workspace && !find_workspace(current)) {
+    if (call_.map->has_workspaces() && call_.matched_route->needs_workspace &&
+        !find_workspace(current)) {
       return false;
     }
     set_deadline();
-    call_.fingerprint = fingerprint_of(call_.workspace, call_.wire.target, call_.wire.body);
+    call_.fingerprint =
+        fingerprint_of(call_.workspace, call_.raw_request.target, call_.raw_request.body);
     return find_service();
   }
 
  private:
   bool end(int status, duration retry_after, std::string_view reason) {
-    answer_own(node_, call_, status, retry_after, reason);
+    respond_locally(node_, call_, status, retry_after, reason);
     return false;
   }
 
@@ -66,18 +69,18 @@
   }
 
   void set_deadline() {
-    duration wait = std::min(call_.way->timeout, longest_wait);
+    duration wait = std::min(call_.matched_route->timeout, max_call_timeout);
     if (call_.head.time_left) {
       wait = std::min(wait, *call_.head.time_left);
     }
     call_.deadline = call_.arrived + wait;
     if (!call_.urgency) {
-      call_.urgency = call_.way->priority;
+      call_.urgency = call_.matched_route->priority;
     }
   }
 
   bool find_service() {
-    const service_id* id = pick_service(*call_.way, call_.head.id.str());
+    const service_id* id = pick_service(*call_.matched_route, call_.head.id.str());
     call_.service = id == nullptr ? nullptr : call_.map->find_service(*id);
     if (call_.service == nullptr) {
       return end(503, retry_after_no_target, "the route's service is not configured");
@@ -100,7 +103,7 @@
   if (call.workspace.empty()) {
     return true;
   }
-  // The newest version decides: the key may have been withdrawn while the call waited.
+  // Checked against the newest version: the key may have been revoked while the call waited.
   const time_point now = monotonic_now();
   return node.lease.valid(now) && node.map->find_workspace(call.head.key) != nullptr;
 }
@@ -109,24 +112,25 @@
   if (call.sends == 0) {
     return true;
   }
-  if (call.may_have_run > 0 && !call.way->repeatable()) {
+  if (call.may_have_run > 0 && !call.matched_route->repeatable()) {
     return false;
   }
-  if (call.may_have_run >= call.way->max_attempts || call.sends >= most_sends) {
+  if (call.may_have_run >= call.matched_route->max_attempts || call.sends >= max_sends_per_call) {
     return false;
   }
   return node.retries_of(call.service->id).take(now);
 }
 
-void answer_own(hosted_state& node, hosted_request& call, int status, duration retry_after,
-                std::string_view reason) {
+void respond_locally(hosted_state& node, hosted_request& call, int status, duration retry_after,
+                     std::string_view reason) {
   own_answer answer;
   answer.status = status;
   answer.reason = std::string(reason);
   const bool promises_not_run = status == 503 || status == 429 || status == 408;
-  // Goes wrong: a caller that is told "not run" repeats the request, and it runs twice.
+  // These statuses promise that the request did not run, and callers then repeat it. If a target
+  // may have run it, such a status would make it run twice.
   if (promises_not_run && call.may_have_run > 0) {
-    const bool repeatable = call.way != nullptr && call.way->repeatable();
+    const bool repeatable = call.matched_route != nullptr && call.matched_route->repeatable();
     answer.status = repeatable ? 502 : 504;
   } else if (promises_not_run) {
     answer.retry_after = retry_after;
@@ -143,7 +147,7 @@
   const duration total = now - call.arrived;
   finished_call measured;
   measured.workspace = call.workspace;
-  measured.request_class = call.way == nullptr ? "none" : call.way->name;
+  measured.request_class = call.matched_route == nullptr ? "none" : call.matched_route->name;
   measured.target = call.service == nullptr ? "none" : call.service->id.str();
   measured.result = std::string(result);
   measured.total = total;
@@ -155,23 +159,24 @@
   if (!call.logged) {
     return;
   }
-  log_line(result == "done" ? log_level::debug : log_level::info, "request", "ended",
-           {{"request", call.head.id},
-            {"route", call.way == nullptr ? std::string_view("-") : call.way->name},
-            {"result", result},
-            {"reason", reason},
-            {"status", status},
-            {"targets", call.targets},
-            {"sends", call.sends},
-            {"may_have_run", call.may_have_run},
-            {"events", call.events},
-            {"first_event_ms", to_milliseconds(measured.first_token)},
-            {"total_ms", to_milliseconds(total)},
-            {"version", call.map ? call.map->version() : 0},
-            {"lease_age_ms", to_milliseconds(node.lease.age(now).value_or(-1ms))}});
+  log_line(
+      result == "done" ? log_level::debug : log_level::info, "request", "ended",
+      {{"request", call.head.id},
+       {"route", call.matched_route == nullptr ? std::string_view("-") : call.matched_route->name},
+       {"result", result},
+       {"reason", reason},
+       {"status", status},
+       {"targets", call.targets},
+       {"sends", call.sends},
+       {"may_have_run", call.may_have_run},
+       {"events", call.events},
+       {"first_event_ms", to_milliseconds(measured.first_token)},
+       {"total_ms", to_milliseconds(total)},
+       {"version", call.map ? call.map->version() : 0},
+       {"lease_age_ms", to_milliseconds(node.lease.age(now).value_or(-1ms))}});
 }
 
-bool takes_request(hosted_state& node, time_point now, const target_id& target) {
+bool check_send_limit(hosted_state& node, time_point now, const target_id& target) {
   if (!node.limits.is_limited(target)) {
     return true;
   }
@@ -181,7 +186,7 @@
   return may;
 }
 
-// Spread, so that those who were refused together do not come back together.
+// Randomized, so that callers that were refused together do not all return simultaneously.
 duration retry_after_limit(hosted_state& node) {
   constexpr duration middle = 800ms;
   return from_seconds(to_seconds(middle) * (0.5 + node.random.unit()));
@@ -189,7 +194,8 @@
 
 void note_limit(hosted_state& node, time_point sent_at, const target_id& target, int status,
                 const answer_head& answer) {
-  // A failure may come from a part of the target that knows of no limit: only a success lifts one.
+  // A failure may come from a component of the target that does not report the limit, so only a
+  // success without a limit removes it.
   const bool lifts = answer.kind == answer_kind::own && status / 100 == 2;
   const bool speaks = answer.kind == answer_kind::own || answer.kind == answer_kind::not_run;
   if (answer.is_misdirected || !speaks || (!answer.limit.is_present && !lifts)) {
@@ -212,14 +218,14 @@
   call.arrived = monotonic_now();
   call.logged = log_keeps_request(call.arrived, call.head.id.str());
   node.requests_seen = true;
-  call_start start(node, call);
+  call_preparation start(node, call);
   if (!start.run()) {
     return;
   }
-  if (call.service->engine && call.way->kind == route_kind::stream) {
+  if (call.service->engine && call.matched_route->kind == route_kind::stream) {
     serve_stream(node, call);
   } else {
-    serve_whole(node, call);
+    serve_buffered(node, call);
   }
 }
 
--- a/src/node/hosted_node.cpp
+++ b/src/node/hosted_node.cpp
@@ -1,11 +1,11 @@
-// A hosted node's parts.
+// Components of a hosted node, and its start and shutdown.
 #include "node/hosted_node.h"
 
 #include "connection/clock.h"
 #include "connection/http_server.h"
+#include "node/controller_loop.h"
 #include "node/hosted_call.h"
 #include "node/hosted_state.h"
-#include "node/keeper_loop.h"
 #include "node/log.h"
 #include "node/peer_links.h"
 #include "node/poison_watch.h"
@@ -19,22 +19,23 @@
   return {e.host, e.port};
 }
 
-// The balancer asks once a second and takes a node out after two answers that are not 200, so that
-// new connections may come for this long after readiness failed.
+// The load balancer checks readiness once a second and removes a node after two responses other
+// than 200, so new connections may arrive for this long after readiness fails.
 constexpr duration balancer_lag = 2500ms;
-// Left of the grace for the process to end in order.
-constexpr duration end_margin = 800ms;
+// Part of the grace period that is reserved for the orderly exit of the process.
+constexpr duration shutdown_margin = 800ms;
 
 http_server_limits caller_server_limits() {
   http_server_limits limits;
-  // Operators' limits may rise with a version; these bound memory: at most 16 KiB of header and the
-  // largest body that the platform's operators may allow.
+  // These bound memory. The operators' limits, of at most 16 KiB of header and the largest body
+  // that the platform lets them allow, may change with a configuration version and are lower.
   limits.header_bytes = 64UL * 1024;
   limits.body_bytes = 8UL * 1024 * 1024;
   limits.connections = 3000;
   limits.read_timeout = 10s;
   limits.idle_timeout = 60s;
-  // A caller that takes nothing for so long is gone: its stream would be late by far.
+  // A caller that reads nothing for this long is treated as disconnected; its stream would be far
+  // too late anyway.
   limits.write_timeout = 8s;
   return limits;
 }
@@ -59,12 +60,12 @@
   void listen() {
     const hosted_listen& at = state.settings.listen;
     links = std::make_unique<peer_links>(runtime, address_of_endpoint(at.links), state.settings.id);
-    keeper = std::make_unique<keeper_loop>(state, *links, watch);
+    controller = std::make_unique<controller_loop>(state, *links, watch);
     links->set_receiver(link_channel::coordination, [this](const peer_message& m) {
-      if (const auto beat = decode_node_heartbeat(m.bytes)) {
-        keeper->heard(monotonic_now(), m.from, *beat);
+      if (const auto message = decode_node_heartbeat(m.bytes)) {
+        controller->received(monotonic_now(), m.from, *message);
       } else {
-        log_line(log_level::warning, "links", "unreadable beat", {{"peer", m.from}});
+        log_line(log_level::warning, "links", "unreadable heartbeat", {{"peer", m.from}});
       }
     });
     ready = std::make_unique<http_server>(
@@ -78,8 +79,8 @@
         [this](const http_request& r, response_writer& w) { serve_hosted_call(state, r, w); });
   }
 
-  // Ready: a configuration is in force and confirmed, and some target is known. A node that cannot
-  // confirm keys would refuse most requests; its callers are better off elsewhere.
+  // Ready means that a confirmed configuration is in force and targets are known. A node that
+  // cannot confirm keys would refuse most requests, so its callers should use other nodes.
   [[nodiscard]] bool is_ready() const {
     const time_point now = monotonic_now();
     return !state.stopping && state.map && state.fleet_known && state.lease.valid(now) &&
@@ -100,17 +101,18 @@
     send_text(writer, is ? 200 : 503, is ? "ready\n" : "not ready\n");
   }
 
-  // The metrics address: figures, requests that are refused as they end their targets, and the way
-  // to lift such a verdict.
+  // Serves the metrics address: metrics, the list of poison requests, and the release of their
+  // quarantines.
   void serve_operator(const http_request& request, response_writer& writer) {
-    constexpr std::string_view lift = "/poison/lift/";
+    constexpr std::string_view release_prefix = "/poison/lift/";
     const std::string_view target = request.target;
     if (target == "/poison") {
       send_text(writer, 200, poison_text(state, monotonic_now()));
-    } else if (request.method == "POST" && target.starts_with(lift)) {
-      const auto hash = parse_hash(target.substr(lift.size()));
-      const bool lifted = hash && lift_verdict(state, monotonic_now(), *hash);
-      send_text(writer, lifted ? 200 : 404, lifted ? "lifted\n" : "no such request is suspected\n");
+    } else if (request.method == "POST" && target.starts_with(release_prefix)) {
+      const auto hash = parse_hash(target.substr(release_prefix.size()));
+      const bool released = hash && release_quarantine(state, monotonic_now(), *hash);
+      send_text(writer, released ? 200 : 404,
+                released ? "lifted\n" : "no such request is suspected\n");
     } else {
       send_text(writer, 200, state.metrics.text(gauges()));
     }
@@ -127,9 +129,9 @@
     add("arbutusworks_requests_active", callers->active());
     add("arbutusworks_connections_open", callers->connections());
     add("arbutusworks_ready", is_ready() ? 1 : 0);
-    add("arbutusworks_poison_suspects", state.poison.ledger.all().size());
-    add("arbutusworks_poison_convicted", state.poison.ledger.quarantined());
-    add("arbutusworks_poison_turned_away", state.poison.ledger.rejected_strikes());
+    add("arbutusworks_poison_suspects", state.poison.tracker.all().size());
+    add("arbutusworks_poison_convicted", state.poison.tracker.quarantined());
+    add("arbutusworks_poison_turned_away", state.poison.tracker.rejected_strikes());
     add("arbutusworks_log_lines_dropped", dropped_log_lines());
     add("arbutusworks_log_requests_left_out", requests_without_log());
     return text;
@@ -142,15 +144,15 @@
       watch.follow_nodes(
           [this](const std::vector<node_record>& nodes) { state.peers.set_records(nodes); });
     });
-    runtime.post(0, [this] { keep_verdicts(state); });
-    runtime.post(0, [this] { keeper->run(); });
+    runtime.post(0, [this] { sync_quarantines(state); });
+    runtime.post(0, [this] { controller->run(); });
   }
 
   fiber_runtime runtime;
   hosted_state state;
   store_watch watch;
   std::unique_ptr<peer_links> links;
-  std::unique_ptr<keeper_loop> keeper;
+  std::unique_ptr<controller_loop> controller;
   std::unique_ptr<http_server> ready;
   std::unique_ptr<http_server> metrics;
   std::unique_ptr<http_server> callers;
@@ -164,13 +166,14 @@
 }
 
 hosted_node::~hosted_node() {
-  // Goes wrong: parts that end on their worker wait for ever when it ends between the question
-  // whether it runs and their turn. One would see a process that logs its end and stays. So they
-  // end before the runtime is stopped, and the keeper, whose fibers use the links, before them.
+  // Components whose destructors post work to their worker must be destroyed before the runtime
+  // stops. If the worker stopped between the check that it runs and their turn, they would wait
+  // forever: the process would log its exit but never exit. The controller's fibers use the links,
+  // so it is stopped before them.
   parts_->callers.reset();
   parts_->ready.reset();
   parts_->metrics.reset();
-  parts_->runtime.run_on(0, [this] { parts_->keeper->end(); });
+  parts_->runtime.run_on(0, [this] { parts_->controller->end(); });
   parts_->links.reset();
   parts_->runtime.stop();
   parts_->runtime.join();
@@ -188,7 +191,7 @@
     p.state.stopping = true;
     p.callers->close_after_answers();
     sleep_until(begun + balancer_lag);
-    clean = p.callers->drain(begun + p.state.settings.bounds.grace - end_margin);
+    clean = p.callers->drain(begun + p.state.settings.bounds.grace - shutdown_margin);
   });
   return clean;
 }
--- a/src/node/hosted_state.cpp
+++ b/src/node/hosted_state.cpp
@@ -15,25 +15,24 @@
   return {e.host, e.port};
 }
 
-// Random, since neither the time of day nor a counter is safe: the one may step back, the other is
-// not kept.
-std::string fresh_origin() {
+// Random, since the time of day may step back and a counter would not survive a restart.
+std::string random_incarnation() {
   std::random_device device;
   std::array<char, 16> text{};
   std::snprintf(text.data(), text.size(), "%08x", device());
   return text.data();
 }
 
-// Nodes of a deployment at the least, while none has been heard: each takes a small part of the
-// burst.
-constexpr std::size_t least_nodes = 6;
+// Assumed size of the deployment until enough peers are known, so that each node uses only a small
+// share of the burst.
+constexpr std::size_t min_nodes = 6;
 
 }  // namespace
 
 http_client_limits target_client_limits() {
   http_client_limits limits;
-  // A live target accepts within two round trips, 6 ms; a lost opening packet is sent again only
-  // after a second, so waiting longer than this gains nothing over another target.
+  // A live target accepts a connection within two round trips, 6 ms. A lost SYN is retransmitted
+  // only after a second, so it is better to try another target than to wait longer than this.
   limits.connect_timeout = 300ms;
   limits.idle_per_target = 64;
   limits.idle_expiry = 10s;
@@ -61,7 +60,7 @@
 
 hosted_state::hosted_state(hosted_settings s, fiber_runtime& r)
     : settings(std::move(s)),
-      origin(fresh_origin()),
+      incarnation(random_incarnation()),
       runtime(r),
       targets(r, target_client_limits()),
       control(r, control_client_limits()),
@@ -70,7 +69,7 @@
       engines(control),
       lease({.bound = settings.bounds.key_withdrawal}),
       peers(settings.id, settings.data_centre, settings.strength),
-      random(stable_hash(origin)) {}
+      random(stable_hash(incarnation)) {}
 
 const std::vector<serving_replica>& hosted_state::replicas(const service_spec& service,
                                                            const model_id& model) {
@@ -79,10 +78,9 @@
   if (found != cached_.end()) {
     return found->second;
   }
-  const model_spec* shape = service.engine->find_model(model);
-  return cached_[model] = shape == nullptr
-                              ? std::vector<serving_replica>{}
-                              : serving_replicas(fleet, service.id, model, shape->size);
+  const model_spec* spec = service.engine->find_model(model);
+  return cached_[model] = spec == nullptr ? std::vector<serving_replica>{}
+                                          : serving_replicas(fleet, service.id, model, spec->size);
 }
 
 void hosted_state::drop_outdated_caches() {
@@ -124,7 +122,7 @@
   window.ratio = settings.bounds.retry_ratio;
   window.burst = settings.bounds.retry_burst;
   window.window = settings.bounds.retry_window;
-  window.nodes = std::max(least_nodes, peers.known() + 1);
+  window.nodes = std::max(min_nodes, peers.known() + 1);
   return retries.emplace(service, retry_window(window)).first->second;
 }
 
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -1,5 +1,5 @@
-// Streams of a model: sent to a replica, passed on event by event, and gone on with on another
-// replica when theirs breaks.
+// Streams of a model: sent to a replica and forwarded event by event. If the replica breaks, the
+// stream is resumed on another one.
 #include <algorithm>
 #include <vector>
 
@@ -12,9 +12,9 @@
 
 namespace {
 
-// An attempt with less time than this cannot bring a first event any more: reading a prompt and one
-// pass take about 60 ms on an idle replica.
-constexpr duration least_useful_time = 60ms;
+// With less time than this before the deadline, an attempt cannot yield a first event: prefill and
+// one pass take about 60 ms on an idle replica.
+constexpr duration min_useful_time = 60ms;
 
 class stream_call {
  public:
@@ -26,11 +26,11 @@
 
   void run() {
     if (model_ == nullptr) {
-      answer_own(node_, call_, 503, retry_after_no_target, "no such model is configured");
+      respond_locally(node_, call_, 503, retry_after_no_target, "no such model is configured");
       return;
     }
     call_.writer.on_gone([this] {
-      gone_ = true;
+      caller_gone_ = true;
       if (running_ != nullptr) {
         running_->cancel.cancel();
       }
@@ -42,159 +42,160 @@
   }
 
  private:
-  // Why an attempt did not end the call.
-  enum class ending : std::uint8_t {
-    whole,          // the caller has its whole answer
-    not_run,        // the target did not run it
-    not_sent,       // no byte left
-    broken,         // it may have run in part
-    refused_by_us,  // the key was withdrawn meanwhile
+  // How an attempt finished.
+  enum class attempt_result : std::uint8_t {
+    complete,       // the caller received the entire response
+    not_run,        // the target did not run the request
+    not_sent,       // no byte was sent
+    broken,         // the request may have run in part
+    key_withdrawn,  // the caller's key was revoked in the meantime
   };
 
-  void end_own(int status, duration retry_after, std::string_view reason) {
+  void end_locally(int status, duration retry_after, std::string_view reason) {
     ended_ = true;
-    if (gone_) {
+    if (caller_gone_) {
       finish_call(node_, call_, "caller_gone", reason, 0);
     } else if (started_) {
-      // The connection closes without the last chunk: the caller sees that the answer is cut.
+      // The connection closes without the last chunk, so the caller detects the truncation.
       finish_call(node_, call_, "cut", reason, 200);
     } else {
-      answer_own(node_, call_, status, retry_after, reason);
+      respond_locally(node_, call_, status, retry_after, reason);
     }
   }
 
   void next_attempt() {
-    // Its earlier attempts, here and at other nodes, had other ids; what they did to their targets
-    // is known by its fingerprint.
+    // Earlier attempts of the same request, here and on other nodes, may have had other request
+    // ids. The fingerprint links them, so that a poison request is recognized.
     if (!may_run(node_, call_)) {
-      end_own(503, retry_after_poison(node_, call_), poison_reason);
+      end_locally(503, retry_after_poison(node_, call_), poison_reason);
       return;
     }
     const time_point now = monotonic_now();
-    if (gone_) {
-      end_own(0, {}, "the caller has gone");
+    if (caller_gone_) {
+      end_locally(0, {}, "the caller has gone");
       return;
     }
-    if (now + least_useful_time >= call_.deadline) {
-      end_own(call_.may_have_run > 0 ? 504 : 503, retry_after_no_target, "no time is left");
+    if (now + min_useful_time >= call_.deadline) {
+      end_locally(call_.may_have_run > 0 ? 504 : 503, retry_after_no_target, "no time is left");
       return;
     }
     if (!key_usable(node_, call_)) {
-      end_own(503, retry_after_stale(node_, monotonic_now()), "the key cannot be confirmed");
+      end_locally(503, retry_after_stale(node_, monotonic_now()), "the key cannot be confirmed");
       return;
     }
     const auto& replicas = node_.replicas(*call_.service, model_->id);
-    const std::vector<target_id> suspected = suspected_heads(now, replicas);
+    const std::vector<target_id> suspects = suspected_heads(now, replicas);
     const std::vector<target_id> avoided = avoided_heads(now, replicas);
     const choice_request desired{
-        node_.settings.data_centre, call_.head.size, call_.deadline - now, avoided, suspected,
+        node_.settings.data_centre, call_.head.size, call_.deadline - now, avoided, suspects,
         node_.random.unit()};
     const replica_choice choice =
         choose_replica(*call_.service->engine, *model_, replicas, node_.loads, desired);
     if (const auto* none = std::get_if<no_replica>(&choice)) {
       const bool by_limit = avoided.size() > avoided_.size();
-      end_own(503, by_limit ? retry_after_limit(node_) : none->retry_after,
-              by_limit ? limit_reason : none->reason);
+      end_locally(503, by_limit ? retry_after_limit(node_) : none->retry_after,
+                  by_limit ? limit_reason : none->reason);
       return;
     }
     if (!may_send_again(node_, call_, now)) {
-      end_own(503, retry_after_no_target, last_reason_);
+      end_locally(503, retry_after_no_target, last_reason_);
       return;
     }
     const chosen_replica& chosen = std::get<chosen_replica>(choice);
     const serving_replica replica = replicas[chosen.index];
-    const ending how = attempt(replica, chosen.expected);
-    judge(replica, how);
+    const attempt_result how = attempt(replica, chosen.expected);
+    handle_result(replica, how);
   }
 
-  // Those that were tried, and those that take no more now.
+  // Heads that were tried already, and heads whose send limit is exhausted.
   [[nodiscard]] std::vector<target_id> avoided_heads(
       time_point now, const std::vector<serving_replica>& replicas) const {
     std::vector<target_id> heads = avoided_;
     for (const serving_replica& replica : replicas) {
-      if (!takes_request(node_, now, replica.head)) {
+      if (!check_send_limit(node_, now, replica.head)) {
         heads.push_back(replica.head);
       }
     }
     return heads;
   }
 
-  // Those that have gone stalled here or are not meant, and those of which a peer takes a member
-  // for lost.
+  // Heads of replicas that are stalled for this node, heads that rejected a request as misdirected,
+  // and heads of replicas with a member that a peer reports as lost.
   [[nodiscard]] std::vector<target_id> suspected_heads(
       time_point now, const std::vector<serving_replica>& replicas) const {
-    std::vector<target_id> heads = node_.silence.stalled(now);
+    std::vector<target_id> heads = node_.stalls.stalled(now);
     const std::vector<target_id> misdirected = node_.misdirected.heads(now);
     heads.insert(heads.end(), misdirected.begin(), misdirected.end());
     for (const serving_replica& replica : replicas) {
-      if (node_.suspected.contains_any(now, replica.members)) {
+      if (node_.lost_reports.contains_any(now, replica.members)) {
         heads.push_back(replica.head);
       }
     }
     return heads;
   }
 
-  void judge(const serving_replica& replica, ending how) {
-    if (how == ending::whole) {
+  void handle_result(const serving_replica& replica, attempt_result how) {
+    if (how == attempt_result::complete) {
       ended_ = true;
       return;
     }
-    weigh(replica, how);
-    if (how == ending::refused_by_us) {
-      end_own(503, retry_after_stale(node_, monotonic_now()), "the key was withdrawn");
+    update_strikes(replica, how);
+    if (how == attempt_result::key_withdrawn) {
+      end_locally(503, retry_after_stale(node_, monotonic_now()), "the key was withdrawn");
       return;
     }
-    if (how == ending::broken) {
+    if (how == attempt_result::broken) {
       ++call_.may_have_run;
     }
     avoided_.push_back(replica.head);
     if (call_.logged) {
-      log_line(
-          log_level::info, "request", "attempt ended",
-          {{"request", call_.head.id},
-           {"target", replica.head},
-           {"reason", last_reason_},
-           {"ran", how == ending::broken ? "perhaps" : "no"},
-           {"print", hash_text(call_.fingerprint)},
-           {"answered", answered()},
-           {"running_ms", had_first_ ? to_milliseconds(monotonic_now() - first_event_at_) : 0.0},
-           {"last_event", relay_.last_id()},
-           {"sends", call_.sends}});
+      log_line(log_level::info, "request", "attempt ended",
+               {{"request", call_.head.id},
+                {"target", replica.head},
+                {"reason", last_reason_},
+                {"ran", how == attempt_result::broken ? "perhaps" : "no"},
+                {"print", hash_text(call_.fingerprint)},
+                {"answered", answered()},
+                {"running_ms",
+                 had_first_event_ ? to_milliseconds(monotonic_now() - first_event_at_) : 0.0},
+                {"last_event", relay_.last_id()},
+                {"sends", call_.sends}});
     }
     node_.metrics.count("arbutusworks_attempts_broken",
-                        "ran=\"" + std::string(how == ending::broken ? "perhaps" : "no") +
+                        "ran=\"" + std::string(how == attempt_result::broken ? "perhaps" : "no") +
                             "\",answered=\"" + std::string(answered()) + "\"");
     relay_.restart();
   }
 
-  // Whether the run that broke off is evidence against the request, or for it.
-  void weigh(const serving_replica& replica, ending how) {
+  // Clears the request if its run lasted long enough. Otherwise, if the target closed the
+  // connection shortly after the start, checks whether that is a strike against the request.
+  void update_strikes(const serving_replica& replica, attempt_result how) {
     const time_point now = monotonic_now();
-    if (has_gone_on(first_event_at_, last_event_at_)) {
+    if (has_proved_harmless(first_event_at_, last_event_at_)) {
       note_harmless(node_, call_);
-    } else if (how == ending::broken && connection_lost_ &&
-               had_hardly_begun(now, first_event_at_)) {
-      look_into(node_,
-                {call_.head.id, call_.fingerprint, replica.head, replica.address, sent_at_, now});
+    } else if (how == attempt_result::broken && connection_lost_ &&
+               is_within_strike_window(now, first_event_at_)) {
+      check_for_strike(
+          node_, {call_.head.id, call_.fingerprint, replica.head, replica.address, sent_at_, now});
     }
   }
 
-  // What the target had answered of the last attempt when that ended.
+  // What had been received from the target when the last attempt finished.
   [[nodiscard]] std::string_view answered() const {
-    if (had_first_) {
+    if (had_first_event_) {
       return "events";
     }
     return status_ != 0 ? "head" : "nothing";
   }
 
-  ending attempt(const serving_replica& replica, const replica_estimate& expected) {
+  attempt_result attempt(const serving_replica& replica, const replica_estimate& expected) {
     attempt_registry::attempt own;
-    own.resumable = call_.way->repeatable();
+    own.resumable = call_.matched_route->repeatable();
     const attempt_registry::scope listed(node_.attempts, replica.head, own);
     running_ = &own;
     head_ = replica.head;
     expected_ = expected;
-    had_first_ = false;
+    had_first_event_ = false;
     first_event_at_ = {};
     connection_lost_ = false;
     status_ = 0;
@@ -210,19 +211,19 @@
     ++call_.sends;
     const time_point sent_at = monotonic_now();
     node_.limits.sent(sent_at, replica.head);
-    node_.poison.ledger.run_sent(sent_at, replica.head);
+    node_.poison.tracker.run_sent(sent_at, replica.head);
     node_.loads.sent(head_, call_.head.size);
     sent_at_ = sent_at;
-    node_.silence.sent(sent_at, head_, model_->id, expected.to_first_event);
+    node_.stalls.sent(sent_at, head_, model_->id, expected.to_first_event);
     const call_result result = node_.targets.stream(
-        {replica.address.host, replica.address.port}, make_target_request(call_.wire, facts),
+        {replica.address.host, replica.address.port}, make_target_request(call_.raw_request, facts),
         call_.deadline,
         [this](int status, const http_headers& headers) { return on_head(status, headers); },
         [this](std::string_view bytes) { return on_bytes(bytes); }, own.cancel,
         [this] { return key_usable(node_, call_); });
     const time_point now = monotonic_now();
-    node_.loads.ended(head_, call_.head.size, had_first_);
-    node_.silence.ended(now, head_, had_first_);
+    node_.loads.ended(head_, call_.head.size, had_first_event_);
+    node_.stalls.ended(now, head_, had_first_event_);
     running_ = nullptr;
     return read_end(result, own);
   }
@@ -239,14 +240,14 @@
 
   bool on_bytes(std::string_view bytes) {
     if (answer_.kind != answer_kind::own || status_ != 200) {
-      constexpr std::size_t most_failure_bytes = 64UL * 1024;
+      constexpr std::size_t max_failure_bytes = 64UL * 1024;
       failure_body_.append(bytes);
-      return failure_body_.size() < most_failure_bytes;
+      return failure_body_.size() < max_failure_bytes;
     }
     const time_point now = monotonic_now();
     note_event(now);
     const std::string_view events = relay_.take(bytes);
-    if (!events.empty() && !pass_on(events)) {
+    if (!events.empty() && !forward_events(events)) {
       return false;
     }
     return !relay_.out_of_order();
@@ -254,12 +255,12 @@
 
   void note_event(time_point now) {
     last_event_at_ = now;
-    if (!had_first_) {
-      had_first_ = true;
+    if (!had_first_event_) {
+      had_first_event_ = true;
       first_event_at_ = now;
-      node_.poison.ledger.first_event_received(now - sent_at_);
+      node_.poison.tracker.first_event_received(now - sent_at_);
       node_.loads.first_event(head_, call_.head.size);
-      node_.silence.first_event(head_, now - sent_at_, expected_.to_first_event);
+      node_.stalls.first_event(head_, now - sent_at_, expected_.to_first_event);
       if (call_.first_event == time_point{}) {
         call_.first_event = now;
       }
@@ -267,50 +268,50 @@
     const replica_load load = node_.loads.total(head_);
     const auto reading = from_seconds(load.pending_prefill_tokens /
                                       std::max(call_.service->engine->prefill_tokens_per_s, 1.0));
-    node_.silence.event(now, head_, expected_.between_events + reading);
+    node_.stalls.event(now, head_, expected_.between_events + reading);
   }
 
-  bool pass_on(std::string_view events) {
+  bool forward_events(std::string_view events) {
     if (!started_) {
       started_ = true;
       if (!call_.writer.start(200, caller_headers(headers_))) {
-        gone_ = true;
+        caller_gone_ = true;
         return false;
       }
     }
     if (!call_.writer.write(events)) {
-      gone_ = true;
+      caller_gone_ = true;
       return false;
     }
     return true;
   }
 
-  ending read_end(const call_result& result, const attempt_registry::attempt& own) {
+  attempt_result read_end(const call_result& result, const attempt_registry::attempt& own) {
     call_.events = relay_.events();
     connection_lost_ = result.failure == call_failure::connection_lost;
     if (own.moved) {
       last_reason_ = "its replica lost a member";
-      return ending::broken;
+      return attempt_result::broken;
     }
     if (result.failure == call_failure::not_permitted) {
-      return ending::refused_by_us;
+      return attempt_result::key_withdrawn;
     }
     if (result.outcome == call_outcome::not_sent) {
       last_reason_ = "could not be sent";
       --call_.sends;
-      return ending::not_sent;
+      return attempt_result::not_sent;
     }
     if (answer_.kind == answer_kind::not_run && status_ != 0) {
       last_reason_ = "the target did not run it";
       if (answer_.is_misdirected) {
         node_.misdirected.note(monotonic_now(), head_);
       }
-      return ending::not_run;
+      return attempt_result::not_run;
     }
     if (result.ok() && answer_.kind == answer_kind::own && status_ == 200) {
       if (relay_.inside_event()) {
         last_reason_ = "the stream ended inside an event";
-        return ending::broken;
+        return attempt_result::broken;
       }
       return finish_stream();
     }
@@ -320,10 +321,10 @@
     last_reason_ = relay_.out_of_order()                       ? "events out of order"
                    : result.failure == call_failure::abandoned ? "the answer was not this request's"
                                                                : to_string(result.failure);
-    return ending::broken;
+    return attempt_result::broken;
   }
 
-  ending finish_stream() {
+  attempt_result finish_stream() {
     if (!started_) {
       started_ = true;
       call_.writer.start(200, caller_headers(headers_));
@@ -331,21 +332,22 @@
     const bool reached = call_.writer.finish();
     note_harmless(node_, call_);
     finish_call(node_, call_, reached ? "done" : "caller_gone", "", 200);
-    return ending::whole;
+    return attempt_result::complete;
   }
 
-  // A failure of the target's own counts as run. What may be repeated is tried elsewhere.
-  ending pass_failure() {
+  // A failure reported by the target counts as run. Requests that may be repeated are tried on
+  // another replica.
+  attempt_result pass_failure() {
     note_harmless(node_, call_);
-    const bool again = call_.way->repeatable() &&
-                       call_.may_have_run + 1 < call_.way->max_attempts && status_ >= 500;
+    const bool again = call_.matched_route->repeatable() &&
+                       call_.may_have_run + 1 < call_.matched_route->max_attempts && status_ >= 500;
     if (again || started_) {
       last_reason_ = "the target failed";
-      return ending::broken;
+      return attempt_result::broken;
     }
     call_.writer.send(status_, caller_headers(headers_), failure_body_);
     finish_call(node_, call_, "failed", "the target's own failure", status_);
-    return ending::whole;
+    return attempt_result::complete;
   }
 
   hosted_state& node_;
@@ -355,18 +357,18 @@
   std::vector<target_id> avoided_;
   attempt_registry::attempt* running_ = nullptr;
   std::string_view last_reason_ = "no attempt was made";
-  bool gone_ = false;
-  bool started_ = false;  // the caller has the head of its answer
+  bool caller_gone_ = false;
+  bool started_ = false;  // the header of the response was sent to the caller
   bool ended_ = false;
 
-  // Of the running attempt.
+  // State of the running attempt.
   target_id head_;
   time_point sent_at_{};
   time_point first_event_at_{};
   time_point last_event_at_{};
   replica_estimate expected_;
-  bool had_first_ = false;
-  bool connection_lost_ = false;  // by the target's end of it
+  bool had_first_event_ = false;
+  bool connection_lost_ = false;  // closed or reset by the target
   answer_head answer_;
   int status_ = 0;
   http_headers headers_;
--- a/src/node/limit_exchange.cpp
+++ b/src/node/limit_exchange.cpp
@@ -1,4 +1,4 @@
-// Leases of limits between nodes.
+// Exchange of rate limit leases between nodes.
 #include "node/limit_exchange.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
   return time_point{duration{j.get<std::int64_t>()}};
 }
 
-std::vector<node_id> peers_to_tell(const inventory& assets, const node_id& self) {
+std::vector<node_id> lease_peers(const inventory& assets, const node_id& self) {
   const node_record* own = assets.find_node(self);
   const bool all = assets.nodes.size() <= limit_mesh_nodes;
   std::vector<node_id> peers;
@@ -83,7 +83,7 @@
     limits_.set_limit(now, workspace.id, {workspace.requests_per_second, workspace.burst});
     has_limits_ = has_limits_ || workspace.requests_per_second > 0;
   }
-  told_ = peers_to_tell(config.assets, self_);
+  lease_peers_ = lease_peers(config.assets, self_);
 }
 
 limit_result limit_exchange::take(time_point now, const workspace_id& workspace) {
@@ -91,12 +91,14 @@
   return limits_.take(now, workspace);
 }
 
-// A message of its own costs a segment and its acknowledgement, more bytes than it carries. With a
-// heartbeat, which goes to the same peers as often, it costs its payload alone.
-std::optional<peer_send> limit_exchange::tell_with(time_point now, const node_id& peer) {
+// A separate message costs a TCP segment and its acknowledgement, more bytes than it carries. Sent
+// together with a heartbeat, which goes to the same peers at the same rate, it costs only its
+// payload.
+std::optional<peer_send> limit_exchange::piggyback_message(time_point now, const node_id& peer) {
   const std::lock_guard guard(lock_);
-  const bool partner = std::find(told_.begin(), told_.end(), peer) != told_.end();
-  if (!has_limits_ || !partner || !accompanied_.insert(peer).second) {
+  const bool partner =
+      std::find(lease_peers_.begin(), lease_peers_.end(), peer) != lease_peers_.end();
+  if (!has_limits_ || !partner || !piggybacked_.insert(peer).second) {
     return std::nullopt;
   }
   return peer_send{peer, encode(limits_.tell(now, peer)), false};
@@ -109,20 +111,20 @@
     return messages;
   }
   limits_.update(now);
-  for (const node_id& peer : told_) {
-    if (!accompanied_.contains(peer)) {
+  for (const node_id& peer : lease_peers_) {
+    if (!piggybacked_.contains(peer)) {
       messages.push_back({peer, encode(limits_.tell(now, peer)), false});
     }
   }
-  accompanied_.clear();
+  piggybacked_.clear();
   return messages;
 }
 
-void limit_exchange::heard(time_point now, const node_id& peer, std::string_view bytes) {
+void limit_exchange::received(time_point now, const node_id& peer, std::string_view bytes) {
   const auto message = decode_limit_message(bytes);
   if (const auto* known = std::get_if<limit_message>(&message)) {
     const std::lock_guard guard(lock_);
-    limits_.heard(now, peer, *known);
+    limits_.received(now, peer, *known);
   }
 }
 
--- a/src/node/model_attempt.cpp
+++ b/src/node/model_attempt.cpp
@@ -138,7 +138,7 @@
   // False: give the attempt up.
   bool on_bytes(std::string_view bytes) {
     splitter_.append(bytes);
-    if (splitter_.overflown()) {
+    if (splitter_.overflowed()) {
       return give_up("a frame is too long");
     }
     while (const auto frame = splitter_.next()) {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -134,7 +134,7 @@
   links->set_receiver(link_channel::coordination,
                       [this](peer_message m) { core.feed(std::move(m)); });
   links->set_receiver(link_channel::limits, [this](const peer_message& m) {
-    limits.heard(monotonic_now(), m.from, m.bytes);
+    limits.received(monotonic_now(), m.from, m.bytes);
   });
   links->set_peers(options.bootstrap_peers);
   core.set_peer_sender([this](const peer_send& message) { send_to_peer(message); });
@@ -168,7 +168,7 @@
 void node::parts::send_to_peer(const peer_send& message) {
   links->send(link_channel::coordination, message);
   // Behind it in the queue, so that both leave in one write.
-  if (const auto limit = limits.tell_with(monotonic_now(), message.to)) {
+  if (const auto limit = limits.piggyback_message(monotonic_now(), message.to)) {
     links->send(link_channel::limits, *limit);
   }
 }
--- a/src/node/poison_watch.cpp
+++ b/src/node/poison_watch.cpp
@@ -1,4 +1,4 @@
-// Evidence on requests that end their targets, and what follows from it.
+// Strikes against poison requests, and their quarantines.
 #include "node/poison_watch.h"
 
 #include <algorithm>
@@ -10,19 +10,19 @@
 
 namespace {
 
-// A run that has lasted so long acquits its request: longer by far than strike_window.
-constexpr duration shown_harmless_after = 1s;
-// A connection may break a moment before its process has gone.
-constexpr duration end_delay = 20ms;
-constexpr duration question_timeout = 150ms;
-constexpr std::uint32_t most_questions = 3;
-constexpr duration question_interval = 250ms;
-// All streams of a target break within some ms of its end. Longer, and it may have started again
-// under the name that is known here.
-constexpr duration ends_remembered = 1s;
-constexpr duration judge_interval = 50ms;
+// A run with events over this time clears its request; far longer than strike_window.
+constexpr duration harmless_run_duration = 1s;
+// A connection may break shortly before the target's process has exited.
+constexpr duration process_exit_delay = 20ms;
+constexpr duration end_query_timeout = 150ms;
+constexpr std::uint32_t max_end_queries = 3;
+constexpr duration end_query_interval = 250ms;
+// How long the result of a query is used for further runs. All streams of a target break within
+// some ms of its end; after a longer time it may have restarted under the same id.
+constexpr duration end_check_retention = 1s;
+constexpr duration evaluation_interval = 50ms;
 
-std::string_view name_of(const request_fingerprint& fingerprint) {
+std::string_view workspace_label(const request_fingerprint& fingerprint) {
   return fingerprint.workspace.empty() ? std::string_view("-") : fingerprint.workspace.str();
 }
 
@@ -34,74 +34,77 @@
   return text;
 }
 
-std::size_t marks_of(const hosted_state& node, const request_fingerprint& fingerprint) {
-  const auto found = node.poison.ledger.all().find(fingerprint);
-  return found == node.poison.ledger.all().end() ? 0 : found->second.strikes.size();
+std::size_t strike_count(const hosted_state& node, const request_fingerprint& fingerprint) {
+  const auto found = node.poison.tracker.all().find(fingerprint);
+  return found == node.poison.tracker.all().end() ? 0 : found->second.strikes.size();
 }
 
-void note_evidence(hosted_state& node, const broken_run& run) {
+void record_strike(hosted_state& node, const broken_run& run) {
   const bool is_new =
-      node.poison.ledger.strike(run.fingerprint, {run.target, run.sent_at, run.broken_at});
+      node.poison.tracker.strike(run.fingerprint, {run.target, run.sent_at, run.broken_at});
   node.metrics.count("arbutusworks_poison_evidence", is_new ? "counts=\"yes\"" : "counts=\"no\"");
-  // Under another name than "request", so that it is found for all that have this fingerprint.
+  // The field is not named "request", so that the line is associated with all requests that have
+  // this fingerprint, not only with the one that ran.
   log_line(log_level::info, "poison", "evidence",
            {{"run_of", run.request},
             {"print", hash_text(run.fingerprint)},
-            {"workspace", name_of(run.fingerprint)},
+            {"workspace", workspace_label(run.fingerprint)},
             {"target", run.target},
             {"ran_ms", to_milliseconds(run.broken_at - run.sent_at)},
             {"counts", is_new},
-            {"marks", std::uint64_t{marks_of(node, run.fingerprint)}}});
+            {"marks", std::uint64_t{strike_count(node, run.fingerprint)}}});
 }
 
-// The address refuses, or another incarnation answers there.
-life_sign ask(hosted_state& node, const target_id& target, const endpoint& address) {
+// Queries whether the target has ended: its address refuses connections, or another incarnation
+// answers there.
+life_sign query_target(hosted_state& node, const target_id& target, const endpoint& address) {
   const target_view* view = node.fleet.find(target);
   if (view == nullptr) {
     return life_sign::ended;
   }
   node.metrics.count("arbutusworks_questions", "why=\"broken\"");
-  return node.engines.look(target, address, monotonic_now() + question_timeout);
+  return node.engines.look(target, address, monotonic_now() + end_query_timeout);
 }
 
-void tell_end(hosted_state& node, const target_id& target, life_sign sign) {
-  target_end& end = node.poison.ends[target];
-  end.asking = false;
+void finish_end_check(hosted_state& node, const target_id& target, life_sign sign) {
+  target_end_check& end = node.poison.end_checks[target];
+  end.query_pending = false;
   end.ended = sign == life_sign::ended;
   const std::vector<broken_run> runs = std::move(end.waiting);
   end.waiting.clear();
   if (end.ended) {
     for (const broken_run& run : runs) {
-      note_evidence(node, run);
+      record_strike(node, run);
     }
     return;
   }
   log_line(log_level::info, "poison", "no evidence",
            {{"target", target},
             {"runs", std::uint64_t{runs.size()}},
-            {"reason", sign == life_sign::lives ? "the target lives" : "the target is silent"}});
+            {"reason", sign == life_sign::lives ? "the target is alive" : "the target is silent"}});
   node.metrics.count("arbutusworks_poison_evidence", "counts=\"target_lives\"", runs.size());
 }
 
-void ask_until_known(hosted_state& node, const target_id& target, const endpoint& address) {
+void query_until_known(hosted_state& node, const target_id& target, const endpoint& address) {
   life_sign sign = life_sign::silent;
-  for (std::uint32_t i = 0; i < most_questions && sign == life_sign::silent; ++i) {
-    if (!sleep_until(monotonic_now() + (i == 0 ? end_delay : question_interval))) {
+  for (std::uint32_t i = 0; i < max_end_queries && sign == life_sign::silent; ++i) {
+    if (!sleep_until(monotonic_now() + (i == 0 ? process_exit_delay : end_query_interval))) {
       return;
     }
-    sign = ask(node, target, address);
+    sign = query_target(node, target, address);
   }
-  tell_end(node, target, sign);
+  finish_end_check(node, target, sign);
 }
 
-void tell_verdict(hosted_state& node, const request_fingerprint& fingerprint,
-                  std::string_view told_by, std::size_t events, double probability,
-                  const std::vector<target_id>& targets) {
-  node.metrics.count("arbutusworks_poison_verdicts", "told_by=\"" + std::string(told_by) + "\"");
+void log_quarantine(hosted_state& node, const request_fingerprint& fingerprint,
+                    std::string_view reported_by, std::size_t events, double probability,
+                    const std::vector<target_id>& targets) {
+  node.metrics.count("arbutusworks_poison_verdicts",
+                     "told_by=\"" + std::string(reported_by) + "\"");
   log_line(log_level::warning, "poison", "convicted",
            {{"print", hash_text(fingerprint)},
-            {"workspace", name_of(fingerprint)},
-            {"told_by", told_by},
+            {"workspace", workspace_label(fingerprint)},
+            {"told_by", reported_by},
             {"marks", std::uint64_t{targets.size()}},
             {"targets", list_of(targets)},
             {"events", std::uint64_t{events}},
@@ -110,51 +113,52 @@
 
 }  // namespace
 
-bool had_hardly_begun(time_point now, time_point first_event_at) {
+bool is_within_strike_window(time_point now, time_point first_event_at) {
   return first_event_at == time_point{} || now - first_event_at < strike_window;
 }
 
-bool has_gone_on(time_point first_event_at, time_point last_event_at) {
-  return first_event_at != time_point{} && last_event_at - first_event_at > shown_harmless_after;
+bool has_proved_harmless(time_point first_event_at, time_point last_event_at) {
+  return first_event_at != time_point{} && last_event_at - first_event_at > harmless_run_duration;
 }
 
-void look_into(hosted_state& node, broken_run run) {
-  std::erase_if(node.poison.ends, [&](const auto& entry) {
-    return !entry.second.asking && run.broken_at - entry.second.asked_at > ends_remembered;
+void check_for_strike(hosted_state& node, broken_run run) {
+  std::erase_if(node.poison.end_checks, [&](const auto& entry) {
+    return !entry.second.query_pending &&
+           run.broken_at - entry.second.asked_at > end_check_retention;
   });
   const target_id target = run.target;
-  target_end& end = node.poison.ends[target];
+  target_end_check& end = node.poison.end_checks[target];
   if (end.ended) {
-    note_evidence(node, run);
+    record_strike(node, run);
     return;
   }
   const endpoint address = run.address;
   end.waiting.push_back(std::move(run));
-  if (end.asking) {
+  if (end.query_pending) {
     return;
   }
-  end.asking = true;
+  end.query_pending = true;
   end.asked_at = monotonic_now();
-  node.runtime.post(0, [&node, target, address] { ask_until_known(node, target, address); });
+  node.runtime.post(0, [&node, target, address] { query_until_known(node, target, address); });
 }
 
 void note_harmless(hosted_state& node, const hosted_request& call) {
-  if (!node.poison.ledger.clear_request(monotonic_now(), call.fingerprint)) {
+  if (!node.poison.tracker.clear_request(monotonic_now(), call.fingerprint)) {
     return;
   }
   node.metrics.count("arbutusworks_poison_acquitted", "by=\"run\"");
   log_line(log_level::info, "poison", "acquitted",
            {{"request", call.head.id},
             {"print", hash_text(call.fingerprint)},
-            {"workspace", name_of(call.fingerprint)},
+            {"workspace", workspace_label(call.fingerprint)},
             {"reason", "a run of it did no harm"}});
 }
 
 bool may_run(hosted_state& node, const hosted_request& call) {
-  const poison_tracker& ledger = node.poison.ledger;
+  const poison_tracker& tracker = node.poison.tracker;
   for (;;) {
     const time_point now = monotonic_now();
-    const auto until = ledger.held_until(now, call.fingerprint);
+    const auto until = tracker.held_until(now, call.fingerprint);
     if (!until || now >= call.deadline) {
       break;
     }
@@ -162,66 +166,66 @@
     log_line(log_level::info, "poison", "held",
              {{"request", call.head.id},
               {"print", hash_text(call.fingerprint)},
-              {"marks", std::uint64_t{marks_of(node, call.fingerprint)}},
+              {"marks", std::uint64_t{strike_count(node, call.fingerprint)}},
               {"for_ms", to_milliseconds(*until - now)}});
-    // The evaluate looks shortly after.
-    if (!sleep_until(std::min(*until + 2 * judge_interval, call.deadline))) {
+    // The evaluation runs shortly after that time.
+    if (!sleep_until(std::min(*until + 2 * evaluation_interval, call.deadline))) {
       break;
     }
   }
-  if (!ledger.is_quarantined(call.fingerprint)) {
+  if (!tracker.is_quarantined(call.fingerprint)) {
     return true;
   }
   node.metrics.count("arbutusworks_poison_refused");
   log_line(log_level::info, "poison", "refused",
            {{"request", call.head.id},
             {"print", hash_text(call.fingerprint)},
-            {"workspace", name_of(call.fingerprint)},
-            {"marks", std::uint64_t{marks_of(node, call.fingerprint)}}});
+            {"workspace", workspace_label(call.fingerprint)},
+            {"marks", std::uint64_t{strike_count(node, call.fingerprint)}}});
   return false;
 }
 
 duration retry_after_poison(const hosted_state& node, const hosted_request& call) {
-  return node.poison.ledger.quarantine_remaining(monotonic_now(), call.fingerprint).value_or(0ms);
+  return node.poison.tracker.quarantine_remaining(monotonic_now(), call.fingerprint).value_or(0ms);
 }
 
-void judge_poison(hosted_state& node, time_point now) {
-  if (now - node.poison.judged_at < judge_interval) {
+void evaluate_poison(hosted_state& node, time_point now) {
+  if (now - node.poison.evaluated_at < evaluation_interval) {
     return;
   }
-  node.poison.judged_at = now;
-  for (const quarantine_decision& v : node.poison.ledger.evaluate(now)) {
-    tell_verdict(node, v.fingerprint, "evidence", v.events, v.probability, v.targets);
+  node.poison.evaluated_at = now;
+  for (const quarantine_decision& v : node.poison.tracker.evaluate(now)) {
+    log_quarantine(node, v.fingerprint, "evidence", v.events, v.probability, v.targets);
   }
 }
 
-void take_crash_row(hosted_state& node, time_point now, const poison_row& row,
-                    std::string_view told_by) {
-  const bool was = node.poison.ledger.is_quarantined(row.fingerprint);
-  const bool quarantined = node.poison.ledger.merge_row(now, row);
+void merge_poison_row(hosted_state& node, time_point now, const poison_row& row,
+                      std::string_view reported_by) {
+  const bool was = node.poison.tracker.is_quarantined(row.fingerprint);
+  const bool quarantined = node.poison.tracker.merge_row(now, row);
   if (quarantined) {
     std::vector<target_id> targets;
     for (const poison_row::strike& m : row.strikes) {
       targets.push_back(m.target);
     }
-    tell_verdict(node, row.fingerprint, told_by, 0, 0, targets);
-  } else if (was && !node.poison.ledger.is_quarantined(row.fingerprint)) {
+    log_quarantine(node, row.fingerprint, reported_by, 0, 0, targets);
+  } else if (was && !node.poison.tracker.is_quarantined(row.fingerprint)) {
     node.metrics.count("arbutusworks_poison_acquitted", "by=\"peer\"");
     log_line(log_level::info, "poison", "acquitted",
              {{"print", hash_text(row.fingerprint)},
-              {"workspace", name_of(row.fingerprint)},
-              {"reason", told_by}});
+              {"workspace", workspace_label(row.fingerprint)},
+              {"reason", reported_by}});
   }
 }
 
 std::string poison_text(const hosted_state& node, time_point now) {
   std::string text;
-  for (const auto& [fingerprint, entry] : node.poison.ledger.all()) {
+  for (const auto& [fingerprint, entry] : node.poison.tracker.all()) {
     if (entry.strikes.empty() && !entry.quarantined_at) {
       continue;
     }
-    const auto left = node.poison.ledger.quarantine_remaining(now, fingerprint);
-    text += hash_text(fingerprint) + ' ' + std::string(name_of(fingerprint)) + ' ' +
+    const auto left = node.poison.tracker.quarantine_remaining(now, fingerprint);
+    text += hash_text(fingerprint) + ' ' + std::string(workspace_label(fingerprint)) + ' ' +
             (left ? "refused for " + std::to_string(static_cast<std::int64_t>(to_seconds(*left))) +
                         " s, "
                   : "suspected, ");
@@ -234,20 +238,20 @@
   return text;
 }
 
-bool lift_verdict(hosted_state& node, time_point now, std::uint64_t hash) {
+bool release_quarantine(hosted_state& node, time_point now, std::uint64_t hash) {
   std::vector<request_fingerprint> fingerprints;
-  for (const auto& [fingerprint, entry] : node.poison.ledger.all()) {
+  for (const auto& [fingerprint, entry] : node.poison.tracker.all()) {
     if (fingerprint.hash == hash) {
       fingerprints.push_back(fingerprint);
     }
   }
   bool any = false;
   for (const request_fingerprint& fingerprint : fingerprints) {
-    any = node.poison.ledger.release(now, fingerprint) || any;
+    any = node.poison.tracker.release(now, fingerprint) || any;
     node.metrics.count("arbutusworks_poison_acquitted", "by=\"operator\"");
     log_line(log_level::warning, "poison", "acquitted",
              {{"print", hash_text(fingerprint)},
-              {"workspace", name_of(fingerprint)},
+              {"workspace", workspace_label(fingerprint)},
               {"reason", "lifted by an operator"}});
   }
   return any;
--- a/src/node/service_call.cpp
+++ b/src/node/service_call.cpp
@@ -113,7 +113,7 @@
         continue;
       }
       const int far = target.data_centre == node_.data_centre ? 0 : 1;
-      const int bad = node_.services.failed_lately(now, target.address) ? 2 : 0;
+      const int bad = node_.services.failed_recently(now, target.address) ? 2 : 0;
       list.push_back({far + bad, rendezvous_weight(call_.id.str(), to_string(target.address)),
                       target.address});
     }
@@ -149,7 +149,7 @@
     call_result result =
         node_.client.fetch(address_of(instance), outgoing(), call_.deadline, cancel_, permit, use);
     if (result.ok()) {
-      node_.services.worked(instance);
+      node_.services.note_success(instance);
     } else if (result.failure != call_failure::cancelled &&
                result.failure != call_failure::not_permitted) {
       node_.services.failed(monotonic_now(), instance);
--- a/src/node/service_health.cpp
+++ b/src/node/service_health.cpp
@@ -1,12 +1,12 @@
-// Memory of failed instances.
+// Recent failures of service instances.
 #include "node/service_health.h"
 
 namespace arbutus {
 
 namespace {
 
-// An instance that failed is tried after the others for this long.
-constexpr duration failure_memory = 3s;
+// For this long after a failure, an instance is tried after the others.
+constexpr duration failure_retention = 3s;
 
 }  // namespace
 
@@ -15,15 +15,15 @@
   failed_at_[instance] = now;
 }
 
-void service_health::worked(const endpoint& instance) {
+void service_health::note_success(const endpoint& instance) {
   const std::lock_guard guard(lock_);
   failed_at_.erase(instance);
 }
 
-bool service_health::failed_lately(time_point now, const endpoint& instance) const {
+bool service_health::failed_recently(time_point now, const endpoint& instance) const {
   const std::lock_guard guard(lock_);
   const auto found = failed_at_.find(instance);
-  return found != failed_at_.end() && now < found->second + failure_memory;
+  return found != failed_at_.end() && now < found->second + failure_retention;
 }
 
 }  // namespace arbutus
--- a/src/node/store_watch.cpp
+++ b/src/node/store_watch.cpp
@@ -1,4 +1,4 @@
-// Following the accepted configuration, and what the hub passes on.
+// Follows the accepted configuration, and applies the updates that the hub forwards.
 #include "node/store_watch.h"
 
 #include "connection/clock.h"
@@ -10,45 +10,48 @@
 
 namespace {
 
-// The feed answers at once when there is a change, and otherwise after this: its answer is what
-// proves that the configuration is still the newest, and a proof counts from its question. With
-// 700 ms a node asks 1.4 times a second and its proof is 0.7 to 1.4 s old.
+// The feed answers immediately if there is a change, and otherwise after this time. Its answer
+// proves that the configuration is still the newest, and the age of a proof counts from its query.
+// With 700 ms a node sends 1.4 queries a second and its proof is 0.7 to 1.4 s old.
 constexpr duration configuration_wait = 700ms;
-// Versions in a row: one more read within this is coalesced with the next.
+// Consecutive versions that are accepted within this time are read together.
 constexpr duration configuration_pause = 40ms;
-// From its start until its hub feeds it a node waits so long before it asks the store what is new:
-// it has read the tables whole, which proves its configuration for longer. Goes wrong otherwise:
-// hundreds of nodes that start together make a dozen calls each until their first beat comes.
-constexpr duration hub_patience = 1500ms;
-// Each failure in a row doubles the pause up to this: a node that is cut off or turned away would
-// ask ten times a second. The lease is over four times as long.
-constexpr duration longest_retry_pause = 800ms;
-// A node that would not be the next hub waits longer: the first that the store serves again passes
-// on to all others what they lack.
-constexpr duration longest_retry_pause_of_others = 3200ms;
-// Failures in a row after which a hub hands over; the first three take 300 ms.
-constexpr std::uint32_t failures_to_hand_over = 3;
-// A node that was turned away and is fed by another hub asks so often whether it is served again.
-constexpr duration ask_again_interval = 2s;
-// While its hub withholds the newest configuration a node reads it itself, but in a storm of
-// versions only every so often; the operators' bound until it must be in force is 2 to 3 s.
-constexpr duration withheld_interval = 400ms;
-// A node that lacks a version and gets no part of it for three beats reads it itself.
-constexpr duration part_patience = 600ms;
-constexpr duration fed_proof_age = 1700ms;
-// At most a line in so long, and none of a node that asks nothing.
+// After reading the tables at its start, a node waits this long for updates from its hub before it
+// queries the store for changes; the read proves its configuration for longer than that. Without
+// this, hundreds of nodes that start together make a dozen calls each until their first heartbeat
+// arrives.
+constexpr duration first_hub_update_timeout = 1500ms;
+// Each consecutive failure doubles the pause up to this. Without this, a node that is partitioned
+// or refused by the store would send ten queries a second. The lease is over four times as long.
+constexpr duration max_retry_pause = 800ms;
+// Nodes that are not next in line to be the hub wait longer: the first node that the store serves
+// again forwards to the others what they lack.
+constexpr duration max_retry_pause_of_others = 3200ms;
+// Consecutive failures after which a hub hands over; the first three take 300 ms.
+constexpr std::uint32_t failures_before_handover = 3;
+// A node that the store refused and that gets updates from another hub queries the store at this
+// interval, to find out whether it is served again.
+constexpr duration refused_query_interval = 2s;
+// While its hub withholds the newest configuration, a node reads it from the store, at most once
+// per interval if versions come in quick succession. The operators' bound until a version must be
+// in force is 2 to 3 s.
+constexpr duration withheld_query_interval = 400ms;
+// A node that lacks a version and gets no part of it for three heartbeats reads it from the store.
+constexpr duration part_timeout = 600ms;
+constexpr duration max_hub_proof_age = 1700ms;
+// Minimum time between two log lines about calls. A node without calls logs none.
 constexpr duration calls_log_interval = 5s;
 
-// Of an answer of the store that is none.
+// The reason why a call to the store gave no usable result.
 template <class Result>
-std::string why_unanswered(const Result& result) {
+std::string describe_failure(const Result& result) {
   if (const auto* no = std::get_if<refused>(&result)) {
     return no->reason;
   }
   if (const auto* none = std::get_if<unknown>(&result)) {
     return none->reason;
   }
-  return "an older state of the table";
+  return "the store returned an older state of the table";
 }
 
 }  // namespace
@@ -67,7 +70,7 @@
             {"lease_age_ms", to_milliseconds(node_.lease.age(monotonic_now()).value_or(-1ms))}});
 }
 
-// Calls to the store are dear: which fiber makes them has to be seen.
+// Calls to the store are expensive, so they are counted by purpose.
 void store_watch::count_call(std::string_view what, bool answered) {
   node_.metrics.count("arbutusworks_store_calls", "what=\"" + std::string(what) + "\",answered=\"" +
                                                       (answered ? "yes" : "no") + "\"");
@@ -75,115 +78,116 @@
   ++(found == calls_.end() ? calls_.emplace(what, 0).first->second : found->second);
 }
 
-// Goes wrong without it: the metrics of hundreds of nodes are gone with their processes, and nobody
-// can say who made the calls of a bad evening.
-void store_watch::tell_calls(time_point now) {
+// Metrics are lost when a process exits. The log shows afterwards which of hundreds of nodes made
+// the calls in an incident.
+void store_watch::log_calls(time_point now) {
   std::uint64_t all = 0;
   std::string text;
   for (const auto& [what, count] : calls_) {
     all += count;
     text += (text.empty() ? "" : ", ") + what + " " + std::to_string(count);
   }
-  if (all == calls_told_ || now - told_calls_at_ < calls_log_interval) {
+  if (all == logged_calls_ || now - calls_logged_at_ < calls_log_interval) {
     return;
   }
-  calls_told_ = all;
-  told_calls_at_ = now;
+  logged_calls_ = all;
+  calls_logged_at_ = now;
   log_line(log_level::info, "store", "calls",
            {{"total", all}, {"by_kind", text}, {"hub", node_.peers.is_hub(now)}});
 }
 
-bool store_watch::is_fed(time_point now) const {
-  return now - fed_at_ < fed_for && !node_.peers.is_hub(now);
+bool store_watch::is_updated_by_hub(time_point now) const {
+  return now - hub_update_at_ < hub_update_validity && !node_.peers.is_hub(now);
 }
 
-void store_watch::take_news(time_point asked, time_point now, const node_heartbeat& beat) {
-  if (beat.targets) {
-    take_target_news(asked - beat.targets->age, now, *beat.targets);
-  } else if (beat.served) {
-    take_served_news(asked - beat.served->age, now, beat);
+void store_watch::apply_hub_update(time_point asked, time_point now,
+                                   const node_heartbeat& message) {
+  if (message.targets) {
+    apply_target_update(asked - message.targets->age, now, *message.targets);
+  } else if (message.served) {
+    apply_serving_update(asked - message.served->age, now, message);
   }
-  if (!beat.configuration) {
-    fed_at_ = {};
+  if (!message.configuration) {
+    hub_update_at_ = {};
     return;
   }
-  if (!node_.configuration_rows.can_resume(beat.configuration->after)) {
+  if (!node_.configuration_rows.can_resume(message.configuration->after)) {
     return;
   }
-  note_newest(now, beat);
-  if (beat.configuration_part) {
-    take_configuration_part(asked, now, *beat.configuration_part);
+  note_newest(now, message);
+  if (message.configuration_part) {
+    apply_configuration_part(asked, now, *message.configuration_part);
   }
-  withheld_ = beat.configuration->withheld && node_.lag.behind();
-  if (node_.configurations.newest() >= beat.configuration_row) {
-    for (const feed_row& row : beat.configuration->rows) {
-      take_configuration_row(asked, "hub", row);
+  withheld_ = message.configuration->withheld && node_.lag.behind();
+  if (node_.configurations.newest() >= message.configuration_row) {
+    for (const feed_row& row : message.configuration->rows) {
+      apply_configuration_row(asked, "hub", row);
     }
-    node_.configuration_rows.advance(beat.configuration->position);
+    node_.configuration_rows.advance(message.configuration->position);
     configuration_positioned_ = true;
-    // The hub held everything up to its position at its proof, and this node now row_applied the
-    // same.
-    if (node_.map && beat.configuration->position >= node_.configuration_rows.position()) {
-      node_.lease.renew(asked - beat.configuration->age);
+    // At the time of its proof the hub had all rows up to its position, and this node has the same
+    // rows now.
+    if (node_.map && message.configuration->position >= node_.configuration_rows.position()) {
+      node_.lease.renew(asked - message.configuration->age);
     }
   }
-  // A hub whose own proof grows old does not keep others current.
-  if (beat.configuration->age < fed_proof_age) {
-    fed_at_ = now;
+  // Updates of a hub whose own proof is old do not keep this node current.
+  if (message.configuration->age < max_hub_proof_age) {
+    hub_update_at_ = now;
   }
 }
 
-void store_watch::note_newest(time_point now, const node_heartbeat& beat) {
+void store_watch::note_newest(time_point now, const node_heartbeat& message) {
   const bool was_behind = node_.lag.behind();
-  node_.lag.row_reported(now, beat.configuration_row);
+  node_.lag.row_reported(now, message.configuration_row);
   if (was_behind || !node_.lag.behind()) {
     return;
   }
   log_line(log_level::info, "configuration", "behind",
            {{"row", node_.configurations.newest()},
-            {"hub_row", beat.configuration_row},
-            {"hub_proof_ms", to_milliseconds(beat.configuration->age)},
-            {"withheld", beat.configuration->withheld}});
+            {"hub_row", message.configuration_row},
+            {"hub_proof_ms", to_milliseconds(message.configuration->age)},
+            {"withheld", message.configuration->withheld}});
 }
 
-void store_watch::take_configuration_part(time_point asked, time_point now,
-                                          const config_part& part) {
+void store_watch::apply_configuration_part(time_point asked, time_point now,
+                                           const config_part& part) {
   const config_progress before = receiver_.progress();
   auto text = receiver_.take(part, node_.configurations);
   if (text || receiver_.progress() != before) {
-    part_taken_at_ = now;
+    part_received_at_ = now;
   }
   if (text) {
-    take_configuration(asked, "hub",
-                       {std::string(configuration_key), std::move(*text), part.row, false, true});
+    apply_configuration(asked, "hub",
+                        {std::string(configuration_key), std::move(*text), part.row, false, true});
   }
 }
 
-bool store_watch::waits_in_vain(time_point now) const {
-  const duration since_part = now - part_taken_at_;
-  return std::min(node_.lag.age(now), since_part) >= part_patience;
+bool store_watch::is_part_overdue(time_point now) const {
+  const duration since_part = now - part_received_at_;
+  return std::min(node_.lag.age(now), since_part) >= part_timeout;
 }
 
 bool store_watch::awaits_hub(time_point now) const {
-  return now - started_ < hub_patience && !node_.peers.is_hub(now) &&
+  return now - started_ < first_hub_update_timeout && !node_.peers.is_hub(now) &&
          node_.peers.any_in_data_centre();
 }
 
-bool store_watch::must_ask(time_point now) const {
-  if (!is_fed(now)) {
+bool store_watch::must_query(time_point now) const {
+  if (!is_updated_by_hub(now)) {
     return !(configuration_positioned_ && awaits_hub(now));
   }
-  return ((withheld_ || waits_in_vain(now)) && now - asked_at_ >= withheld_interval) ||
-         (node_.peers.refused_by_store() && now - asked_at_ >= ask_again_interval);
+  return ((withheld_ || is_part_overdue(now)) && now - queried_at_ >= withheld_query_interval) ||
+         (node_.peers.refused_by_store() && now - queried_at_ >= refused_query_interval);
 }
 
-void store_watch::note_answer(time_point now, bool answered) {
+void store_watch::note_query_result(time_point now, bool answered) {
   failures_ = answered ? 0 : failures_ + 1;
   withheld_ = withheld_ && !answered;
-  // A silent question has waited for all of its time: that alone is long enough.
-  const bool silent = now - asked_at_ >= configuration_wait + answer_slack;
-  const bool refused_by_store =
-      !answered && (node_.peers.refused_by_store() || silent || failures_ >= failures_to_hand_over);
+  // A query that timed out has taken long enough to count as refused without further failures.
+  const bool timed_out = now - queried_at_ >= configuration_wait + answer_slack;
+  const bool refused_by_store = !answered && (node_.peers.refused_by_store() || timed_out ||
+                                              failures_ >= failures_before_handover);
   if (refused_by_store != node_.peers.refused_by_store()) {
     node_.peers.set_refused_by_store(now, refused_by_store);
     log_line(log_level::info, "store", refused_by_store ? "turned away" : "served again",
@@ -192,15 +196,15 @@
 }
 
 duration store_watch::pause_after_failure() const {
-  constexpr std::uint32_t most_doublings = 5;
-  const duration longest = node_.peers.is_hub_or_next(monotonic_now())
-                               ? longest_retry_pause
-                               : longest_retry_pause_of_others;
-  return std::min(retry_pause * (1U << std::min(failures_ > 0 ? failures_ - 1 : 0, most_doublings)),
-                  longest);
+  constexpr std::uint32_t max_pause_doublings = 5;
+  const duration longest =
+      node_.peers.is_hub_or_next(monotonic_now()) ? max_retry_pause : max_retry_pause_of_others;
+  return std::min(
+      retry_pause * (1U << std::min(failures_ > 0 ? failures_ - 1 : 0, max_pause_doublings)),
+      longest);
 }
 
-void store_watch::put_in_force(const std::string& text) {
+void store_watch::activate_configuration(const std::string& text) {
   service_map_result result = reader_.read(text);
   if (!result.map) {
     for (const finding& f : result.problems) {
@@ -210,16 +214,17 @@
     return;
   }
   if (node_.map && result.map->version() < node_.map->version()) {
-    log_line(log_level::error, "configuration", "kept: the store has an older version",
+    log_line(log_level::error, "configuration",
+             "ignored: the version in the store is older than the one in force",
              {{"version", node_.map->version()}, {"offered", result.map->version()}});
     return;
   }
   node_.map = std::make_shared<const service_map>(std::move(*result.map));
 }
 
-// How old a version is when it takes effect here, step by step.
-void store_watch::tell_in_force(time_point asked, time_point arrived, duration behind,
-                                std::string_view source, const feed_row& row) {
+// Logs how long it took until a version was in force on this node, by step.
+void store_watch::log_in_force(time_point asked, time_point arrived, duration behind,
+                               std::string_view source, const feed_row& row) {
   const time_point now = monotonic_now();
   node_.metrics.record_step("configuration_in_force", std::max(behind, now - asked));
   log_line(log_level::info, "configuration", "in force",
@@ -233,18 +238,18 @@
             {"decode_ms", to_milliseconds(now - arrived)}});
 }
 
-void store_watch::take_configuration_row(time_point asked, std::string_view source,
-                                         const feed_row& row) {
+void store_watch::apply_configuration_row(time_point asked, std::string_view source,
+                                          const feed_row& row) {
   if (row.key != configuration_key) {
     node_.configuration_rows.take(row);
   } else if (!row.removed) {
-    take_configuration(asked, source, row);
+    apply_configuration(asked, source, row);
   }
 }
 
-// A row that was overtaken by a newer one changes nothing.
-void store_watch::take_configuration(time_point asked, std::string_view source,
-                                     const feed_row& row) {
+// Ignores a row that was superseded by a newer one.
+void store_watch::apply_configuration(time_point asked, std::string_view source,
+                                      const feed_row& row) {
   if (row.version <= node_.configurations.newest()) {
     return;
   }
@@ -252,15 +257,15 @@
   const auto before = node_.map;
   const duration behind = node_.lag.age(arrived);
   node_.configurations.take(row.version, row.value);
-  put_in_force(row.value);
+  activate_configuration(row.value);
   node_.lag.row_applied(row.version);
   if (node_.map != before) {
-    tell_in_force(asked, arrived, behind, source, row);
+    log_in_force(asked, arrived, behind, source, row);
   }
 }
 
-// A proof that grows old keeps callers out: each try that failed says how.
-void store_watch::tell_unanswered(time_point asked, std::string_view reason) {
+// Logs a failed query. While queries fail, the proof gets older, until callers are refused.
+void store_watch::log_failed_query(time_point asked, std::string_view reason) {
   const time_point now = monotonic_now();
   log_line(log_level::warning, "configuration", "not answered",
            {{"reason", reason},
@@ -269,7 +274,7 @@
             {"lease_age_ms", to_milliseconds(node_.lease.age(now).value_or(-1ms))}});
 }
 
-// The whole table, when there is no position to go on from.
+// Reads the full table, when there is no position to continue from.
 bool store_watch::read_configuration() {
   const time_point asked = monotonic_now();
   const auto result = node_.store.read(configuration_table, {}, asked + read_timeout);
@@ -279,11 +284,11 @@
   note_dependency("configuration", configuration_up_, usable,
                   rows == nullptr ? "no answer" : "whole table");
   if (!usable) {
-    tell_unanswered(asked, why_unanswered(result));
+    log_failed_query(asked, describe_failure(result));
     return false;
   }
   for (const store_row& row : rows->rows) {
-    take_configuration_row(asked, "whole table", {row.key, row.value, row.version, row.removed});
+    apply_configuration_row(asked, "whole table", {row.key, row.value, row.version, row.removed});
   }
   node_.configuration_rows.advance(rows->version);
   if (node_.map) {
@@ -294,15 +299,17 @@
 
 void store_watch::follow_configuration() {
   for (;;) {
-    duration pause = look_interval;
+    duration pause = check_interval;
     const time_point asked = monotonic_now();
-    tell_calls(asked);
-    if (must_ask(asked)) {
-      // A first question, and one about a change that is known of, need not wait for the next.
-      const bool at_once = failures_ > 0 || withheld_ || asked - asked_at_ > 2 * configuration_wait;
-      asked_at_ = asked;
-      const bool answered = ask_configuration(asked, at_once ? 0ms : configuration_wait, pause);
-      note_answer(monotonic_now(), answered);
+    log_calls(asked);
+    if (must_query(asked)) {
+      // The first query, a retry, and a query for a version known to exist need not wait for the
+      // next change.
+      const bool immediate =
+          failures_ > 0 || withheld_ || asked - queried_at_ > 2 * configuration_wait;
+      queried_at_ = asked;
+      const bool answered = query_configuration(asked, immediate ? 0ms : configuration_wait, pause);
+      note_query_result(monotonic_now(), answered);
       if (!answered) {
         pause = pause_after_failure();
       }
@@ -313,8 +320,8 @@
   }
 }
 
-// False: no answer, or none that helps. `pause`: until the next question.
-bool store_watch::ask_configuration(time_point asked, duration wait, duration& pause) {
+// False if there was no usable answer. `pause` is set to the time until the next query.
+bool store_watch::query_configuration(time_point asked, duration wait, duration& pause) {
   pause = 0ms;
   if (!configuration_positioned_) {
     configuration_positioned_ = read_configuration();
@@ -331,11 +338,11 @@
   note_dependency("configuration", configuration_up_, rows != nullptr,
                   rows == nullptr ? "the watch failed" : "watched");
   if (rows == nullptr) {
-    tell_unanswered(asked, why_unanswered(result));
+    log_failed_query(asked, describe_failure(result));
     return false;
   }
   for (const store_row& row : rows->rows) {
-    take_configuration_row(asked, "store", {row.key, row.value, row.version, row.removed});
+    apply_configuration_row(asked, "store", {row.key, row.value, row.version, row.removed});
   }
   node_.configuration_rows.advance(rows->version);
   node_.lease.renew(asked);
--- a/src/process/node_heartbeat.cpp
+++ b/src/process/node_heartbeat.cpp
@@ -23,7 +23,7 @@
   for (const feed_row& row : update->rows) {
     rows.push_back({row.key, row.value, row.version, row.removed, row.readable});
   }
-  return {std::move(rows),     update->whole,    update->position,
+  return {std::move(rows),     update->complete, update->position,
           update->age.count(), update->withheld, update->after};
 }
 
@@ -37,7 +37,7 @@
                            row.at(2).get<std::uint64_t>(), row.at(3).get<bool>(),
                            row.at(4).get<bool>()});
   }
-  update.whole = from.at(1).get<bool>();
+  update.complete = from.at(1).get<bool>();
   update.position = from.at(2).get<std::uint64_t>();
   update.age = duration{from.at(3).get<std::int64_t>()};
   update.withheld = from.at(4).get<bool>();
@@ -155,8 +155,8 @@
                          message.serving.incarnation,
                          message.serving.at,
                          update_to_json(message.served),
-                         message.crashes.at,
-                         message.crashes.rows,
+                         message.poison_changes.at,
+                         message.poison_changes.rows,
                          message.received_poison_position.incarnation,
                          message.received_poison_position.at,
                          message.configuration_row,
@@ -203,8 +203,8 @@
     message.incarnation = document.at(17).get<std::string>();
     message.serving = {document.at(18).get<std::string>(), document.at(19).get<std::uint64_t>()};
     message.served = update_from_json(document.at(20));
-    message.crashes = {document.at(21).get<std::uint64_t>(),
-                       document.at(22).get<std::vector<std::string>>()};
+    message.poison_changes = {document.at(21).get<std::uint64_t>(),
+                              document.at(22).get<std::vector<std::string>>()};
     message.received_poison_position = {document.at(23).get<std::string>(),
                                         document.at(24).get<std::uint64_t>()};
     if (document.size() > first_optional_field) {
--- a/src/process/node_heartbeat.h
+++ b/src/process/node_heartbeat.h
@@ -30,7 +30,7 @@
 // The part of a followed table behind the requested position.
 struct feed_update {
   std::vector<feed_row> rows;
-  bool whole = false;        // the complete table instead of changes only
+  bool complete = false;     // the complete table instead of changes only
   std::uint64_t position{};  // of the sender, including these rows
   std::uint64_t after{};     // requested position; only a receiver at or beyond it may apply this
   duration age{};            // since the sender's newest query to the store was sent
@@ -67,7 +67,7 @@
   std::map<target_id, replica_load> loads;
   std::vector<target_id> lost;
   // Updates about poison requests, and the sender's position in those of the receiver.
-  poison_update crashes;
+  poison_update poison_changes;
   poison_position received_poison_position;
   // Send limits of targets, and grants to send to them.
   std::vector<limit_update> limits;
--- a/src/process/peer_table.cpp
+++ b/src/process/peer_table.cpp
@@ -71,7 +71,7 @@
   }
 }
 
-void peer_table::heard(time_point now, const node_id& id, const heartbeat_info& info) {
+void peer_table::received(time_point now, const node_id& id, const heartbeat_info& info) {
   const auto found = peers_.find(id);
   if (found == peers_.end()) {
     return;  // not known yet; its row will be read soon
--- a/src/process/peer_table.h
+++ b/src/process/peer_table.h
@@ -49,7 +49,7 @@
     std::int64_t stamp_us{};
   };
   // A heartbeat of the peer was received.
-  void heard(time_point now, const node_id& peer, const heartbeat_info& info);
+  void received(time_point now, const node_id& peer, const heartbeat_info& info);
 
   // A hub that the store refuses hands over to the next node that is served, until it is served
   // again. Without this, when the store serves only some nodes, a refused hub gets no updates and
--- a/src/process/poison_exchange.h
+++ b/src/process/poison_exchange.h
@@ -38,7 +38,7 @@
   // `peer` reported the position of this node's tracker that it has received.
   void acknowledged(const node_id& peer, const poison_position& at);
   // `peer` sent its rows up to this position; reported back to it as received.
-  void heard(const node_id& peer, const poison_position& at) { peers_[peer].received = at; }
+  void received(const node_id& peer, const poison_position& at) { peers_[peer].received = at; }
   [[nodiscard]] poison_position received_position(const node_id& peer) const;
 
   // The acknowledgement comes with the peer's next heartbeat. If it is missing for so long, the
--- a/src/request/limits.cpp
+++ b/src/request/limits.cpp
@@ -104,7 +104,7 @@
   return message;
 }
 
-void rate_limits::heard(time_point now, const node_id& peer, const limit_message& message) {
+void rate_limits::received(time_point now, const node_id& peer, const limit_message& message) {
   if (std::find(others_.begin(), others_.end(), peer) == others_.end()) {
     return;
   }
--- a/src/request/limits.h
+++ b/src/request/limits.h
@@ -69,7 +69,7 @@
   // peer.
   void update(time_point now);
   [[nodiscard]] limit_message tell(time_point now, const node_id& peer);
-  void heard(time_point now, const node_id& peer, const limit_message& message);
+  void received(time_point now, const node_id& peer, const limit_message& message);
 
   // Requests per second that this node may admit now.
   [[nodiscard]] double share(time_point now, const workspace_id& workspace) const;
--- a/src/request/policy_bench_budgets.cpp
+++ b/src/request/policy_bench_budgets.cpp
@@ -140,7 +140,7 @@
   void deliver(const limit_phase& phase) {
     for (const told_usage& told : under_way_) {
       if (told.at <= now_ && phase.side[told.to] == phase.side[told.from]) {
-        nodes_[told.to].heard(now_, names_[told.from], told.content);
+        nodes_[told.to].received(now_, names_[told.from], told.content);
       }
     }
     std::erase_if(under_way_, [&](const told_usage& told) { return told.at <= now_; });
--- a/src/request/replica_choice.cpp
+++ b/src/request/replica_choice.cpp
@@ -139,8 +139,8 @@
   }
 }
 
-void load_table::heard(const node_id& peer, const data_centre_id& data_centre, time_point now,
-                       std::map<target_id, replica_load> loads) {
+void load_table::received(const node_id& peer, const data_centre_id& data_centre, time_point now,
+                          std::map<target_id, replica_load> loads) {
   peers_[peer] = {now, data_centre, std::move(loads)};
 }
 
--- a/src/request/replica_choice.h
+++ b/src/request/replica_choice.h
@@ -50,8 +50,8 @@
   void ended(const target_id& head, const generation_size& size, bool had_first_event);
 
   // Sets the last load per head that a peer reported, for itself and the nodes that it represents.
-  void heard(const node_id& peer, const data_centre_id& data_centre, time_point now,
-             std::map<target_id, replica_load> loads);
+  void received(const node_id& peer, const data_centre_id& data_centre, time_point now,
+                std::map<target_id, replica_load> loads);
   void forget_peers(time_point now);
 
   // Loads to report to peers: own and peers' loads; `all` without what `peer` reported; own and
--- a/src/request/send_limits.cpp
+++ b/src/request/send_limits.cpp
@@ -38,7 +38,7 @@
   return found == known_.end() ? nullptr : &found->second;
 }
 
-void send_limits::heard(const target_id& target, const send_limit& limit) {
+void send_limits::received(const target_id& target, const send_limit& limit) {
   const auto found = known_.find(target);
   if (found == known_.end()) {
     if (limit.per_second) {
--- a/src/request/send_limits.h
+++ b/src/request/send_limits.h
@@ -40,7 +40,7 @@
               const announced_limit& word);
 
   // A peer reported the limit; its `seen_at` is not later than the target's response.
-  void heard(const target_id& target, const send_limit& limit);
+  void received(const target_id& target, const send_limit& limit);
 
   // Null if none is known.
   [[nodiscard]] const send_limit* find(const target_id& target) const;
--- a/tests/core/hosted_values_test.cpp
+++ b/tests/core/hosted_values_test.cpp
@@ -315,40 +315,40 @@
 // ---- heartbeats and peers ----
 
 TEST(NodeHeartbeat, RoundTripsAndRejectsTruncation) {
-  node_heartbeat beat;
-  beat.data_centre = data_centre_id{"a"};
-  beat.hub = true;
-  beat.stamp_us = 123456;
-  beat.echo_us = 99;
-  beat.loads[target_id{"x"}] = {3, 500};
-  beat.lost = {target_id{"y"}};
-  beat.targets = feed_update{{{"x", "{}", 7, false}}, true, 9, 4, 20ms, true};
-  beat.follows_records = false;
-  beat.incarnation = "0a1b2c3d";
-  beat.serving = {"4e5f6a7b", 17};
-  beat.served = feed_update{{{"h", "row", 18, false}}, false, 18, 17, 30ms, false};
-  beat.configuration_row = 7;
-  beat.configuration_progress = {8, 7, 900};
-  beat.configuration_part = config_part{8, 7, 1200, 900, std::string("\xff\0\x80", 3)};
-  beat.limits = {{target_id{"x"}, 2.5, 30ms, 4}, {target_id{"y"}, std::nullopt, 1s, 0}};
-  beat.grants = {"0a1b2c3d", {{target_id{"x"}, 12}}};
-  const std::string bytes = encode(beat);
+  node_heartbeat message;
+  message.data_centre = data_centre_id{"a"};
+  message.hub = true;
+  message.stamp_us = 123456;
+  message.echo_us = 99;
+  message.loads[target_id{"x"}] = {3, 500};
+  message.lost = {target_id{"y"}};
+  message.targets = feed_update{{{"x", "{}", 7, false}}, true, 9, 4, 20ms, true};
+  message.follows_records = false;
+  message.incarnation = "0a1b2c3d";
+  message.serving = {"4e5f6a7b", 17};
+  message.served = feed_update{{{"h", "row", 18, false}}, false, 18, 17, 30ms, false};
+  message.configuration_row = 7;
+  message.configuration_progress = {8, 7, 900};
+  message.configuration_part = config_part{8, 7, 1200, 900, std::string("\xff\0\x80", 3)};
+  message.limits = {{target_id{"x"}, 2.5, 30ms, 4}, {target_id{"y"}, std::nullopt, 1s, 0}};
+  message.grants = {"0a1b2c3d", {{target_id{"x"}, 12}}};
+  const std::string bytes = encode(message);
   const auto back = decode_node_heartbeat(bytes);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->echo_us, 99);
   EXPECT_EQ(back->loads.at(target_id{"x"}).pending_prefill_tokens, 500);
-  EXPECT_EQ(back->targets->rows, beat.targets->rows);
+  EXPECT_EQ(back->targets->rows, message.targets->rows);
   EXPECT_FALSE(back->follows_records);
-  EXPECT_EQ(back->incarnation, beat.incarnation);
-  EXPECT_EQ(back->serving, beat.serving);
-  EXPECT_EQ(back->served->rows, beat.served->rows);
-  EXPECT_EQ(back->configuration_row, beat.configuration_row);
-  EXPECT_EQ(back->configuration_progress, beat.configuration_progress);
-  EXPECT_EQ(back->configuration_part, beat.configuration_part);
-  EXPECT_EQ(back->limits, beat.limits);
-  EXPECT_EQ(back->grants, beat.grants);
+  EXPECT_EQ(back->incarnation, message.incarnation);
+  EXPECT_EQ(back->serving, message.serving);
+  EXPECT_EQ(back->served->rows, message.served->rows);
+  EXPECT_EQ(back->configuration_row, message.configuration_row);
+  EXPECT_EQ(back->configuration_progress, message.configuration_progress);
+  EXPECT_EQ(back->configuration_part, message.configuration_part);
+  EXPECT_EQ(back->limits, message.limits);
+  EXPECT_EQ(back->grants, message.grants);
   EXPECT_EQ(back->served->after, 17U);
-  EXPECT_TRUE(back->targets->whole);
+  EXPECT_TRUE(back->targets->complete);
   EXPECT_EQ(back->targets->after, 4U);
   EXPECT_EQ(back->targets->age, 20ms);
   EXPECT_TRUE(back->targets->withheld);
@@ -359,10 +359,10 @@
 }
 
 TEST(NodeHeartbeat, ReadsAMessageOfAnEarlierRelease) {
-  node_heartbeat beat;
-  beat.data_centre = data_centre_id{"a"};
-  beat.configuration_position = 12;
-  nlohmann::json document = nlohmann::json::from_msgpack(encode(beat));
+  node_heartbeat message;
+  message.data_centre = data_centre_id{"a"};
+  message.configuration_position = 12;
+  nlohmann::json document = nlohmann::json::from_msgpack(encode(message));
   constexpr std::size_t earlier_fields = 25;
   document.erase(document.begin() + earlier_fields, document.end());
   std::string bytes;
@@ -392,7 +392,7 @@
   EXPECT_FALSE(peers.is_hub(start + 1s));
   EXPECT_TRUE(peers.is_hub(start + 2s));
   EXPECT_TRUE(peers.responsibilities(start + 2s, three).contains(data_centre_id{"a"}));
-  peers.heard(start + 3s, node_id{"a1"}, {true, false, false, 1});
+  peers.received(start + 3s, node_id{"a1"}, {true, false, false, 1});
   EXPECT_FALSE(peers.is_hub(start + 3s));
   EXPECT_TRUE(peers.responsibilities(start + 3s, three).empty());
 }
@@ -410,7 +410,7 @@
       peers.told(start + at, id);
     }
     EXPECT_EQ(std::count(told.begin(), told.end(), node_id{"a1"}), 1) << at.count();
-    peers.heard(start + at, node_id{"a2"}, {true, false, false, 1});
+    peers.received(start + at, node_id{"a2"}, {true, false, false, 1});
   }
 }
 
@@ -428,8 +428,8 @@
   }
   const time_point now = start + 2s;
   for (const char* name : {"a1", "a2", "b1", "b2"}) {
-    a.heard(now, node_id{name}, {true, false, false, 1});
-    b.heard(now, node_id{name}, {true, false, false, 1});
+    a.received(now, node_id{name}, {true, false, false, 1});
+    b.received(now, node_id{name}, {true, false, false, 1});
   }
   const data_centre_id c{"c"};
   EXPECT_NE(a.responsibilities(now, three).contains(c), b.responsibilities(now, three).contains(c));
@@ -457,8 +457,8 @@
   first.set_refused_by_store(start, true);
   const peer_table::heartbeat_info refused_by_store{
       .hub = false, .refused_by_store = true, .stamp_us = 1};
-  second.heard(start, node_id{"a1"}, refused_by_store);
-  third.heard(start, node_id{"a1"}, refused_by_store);
+  second.received(start, node_id{"a1"}, refused_by_store);
+  third.received(start, node_id{"a1"}, refused_by_store);
   EXPECT_FALSE(first.is_hub(start));
   EXPECT_TRUE(second.is_hub(start));
   EXPECT_EQ(third.hub_of(start, data_centre_id{"a"}), node_id{"a2"});
@@ -470,17 +470,17 @@
   // The store refuses all nodes: the one with the lowest name still manages the replicas.
   second.set_refused_by_store(start, true);
   third.set_refused_by_store(start, true);
-  third.heard(start, node_id{"a2"}, refused_by_store);
-  second.heard(start, node_id{"a3"}, refused_by_store);
-  first.heard(start, node_id{"a2"}, refused_by_store);
-  first.heard(start, node_id{"a3"}, refused_by_store);
+  third.received(start, node_id{"a2"}, refused_by_store);
+  second.received(start, node_id{"a3"}, refused_by_store);
+  first.received(start, node_id{"a2"}, refused_by_store);
+  first.received(start, node_id{"a3"}, refused_by_store);
   EXPECT_TRUE(first.is_hub(start));
   EXPECT_FALSE(second.is_hub(start));
   EXPECT_FALSE(third.is_hub(start));
 
   first.set_refused_by_store(start, false);
   EXPECT_TRUE(first.is_hub(start));
-  second.heard(start, node_id{"a1"}, {.hub = true, .stamp_us = 2});
+  second.received(start, node_id{"a1"}, {.hub = true, .stamp_us = 2});
   EXPECT_FALSE(second.is_hub(start));
 }
 
@@ -488,12 +488,12 @@
   peer_table table(node_id{"a1"}, data_centre_id{"a"});
   table.set_records(
       {{node_id{"a2"}, data_centre_id{"a"}, {}, {}}, {node_id{"b1"}, data_centre_id{"b"}, {}, {}}});
-  table.heard(start, node_id{"b1"}, {.stamp_us = 1});
+  table.received(start, node_id{"b1"}, {.stamp_us = 1});
   EXPECT_FALSE(table.any_served_here(start));
-  table.heard(start, node_id{"a2"}, {.refused_by_store = true, .stamp_us = 1});
+  table.received(start, node_id{"a2"}, {.refused_by_store = true, .stamp_us = 1});
   EXPECT_FALSE(table.any_served_here(start));
   EXPECT_TRUE(table.is_refused_by_store(node_id{"a2"}));
-  table.heard(start, node_id{"a2"}, {.stamp_us = 2});
+  table.received(start, node_id{"a2"}, {.stamp_us = 2});
   EXPECT_TRUE(table.any_served_here(start));
   EXPECT_FALSE(table.any_served_here(start + peer_table::alive_timeout));
 }
@@ -511,13 +511,13 @@
   last.set_records(rows);
   const peer_table::heartbeat_info away{.refused_by_store = true, .stamp_us = 1};
   last.set_refused_by_store(start, true);
-  last.heard(start, node_id{"a1"}, away);
-  last.heard(start, node_id{"a2"}, away);
+  last.received(start, node_id{"a1"}, away);
+  last.received(start, node_id{"a2"}, away);
   last.set_refused_by_store(start + 100ms, false);
   EXPECT_EQ(last.hub_of(start + 100ms, data_centre_id{"a"}), node_id{"a1"});
   // The store still refuses the others: this node becomes the hub.
-  last.heard(start + 600ms, node_id{"a1"}, away);
-  last.heard(start + 600ms, node_id{"a2"}, away);
+  last.received(start + 600ms, node_id{"a1"}, away);
+  last.received(start + 600ms, node_id{"a2"}, away);
   EXPECT_TRUE(last.is_hub(start + 100ms + peer_table::served_settle_time));
 }
 
--- a/tests/core/hub_order_test.cpp
+++ b/tests/core/hub_order_test.cpp
@@ -51,10 +51,10 @@
 
 TEST(HubOrder, AHubRefusedByTheStoreHandsOverToTheNextStrongNode) {
   peer_table second = table_of("a9", strong);
-  second.heard(start, node_id{"a8"}, {.refused_by_store = true, .stamp_us = 1});
+  second.received(start, node_id{"a8"}, {.refused_by_store = true, .stamp_us = 1});
   EXPECT_TRUE(second.is_hub(start));
   // Once the store serves the first node again, it becomes the hub and the second one stops.
-  second.heard(start + 1s, node_id{"a8"}, {.hub = true, .stamp_us = 2});
+  second.received(start + 1s, node_id{"a8"}, {.hub = true, .stamp_us = 2});
   EXPECT_FALSE(second.is_hub(start + 1s));
 }
 
@@ -69,7 +69,7 @@
   peer_table peers(node_id{"n150"}, here, weak);
   peers.set_records(many);
   for (const char* name : {"n100", "n101", "n102"}) {
-    peers.heard(start, node_id{name}, {.refused_by_store = true, .stamp_us = 1});
+    peers.received(start, node_id{name}, {.refused_by_store = true, .stamp_us = 1});
   }
   peers.set_refused_by_store(start, true);
   for (const node_record& n : many) {
@@ -78,7 +78,7 @@
   // The other nodes were sent heartbeats when they were assumed to be next, and respond now.
   for (const node_record& n : many) {
     if (n.id.str() > "n102") {
-      peers.heard(start + 1s, n.id, {.refused_by_store = true, .stamp_us = 1});
+      peers.received(start + 1s, n.id, {.refused_by_store = true, .stamp_us = 1});
     }
   }
   EXPECT_FALSE(peers.is_hub_or_next(start + 1s));
@@ -87,7 +87,7 @@
   idle.set_records(many);
   idle.set_refused_by_store(start, true);
   for (const char* name : {"n100", "n101"}) {
-    idle.heard(start, node_id{name}, {.refused_by_store = true, .stamp_us = 1});
+    idle.received(start, node_id{name}, {.refused_by_store = true, .stamp_us = 1});
   }
   const auto sent_to = idle.recipients(start + 100ms);
   ASSERT_GE(sent_to.size(), 2U);
@@ -119,7 +119,7 @@
   peer_table second = table_of("a9", strong);
   second.set_refused_by_store(start, true);
   for (const char* name : {"a1", "a2", "a8"}) {
-    second.heard(start, node_id{name}, {.refused_by_store = true, .stamp_us = 1});
+    second.received(start, node_id{name}, {.refused_by_store = true, .stamp_us = 1});
   }
   EXPECT_TRUE(second.is_hub_or_next(start));
 }
@@ -137,7 +137,7 @@
   peer_table hub = table_of("a8", strong);
   const node_record joined{node_id{"a7"}, here, {"10.0.0.7", 7000}, {}, weak};
   hub.learn(joined);
-  hub.heard(start, joined.id, {.stamp_us = 1});
+  hub.received(start, joined.id, {.stamp_us = 1});
   EXPECT_TRUE(hub.is_alive(start, joined.id));
   const auto sent_to = hub.recipients(start);
   EXPECT_EQ(std::count(sent_to.begin(), sent_to.end(), joined.id), 1);
--- a/tests/core/poison_simulation.h
+++ b/tests/core/poison_simulation.h
@@ -292,7 +292,7 @@
         receiver.ledger.merge_row(now_, *row);
       }
     }
-    receiver.exchange.heard(sender_id, {sender.incarnation, news.at});
+    receiver.exchange.received(sender_id, {sender.incarnation, news.at});
   }
 
   // Five times a second, each node sends to its hub, and hubs send to each other and to their
--- a/tests/core/request_limits_test.cpp
+++ b/tests/core/request_limits_test.cpp
@@ -68,16 +68,16 @@
   }
   (void)borrower.take(t + 1s, w, 100);
   borrower.update(t + 1s);
-  lender.heard(t + 1s, b, borrower.tell(t + 1s, a));
+  lender.received(t + 1s, b, borrower.tell(t + 1s, a));
   lender.update(t + 2s);
   const limit_message message = lender.tell(t + 2s, b);
   EXPECT_LT(lender.share(t + 2s, w), 10) << "the share drops before the borrower uses it";
   EXPECT_DOUBLE_EQ(lender.share(t + 6s, w), 10);
   rate_limits paused = borrower;
-  borrower.heard(t + 2s, a, message);
+  borrower.received(t + 2s, a, message);
   EXPECT_GT(borrower.share(t + 2s, w), 10);
   EXPECT_DOUBLE_EQ(borrower.share(t + 5s, w), 10) << "four seconds after the echoed message";
-  paused.heard(t + 7s, a, message);
+  paused.received(t + 7s, a, message);
   EXPECT_DOUBLE_EQ(paused.share(t + 7s, w), 10);
 }
 
@@ -137,13 +137,13 @@
           if (hears[i * 6 + j] && random.unit() < 0.1) {
             late.push_back({i, j, told});
           } else if (hears[i * 6 + j]) {
-            nodes[j].heard(now, names[i], told);
+            nodes[j].received(now, names[i], told);
           }
         }
       }
       while (!late.empty() && random.unit() < 0.5) {
         const std::size_t n = random.below(late.size());
-        nodes[late[n].to].heard(now, names[late[n].from], late[n].message);
+        nodes[late[n].to].received(now, names[late[n].from], late[n].message);
         late.erase(late.begin() + static_cast<std::ptrdiff_t>(n));
       }
       double sum = 0;
--- a/tests/core/send_limits_test.cpp
+++ b/tests/core/send_limits_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_EQ(limits.told(start + 1500ms, start + 3s, target, {}), send_limits::change::removed);
   EXPECT_TRUE(limits.may_send(start + 3s, target));
   // An older observation of a peer does not restore the limit.
-  limits.heard(target, {2.0, start + 1s});
+  limits.received(target, {2.0, start + 1s});
   EXPECT_TRUE(limits.may_send(start + 3s, target));
 }
 
@@ -281,7 +281,7 @@
     node& n = *nodes_[m.to];
     std::map<target_id, double> demand;
     for (const limit_update& news : m.limits) {
-      n.limits.heard(news.target, {news.per_second, m.sent_at - news.age});
+      n.limits.received(news.target, {news.per_second, m.sent_at - news.age});
       demand[news.target] = news.demand;
     }
     const bool same = data_centre_of(m.from) == data_centre_of(m.to);
--- a/tests/shell/controller_simulation.h
+++ b/tests/shell/controller_simulation.h
@@ -276,7 +276,7 @@
     }
   }
 
-  // Like keeper_loop: probes unlisted members of replicas, which may still work or be dead.
+  // Like controller_loop: probes unlisted members of replicas, which may still work or be dead.
   void probe_unlisted() {
     for (const auto& n : nodes_) {
       for (const auto& [id, engine] : engines_) {
@@ -306,7 +306,7 @@
     return nullptr;
   }
 
-  // Like keeper_loop: a lost engine that answers a probe is reachable again. After a partition
+  // Like controller_loop: a lost engine that answers a probe is reachable again. After a partition
   // engines become reachable one by one, as connections are retried at different times.
   void probe_lost() {
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
--- a/tests/shell/hosted_fixture.h
+++ b/tests/shell/hosted_fixture.h
@@ -1,4 +1,4 @@
-// Two hosted nodes before a stand-in of the platform, over real sockets in one process.
+// Fixture with two hosted nodes and a stand-in of the platform, over real sockets in one process.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,15 +20,15 @@
 inline bool is_free(std::uint16_t port) {
   boost::asio::io_context io;
   boost::system::error_code error;
-  boost::asio::ip::tcp::acceptor door(io);
-  door.open(boost::asio::ip::tcp::v4(), error);
-  door.set_option(boost::asio::socket_base::reuse_address(true), error);
-  door.bind({boost::asio::ip::address_v4::loopback(), port}, error);
+  boost::asio::ip::tcp::acceptor acceptor(io);
+  acceptor.open(boost::asio::ip::tcp::v4(), error);
+  acceptor.set_option(boost::asio::socket_base::reuse_address(true), error);
+  acceptor.bind({boost::asio::ip::address_v4::loopback(), port}, error);
   return !error;
 }
 
-// Tests run beside each other, and beside a soak whose nodes listen in the same range: what another
-// process has taken is passed over.
+// Tests run in parallel, and together with a soak whose nodes listen in the same range: ports that
+// another process uses are skipped.
 inline std::uint16_t next_port() {
   static std::uint16_t port = static_cast<std::uint16_t>(20000 + (getpid() % 300) * 32);
   while (!is_free(port)) {
@@ -37,8 +37,8 @@
   return port++;
 }
 
-struct one_node {
-  explicit one_node(const std::string& name, std::uint16_t store_port) {
+struct test_node {
+  explicit test_node(const std::string& name, std::uint16_t store_port) {
     settings.id = node_id{name};
     settings.data_centre = data_centre_id{"lab-a"};
     settings.data_centres = {settings.data_centre};
@@ -62,13 +62,13 @@
       : platform_(runtime, settings) {
     for (int i = 0; i < 2; ++i) {
       nodes_.push_back(
-          std::make_unique<one_node>("edge-" + std::to_string(i), platform_.store_port()));
+          std::make_unique<test_node>("edge-" + std::to_string(i), platform_.store_port()));
     }
   }
   ~hosted_fixture() override { nodes_.clear(); }
 
-  call_result ask(std::size_t node, const std::string& target, const std::string& id,
-                  const std::string& key = standin::hosted_key) {
+  call_result send_request(std::size_t node, const std::string& target, const std::string& id,
+                           const std::string& key = standin::hosted_key) {
     http_request request;
     request.method = "POST";
     request.target = target;
@@ -83,8 +83,8 @@
     return result;
   }
 
-  // At the address for operators.
-  call_result operate(const std::string& method, const std::string& target) {
+  // Sends a request to the address for operators.
+  call_result send_operator_request(const std::string& method, const std::string& target) {
     http_request request;
     request.method = method;
     request.target = target;
@@ -109,12 +109,13 @@
 
   bool serves() {
     return eventually([&] {
-      return platform_.serving() >= 2 && ask(0, "/llm/x", "warm-0").response.status == 200 &&
-             ask(1, "/llm/x", "warm-1").response.status == 200;
+      return platform_.serving() >= 2 &&
+             send_request(0, "/llm/x", "warm-0").response.status == 200 &&
+             send_request(1, "/llm/x", "warm-1").response.status == 200;
     });
   }
 
-  static std::string whole_stream(const std::string& id) {
+  static std::string expected_stream(const std::string& id) {
     std::string text;
     for (int i = 1; i <= 10; ++i) {
       text += "id: " + std::to_string(i) + "\ndata: " + id + "\n\n";
@@ -124,7 +125,7 @@
 
   http_client client_{runtime};
   standin::hosted_platform platform_;
-  std::vector<std::unique_ptr<one_node>> nodes_;
+  std::vector<std::unique_ptr<test_node>> nodes_;
 };
 
 }  // namespace arbutus::testing_support
--- a/tests/shell/hosted_limit_test.cpp
+++ b/tests/shell/hosted_limit_test.cpp
@@ -1,4 +1,4 @@
-// Targets that say how many requests a second they take, before two hosted nodes.
+// Two hosted nodes with targets that announce how many requests a second they accept.
 #include "hosted_fixture.h"
 
 namespace arbutus::testing_support {
@@ -6,8 +6,8 @@
 
 class HostedLimit : public hosted_fixture {
  protected:
-  // Both nodes are asked without a pause, by two callers each; how often each status came.
-  std::map<int, int> ask_for(duration time, const std::string& path) {
+  // Two callers per node send requests 10 ms apart; returns how often each status occurred.
+  std::map<int, int> send_load(duration time, const std::string& path) {
     const time_point until = monotonic_now() + time;
     std::vector<std::map<int, int>> counts(4);
     std::vector<std::thread> callers;
@@ -15,7 +15,7 @@
       callers.emplace_back([&, caller] {
         for (int i = 0; monotonic_now() < until; ++i) {
           const std::string id = "q" + std::to_string(caller) + "-" + std::to_string(i);
-          ++counts[caller][ask(caller % 2, path, id).response.status];
+          ++counts[caller][send_request(caller % 2, path, id).response.status];
           std::this_thread::sleep_for(std::chrono::milliseconds(10));
         }
       });
@@ -32,8 +32,8 @@
     return all;
   }
 
-  // The most that came to a target within four seconds, later than `from`.
-  std::size_t most_at_a_target(time_point from) const {
+  // The largest number of requests that a target received within four seconds, after `from`.
+  std::size_t max_at_a_target(time_point from) const {
     std::size_t most = 0;
     for (const auto& [target, all] : platform_.arrivals()) {
       for (auto first = std::ranges::upper_bound(all, from); first != all.end(); ++first) {
@@ -44,42 +44,46 @@
     return most;
   }
 
-  // Until both nodes have passed on an answer that names it, and half a second.
+  // Sets the limit, waits until both nodes have forwarded a response that announces it, and returns
+  // the time half a second after that.
   time_point name_limit(const std::string& value, const std::string& path) {
     platform_.set_send_limit(value);
     EXPECT_TRUE(eventually([&] {
-      return ask(0, path, "l0").response.status == 200 && ask(1, path, "l1").response.status == 200;
+      return send_request(0, path, "l0").response.status == 200 &&
+             send_request(1, path, "l1").response.status == 200;
     }));
     return monotonic_now() + 500ms;
   }
 };
 
-constexpr std::size_t allowed_of_five = 35;  // in four seconds: one and a half times, and five
+// Requests in four seconds with a limit of 5 a second: one and a half times the limit, and five
+// more.
+constexpr std::size_t max_arrivals_with_limit_five = 35;
 
-TEST_F(HostedLimit, ATargetThatNamesALimitIsNotSentMoreByAllNodesTogether) {
+TEST_F(HostedLimit, AllNodesTogetherRespectTheLimitOfATarget) {
   ASSERT_TRUE(serves());
   const time_point counted = name_limit("5", "/card/1");
-  const std::map<int, int> answers = ask_for(8s, "/card/1");
-  EXPECT_LE(most_at_a_target(counted), allowed_of_five);
-  // What is over is refused, and nothing else happens to it.
+  const std::map<int, int> answers = send_load(8s, "/card/1");
+  EXPECT_LE(max_at_a_target(counted), max_arrivals_with_limit_five);
+  // Requests above the limit are refused, and have no other outcome.
   EXPECT_TRUE(answers.contains(503));
   EXPECT_EQ(answers.size(), 2U);
 }
 
-TEST_F(HostedLimit, AReplicaWhoseHeadNamesALimitIsNotSentMoreByAllNodesTogether) {
+TEST_F(HostedLimit, AllNodesTogetherRespectTheLimitOfAReplica) {
   ASSERT_TRUE(serves());
   const time_point counted = name_limit("5", "/llm/1");
-  const std::map<int, int> answers = ask_for(8s, "/llm/1");
-  EXPECT_LE(most_at_a_target(counted + 1s), allowed_of_five);
+  const std::map<int, int> answers = send_load(8s, "/llm/1");
+  EXPECT_LE(max_at_a_target(counted + 1s), max_arrivals_with_limit_five);
   EXPECT_GT(answers.at(200), 50);
 }
 
-TEST_F(HostedLimit, ATargetThatNamesNoLimitAnyMoreIsServedAsBefore) {
+TEST_F(HostedLimit, RemovedLimitIsNoLongerApplied) {
   ASSERT_TRUE(serves());
   (void)name_limit("1", "/card/1");
   platform_.set_send_limit("");
   EXPECT_TRUE(eventually([&] {
-    const std::map<int, int> answers = ask_for(500ms, "/card/1");
+    const std::map<int, int> answers = send_load(500ms, "/card/1");
     return answers.size() == 1 && answers.contains(200);
   }));
 }
--- a/tests/shell/hosted_node_test.cpp
+++ b/tests/shell/hosted_node_test.cpp
@@ -1,4 +1,4 @@
-// Hosted nodes before a stand-in of the platform, over real sockets in one process.
+// Hosted nodes with a stand-in of the platform, over real sockets in one process.
 #include "hosted_fixture.h"
 #include "node/hosted_state.h"
 #include "node/store_watch.h"
@@ -10,11 +10,11 @@
 
 TEST_F(HostedNode, FormsReplicasAndServesStreamsAndCalls) {
   ASSERT_TRUE(serves());
-  const call_result stream = ask(1, "/llm/2f", "s1");
+  const call_result stream = send_request(1, "/llm/2f", "s1");
   EXPECT_EQ(stream.response.status, 200);
-  EXPECT_EQ(stream.response.body, whole_stream("s1"));
+  EXPECT_EQ(stream.response.body, expected_stream("s1"));
   EXPECT_EQ(stream.response.headers.find("X-Response-Seal"), "seal.s1");
-  const call_result card = ask(0, "/card/1", "c1");
+  const call_result card = send_request(0, "/card/1", "c1");
   EXPECT_EQ(card.response.body, "card c1");
   EXPECT_EQ(platform_.runs()["c1"], 1);
   EXPECT_EQ(platform_.leaked(), 0);
@@ -22,20 +22,21 @@
 
 TEST_F(HostedNode, RefusesUnknownKeysAndPaths) {
   ASSERT_TRUE(serves());
-  EXPECT_EQ(ask(0, "/llm/2f", "k1", "wrong").response.status, 401);
-  EXPECT_EQ(ask(0, "/nothing/", "k2").response.status, 404);
+  EXPECT_EQ(send_request(0, "/llm/2f", "k1", "wrong").response.status, 401);
+  EXPECT_EQ(send_request(0, "/nothing/", "k2").response.status, 404);
   EXPECT_EQ(platform_.runs().count("k1"), 0U);
 }
 
-TEST_F(HostedNode, StreamsGoOnWhenAMemberDies) {
-  // Symptom: callers get half a stream. Sequence: a member of the replica dies silently in the
-  // middle; the head sends nothing more. Cause: nobody notices, or the stream begins again from its
-  // start.
+TEST_F(HostedNode, StreamsContinueWhenAMemberDies) {
+  // Guards against truncated or repeated streams: a member of the replica dies without closing its
+  // connections, and the head sends no further events. The node must detect that and resume the
+  // streams on another replica after their last event.
   ASSERT_TRUE(serves());
   std::vector<std::thread> callers;
   std::vector<call_result> results(12);
   for (std::size_t i = 0; i < results.size(); ++i) {
-    callers.emplace_back([&, i] { results[i] = ask(i % 2, "/llm/2f", "m" + std::to_string(i)); });
+    callers.emplace_back(
+        [&, i] { results[i] = send_request(i % 2, "/llm/2f", "m" + std::to_string(i)); });
   }
   ASSERT_TRUE(eventually([&] { return platform_.runs().count("m5") > 0; }));
   platform_.kill_engine(platform_.find_member(false));
@@ -44,24 +45,26 @@
   }
   for (std::size_t i = 0; i < results.size(); ++i) {
     const std::string id = "m" + std::to_string(i);
-    // A stream may be refused before it ran, but never be cut, doubled or mixed.
+    // A stream may be refused before it ran, but never be truncated, repeated or mixed with
+    // another.
     if (results[i].response.status == 200) {
-      EXPECT_EQ(results[i].response.body, whole_stream(id));
+      EXPECT_EQ(results[i].response.body, expected_stream(id));
     }
     EXPECT_LE(platform_.runs()[id], 3);
   }
   EXPECT_TRUE(eventually([&] { return platform_.serving() >= 2; }));
 }
 
-TEST_F(HostedNode, StreamsGoOnWhenAnEngineStartsAgain) {
-  // Symptom: streams stall until they are cut, or callers are sent to a replica that is none.
-  // Sequence: a member of a replica starts again under its id while streams run. Cause: the id is
-  // still listed, and what was known of it is taken for true.
+TEST_F(HostedNode, StreamsContinueWhenAnEngineRestarts) {
+  // Guards against streams that stall, and against requests to a replica that no longer exists: a
+  // member restarts under its id while streams run. The id is still listed, so the node must not
+  // rely on the state of the previous incarnation.
   ASSERT_TRUE(serves());
   std::vector<std::thread> callers;
   std::vector<call_result> results(12);
   for (std::size_t i = 0; i < results.size(); ++i) {
-    callers.emplace_back([&, i] { results[i] = ask(i % 2, "/llm/2f", "a" + std::to_string(i)); });
+    callers.emplace_back(
+        [&, i] { results[i] = send_request(i % 2, "/llm/2f", "a" + std::to_string(i)); });
   }
   ASSERT_TRUE(eventually([&] { return platform_.runs().count("a5") > 0; }));
   platform_.restart_engine(platform_.find_member(false));
@@ -72,16 +75,16 @@
   for (std::size_t i = 0; i < results.size(); ++i) {
     const std::string id = "a" + std::to_string(i);
     if (results[i].response.status == 200) {
-      EXPECT_EQ(results[i].response.body, whole_stream(id));
+      EXPECT_EQ(results[i].response.body, expected_stream(id));
     }
     EXPECT_LE(platform_.runs()[id], 3);
   }
   EXPECT_TRUE(eventually([&] { return platform_.serving() >= 2; }));
 }
 
-TEST_F(HostedNode, EntriesOfAnotherWriterStopNothing) {
-  // Symptom: a node knows no target any more. Sequence: something else than an engine writes into
-  // the list, also bytes that are none. Cause: one row that cannot be read fails the whole answer.
+TEST_F(HostedNode, UnreadableTargetRowsAreSkipped) {
+  // Guards against a node that loses all targets when another writer puts rows into the list of
+  // targets, also rows with invalid bytes, and one unreadable row fails the entire answer.
   ASSERT_TRUE(serves());
   platform_.write_entry("x", "{");
   platform_.write_entry("\x01\x02", R"({"service":"llm"})");
@@ -89,94 +92,96 @@
                         R"({"service":"llm","address":"127.0.0.1:1","zone":"lab-a","slots":"9"})");
   platform_.kill_engine(platform_.find_member(false));
   EXPECT_TRUE(eventually([&] { return platform_.serving() >= 2; }))
-      << "what the list says behind those rows is not heard";
-  EXPECT_EQ(ask(0, "/llm/2f", "beside").response.body, whole_stream("beside"));
+      << "what the list contains behind the unreadable rows is not read";
+  EXPECT_EQ(send_request(0, "/llm/2f", "beside").response.body, expected_stream("beside"));
 }
 
-TEST_F(HostedNode, AWithdrawnKeyIsRefusedWithinTheBound) {
-  // Symptom: a request runs with a key that the newest version no longer has.
+TEST_F(HostedNode, RevokedKeyIsRefusedWithinTheBound) {
+  // Guards against requests that run with a key that the newest version no longer has.
   ASSERT_TRUE(serves());
   platform_.configure(false);
   EXPECT_TRUE(eventually([&] {
-    return ask(0, "/llm/2f", "w0").response.status == 401 &&
-           ask(1, "/llm/2f", "w1").response.status == 401;
+    return send_request(0, "/llm/2f", "w0").response.status == 401 &&
+           send_request(1, "/llm/2f", "w1").response.status == 401;
   }));
 }
 
-TEST_F(HostedNode, AConfigurationThatOutgrowsTheTimeOfOneReadComesIntoForce) {
-  // At the rate below its answer takes 1.4 s, three times what a node waits for the store.
+TEST_F(HostedNode, ConfigurationLargerThanOneReadTimeoutComesIntoForce) {
+  // At the rate below, the response takes 1.4 s to transfer, three times as long as a node waits
+  // for the store.
   ASSERT_TRUE(serves());
   constexpr std::size_t routes = 1400;
   platform_.set_store_rate(250'000);
   platform_.configure(true, routes);
   const std::string newest = standin::hosted_platform::extra_route(routes - 1);
-  EXPECT_TRUE(eventually([&] { return ask(0, newest, "o0").response.status == 200; }));
-  EXPECT_TRUE(eventually([&] { return ask(1, newest, "o1").response.status == 200; }));
+  EXPECT_TRUE(eventually([&] { return send_request(0, newest, "o0").response.status == 200; }));
+  EXPECT_TRUE(eventually([&] { return send_request(1, newest, "o1").response.status == 200; }));
 }
 
-TEST_F(HostedNode, WithoutTheStoreKeysAreNotTrustedForLong) {
-  // Symptom: a withdrawn key runs at a node that is cut off. Sequence: the store is away for longer
-  // than the bound; a key might have been withdrawn meanwhile. Cause: what was true once is
-  // believed.
+TEST_F(HostedNode, KeysExpireWhileTheStoreIsUnavailable) {
+  // Guards against a partitioned node that accepts a revoked key: while the store is unavailable
+  // for longer than the bound, a key may have been revoked, and the node must not rely on its old
+  // configuration.
   ASSERT_TRUE(serves());
   platform_.set_store_down(true);
   EXPECT_TRUE(eventually([&] {
-    const call_result refused = ask(0, "/llm/2f", "d0");
+    const call_result refused = send_request(0, "/llm/2f", "d0");
     return refused.response.status == 503 && refused.response.headers.find("Retry-After");
   }));
   platform_.set_store_down(false);
-  EXPECT_TRUE(eventually([&] { return ask(0, "/llm/2f", "d1").response.status == 200; }));
+  EXPECT_TRUE(eventually([&] { return send_request(0, "/llm/2f", "d1").response.status == 200; }));
 }
 
-TEST_F(HostedNode, AListThatIsWithheldChangesNothing) {
-  // What the hub leaves out is no news: this node's list is as old as before.
+TEST_F(HostedNode, WithheldListChangesNothing) {
+  // An update without rows because they are withheld must not count as an update: this node's list
+  // is as old as before.
   fiber_runtime own_runtime(1);
   hosted_state state(nodes_[0]->settings, own_runtime);
   store_watch watch(state);
-  node_heartbeat beat;
-  beat.data_centre = nodes_[0]->settings.data_centre;
-  beat.hub = true;
-  beat.targets = feed_update{{}, true, 90, 0, 0ms, true};
+  node_heartbeat message;
+  message.data_centre = nodes_[0]->settings.data_centre;
+  message.hub = true;
+  message.targets = feed_update{{}, true, 90, 0, 0ms, true};
   const time_point now = monotonic_now();
-  watch.take_news(now, now, beat);
+  watch.apply_hub_update(now, now, message);
   EXPECT_EQ(state.target_rows.position(), 0U);
   EXPECT_FALSE(state.fleet_known);
   EXPECT_EQ(state.fleet_read_at, time_point{});
 }
 
-TEST_F(HostedNode, NewsForAnEarlierLifeAreNotTaken) {
-  // Symptom: a node that was started again knows no configuration, or no replicas, for ever, while
-  // all others serve. Sequence: it starts while the store is away from it; its hub still answers on
-  // the position that its earlier incarnation had told, with no rows, and so with a proof. Cause:
-  // the node takes the hub's position for its own.
+TEST_F(HostedNode, UpdateForAnEarlierIncarnationIsIgnored) {
+  // Guards against a restarted node that never gets a configuration or replicas while all others
+  // serve: it starts while the store is unreachable, and its hub still answers the position that
+  // the previous incarnation had reported, with no rows but with a proof. The node must not adopt
+  // the hub's position.
   hosted_settings settings = nodes_[0]->settings;
   fiber_runtime own_runtime(1);
   hosted_state state(settings, own_runtime);
   store_watch watch(state);
-  node_heartbeat beat;
-  beat.data_centre = settings.data_centre;
-  beat.hub = true;
-  beat.configuration = feed_update{{}, false, 90, 80, 0ms, false};
-  beat.targets = feed_update{{}, false, 90, 80, 0ms, false};
+  node_heartbeat message;
+  message.data_centre = settings.data_centre;
+  message.hub = true;
+  message.configuration = feed_update{{}, false, 90, 80, 0ms, false};
+  message.targets = feed_update{{}, false, 90, 80, 0ms, false};
   const time_point now = monotonic_now();
-  watch.take_news(now, now, beat);
+  watch.apply_hub_update(now, now, message);
   EXPECT_EQ(state.configuration_rows.position(), 0U);
   EXPECT_EQ(state.target_rows.position(), 0U);
   EXPECT_FALSE(state.lease.age(now));
-  // Nor are differences to a table that this node has never had whole.
-  beat.targets = feed_update{{{"i-1", "{}", 85, true}}, false, 90, 0, 0ms, false};
-  watch.take_news(now, now, beat);
+  // Changes to a table that this node never had completely are ignored, too.
+  message.targets = feed_update{{{"i-1", "{}", 85, true}}, false, 90, 0, 0ms, false};
+  watch.apply_hub_update(now, now, message);
   EXPECT_EQ(state.target_rows.position(), 0U);
-  // The whole table is taken, and then what continues from it.
-  beat.targets = feed_update{{{"i-1", "{}", 85, false}}, true, 90, 0, 0ms, false};
-  watch.take_news(now, now, beat);
+  // The full table is applied, and then changes that continue from it.
+  message.targets = feed_update{{{"i-1", "{}", 85, false}}, true, 90, 0, 0ms, false};
+  watch.apply_hub_update(now, now, message);
   EXPECT_EQ(state.target_rows.position(), 90U);
-  beat.targets = feed_update{{{"i-1", "{}", 93, true}}, false, 95, 90, 0ms, false};
-  watch.take_news(now, now, beat);
+  message.targets = feed_update{{{"i-1", "{}", 93, true}}, false, 95, 90, 0ms, false};
+  watch.apply_hub_update(now, now, message);
   EXPECT_EQ(state.target_rows.position(), 95U);
 }
 
-TEST_F(HostedNode, ANodeThatKeepsNoReplicasFollowsWhatServes) {
+TEST_F(HostedNode, NodeThatControlsNoReplicasFollowsTheServingOnes) {
   fiber_runtime own_runtime(1);
   hosted_state state(nodes_[0]->settings, own_runtime);
   store_watch watch(state);
@@ -185,42 +190,43 @@
   instance.members.front().id = target_id{"i-7"};
   instance.members.front().service = service_id{"tablets"};
   instance.members.front().address = {"10.0.0.7", 8000};
-  node_heartbeat beat;
-  beat.data_centre = nodes_[0]->settings.data_centre;
-  beat.hub = true;
-  beat.incarnation = "0a1b2c3d";
-  beat.targets_position = 90;
-  beat.served = feed_update{{{"i-7", encode(instance), 1, false}}, true, 1, 0, 0ms, false};
+  node_heartbeat message;
+  message.data_centre = nodes_[0]->settings.data_centre;
+  message.hub = true;
+  message.incarnation = "0a1b2c3d";
+  message.targets_position = 90;
+  message.served = feed_update{{{"i-7", encode(instance), 1, false}}, true, 1, 0, 0ms, false};
   const time_point now = monotonic_now();
-  watch.take_news(now, now, beat);
+  watch.apply_hub_update(now, now, message);
   EXPECT_TRUE(state.fleet_known);
   EXPECT_NE(state.fleet.find(target_id{"i-7"}), nullptr);
   EXPECT_EQ(state.followed.at(), (serving_follower::position{"0a1b2c3d", 1}));
-  // It may keep no replicas on that, and goes on at the store from where its hub was.
+  // The node may not control replicas with this data, and continues at the store from the position
+  // of its hub.
   EXPECT_FALSE(state.fleet_complete);
   EXPECT_EQ(watch.records_position(), 0U);
   EXPECT_EQ(state.target_rows.position(), 90U);
-  // Rows of another incarnation of the hub do not follow on these.
-  beat.incarnation = "4e5f6a7b";
-  beat.served = feed_update{{{"i-7", {}, 2, true}}, false, 2, 1, 0ms, false};
-  watch.take_news(now, now, beat);
+  // Rows of another incarnation of the hub do not continue from these.
+  message.incarnation = "4e5f6a7b";
+  message.served = feed_update{{{"i-7", {}, 2, true}}, false, 2, 1, 0ms, false};
+  watch.apply_hub_update(now, now, message);
   EXPECT_TRUE(state.fleet.find(target_id{"i-7"})->listed);
-  // The whole table makes it a keeper.
-  beat.targets = feed_update{{}, true, 95, 0, 0ms, false};
-  watch.take_news(now, now, beat);
+  // With the full table the node may control replicas.
+  message.targets = feed_update{{}, true, 95, 0, 0ms, false};
+  watch.apply_hub_update(now, now, message);
   EXPECT_TRUE(state.fleet_complete);
   EXPECT_EQ(watch.records_position(), 95U);
 }
 
-TEST_F(HostedNode, ANodeThatStopsCutsNothing) {
-  // Symptom: a planned stop cuts answers in flight.
+TEST_F(HostedNode, StoppingNodeCompletesRunningStreams) {
+  // Guards against a planned stop that cuts off responses in flight.
   ASSERT_TRUE(serves());
   call_result result;
-  std::thread caller([&] { result = ask(0, "/llm/2f", "stop"); });
+  std::thread caller([&] { result = send_request(0, "/llm/2f", "stop"); });
   ASSERT_TRUE(eventually([&] { return platform_.runs().count("stop") > 0; }));
   EXPECT_TRUE(nodes_[0]->node->stop());
   caller.join();
-  EXPECT_EQ(result.response.body, whole_stream("stop"));
+  EXPECT_EQ(result.response.body, expected_stream("stop"));
 }
 
 }  // namespace
--- a/tests/shell/hosted_poison_test.cpp
+++ b/tests/shell/hosted_poison_test.cpp
@@ -1,4 +1,4 @@
-// Requests that end the engines which run them, before hosted nodes over real sockets.
+// Hosted nodes and poison requests, which crash the engines that run them; over real sockets.
 #include <atomic>
 
 #include "hosted_fixture.h"
@@ -10,24 +10,25 @@
 constexpr const char* poison_stream = "/llm/poison";
 constexpr const char* poison_call = "/card/poison";
 
-// Ends that a verdict needs: that many on each node, if none has heard of the others'.
-constexpr int ends_before_verdict = 4;
+// Crashes needed for a quarantine: this many on each node, if no node knows the strikes of others.
+constexpr int ends_before_quarantine = 4;
 constexpr int nodes_of_fixture = 2;
-// The operators' bound: later than this after the third end, no more than three visits of the
-// request may reach a target.
+// The operators' bound: from 3 s after the third crash, at most three visits (repetitions of the
+// request by its caller) may reach a target.
 constexpr int ends_of_bound = 3;
 constexpr int late_visits_of_bound = 3;
 constexpr auto bound_counts_after = std::chrono::seconds(3);
 
-// Guards against an acquittal by silence: the target had ended without closing its connections.
-TEST(PoisonWatch, OnlyEventsShowThatARunDoesNoHarm) {
+// Guards against clearing a request after a long time without events, in which the target had ended
+// without closing its connections.
+TEST(PoisonWatch, OnlyEventsProveARunHarmless) {
   const time_point first{10s};
-  EXPECT_FALSE(has_gone_on(time_point{}, time_point{}));
-  EXPECT_FALSE(has_gone_on(first, first + 100ms));
-  EXPECT_TRUE(has_gone_on(first, first + 1100ms));
-  EXPECT_TRUE(had_hardly_begun(first, time_point{}));
-  EXPECT_TRUE(had_hardly_begun(first + 100ms, first));
-  EXPECT_FALSE(had_hardly_begun(first + 200ms, first));
+  EXPECT_FALSE(has_proved_harmless(time_point{}, time_point{}));
+  EXPECT_FALSE(has_proved_harmless(first, first + 100ms));
+  EXPECT_TRUE(has_proved_harmless(first, first + 1100ms));
+  EXPECT_TRUE(is_within_strike_window(first, time_point{}));
+  EXPECT_TRUE(is_within_strike_window(first + 100ms, first));
+  EXPECT_FALSE(is_within_strike_window(first + 200ms, first));
 }
 
 class HostedPoison : public hosted_fixture {
@@ -36,15 +37,15 @@
 
   int ends(const std::string& path) { return platform_.ends()[path]; }
 
-  // One more visit, at one node and the other in turn; whether it reached a target.
+  // Sends the request once more, to the nodes in turn. Returns whether it reached a target.
   bool visit(const std::string& path) {
     const std::string id = path + "-" + std::to_string(visits_);
-    last_ = ask(visits_ % nodes_of_fixture, path, id);
+    last_ = send_request(visits_ % nodes_of_fixture, path, id);
     ++visits_;
     return platform_.runs()[id] > 0;
   }
 
-  void come_again(const std::string& path, const std::function<bool()>& until) {
+  void repeat_visits(const std::string& path, const std::function<bool()>& until) {
     const time_point limit = soon();
     while (!until() && monotonic_now() < limit) {
       visit(path);
@@ -62,7 +63,8 @@
     return eventually([&] { return is_refused(path) && is_refused(path); });
   }
 
-  // Visits that reach a target, of those for as long as a replica takes to come back several times.
+  // Number of visits that reach a target within 3 s, in which a replica can form again several
+  // times.
   int late_visits(const std::string& path) {
     std::this_thread::sleep_for(bound_counts_after);
     const time_point from = monotonic_now();
@@ -74,19 +76,19 @@
     return reached;
   }
 
-  // Ends that no more follow, once every node refuses the request.
-  int ends_after_verdict(const std::string& path) {
+  // Number of crashes within a second after every node refuses the request.
+  int ends_after_quarantine(const std::string& path) {
     const int before = ends(path);
     const time_point from = monotonic_now();
-    come_again(path, [&] { return monotonic_now() - from > 1s; });
+    repeat_visits(path, [&] { return monotonic_now() - from > 1s; });
     return ends(path) - before;
   }
 
-  void start_all_again() {
+  void restart_all_nodes() {
     nodes_.clear();
     for (int i = 0; i < nodes_of_fixture; ++i) {
       nodes_.push_back(
-          std::make_unique<one_node>("edge-" + std::to_string(i), platform_.store_port()));
+          std::make_unique<test_node>("edge-" + std::to_string(i), platform_.store_port()));
     }
   }
 
@@ -94,40 +96,38 @@
   call_result last_;
 };
 
-TEST_F(HostedPoison, AStreamThatEndsItsEnginesIsSentNoMore) {
-  // Symptom: for minutes callers' streams break off, are refused or late, while engines end alone,
-  // one after the other. Sequence: a caller sends a request that ends the engine which begins to
-  // run it; the node passes it to the next replica, and the caller comes again under a new id, at
-  // any node. Cause: attempts were linked by nothing but their id, so that each was a first one; a
-  // request whose attempts broke at every engine it reached was sent on like any other.
-  // Evidence: with workspace, path and body hashed into the lines of broken attempts, one print was
-  // among those that had no whole event at each end; without a verdict this test saw 22 ends.
+TEST_F(HostedPoison, PoisonStreamIsRefused) {
+  // Guards against a request that crashes one engine after the other: the node sends it to the next
+  // replica, and the caller repeats it under a new id at any node. For minutes other streams break
+  // off, are refused or late. If attempts are linked by the request id only, each seems to be the
+  // first one; the hash of workspace, path and body links them. Without a quarantine, 22 engines
+  // crashed in this test.
   ASSERT_TRUE(serves());
-  come_again(poison_stream, [&] { return ends(poison_stream) >= ends_of_bound; });
+  repeat_visits(poison_stream, [&] { return ends(poison_stream) >= ends_of_bound; });
   const int late = late_visits(poison_stream);
   RecordProperty("late_visits", late);
   EXPECT_LE(late, late_visits_of_bound);
   EXPECT_TRUE(is_refused_everywhere(poison_stream));
-  EXPECT_EQ(ends_after_verdict(poison_stream), 0);
+  EXPECT_EQ(ends_after_quarantine(poison_stream), 0);
   RecordProperty("ends", ends(poison_stream));
-  EXPECT_LE(ends(poison_stream), ends_before_verdict * nodes_of_fixture);
+  EXPECT_LE(ends(poison_stream), ends_before_quarantine * nodes_of_fixture);
 }
 
-TEST_F(HostedPoison, ACallThatEndsItsInstancesIsSentNoMore) {
-  // The same for a plain service, whose only instance ended eight times.
+TEST_F(HostedPoison, PoisonCallIsRefused) {
+  // The same for a plain service, whose only instance crashed eight times without a quarantine.
   ASSERT_TRUE(serves());
-  come_again(poison_call, [&] { return ends(poison_call) >= ends_of_bound; });
+  repeat_visits(poison_call, [&] { return ends(poison_call) >= ends_of_bound; });
   const int late = late_visits(poison_call);
   RecordProperty("late_visits", late);
   EXPECT_LE(late, late_visits_of_bound);
   EXPECT_TRUE(is_refused_everywhere(poison_call));
-  EXPECT_EQ(ends_after_verdict(poison_call), 0);
+  EXPECT_EQ(ends_after_quarantine(poison_call), 0);
   RecordProperty("ends", ends(poison_call));
-  EXPECT_LE(ends(poison_call), ends_before_verdict * nodes_of_fixture);
+  EXPECT_LE(ends(poison_call), ends_before_quarantine * nodes_of_fixture);
 }
 
-// Guards against a verdict on what ran beside the culprit: callers' proper requests.
-TEST_F(HostedPoison, WhatRanBesideIsServed) {
+// Guards against a quarantine of harmless requests that ran together with the poison request.
+TEST_F(HostedPoison, ConcurrentRequestsAreServed) {
   ASSERT_TRUE(serves());
   std::vector<std::thread> callers;
   std::vector<int> last_status(8);
@@ -136,7 +136,8 @@
     callers.emplace_back([&, i] {
       for (int n = 0; !ending; ++n) {
         const std::string id = "b" + std::to_string(i) + "-" + std::to_string(n);
-        const call_result result = ask(i % nodes_of_fixture, "/llm/" + std::to_string(i), id);
+        const call_result result =
+            send_request(i % nodes_of_fixture, "/llm/" + std::to_string(i), id);
         last_status[i] = result.response.status;
         if (result.response.body.find("ended the targets") != std::string::npos) {
           last_status[i] = -1;
@@ -145,7 +146,7 @@
       }
     });
   }
-  come_again(poison_stream, [&] { return is_refused(poison_stream); });
+  repeat_visits(poison_stream, [&] { return is_refused(poison_stream); });
   EXPECT_TRUE(eventually([&] { return platform_.serving() >= 4; }));
   std::this_thread::sleep_for(std::chrono::seconds(1));
   ending = true;
@@ -157,30 +158,30 @@
   }
 }
 
-// Guards against a verdict on a request whose engines were killed under it, time after time.
-TEST_F(HostedPoison, ARequestWhoseEnginesAreKilledIsServed) {
+// Guards against a quarantine of a request whose engines were repeatedly killed while running it.
+TEST_F(HostedPoison, RequestOnKilledEnginesIsServed) {
   ASSERT_TRUE(serves());
   constexpr int kills = 3;
   for (int i = 0; i < kills; ++i) {
     const std::string id = "k" + std::to_string(i);
-    std::thread caller([&] { ask(i % nodes_of_fixture, "/llm/killed", id); });
+    std::thread caller([&] { send_request(i % nodes_of_fixture, "/llm/killed", id); });
     EXPECT_TRUE(eventually([&] { return platform_.runs().count(id) > 0; }));
     platform_.restart_engine(platform_.engine_of_run(id));
     caller.join();
   }
   EXPECT_TRUE(eventually([&] {
-    return ask(0, "/llm/killed", "last-0").response.status == 200 &&
-           ask(1, "/llm/killed", "last-1").response.status == 200;
+    return send_request(0, "/llm/killed", "last-0").response.status == 200 &&
+           send_request(1, "/llm/killed", "last-1").response.status == 200;
   }));
 }
 
-// Guards against verdicts that end with the processes: all nodes lose their power.
-TEST_F(HostedPoison, AVerdictOutlivesAllNodes) {
+// Guards against quarantines that are lost when all nodes lose power simultaneously.
+TEST_F(HostedPoison, QuarantineOutlivesAllNodes) {
   ASSERT_TRUE(serves());
-  come_again(poison_stream, [&] { return is_refused(poison_stream); });
+  repeat_visits(poison_stream, [&] { return is_refused(poison_stream); });
   ASSERT_TRUE(is_refused_everywhere(poison_stream));
   ASSERT_TRUE(eventually([&] { return platform_.rows_of_table("poison") > 0; }));
-  start_all_again();
+  restart_all_nodes();
   ASSERT_TRUE(serves());
   ASSERT_TRUE(is_refused_everywhere(poison_stream));
   const int before = ends(poison_stream);
@@ -188,16 +189,16 @@
   EXPECT_EQ(ends(poison_stream), before);
 }
 
-// Guards against a verdict that nobody can take back, here or in the store.
-TEST_F(HostedPoison, AnOperatorLiftsAVerdict) {
+// Guards against a quarantine that an operator cannot release, on the nodes and in the store.
+TEST_F(HostedPoison, OperatorReleasesAQuarantine) {
   ASSERT_TRUE(serves());
-  come_again(poison_stream, [&] { return is_refused(poison_stream); });
+  repeat_visits(poison_stream, [&] { return is_refused(poison_stream); });
   ASSERT_TRUE(is_refused_everywhere(poison_stream));
   ASSERT_TRUE(eventually([&] { return platform_.rows_of_table("poison") > 0; }));
-  const std::string listed = operate("GET", "/poison").response.body;
+  const std::string listed = send_operator_request("GET", "/poison").response.body;
   const std::string hash = listed.substr(0, listed.find(' '));
-  EXPECT_EQ(operate("POST", "/poison/lift/0123456789abcdef").response.status, 404);
-  EXPECT_EQ(operate("POST", "/poison/lift/" + hash).response.status, 200);
+  EXPECT_EQ(send_operator_request("POST", "/poison/lift/0123456789abcdef").response.status, 404);
+  EXPECT_EQ(send_operator_request("POST", "/poison/lift/" + hash).response.status, 200);
   EXPECT_TRUE(eventually([&] { return platform_.rows_of_table("poison") == 0; }));
   EXPECT_TRUE(eventually([&] { return visit(poison_stream); }));
 }
--- a/tests/shell/limit_exchange_test.cpp
+++ b/tests/shell/limit_exchange_test.cpp
@@ -1,4 +1,4 @@
-// When limits are spoken of with peers.
+// When rate limit leases are sent to which peers.
 #include "node/limit_exchange.h"
 
 #include <gtest/gtest.h>
@@ -38,27 +38,26 @@
   return nodes;
 }
 
-// Symptom: limits double the traffic between nodes. Sequence: each second a heartbeat and, at
-// another moment, a message about limits go to the same peer. Cause: two segments, both
-// acknowledged, where one would do.
-TEST(limit_exchange, a_peer_that_a_heartbeat_told_is_not_told_again) {
+// Guards against limits doubling the traffic between nodes: each second a heartbeat and, at another
+// time, a message about limits go to the same peer, as two acknowledged segments instead of one.
+TEST(limit_exchange, limits_sent_with_a_heartbeat_are_not_sent_again) {
   const auto exchange = make(10);
-  const auto with_heartbeat = exchange->tell_with(start + 500ms, near_peer);
+  const auto with_heartbeat = exchange->piggyback_message(start + 500ms, near_peer);
   ASSERT_TRUE(with_heartbeat);
   EXPECT_EQ(with_heartbeat->to, near_peer);
-  EXPECT_FALSE(exchange->tell_with(start + 600ms, near_peer));
+  EXPECT_FALSE(exchange->piggyback_message(start + 600ms, near_peer));
   EXPECT_EQ(receivers(exchange->tell(start + 1s)), (std::vector<node_id>{far_peer}));
-  // Without a heartbeat meanwhile, both are told alone.
+  // Without a heartbeat in the meantime, both peers get a separate message.
   EXPECT_EQ(receivers(exchange->tell(start + 2s)), (std::vector<node_id>{near_peer, far_peer}));
-  EXPECT_TRUE(exchange->tell_with(start + 2500ms, near_peer));
+  EXPECT_TRUE(exchange->piggyback_message(start + 2500ms, near_peer));
 }
 
-TEST(limit_exchange, says_nothing_without_limits_or_to_strangers) {
+TEST(limit_exchange, sends_nothing_without_limits_or_to_unknown_peers) {
   const auto none = make(0);
-  EXPECT_FALSE(none->tell_with(start, near_peer));
+  EXPECT_FALSE(none->piggyback_message(start, near_peer));
   EXPECT_TRUE(none->tell(start + 1s).empty());
   const auto some = make(10);
-  EXPECT_FALSE(some->tell_with(start, node_id{"stranger"}));
+  EXPECT_FALSE(some->piggyback_message(start, node_id{"stranger"}));
 }
 
 }  // namespace
