--- a/src/node/attempt_registry.h
+++ b/src/node/attempt_registry.h
@@ -1,5 +1,5 @@
-// Running attempts by the replica they were sent to, so that all of them can be moved when the
-// replica loses a member.
+// The running attempts, indexed by the head of the replica they were sent to, so that all of them
+// can be moved to other replicas when the replica loses a member.
 #pragma once
 
 #include <map>
@@ -13,13 +13,14 @@
 
 class attempt_registry {
  public:
-  // One attempt; on the stack of its fiber.
+  // One attempt; lives on the stack of its fiber.
   struct attempt {
     cancel_token cancel = cancel_token::make();
-    bool moved = false;  // ended because its replica is lost, not for a reason of its own
+    bool moved = false;  // cancelled because its replica was lost, not for another reason
     bool resumable = false;
   };
 
+  // Registers an attempt for the lifetime of this object.
   class scope {
    public:
     scope(attempt_registry& registry, const target_id& head, attempt& own)
@@ -44,7 +45,7 @@
     attempt& own_;
   };
 
-  // Ends the attempts at `head` that can go on elsewhere; returns how many.
+  // Cancels the attempts at `head` that can be resumed on another replica; returns their number.
   std::size_t move_away(const target_id& head) {
     const auto found = by_head_.find(head);
     if (found == by_head_.end()) {
--- a/src/node/call_context.cpp
+++ b/src/node/call_context.cpp
@@ -1,4 +1,4 @@
-// The first steps of every call.
+// Authentication, request class, deadline and rate limit of a call.
 #include "node/call_context.h"
 
 #include <charconv>
--- a/src/node/call_context.h
+++ b/src/node/call_context.h
@@ -1,5 +1,5 @@
-// What every call of a caller needs of its node, and the first steps all calls share: who calls,
-// in which class, until when.
+// The node services that every call uses, and the steps that all calls start with: authentication,
+// request class, deadline and rate limit.
 #pragma once
 
 #include <atomic>
@@ -20,7 +20,7 @@
 
 namespace arbutus {
 
-// Lives as long as the node; the parts outlive every call.
+// Lives as long as the node; what it refers to outlives every call.
 struct call_context {
   node_id self;
   std::uint64_t incarnation{};
@@ -36,7 +36,7 @@
   std::atomic<std::uint64_t> next_request{1};
 };
 
-// One call, from its arrival to its answer.
+// The state of one call, from its arrival to its answer.
 struct call_state {
   std::shared_ptr<const node_view> view;  // configuration in force when it arrived
   const workspace_rule* workspace = nullptr;
@@ -48,11 +48,11 @@
   finished_call measured;
 };
 
-// Fills what is known from the headers; otherwise the error to answer with.
+// Fills `call` from the headers. Returns the error to answer with if the call is not accepted.
 [[nodiscard]] std::optional<call_error> begin_call(call_context& node, const http_request& request,
                                                    call_state& call);
 
-// A number from a header, if it is one.
+// The value of a header as a number; empty if the header is missing or not a number.
 [[nodiscard]] std::optional<std::uint64_t> number_header(const http_headers& headers,
                                                          std::string_view name);
 
--- a/src/node/configure.cpp
+++ b/src/node/configure.cpp
@@ -1,4 +1,4 @@
-// Proposing a configuration on behalf of an operator.
+// Proposes a configuration on behalf of an operator.
 #include "node/configure.h"
 
 #include <nlohmann/json.hpp>
@@ -16,10 +16,10 @@
 
 using json = nlohmann::json;
 
-// How long one proposal is pursued before the operator is told that it is not known.
+// After this time, a proposal whose outcome is still unknown is reported so to the operator.
 constexpr duration proposal_timeout = 10s;
 constexpr duration pause_between_reads = 200ms;
-// How long an accepted version may take to be in force on the node that proposed it.
+// How long to wait until an accepted version is in force on the node that proposed it.
 constexpr duration in_force_timeout = 3s;
 constexpr duration pause_for_view = 10ms;
 
@@ -94,13 +94,13 @@
       [](const unknown& u) -> outcome<head_row> { return u; });
 }
 
-// What a conflict is explained with: contents as encode_content gives them.
+// Contents, as encode_content returns them, from which the reported differences are computed.
 struct known_contents {
-  std::string base;  // that the operator's change was made on; empty: not at hand
+  std::string base;  // what the operator's change is based on; empty: not available
   std::string proposed;
 };
 
-// Carries out the steps of one proposal and answers the operator.
+// Executes the steps of one proposal and answers the operator.
 class proposal_run {
  public:
   proposal_run(platform_client& platform, control& core, response_writer& writer,
@@ -140,7 +140,7 @@
   }
 
   proposal_step carry_out(const proposal_accepted& s, bool) {
-    // Shown to the operator: a base that was taken without having been read shows here.
+    // All differences to the base, so that an operator who did not read the base notices it.
     const json changes = contents_.base.empty()
                              ? json::array()
                              : json(changes_between(contents_.base, contents_.proposed));
@@ -155,9 +155,9 @@
     return s;
   }
 
-  // Goes wrong: the table is restored from an old copy right after it took the write, before any
-  // node read it, and an accepted version is lost without a trace. A node that holds it heals the
-  // table; so this one takes it before the operator is told.
+  // Waits until this node holds the accepted version, before the operator is notified. Guards
+  // against the loss of an accepted version when the table is restored from an old copy right after
+  // the write, before any node has read it: a node that holds the version repairs the table.
   bool wait_in_force(std::uint64_t version) {
     core_.post(
         [](time_point, coordinator&) { return effects{table_read{std::string(config_head_key)}}; });
@@ -172,8 +172,9 @@
     return false;
   }
 
-  // What the other operator changed. Without the content of the base, what the proposed one would
-  // have changed back: the operator sees the other's change in it, among the own ones.
+  // The changes made by the other operator. If the content of the base is not available, the
+  // differences to the proposed content, which show the other operator's changes among the own
+  // ones.
   json changed(const std::optional<config_head>& current) {
     if (!current) {
       return json::array();
--- a/src/node/control.cpp
+++ b/src/node/control.cpp
@@ -1,4 +1,4 @@
-// The loop around the coordination core.
+// The event loop of the coordination core.
 #include "node/control.h"
 
 #include <algorithm>
@@ -37,11 +37,11 @@
 
   // Only on worker 0.
   coordinator core;
-  bool dirty = false;  // something was fed since the last view
+  bool dirty = false;  // the core got input since the last view was published
   std::uint64_t published_revision = 0;
   time_point published_at = time_point::min();
 
-  // The loop's wake-up. A fiber lock, since the loop waits on it in a fiber.
+  // Wakes the loop. A fiber mutex, since the loop waits in a fiber.
   boost::fibers::mutex wake_lock;
   boost::fibers::condition_variable wake;
   bool woken = false;
--- a/src/node/control.h
+++ b/src/node/control.h
@@ -1,8 +1,8 @@
-// Runs the coordination core of a node: carries its effects out, feeds the results back, and
-// publishes what it decides to the request path.
+// Runs the coordination core of a node: executes its effects, feeds the results back, and
+// publishes its decisions to the request path.
 //
-// The core lives on worker 0 alone, so it needs no lock. What the request path needs is published
-// as an immutable view; requests in flight keep the view they began with.
+// The core runs on worker 0 only, so it needs no lock. What the request path needs is published
+// as an immutable view; requests in flight keep the view they started with.
 #pragma once
 
 #include <cstdint>
@@ -18,21 +18,22 @@
 
 namespace arbutus {
 
-// What requests see. Immutable; shared, because requests outlive the view that replaced theirs.
+// The state that requests use. Immutable; shared, because a request may still use a view after a
+// newer one was published.
 struct node_view {
   std::shared_ptr<const configuration> config;  // null until one is known
   routing_snapshot routes;
   std::uint32_t live_nodes = 1;  // of this data centre, this one included
-  std::uint64_t revision{};      // of the view, rises by one with each
+  std::uint64_t revision{};      // increases by one with each view
 };
 
-// Table and object store calls are given up after this; the core then treats them as unknown.
+// Time-out of table and object store calls; the core then treats their outcome as unknown.
 inline constexpr duration platform_timeout = 1500ms;
-// A probe that was not answered by then counts as failed. Well under the time in which a lost
-// member has to be noticed, well over a slow answer of a busy VM.
+// A probe without an answer after this time counts as failed. Well below the time in which a lost
+// member has to be detected, and well above a slow answer of a busy VM.
 inline constexpr duration probe_timeout = 600ms;
-// Load and permissions are published at most this often; a change of who may be routed to is
-// published at once.
+// Load and permissions are published at most this often; a change of the usable routes is
+// published immediately.
 inline constexpr duration publish_interval = 50ms;
 
 class control {
@@ -52,24 +53,24 @@
   void set_view_listener(on_view listener);  // called on worker 0
   void set_notice_listener(on_notice listener);
 
-  // Starts the core. Returns at once.
+  // Starts the core. Returns immediately.
   void start();
-  // Ends the loop on worker 0 and waits for it.
+  // Stops the loop on worker 0 and waits until it has ended.
   void stop();
 
   [[nodiscard]] std::shared_ptr<const node_view> view() const;
 
-  // Runs `work` with the core on worker 0, soon; effects it returns are carried out. From any
-  // thread.
+  // Schedules `work` on worker 0 with the core and returns; the effects that it returns are
+  // executed. May be called from any thread.
   void post(std::function<effects(time_point, coordinator&)> work);
-  // The same, waiting for the end.
+  // The same, but returns when `work` has run.
   void call(const std::function<effects(time_point, coordinator&)>& work);
 
   void feed(input in);  // from any thread
 
  private:
   struct state;
-  std::shared_ptr<state> state_;  // shared with the fibers that carry out effects
+  std::shared_ptr<state> state_;  // shared with the fibers that execute effects
 };
 
 }  // namespace arbutus
--- a/src/node/engine_client.cpp
+++ b/src/node/engine_client.cpp
@@ -1,4 +1,4 @@
-// Probes and orders over HTTP.
+// The HTTP requests of probes, orders and cancellations.
 #include "node/engine_client.h"
 
 #include "process/engine_wire.h"
--- a/src/node/engine_client.h
+++ b/src/node/engine_client.h
@@ -1,4 +1,4 @@
-// Probes and orders to target VMs over HTTP.
+// Sends probes and orders to target VMs over HTTP.
 #pragma once
 
 #include <functional>
@@ -16,12 +16,12 @@
 
   outcome<engine_report> probe(const socket_address& target, time_point deadline);
 
-  // Refused means that the target answered and did not obey, or that `still_due` said no when it
-  // was asked directly before the first byte.
+  // `still_due` is called directly before the first byte is sent. Refused: the target rejected the
+  // order, or `still_due` returned false.
   outcome<engine_report> send(const socket_address& target, const order& o, time_point deadline,
                               const send_permit& still_due);
 
-  // Best effort; a request that is not there any more is no error.
+  // Best effort; a request that the target no longer has is not an error.
   void cancel(const socket_address& target, const request_id& id, time_point deadline);
 
  private:
--- a/src/node/error_body.cpp
+++ b/src/node/error_body.cpp
@@ -1,4 +1,4 @@
-// Error answers to callers.
+// Formats the error answers to callers.
 #include "node/error_body.h"
 
 #include <nlohmann/json.hpp>
@@ -9,7 +9,7 @@
 
 constexpr duration one_second = 1s;
 
-// Retry-After knows whole seconds only; rounded up, so that nobody is asked back too early.
+// Retry-After has whole seconds only; rounded up, so that no caller retries too early.
 std::string whole_seconds(duration d) {
   return std::to_string((d + one_second - duration{1}) / one_second);
 }
@@ -47,8 +47,8 @@
   call_error error;
   error.status = status;
   error.message = std::string(reason);
-  // Goes wrong otherwise: a caller that half-closes behind its whole request ends the call, which
-  // may be with a target by then; told "not_run" it would send a booking again.
+  // A caller that half-closes its connection after a complete request ends the call, which may
+  // have reached a target by then. With type "not_run" it would send a booking again.
   constexpr int no_answer = 500;
   error.code = status == no_answer ? "no_answer" : "bad_request";
   error.ran = status == no_answer ? execution::unknown : execution::not_run;
--- a/src/node/front.cpp
+++ b/src/node/front.cpp
@@ -1,4 +1,4 @@
-// Paths of a node.
+// The HTTP paths of a node.
 #include "node/front.h"
 
 #include "node/model_call.h"
@@ -53,7 +53,7 @@
   }
 }
 
-// Ready: a configuration is in force and this node is not stopping.
+// A node is ready when a configuration is in force and it is not draining.
 void front::serve_ready(response_writer& writer) const {
   if (draining_) {
     send_text(writer, 503, "text/plain", "draining\n");
--- a/src/node/front.h
+++ b/src/node/front.h
@@ -1,4 +1,5 @@
-// What callers of a node meet: the paths, and which part answers each.
+// Dispatches the HTTP requests to a node by path: model calls, service calls, health checks,
+// metrics and operators' requests.
 #pragma once
 
 #include <atomic>
@@ -9,13 +10,13 @@
 
 namespace arbutus {
 
-// Paths of operators and of the platform's balancer. All return whole answers.
+// Handlers for the paths of operators and of the platform's balancer.
 struct operator_paths {
   std::function<std::string()> status;  // JSON
   std::function<std::string()> gauges;  // Prometheus text
-  // Proposes a configuration; answers by itself.
+  // Proposes a configuration; writes the answer itself.
   std::function<void(const http_request&, response_writer&)> configure;
-  // Hash of the operators' key; empty: the paths below /admin are closed.
+  // SHA-256 of the operators' key; empty: requests below /admin are refused.
   std::string key_hash;
 };
 
@@ -25,7 +26,7 @@
 
   void serve(const http_request& request, response_writer& writer);
 
-  // From then on /readyz fails, so that the balancer sends no new callers here.
+  // Makes /readyz fail from now on, so that the balancer sends no new callers to this node.
   void begin_drain() { draining_ = true; }
 
  private:
--- a/src/node/keyed_driver.cpp
+++ b/src/node/keyed_driver.cpp
@@ -1,4 +1,4 @@
-// One non-repeatable call, step by step.
+// The effect loop of one non-repeatable call.
 #include "node/keyed_driver.h"
 
 #include <algorithm>
--- a/src/node/keyed_driver.h
+++ b/src/node/keyed_driver.h
@@ -1,4 +1,4 @@
-// Carries out the effects of one non-repeatable call (request/keyed.h) in the caller's fiber.
+// Executes the effects of one non-repeatable call (request/keyed.h) in the caller's fiber.
 #pragma once
 
 #include <functional>
@@ -9,12 +9,12 @@
 
 namespace arbutus {
 
-// Sends the call once; asks the permit directly before the first byte.
+// Sends the call once; checks the permit directly before the first byte.
 using keyed_sender = std::function<call_result(const send_permit& permit)>;
 // Answers the caller; called exactly once.
 using keyed_replier = std::function<void(const keyed_reply& reply)>;
 
-// Returns when the record is settled, which may be after the reply.
+// Returns when the record has its final state, which may be after the reply.
 void drive_keyed_call(platform_client& platform, const keyed_call_facts& facts,
                       const keyed_sender& send, const keyed_replier& reply);
 
--- a/src/node/log.cpp
+++ b/src/node/log.cpp
@@ -1,5 +1,5 @@
-// Log lines by Boost.Log. A line is put together where it is logged and handed to a sink with a
-// thread of its own.
+// Log lines with Boost.Log. A line is formatted by the thread that logs it and written by the
+// sink's own thread.
 #include "node/log.h"
 
 #include <algorithm>
@@ -31,7 +31,7 @@
 
 namespace blog = boost::log;
 
-// Counts what it turns away, since a silent gap in a log misleads whoever reads it.
+// Lines that were dropped. They are counted, since an unreported gap in a log misleads its readers.
 std::atomic<std::uint64_t> dropped{0};
 
 struct count_and_drop {
@@ -44,21 +44,20 @@
   void interrupt() {}
 };
 
-// Goes wrong: when the reader of standard error stalls, a log that waits would stop the request
-// path with it. One would see all requests of a node hang at once. So lines are dropped, and
-// counted, when more than this wait.
+// Beyond this length of the queue, lines are dropped and counted. A blocking log would stop the
+// request path, and with it all requests of the node, when the reader of standard error stalls.
 constexpr std::size_t max_queued_lines = 4096;
 
 using log_sink = blog::sinks::asynchronous_sink<
     blog::sinks::text_ostream_backend,
     blog::sinks::bounded_fifo_queue<max_queued_lines, count_and_drop>>;
 
-// What start_log set; changes only while no other thread logs.
+// Set by start_log; changes only while no other thread logs.
 struct log_state {
   boost::shared_ptr<log_sink> sink;
   log_format format = log_format::text;
   std::string node;
-  std::optional<log_budget> budget;  // empty: no bound
+  std::optional<log_budget> budget;  // empty: unlimited
 };
 
 std::mutex& budget_lock() {
@@ -94,7 +93,8 @@
   return std::visit([](const auto& v) { return nlohmann::ordered_json(v); }, value);
 }
 
-// Goes wrong: a line break in a value that a caller chose would let it forge a line of the log.
+// Whether a value needs no quotes. Values that callers choose are quoted if they contain a line
+// break, so that no caller can forge a log line.
 bool is_plain(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
     return c > ' ' && c < 0x7f && c != '"' && c != '=' && c != '\\';
@@ -142,7 +142,7 @@
   return dump(line);
 }
 
-// The lock is held for a few additions.
+// The lock is held for a few additions only.
 bool may_write(std::size_t bytes) {
   const std::lock_guard guard(budget_lock());
   return !state().budget || state().budget->spend(monotonic_now(), bytes);
@@ -152,7 +152,7 @@
 
 namespace detail {
 
-// Off until start_log: above every level.
+// Above every level: nothing is logged until start_log.
 constexpr auto log_off = static_cast<log_level>(static_cast<int>(log_level::error) + 1);
 std::atomic<log_level> least_log_level{log_off};
 
--- a/src/node/log.h
+++ b/src/node/log.h
@@ -1,5 +1,5 @@
 // Structured log lines: UTC time, level, part, node, message and fields, as text
-// or JSON. The library that writes them stays behind this header.
+// or JSON. This header hides the logging library.
 #pragma once
 
 #include <atomic>
@@ -18,7 +18,7 @@
 
 using log_value = std::variant<std::string_view, std::int64_t, std::uint64_t, double, bool>;
 
-// `key` names the value in the line; "request" holds the id of the request that a line is about.
+// A named value of a line. The key "request" holds the id of the request that the line is about.
 struct log_field {
   std::string_view key;
   log_value value;
@@ -38,36 +38,39 @@
 };
 
 namespace detail {
-// Below it nothing is written; read on every call, so it is kept apart from the library.
+// Lines below this level are not written. It is read on every call, so it is a plain atomic outside
+// the logging library.
 extern std::atomic<log_level> least_log_level;
 void write_log_line(log_level level, std::string_view part, std::string_view message,
                     std::initializer_list<log_field> fields);
 }  // namespace detail
 
-// Starts writing to `out`, which must outlive stop_log(). Before that, lines are dropped. Lines go
-// through a bounded queue and a thread of their own.
+// Starts writing to `out`, which must stay valid until stop_log() returns. Lines logged before are
+// dropped. Lines pass through a bounded queue to a writer thread.
 void start_log(const log_settings& settings, const node_id& node, std::ostream& out);
 
-// Writes what is queued and stops.
+// Writes the queued lines and stops.
 void stop_log();
 
 // May be called at any time, from any thread.
 void set_log_level(log_level level);
 
-// Whether a request that arrives now has its lines written, all or none: ask once, when it arrives.
+// Whether the lines of a request that arrives now are written, all or none. To be called once per
+// request, on its arrival.
 [[nodiscard]] bool log_keeps_request(time_point now, std::string_view request);
 
-// Requests whose lines were left out whole, as the log would have grown beyond its rate.
+// Number of requests whose lines were all suppressed, because the log would have exceeded its rate.
 [[nodiscard]] std::uint64_t requests_without_log();
 
-// Lines that were lost because the reader of `out` was too slow, or beyond twice the rate.
+// Number of lines dropped because the reader of `out` was too slow or the log exceeded its rate by
+// more than the burst capacity (lines of 2 s at the rate, process/log_budget.h).
 [[nodiscard]] std::uint64_t dropped_log_lines();
 
 [[nodiscard]] inline bool log_enabled(log_level level) {
   return level >= detail::least_log_level.load(std::memory_order_relaxed);
 }
 
-// One comparison when the level is off.
+// Costs one comparison when the level is disabled.
 inline void log_line(log_level level, std::string_view part, std::string_view message,
                      std::initializer_list<log_field> fields = {}) {
   if (log_enabled(level)) {
--- a/src/node/log_outcomes.cpp
+++ b/src/node/log_outcomes.cpp
@@ -1,4 +1,4 @@
-// Counting log lines, and the tables of them.
+// Counts log lines by outcome and prints the tables.
 #include "node/log_outcomes.h"
 
 #include <algorithm>
@@ -59,7 +59,7 @@
 void append_totals(std::string& text, std::string_view title,
                    const std::map<std::string, outcome_counts>& groups) {
   text += "\n" + std::string(title) + std::string(24 - title.size(), ' ') +
-          std::string(counts_head) + "  mostly\n";
+          std::string(counts_head) + "  main reason\n";
   for (const auto& [name, counts] : groups) {
     const auto reasons = largest_first(counts.by_reason);
     text += name + std::string(name.size() < 24 ? 24 - name.size() : 1, ' ') + counts_text(counts) +
@@ -140,7 +140,7 @@
   return result;
 }
 
-// A node's first line may be in a file that was read last.
+// Computed when printing, since a node's "started" line may be in a file that was read last.
 std::map<std::string, outcome_counts> log_outcomes::by_data_centre() const {
   std::map<std::string, outcome_counts> result;
   for (const auto& [node, counts] : by_node_) {
@@ -162,7 +162,7 @@
     most = std::max(most, counts.not_well());
   }
   std::string text = "from    " + std::string(counts_head) +
-                     "   lost  orders  failed  replicas by model, what mostly went wrong\n";
+                     "   lost  orders  failed  replicas by model, main reason of failures\n";
   for (const auto& [time, counts] : by_window_) {
     char numbers[64];
     std::snprintf(numbers, sizeof numbers, " %6llu %7llu %7llu  ",
@@ -193,7 +193,7 @@
     }
     char number[16];
     std::snprintf(number, sizeof number, "%8llu  ", static_cast<unsigned long long>(count));
-    text += number + (reason.empty() ? "not said" : reason) + "\n";
+    text += number + (reason.empty() ? "not given" : reason) + "\n";
   }
   return text;
 }
--- a/src/node/log_outcomes.h
+++ b/src/node/log_outcomes.h
@@ -1,9 +1,9 @@
-// What became of requests over a stretch of time, from the log lines of all nodes: by time, route,
-// data centre and reason, beside the replicas that served. What an operator asks after a bad
-// evening, when hundreds of nodes have written too much to be read.
+// Counts the outcomes of requests over a period from the log lines of all nodes: by time window,
+// route, data centre and reason, together with the number of serving replicas. For analysing an
+// incident when hundreds of nodes have written more lines than can be read.
 //
-// Requests that ended well are in the log only at its level "debug": without them their number is
-// unknown, and what is shown are failures alone.
+// Successful requests are logged at level "debug" only. At other levels their number is unknown and
+// the tables contain failures only.
 #pragma once
 
 #include <chrono>
@@ -19,8 +19,8 @@
 
 struct outcome_counts {
   std::map<std::string, std::uint64_t> by_result;  // done, refused, failed, cut, caller_gone
-  std::map<std::string, std::uint64_t> by_reason;  // of those that did not end well
-  // Replicas that serve, by model: the most that any node counted, as nodes that are cut off or
+  std::map<std::string, std::uint64_t> by_reason;  // unsuccessful requests only
+  // Serving replicas by model: the highest count of any node, since nodes that are partitioned or
   // have just started count fewer.
   std::map<std::string, std::uint64_t> replicas;
   std::uint64_t lost_targets = 0;
@@ -35,11 +35,11 @@
  public:
   explicit log_outcomes(std::chrono::seconds window) : window_(window) {}
 
-  // Returns how many lines it could not read.
+  // Returns the number of lines that could not be parsed.
   std::size_t read(std::istream& lines);
 
   [[nodiscard]] bool empty() const { return by_window_.empty(); }
-  // Windows from the first to the last line, then totals by route, by data centre and by reason.
+  // A table with one row per time window, then totals by route, by data centre and by reason.
   [[nodiscard]] std::string to_text() const;
 
  private:
@@ -53,8 +53,8 @@
   std::map<wall_clock_time, outcome_counts> by_window_;
   std::map<std::string, outcome_counts> by_route_;
   std::map<std::string, outcome_counts> by_node_;
-  std::map<std::string, std::string> data_centre_of_;  // node: as it said when it started
-  // What each node last counted of a model, by time.
+  std::map<std::string, std::string> data_centre_of_;  // by node, from its "started" line
+  // Replicas that a node counted, by model, node and time.
   std::map<std::string, std::map<std::string, std::map<wall_clock_time, std::uint64_t>>> capacity_;
 };
 
--- a/src/node/log_story.cpp
+++ b/src/node/log_story.cpp
@@ -1,4 +1,4 @@
-// Stories of requests.
+// Assembles the timeline of a request and explains its outcome.
 #include "node/log_story.h"
 
 #include <algorithm>
@@ -15,11 +15,12 @@
 
 using namespace std::chrono_literals;
 
-// A target's trouble begins before the request notices it: streams end up to 4 s after their
-// replica lost a member (the engines' own stall), so that much is looked back.
+// A failure of a target precedes its effect on the request: streams end up to 4 s after their
+// replica lost a member (the engines stall for that long). Events up to this time before the
+// request's arrival are included.
 constexpr auto looked_back = 5s;
 
-// Fields that every line has, which are members of logged_line.
+// Fields that every line has; they are not stored in logged_line::fields.
 constexpr std::array<std::string_view, 5> common_fields = {"time", "level", "part", "node",
                                                            "message"};
 
@@ -64,12 +65,12 @@
   return a.time < b.time;
 }
 
-// Of all lines of a request the one that says how it ended at a node.
+// Whether the line says how the request ended at a node.
 bool is_end(const logged_line& line) {
   return line.part == "request" && line.message == "ended";
 }
 
-// Prints of a request: its lines on broken attempts and verdicts name it.
+// Fingerprints of the request, from its lines about broken attempts and quarantine.
 std::set<std::string> prints_of(const std::vector<logged_line>& own) {
   std::set<std::string> result;
   for (const logged_line& line : own) {
@@ -109,7 +110,8 @@
   return first;
 }
 
-// Lines that a newer one of the same kind replaces; empty: not a belief.
+// Kind of node state that the line reports; a newer line of the same kind supersedes it. Empty if
+// the line reports no such state.
 std::string belief_kind(const logged_line& line) {
   if (line.part == "configuration" && line.message == "in force") {
     return "configuration";
@@ -134,56 +136,62 @@
   std::string_view cause;
 };
 
-// What each reason means and where to look on. The reasons are those of the nodes' lines.
+// Explains each reason and says where to look next. The reasons are those in the nodes' log lines.
 constexpr std::array<known_reason, 23> known_reasons = {{
     {"every replica is full",
-     "Each replica of the model had all its places taken. The replicas that the node counted stand "
-     "below; few of them: look at keeper plan of the data centre, else there was more load than "
-     "the fleet serves."},
+     "All slots of the model's replicas were in use. The number of replicas that the node counted "
+     "is shown below. If it is low, look at the keeper plan lines of the data centre; otherwise "
+     "the load exceeded the capacity of the fleet."},
     {"no replica of the model serves",
-     "No replica of the model was open and unsuspected. Look at keeper plan and keeper order of "
-     "the data centre."},
+     "No replica of the model was open and free of suspect members. Look at the keeper plan and "
+     "keeper order lines of the data centre."},
     {"its replica lost a member",
      "The streams of a replica stopped together and one of its members did not answer, so the "
-     "request was sent on, as far as its route allows."},
-    {"no time is left", "The time that the caller or the route allows was used up."},
+     "request was sent to another replica, if its route allows that."},
+    {"no time is left", "The time allowed by the caller or the route was used up."},
     {"connection lost",
-     "The connection to the target broke while it answered: the target ended or was cut off."},
+     "The connection to the target broke during the answer: the target ended or was unreachable."},
     {"reset", "The target or the network reset the connection."},
-    {"timeout", "The target did not answer within the time that was left."},
-    {"could not be sent", "No connection to the target came about, so that it did not run there."},
+    {"timeout", "The target did not answer within the remaining time."},
+    {"could not be sent",
+     "No connection to the target could be established, so the request did not run there."},
     {"the target did not run it",
-     "The target turned it away: it was full, stalled, or not the head of its replica any more."},
-    {"the target failed", "The target answered with a failure of its own."},
-    {"the target's own failure", "The target answered with a failure of its own, passed on as is."},
-    {"the stream ended inside an event", "The target broke off in the middle of an event."},
-    {"events out of order", "The target's events did not follow on each other."},
+     "The target rejected the request: it was full, stalled, or no longer the head of its "
+     "replica."},
+    {"the target failed", "The target answered with an error of its own."},
+    {"the target's own failure",
+     "The target answered with an error of its own, which was passed on unchanged."},
+    {"the stream ended inside an event", "The target's stream ended in the middle of an event."},
+    {"events out of order", "The target's events were not consecutive."},
     {"the answer was not this request's",
-     "The target sent an answer without its signature, or to another request."},
-    {"no configuration is known yet", "The node had just started and reached no store yet."},
+     "The target sent an answer without its signature, or the answer to another request."},
+    {"no configuration is known yet", "The node had just started and had not reached a store yet."},
     {"the configuration may be out of date",
-     "The node could not confirm its configuration, so that it may not say that a route is not "
-     "there. See its store lines below."},
+     "The node could not confirm that its configuration is current, so it may not report that a "
+     "route does not exist. See its store lines below."},
     {"keys cannot be checked: the configuration is stale",
-     "The node had no proof, young enough, that its configuration is the newest: a key might have "
+     "The node had no recent proof that its configuration is the newest: a key might have "
      "been withdrawn. See its store lines below, and the link to its hub."},
     {"the key cannot be confirmed",
-     "The proof that the configuration is the newest ran out while the request waited."},
+     "The proof that the configuration is the newest expired while the request waited."},
     {"the key was withdrawn", "A newer configuration took the caller's key away."},
     {"the key is not known", "No workspace of the configuration in force has the caller's key."},
-    {"no route has this host and path", "No route of the configuration in force fits."},
+    {"no route has this host and path",
+     "No route of the configuration in force matches the host and path."},
     {"it ended the targets that ran it",
-     "The same request, by workspace, path and body, was running each time when targets ended, one "
-     "after the other, and never ended well. It was refused without a run; see its evidence and "
-     "verdict below, and /poison at a node's metrics address to lift it."},
+     "The same request (same workspace, path and body) was running each time when targets ended, "
+     "one after the other, and never completed. It was refused without being run; see the poison "
+     "evidence and poison convicted lines below, and /poison at a node's metrics address to "
+     "release "
+     "it."},
     {"no instance is known", "No instance of the service was listed as ready."},
 }};
 
 std::string cause_of(const std::vector<logged_line>& own) {
   const auto end = std::find_if(own.rbegin(), own.rend(), is_end);
   if (end == own.rend()) {
-    return "No line says that it ended: it is still running, its lines were left out, or the node "
-           "ended before.";
+    return "No line says that it ended: it is still running, its lines were suppressed, or the "
+           "node stopped before it ended.";
   }
   if (end->field("result") == "done") {
     return {};
@@ -195,7 +203,7 @@
   if (known != known_reasons.end()) {
     text += known->cause;
   }
-  // Why it was not served at first: the last decision alone rarely tells.
+  // Reasons of earlier failed attempts: the final reason alone is rarely enough.
   for (const logged_line& line : own) {
     if (line.message == "attempt ended") {
       text += " Before: " + std::string(line.field("reason")) + " at " +
@@ -213,7 +221,7 @@
   text += line.node + "  " + line.part + ' ' + line.message;
   for (const auto& [key, value] : line.fields) {
     if (key != "request") {
-      // Quoted: a caller chose some of these values, and control characters stay out.
+      // Quoted, since callers choose some of these values: escapes control characters.
       text += ' ' + key + '=' +
               nlohmann::json(value).dump(-1, ' ', true, nlohmann::json::error_handler_t::replace);
     }
@@ -269,7 +277,7 @@
   std::size_t unreadable = 0;
   std::string text;
   while (std::getline(lines, text)) {
-    // Most lines of a large log are on other requests: they are not parsed.
+    // Most lines of a large log belong to other requests; they are skipped without parsing.
     const bool other =
         text.find("\"request\":") != std::string::npos && text.find(request) == std::string::npos;
     if (text.empty() || other) {
--- a/src/node/log_story.h
+++ b/src/node/log_story.h
@@ -1,8 +1,8 @@
-// The story of one request, put together from the log lines of all nodes.
+// The timeline of one request, assembled from the log lines of all nodes.
 //
-// A request's own lines say what was decided; why is mostly in other lines: which version a node
-// acted on, whether it reached the store, how many replicas it counted, which target it took for
-// lost. This finds both and names the cause in words.
+// The lines of a request say what was decided; the reasons are mostly in other lines: which
+// configuration version a node used, whether it reached the store, how many replicas it counted,
+// which target it considered lost. The log_reader finds both and describes the cause.
 #pragma once
 
 #include <chrono>
@@ -19,39 +19,40 @@
 
 // One line of a log, as a node wrote it.
 struct logged_line {
-  wall_clock_time time;  // by the node's own clock: nodes may differ
+  wall_clock_time time;  // by the node's own clock; clocks of nodes may differ
   std::string node;
   std::string part;
   std::string message;
-  std::vector<std::pair<std::string, std::string>> fields;  // numbers as they stand, texts unquoted
+  std::vector<std::pair<std::string, std::string>> fields;  // numbers as written, texts unquoted
 
   // Empty if the line has no such field.
   [[nodiscard]] std::string_view field(std::string_view key) const;
   bool operator==(const logged_line&) const = default;
 };
 
-// Reads a JSON line. What stands before its first brace (a collector's own time and name) is
-// skipped. Empty: not a line of a node.
+// Parses a JSON log line. Text before the first brace (a log collector's time and name) is
+// skipped. Empty: not a node's log line.
 [[nodiscard]] std::optional<logged_line> read_log_line(std::string_view text);
 
-// What a node held to be true when the request ended, as far as its log says.
+// The state that a node last logged before the request ended.
 struct node_belief {
   std::string node;
-  std::vector<logged_line> lines;  // the newest of each kind, in order
+  std::vector<logged_line> lines;  // the newest of each kind, ordered by time
 };
 
 struct request_story {
   std::string request;
-  std::vector<logged_line> own;     // of the request, in order of time
-  std::vector<logged_line> around;  // what happened to the targets that it was sent to
+  std::vector<logged_line> own;     // lines of the request, ordered by time
+  std::vector<logged_line> around;  // events of its targets, and of its fingerprint as poison
   std::vector<node_belief> beliefs;
-  std::string cause;  // in words; empty if it ended well
+  std::string cause;  // explanation for people; empty if the request succeeded
 };
 
-// Collects lines, in any order of files, then tells stories.
+// Collects log lines, from files in any order, and assembles the timeline of a request.
 class log_reader {
  public:
-  // Keeps lines on `request` and all that concern no request; returns how many it could not read.
+  // Keeps the lines of `request` and those of no request. Returns the number of lines that could
+  // not be parsed.
   std::size_t read(std::istream& lines, std::string_view request);
 
   // Empty if no line names the request.
@@ -62,7 +63,7 @@
   std::vector<logged_line> others_;
 };
 
-// For people: the cause first, then the lines in order, then what the nodes believed.
+// For people: the cause, then the lines ordered by time, then the last known state of the nodes.
 [[nodiscard]] std::string to_text(const request_story& story);
 
 }  // namespace arbutus
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -1,4 +1,4 @@
-// Histograms by Boost.Histogram.
+// Histograms with Boost.Histogram, and their Prometheus text.
 #include "node/metrics.h"
 
 #include <boost/histogram.hpp>
@@ -14,7 +14,8 @@
 
 namespace bh = boost::histogram;
 
-// 0.25 ms to 128 s, four bins for each doubling: a percentile read from it is within 19 %.
+// 0.25 ms to about 128 s with four bins per doubling: a percentile computed from the histogram is
+// accurate to 19 %.
 constexpr unsigned latency_bins = 76;
 constexpr double latency_low = 0.00025;
 constexpr double latency_high = 131.072;
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -1,7 +1,7 @@
 // Histograms per workspace and class, and counters, as Prometheus text.
 //
-// Each worker has a shard under its own lock, so that recording never waits for another worker;
-// a scrape sums the shards.
+// Each worker has a shard with its own lock, so that workers do not contend when recording; a
+// scrape sums the shards.
 #pragma once
 
 #include <cstdint>
@@ -19,9 +19,9 @@
   std::string request_class;
   std::string target;  // model or service
   std::string result;  // "done", "not_run", "unknown", "caller_gone"
-  std::string reason;  // why not done; empty when done
+  std::string reason;  // why the call failed; empty when done
   duration total{};
-  duration first_token{};  // 0: none was sent
+  duration first_token{};  // 0: no token was sent
   duration queued{};
   std::uint32_t attempts{};
   std::uint32_t tokens{};
@@ -35,13 +35,13 @@
   metrics& operator=(const metrics&) = delete;
 
   void record(std::size_t shard, const finished_call& call);
-  // How long something took that is no request: `arbutusworks_STEP_seconds`.
+  // Records the duration of an operation other than a request, as `arbutusworks_STEP_seconds`.
   void record_step(std::size_t shard, std::string_view step, duration took);
-  // A named counter with an optional label, as `label="value"`.
+  // Adds to a named counter; `labels` is written as given, for example `label="value"`.
   void count(std::size_t shard, std::string_view name, std::string_view labels = {},
              std::uint64_t by = 1);
 
-  // Prometheus text format of all shards together; `gauges` is appended as it is.
+  // The sum of all shards in Prometheus text format; `gauges` is appended unchanged.
   [[nodiscard]] std::string text(std::string_view gauges = {}) const;
 
  private:
--- a/src/node/model_attempt.cpp
+++ b/src/node/model_attempt.cpp
@@ -1,4 +1,4 @@
-// One attempt of a model call.
+// Sends one attempt of a model call and checks the answer.
 #include "node/model_attempt.h"
 
 #include <algorithm>
@@ -39,18 +39,18 @@
   return request;
 }
 
-// The target itself says that it did not run the request.
+// Whether the target reports that it did not run the request.
 bool refused_by_target(int status) {
   return status == status_conflict || status == status_unavailable;
 }
 
-// The request itself is at fault; another replica would say the same.
+// Whether the request itself is invalid; another replica would answer the same.
 bool is_callers_fault(int status) {
   return status == status_bad_request || status == status_not_found || status == status_too_large ||
          status == status_unprocessable;
 }
 
-// An answer belongs to the request only if it names it, and the composition it was sent to.
+// Whether the answer carries the id of the request; otherwise it does not belong to it.
 bool names_request(const http_headers& headers, const request_id& id) {
   const auto named = headers.find("x-request-id");
   return named && *named == id.str();
@@ -64,7 +64,7 @@
   return text;
 }
 
-// Without a whole answer: what the connection proves.
+// No complete answer: sets what the state of the connection proves.
 void set_unanswered(const call_result& result, attempt_end& end) {
   end.ran = result.outcome == call_outcome::not_sent ? execution::not_run : execution::unknown;
   end.reason = describe(result);
@@ -72,7 +72,7 @@
                     result.failure == call_failure::connection_lost;
 }
 
-// With a whole answer of status other than 200.
+// A complete answer with a status other than 200.
 void set_refusal(const call_result& result, attempt_end& end) {
   end.status = result.response.status;
   if (refused_by_target(end.status)) {
@@ -85,8 +85,8 @@
   end.reason = "status " + std::to_string(end.status);
 }
 
-// Asks the newest view, not the one the choice was made from: since then a member may have been
-// lost, or this process may have been paused until every permission lapsed.
+// Checks the newest view, not the one that the replica was chosen from: since then a member may
+// have been lost, or this process may have been paused until every permission expired.
 send_permit permit_for(const call_context& node, const replica_route& chosen) {
   return [&node, &chosen] {
     const std::shared_ptr<const node_view> view = node.core.view();
@@ -128,14 +128,14 @@
   return end;
 }
 
-// Frames of one attempt, checked one by one before any goes to the caller.
+// Parses the frames of one attempt and checks each before it is forwarded to the caller.
 class frame_reader {
  public:
   frame_reader(const model_attempt& attempt, answer_stream& answer, const frame_sink& sink,
                attempt_end& end)
       : attempt_(attempt), answer_(answer), sink_(sink), end_(end) {}
 
-  // False: give the attempt up.
+  // False: the attempt has to be aborted.
   bool on_bytes(std::string_view bytes) {
     splitter_.append(bytes);
     if (splitter_.overflown()) {
--- a/src/node/model_attempt.h
+++ b/src/node/model_attempt.h
@@ -1,5 +1,5 @@
-// One attempt of a model call at one replica: sends it with its fencing token, matches what comes
-// back, and says what it proved.
+// One attempt of a model call at one replica: sends the request with the replica's generation as
+// fencing token, matches the answer to the request, and reports whether the request ran.
 #pragma once
 
 #include <functional>
@@ -23,20 +23,20 @@
 
 struct attempt_end {
   execution ran = execution::unknown;
-  int status = 0;      // of the engine's answer, 0: none
+  int status = 0;      // of the engine's answer; 0: none
   std::string reason;  // why it is not done, for logs and metrics
-  std::string body;    // whole answers
+  std::string body;    // of an answer that is not streamed
   std::string content_type;
-  bool engine_error = false;  // a whole answer that is an error of the caller's making (4xx)
+  bool engine_error = false;  // a complete answer with an error caused by the caller (4xx)
   bool target_lost = false;   // the connection was refused or broke
-  time_point first_token;     // min(): none came
+  time_point first_token;     // min(): none was received
   duration total{};
 };
 
-// Passes a frame on to the caller; false: the caller is gone.
+// Forwards a frame to the caller; false: the caller has disconnected.
 using frame_sink = std::function<bool(std::string_view frame)>;
 
-// `answer` carries over attempts what was delivered, so that a resumed stream repeats nothing.
+// `answer` records over all attempts what was delivered, so that a resumed stream repeats no token.
 [[nodiscard]] attempt_end run_attempt(call_context& node, const model_attempt& attempt,
                                       const replica_route& route, answer_stream& answer,
                                       const frame_sink& sink, const cancel_token& cancel);
--- a/src/node/model_call.cpp
+++ b/src/node/model_call.cpp
@@ -1,4 +1,4 @@
-// A model call over all its attempts: admission, choice of replica, retries, resume.
+// A model call with all its attempts: admission, choice of replica, retries, resumption of streams.
 #include "node/model_call.h"
 
 #include <algorithm>
@@ -14,12 +14,12 @@
 
 namespace {
 
-// Work is counted in tokens to be generated; 1 is a mean request.
+// The cost of a request is its number of tokens to generate, relative to a mean request.
 constexpr double mean_tokens = 128.0;
 constexpr double smallest_cost = 0.05;
-// Told when no replica serves the model: about what a repair from a standby takes.
+// Sent as Retry-After when no replica serves the model: about the time of a repair from a standby.
 constexpr duration no_replica_retry = 2s;
-// How often a request that no replica may take looks again, while its deadline allows.
+// How often a request that no replica may take checks for a route again, until its deadline.
 constexpr duration look_again = 25ms;
 
 std::optional<call_error> check_model(const call_state& call, const model_id& model) {
@@ -33,7 +33,7 @@
   return std::nullopt;
 }
 
-// The call while it runs. Lives in the frame of the request's fiber.
+// A running call. Lives in the stack frame of the request's fiber.
 class model_call {
  public:
   model_call(call_context& node, model_api api, const http_request& request,
@@ -78,7 +78,7 @@
     if (auto error = check_model(call_, body_.model)) {
       return error;
     }
-    // Only now: a label for every name that a caller makes up would fill the memory.
+    // Set after the check only: one label per arbitrary name in requests would exhaust the memory.
     call_.measured.target = body_.model.str();
     facts_.id = call_.id;
     facts_.workspace = call_.workspace->id;
@@ -93,7 +93,8 @@
     return std::nullopt;
   }
 
-  // What cannot be answered in time here may be elsewhere. True if the caller has its answer.
+  // Tries another data centre for a request that cannot be answered in time here. True if the
+  // caller was answered.
   bool spilled(const rejected& why) {
     const time_point now = monotonic_now();
     const std::shared_ptr<const node_view> view = node_.core.view();
@@ -125,7 +126,8 @@
     return error;
   }
 
-  // Tries until the answer is whole or nothing more may be tried. True if it was served.
+  // Makes attempts until the answer is complete or no further attempt is allowed. True if the
+  // request was served.
   bool attempts() {
     answer_stream answer(call_.id);
     gate_->first_attempt(monotonic_now());
@@ -163,14 +165,15 @@
     }
   }
 
-  // The route chosen, from the newest view. While a replica is being repaired there may be none.
+  // Chooses a route from the newest view. Waits while there is none, for example during the repair
+  // of a replica; empty if the deadline is reached or the caller has disconnected.
   std::optional<replica_route> wait_for_route() {
     for (;;) {
       const time_point now = monotonic_now();
       const std::shared_ptr<const node_view> view = node_.core.view();
       auto choice = gate_->choose(now, *view, facts_, tried_);
       if (!choice && !tried_.empty()) {
-        tried_.clear();  // better a replica that failed once than none
+        tried_.clear();  // a replica that failed before is better than none
         choice = gate_->choose(now, *view, facts_, tried_);
       }
       if (choice) {
@@ -218,10 +221,11 @@
     return end;
   }
 
-  // The core needs to know whether there are any. Goes wrong: counts taken by two workers reach the
-  // core in the other order, the last says one, and a drain waits for a request that ended long
-  // ago. So the count is taken when the core hears of it, and every first and last is told. It is
-  // one count over all generations: the requests of an old one are work of the replica as well.
+  // Reports to the core whether the replica has requests in flight, when the first is sent and when
+  // the last ends. The count is read on the core's worker: if two workers read it and their reports
+  // arrived in reverse order, the last report would be 1 and a drain would wait for a request that
+  // ended long ago. The count covers all generations, since requests of an old generation are also
+  // work of the replica.
   void report_in_flight(const replica_route& route) {
     node_.core.post([gate = gate_, id = route.id](time_point, coordinator& core) {
       core.report_in_flight(id, generation{}, gate->in_flight_at(id));
@@ -259,7 +263,7 @@
     finish(reached ? "done" : "caller_gone", {});
   }
 
-  // The engine found fault with the request itself.
+  // The engine rejected the request itself.
   void pass_on(const attempt_end& end) {
     call_error error = invalid_request("engine_refused", end.reason, end.status);
     finish_with(error);
@@ -277,7 +281,8 @@
 
   void finish_with(const call_error& error) {
     if (writer_.started()) {
-      // The status is out; the frame and the missing [DONE] say that the answer is cut.
+      // The status was sent already; the error frame and the missing [DONE] mark the answer as
+      // truncated.
       call_error cut = error;
       cut.ran = execution::unknown;
       writer_.write(error_frame(cut));
--- a/src/node/model_call.h
+++ b/src/node/model_call.h
@@ -1,4 +1,4 @@
-// Calls of models: completions and chat, streamed and whole.
+// Model calls: completions and chat, streamed or not.
 #pragma once
 
 #include "node/call_context.h"
@@ -6,7 +6,7 @@
 
 namespace arbutus {
 
-// Answers the call, always; returns when nothing of it is left.
+// Always answers the call; returns when all its resources have been released.
 void serve_model_call(call_context& node, model_api api, const http_request& request,
                       response_writer& writer);
 
--- a/src/node/model_gate.cpp
+++ b/src/node/model_gate.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-// How often the queue is looked through for hopeless requests while any wait: a refusal comes at
-// most this late.
+// How often the queue is checked for requests that can no longer be served in time; their rejection
+// is delayed by this at most.
 constexpr duration pump_interval = 10ms;
 
 }  // namespace
 
-// Notifies under the lock: once the waiting fiber can see the end, it may return and take this
-// object with it, so nothing of it may be touched after the lock is given up.
+// Notifies while holding the lock: as soon as the waiting fiber sees the result, it may return and
+// destroy this object, so no member may be used after the lock is released.
 void admission_waiter::finish(admission_end how) {
   const std::lock_guard guard(lock_);
   if (end_) {
@@ -107,7 +107,7 @@
   runtime_.post(0, [this] { pump(); });
 }
 
-// Runs only while requests wait, so an idle node does nothing.
+// Runs only while requests wait, so that it costs an idle node nothing.
 void model_gate::pump() {
   while (sleep_until(monotonic_now() + pump_interval)) {
     const std::lock_guard guard(lock_);
@@ -197,8 +197,8 @@
   return admission_.running();
 }
 
-// A replica that was formed anew has an empty cache, another speed and none of the requests that
-// were counted for its predecessor.
+// A replica that was formed again under the same id has an empty cache, another speed and none of
+// the requests that were counted for its previous generation.
 void model_gate::forget_re_formed(const routing_snapshot& routes) {
   for (const replica_route& route : routes.replicas) {
     if (route.model != model_) {
--- a/src/node/model_gate.h
+++ b/src/node/model_gate.h
@@ -1,7 +1,7 @@
 // The decisions about one model's requests at this node, under one lock: admission, choice of
-// replica, retry budget, hedging. Lives as long as the process; requests come and go.
+// replica, retry budget, hedging. Lives as long as the process.
 //
-// A waiting request suspends its fiber; whoever frees capacity wakes it, from any worker.
+// A waiting request suspends its fiber; the worker that frees capacity wakes it.
 #pragma once
 
 #include <boost/fiber/condition_variable.hpp>
@@ -27,10 +27,10 @@
   rejected why;  // for rejected
 };
 
-// One request's place in the queue. Lives in the request's frame until enter() returned.
+// A request that waits in the queue. Lives in the request's stack frame until enter() has returned.
 class admission_waiter {
  public:
-  // The caller hung up: enter() returns soon. From any worker.
+  // The caller has disconnected: makes enter() return. May be called from any worker.
   void caller_gone() { finish({admission_end::kind::caller_gone, {}}); }
 
  private:
@@ -40,21 +40,21 @@
 
   std::mutex lock_;
   boost::fibers::condition_variable_any changed_;
-  std::optional<admission_end> end_;  // set once; the first end counts
+  std::optional<admission_end> end_;  // set once; later calls of finish() are ignored
 };
 
 class model_gate {
  public:
   model_gate(fiber_runtime& runtime, model_id model, std::uint64_t seed);
 
-  // Suspends until the request may start, is refused or its caller is gone.
+  // Suspends until the request may start, is rejected or its caller has disconnected.
   admission_end enter(const node_view& view, const request_facts& facts, admission_waiter& waiter);
-  // For a request that entered: its place is free again. `served`: it ran to its end.
+  // Releases the slot of an admitted request. `served`: the request was answered.
   void leave(const request_id& id, bool served);
 
   std::optional<route_choice> choose(time_point now, const node_view& view,
                                      const request_facts& facts, std::span<const replica_id> tried);
-  // Both return how many of this node's requests are at the replica now.
+  // sent() and ended() return how many of this node's requests are now at the replica.
   std::uint32_t sent(time_point now, const replica_id& replica, const request_facts& facts);
   void first_token(time_point now, const request_facts& facts, std::string_view request_class,
                    duration latency);
@@ -72,7 +72,7 @@
   [[nodiscard]] std::size_t waiting();
   [[nodiscard]] std::size_t running();
 
-  // A new view: capacity may have changed.
+  // To be called with each new view, since the capacity may have changed.
   void refresh(const std::shared_ptr<const node_view>& view);
   void set_shares(const rules& desired);
 
@@ -94,14 +94,14 @@
   retry_budget budget_;
   hedging hedging_;
   rng random_;
-  // Invariant: holds exactly the requests that admission_ has waiting.
+  // Invariant: contains exactly the requests that wait in admission_.
   std::unordered_map<request_id, admission_waiter*> waiters_;
   std::shared_ptr<const node_view> view_;
-  std::map<replica_id, generation> generations_;  // as last seen; replicas that left stay known
-  bool pumping_ = false;  // a fiber looks after hopeless requests while any wait
+  std::map<replica_id, generation> generations_;  // as last seen; removed replicas are kept
+  bool pumping_ = false;  // a fiber periodically rejects requests that wait in vain
 };
 
-// The gates of all models; made on first use, kept for the process's incarnation.
+// The gates of all models; created on first use and kept as long as the process runs.
 class model_gates {
  public:
   model_gates(fiber_runtime& runtime, std::uint64_t seed) : runtime_(runtime), seed_(seed) {}
@@ -116,7 +116,7 @@
   std::uint64_t seed_;
   std::mutex lock_;
   std::map<model_id, std::unique_ptr<model_gate>> gates_;
-  std::uint64_t config_version_ = 0;  // whose shares were set
+  std::uint64_t config_version_ = 0;  // whose workspace shares were set last
 };
 
 }  // namespace arbutus
--- a/src/node/model_request.cpp
+++ b/src/node/model_request.cpp
@@ -1,4 +1,4 @@
-// Reading the body of a model call.
+// Parses the body of a model call.
 #include "node/model_request.h"
 
 #include <nlohmann/json.hpp>
--- a/src/node/model_request.h
+++ b/src/node/model_request.h
@@ -1,4 +1,4 @@
-// What a caller asks of a model, as read from the body of its call.
+// A caller's request to a model, as parsed from the body of the call.
 #pragma once
 
 #include <optional>
@@ -18,11 +18,11 @@
   bool stream = false;
 };
 
-// The error to answer with, if the body is no such request.
+// Returns the error to answer with if the body is not a valid request.
 [[nodiscard]] std::optional<call_error> parse_model_request(model_api api, const std::string& text,
                                                             model_request& parsed);
 
-// A request that is at fault itself and was not run.
+// The error for a request that is itself invalid and was not run.
 [[nodiscard]] call_error invalid_request(std::string code, std::string message, int status = 400);
 
 }  // namespace arbutus
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -1,4 +1,4 @@
-// Joins the parts of a node.
+// Creates, connects and stops the components of a node.
 #include "node/node.h"
 
 #include <optional>
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-// In order of construction: what is below uses what is above.
+// The members are in order of construction: later ones use earlier ones.
 struct node::parts {
   explicit parts(node_setup o)
       : options(std::move(o)),
@@ -104,7 +104,7 @@
   }
   peers_of_config = view->config->version;
   limits.configure(monotonic_now(), *view->config);
-  // Links to removed peers are ended in a fiber of their own, since that may wait.
+  // In a fiber of its own, since closing the links to removed peers may block.
   runtime.post(0, [this, view] { links->set_peers(view->config->assets.nodes); });
 }
 
@@ -156,8 +156,8 @@
   if (parts_->running) {
     parts_->core.stop();
   }
-  // Goes wrong: parts that end on their workers wait for ever when the runtime was stopped before
-  // them. So the runtime is last.
+  // The runtime is stopped last: components that shut down on their workers would otherwise wait
+  // for ever.
   parts_->server.reset();
   parts_->limit_teller.reset();
   parts_->links.reset();
@@ -167,13 +167,13 @@
 
 void node::parts::send_to_peer(const peer_send& message) {
   links->send(link_channel::coordination, message);
-  // Behind it in the queue, so that both leave in one write.
+  // Queued directly after the message, so that both are sent in one write.
   if (const auto limit = limits.tell_with(monotonic_now(), message.to)) {
     links->send(link_channel::limits, *limit);
   }
 }
 
-// Leases of limits, to the peers.
+// Sends the leases of the workspaces' rate limits to the peers.
 void node::parts::tell_limits() {
   for (const peer_send& message : limits.tell(monotonic_now())) {
     links->send(link_channel::limits, message);
@@ -194,7 +194,7 @@
     c.begin_drain(now);
     return effects{};
   });
-  // New callers still come until the balancer has noticed; they are served like all others.
+  // New callers still arrive until the balancer has noticed; they are served as usual.
   bool clean = false;
   p.runtime.run_on(0, [&p, &clean] {
     sleep_until(monotonic_now() + p.options.balancer_lag);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,5 @@
-// A node: the one process between callers and targets. Joins the parts, and ends them gracefully.
+// A node: the one process between callers and targets. Owns its components, and starts and stops
+// them.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +18,8 @@
 struct node_setup {
   node_id self;
   data_centre_id data_centre;
-  socket_address callers;  // where callers are listened for; port 0: any
-  socket_address links;    // where other nodes are
+  socket_address callers;  // listens for callers here; port 0: any
+  socket_address links;    // listens for other nodes here
   platform_addresses platform;
   std::vector<node_record> bootstrap_peers;
   std::size_t workers = 2;
@@ -26,16 +27,16 @@
   std::string operator_key_hash;  // SHA-256; empty: no /admin
   std::uint64_t incarnation{};    // differs after every start
   std::uint64_t seed{};
-  // The platform's balancer goes on sending callers for so long after /readyz began to fail.
+  // How long the platform's balancer still sends callers after /readyz has begun to fail.
   duration balancer_lag = 3s;
-  // Requests in flight get so long to end when the node stops.
+  // How long requests in flight may take to end when the node stops.
   duration drain_timeout = 60s;
   std::function<void(const notice&)> on_notice;  // may be empty; called on worker 0
 };
 
 class node {
  public:
-  // Listens at once; throws boost::system::system_error when an address cannot be listened on.
+  // Starts to listen; throws boost::system::system_error when an address cannot be listened on.
   explicit node(node_setup options);
   ~node();
   node(const node&) = delete;
@@ -43,15 +44,15 @@
 
   void start();
 
-  // Graceful: readiness fails first, requests in flight finish, new ones are served until the
-  // balancer has taken note. Returns when the node has ended; true if nothing was cut off.
+  // Graceful stop: readiness fails first, new requests are served until the balancer has noticed,
+  // and requests in flight finish. Returns when the node has ended; true if no request was aborted.
   bool stop();
 
   [[nodiscard]] std::uint16_t caller_port() const;
   [[nodiscard]] std::uint16_t link_port() const;
   [[nodiscard]] status_view status() const;
   [[nodiscard]] bool has_configuration() const;
-  // Replicas that this node routes to now.
+  // Number of replicas that this node may route to now.
   [[nodiscard]] std::size_t routable_replicas() const;
   [[nodiscard]] std::uint64_t config_version() const;
 
--- a/src/node/peer_links.cpp
+++ b/src/node/peer_links.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t link_worker = 0;  // where the coordination core lives
+constexpr std::size_t link_worker = 0;  // the worker that runs the coordination core
 
 link_counters operator+(const link_counters& a, const link_counters& b) {
   link_counters sum;
@@ -39,7 +39,7 @@
 
 void peer_links::receive(const node_id& from, std::span<const std::uint8_t> bytes) {
   if (bytes.empty() || bytes[0] >= link_channels) {
-    return;  // of a newer release
+    return;  // a channel of a newer release
   }
   on_message received;
   {
@@ -52,7 +52,8 @@
 }
 
 void peer_links::set_peers(const std::vector<node_record>& peers) {
-  std::vector<std::unique_ptr<link_client>> closed;  // ended outside the lock: that may suspend
+  // Destroyed after the lock is released, since that may suspend.
+  std::vector<std::unique_ptr<link_client>> closed;
   const std::lock_guard guard(lock_);
   for (auto it = peers_.begin(); it != peers_.end();) {
     const auto same = [&](const node_record& p) {
--- a/src/node/peer_links.h
+++ b/src/node/peer_links.h
@@ -15,7 +15,7 @@
 
 namespace arbutus {
 
-// What a frame is about; its first byte.
+// The receiver of a frame; sent as its first byte.
 enum class link_channel : std::uint8_t { coordination, limits };
 inline constexpr std::size_t link_channels = 2;
 
@@ -23,15 +23,15 @@
  public:
   using on_message = std::function<void(peer_message)>;
 
-  // Listens at once; throws boost::system::system_error. The runtime outlives this object.
+  // Starts to listen; throws boost::system::system_error. The runtime outlives this object.
   peer_links(fiber_runtime& runtime, const socket_address& listen, node_id self);
 
-  // Before the first peer is set. Called on any worker.
+  // To be called before the first peer is set. `received` is called on any worker.
   void set_receiver(link_channel channel, on_message received);
 
   [[nodiscard]] std::uint16_t port() const noexcept { return server_->port(); }
 
-  // Peers that this node may send to; links to others are closed.
+  // Sets the peers that this node may send to; links to others are closed.
   void set_peers(const std::vector<node_record>& peers);
   void send(link_channel channel, const peer_send& message);
 
--- a/src/node/service_call.cpp
+++ b/src/node/service_call.cpp
@@ -1,4 +1,4 @@
-// Calls of plain services.
+// Forwards calls of plain services to their instances.
 #include "node/service_call.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 constexpr duration retry_after_failure = 500ms;
 constexpr std::uint32_t max_attempts = 3;
 
-// Headers that speak of the caller's connection to this node, or that only this node may set.
+// Not forwarded: headers about the connection itself, and headers that only this node may set.
 bool is_passed_on(std::string_view name) {
   static constexpr std::string_view dropped[] = {
       "authorization", "connection",      "keep-alive", "proxy-authorization", "te",
@@ -99,7 +99,7 @@
     return std::nullopt;
   }
 
-  // Own data centre first, then the others; those that failed lately last.
+  // Instances of the own data centre first, then the others; those that failed recently last.
   [[nodiscard]] std::vector<endpoint> instances() const {
     struct ranked {
       int rank;
@@ -142,8 +142,8 @@
     return out;
   }
 
-  // `use`: a kept connection may close just as the request is written, which leaves it unknown
-  // whether it ran; what may not be repeated gets a fresh one.
+  // `use`: a pooled connection may close just as the request is written; then it is unknown whether
+  // the request ran. So calls that may not be repeated use a fresh connection.
   call_result send_to(const endpoint& instance, const send_permit& permit, connection_use use) {
     ++call_.measured.attempts;
     call_result result =
@@ -186,7 +186,8 @@
     keyed_call_facts facts;
     facts.workspace = call_.workspace->id;
     const auto key = request_.headers.find("idempotency-key");
-    // Without a key of the caller's, each call is its own: it still gets one attempt.
+    // Without a key from the caller, each call counts as a different one; it also runs at most
+    // once.
     facts.key = idempotency_key{key ? std::string(*key) : call_.id.str()};
     facts.owner = {node_.self, node_.incarnation, call_.id};
     facts.body_hash = content_hash(request_.method + '\n' + request_.target + '\n' + request_.body);
@@ -196,8 +197,8 @@
     drive_keyed_call(node_.platform, facts, send, reply);
   }
 
-  // Instances that cannot even be connected to have seen nothing, so the next may be tried; the
-  // first byte that may have left ends that.
+  // An instance that cannot be connected to has not received the call, so the next one is tried.
+  // Once any byte may have been sent, no other instance is tried.
   call_result send_once(const send_permit& permit) {
     call_result result;
     result.outcome = call_outcome::not_sent;
--- a/src/node/service_call.h
+++ b/src/node/service_call.h
@@ -1,5 +1,5 @@
-// Calls of plain services, passed through by path. What the rules do not name as idempotent runs
-// at most once: a record is written before the send (request/keyed.h).
+// Calls of plain services, forwarded by path. Calls that the rules do not list as idempotent run at
+// most once: a record is written before the call is sent (request/keyed.h).
 #pragma once
 
 #include "node/call_context.h"
@@ -9,7 +9,7 @@
 // The service that a path belongs to; null if none.
 [[nodiscard]] const service_rule* find_service_by_path(const rules& desired, std::string_view path);
 
-// Answers the call, always; returns when nothing of it is left.
+// Always answers the call; returns when all its resources have been released.
 void serve_service_call(call_context& node, const http_request& request, response_writer& writer);
 
 }  // namespace arbutus
--- a/src/node/spill_call.cpp
+++ b/src/node/spill_call.cpp
@@ -1,4 +1,4 @@
-// Model calls over a node of another data centre.
+// Forwards model calls to nodes of other data centres.
 #include "node/spill_call.h"
 
 #include <algorithm>
@@ -64,7 +64,7 @@
   return status == status_ok && type && type->starts_with("text/event-stream");
 }
 
-// The answer of the other node on its way to the caller.
+// Forwards the answer of the other node to the caller.
 class relay {
  public:
   explicit relay(response_writer& writer) : writer_(writer) {}
@@ -121,7 +121,7 @@
   if (!chosen) {
     return std::nullopt;
   }
-  // Spread over the nodes there, by request.
+  // Distributes the calls over the nodes there by a hash of the request id.
   const std::uint64_t pick = stable_hash(facts.id.str());
   return chosen->entry[pick % chosen->entry.size()];
 }
--- a/src/node/spill_call.h
+++ b/src/node/spill_call.h
@@ -1,21 +1,22 @@
-// Passing a model call on to a node of another data centre, when it is expected to be answered
-// earlier there. That node admits it with its own, fresh knowledge; it is never sent straight to
-// foreign targets, of which this node knows only sums.
+// Forwards a model call to a node of another data centre when it is expected to be answered
+// earlier there. That node decides on admission with its own current data. A call is never sent
+// directly to targets of another data centre, of which this node knows only totals.
 #pragma once
 
 #include "node/call_context.h"
 
 namespace arbutus {
 
-// Says that a call was passed on once; such a call stays where it is.
+// Marks a call that was forwarded already; it is not forwarded again.
 inline constexpr std::string_view spilled_header = "x-spilled";
 
-// Round trips that are assumed until links measure them: a short hop within a region, half a
-// continent between regions.
+// Assumed round-trip times between data centres, as links do not measure them: neighbouring sites
+// within a region, half a continent between regions.
 inline constexpr duration same_region_round_trip = 3ms;
 inline constexpr duration other_region_round_trip = 80ms;
 
-// Where to pass the call on to; empty: it stays. `local_wait` is empty if nobody here serves.
+// The node to forward the call to; empty: the call stays here. `local_wait` is empty if no replica
+// here serves the model.
 [[nodiscard]] std::optional<endpoint> choose_spill_entry(time_point now, const call_context& node,
                                                          const node_view& view,
                                                          const request_facts& facts,
@@ -23,12 +24,12 @@
                                                          bool already_spilled);
 
 struct spill_end {
-  bool answered = false;  // the caller has an answer, whole or said to be cut
+  bool answered = false;  // the caller has an answer, complete or marked as truncated
   bool whole = false;
   execution ran = execution::not_run;  // when not answered
 };
 
-// Carries the call out through `entry`, and its answer back as it arrives.
+// Forwards the call to `entry`, and its answer to the caller as it arrives.
 [[nodiscard]] spill_end relay_call(call_context& node, const http_request& request,
                                    response_writer& writer, const endpoint& entry,
                                    time_point deadline, const cancel_token& cancel);
--- a/src/node/status_json.cpp
+++ b/src/node/status_json.cpp
@@ -1,4 +1,4 @@
-// Status as JSON.
+// Converts a node's status to JSON.
 #include "node/status_json.h"
 
 #include <nlohmann/json.hpp>
--- a/src/node/status_json.h
+++ b/src/node/status_json.h
@@ -1,4 +1,4 @@
-// A node's status as JSON, for `status` and for programs.
+// A node's status as JSON, for the `status` command and for programs.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace arbutus {
 
-// Moments are given as seconds before `now`.
+// Points in time are given as seconds before `now`.
 [[nodiscard]] std::string status_json(const status_view& view, time_point now);
 
 }  // namespace arbutus
--- a/tests/shell/cli_log_test.cpp
+++ b/tests/shell/cli_log_test.cpp
@@ -1,4 +1,4 @@
-// Log lines: form, levels, and hostile values.
+// Log lines: format, levels, and untrusted values.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -60,8 +60,8 @@
   EXPECT_EQ(std::count(lines.begin(), lines.end(), '\n'), 1) << lines;
 }
 
-// Symptom: the log shows an event that never was. Sequence: a caller puts a line break and a
-// made-up line into a header, which is logged. Cause: values written as they are.
+// Guards against forged log lines: a caller can put a line break and a made-up line into a header
+// that is logged.
 TEST(cli_log, a_value_cannot_forge_a_line) {
   const auto log = [] {
     log_line(log_level::info, "p", "m\nforged",
@@ -83,7 +83,7 @@
   EXPECT_EQ(out.str(), "");
 }
 
-// A stream whose reader takes nothing until it is let go.
+// A stream buffer that blocks all writes until let_go() is called.
 class stalled_buffer : public std::streambuf {
  public:
   void let_go() {
@@ -112,8 +112,8 @@
   std::size_t lines_ = 0;
 };
 
-// Symptom: all requests of a node hang at once. Sequence: the reader of standard error stops; its
-// pipe fills; each thread that logs waits for it. Cause: writing where the line is logged.
+// Guards against a node whose requests all hang because the reader of standard error stops: with
+// the pipe full, each thread that wrote its own log lines would block.
 TEST(cli_log, a_stalled_reader_stops_nobody_and_lost_lines_are_counted) {
   constexpr std::uint64_t lines = 20'000;
   const std::uint64_t before = dropped_log_lines();
--- a/tests/shell/error_body_test.cpp
+++ b/tests/shell/error_body_test.cpp
@@ -1,4 +1,4 @@
-// What the server says of requests that no handler answered.
+// Error answers of the HTTP server to requests that no handler answered.
 #include "node/error_body.h"
 
 #include <gtest/gtest.h>
@@ -13,9 +13,8 @@
 }
 
 TEST(ErrorBody, ARequestThatNobodyAnsweredMayHaveRun) {
-  // Symptom: a caller is told that its request did not run, and it had. Sequence: the caller sends
-  // a whole request and shuts its sending side; that ends the call after it was passed on. Cause:
-  // every error of the server itself was called "not_run", this one too.
+  // Guards against the answer "not_run" to a request that did run: a caller that sends a complete
+  // request and then shuts down its sending side ends the call after it was forwarded.
   EXPECT_EQ(type_of(500), "unknown");
   EXPECT_EQ(type_of(400), "not_run");
   EXPECT_EQ(type_of(413), "not_run");
--- a/tests/shell/explain_test.cpp
+++ b/tests/shell/explain_test.cpp
@@ -1,5 +1,5 @@
-// The three ways of docs/OPERATIONS.md from a failed request's id to its cause, walked over the
-// logs that nodes write before a stand-in of the platform.
+// Follows the three procedures of docs/OPERATIONS.md from a failed request's id to its cause, with
+// the logs of nodes that run against a stand-in of the platform.
 #include <gmock/gmock.h>
 
 #include <sstream>
@@ -13,7 +13,7 @@
 
 using testing::HasSubstr;
 
-// All log lines of a test, of both nodes: they share one process, and so one log.
+// Collects the log lines of both nodes of a test; they run in one process and share one log.
 class Explain : public hosted_fixture {
  protected:
   explicit Explain(const standin::hosted_platform_settings& settings = {})
@@ -22,8 +22,8 @@
   }
   ~Explain() override { stop_log(); }
 
-  // Ends the log. A node writes a request's last line after its answer has left: once it has
-  // answered another request that line is written.
+  // Stops the log and reads it. A node writes a request's last line after it has sent the answer;
+  // that line is certain to be written once the node has answered another request.
   std::optional<request_story> explained(const std::string& id) {
     (void)ask(0, "/llm/x", "after-0");
     (void)ask(1, "/llm/x", "after-1");
@@ -43,7 +43,7 @@
   std::ostringstream log_;
 };
 
-// One replica of the model, with 16 places and 2 beyond, and answers of 2 s.
+// One replica of the model with 16 slots and room for 2 more requests; answers take 2 s.
 class ExplainLoad : public Explain {
  protected:
   ExplainLoad() : Explain({.engines_each = 3, .events = 40, .event_gap = 50ms}) {}
@@ -85,7 +85,7 @@
   for (std::thread& t : threads) {
     t.join();
   }
-  // Which of the streams were on that replica is the nodes' choice: those that ran twice.
+  // The nodes choose which streams are on that replica; they are the ones that ran twice.
   std::string moved;
   for (const auto& [id, count] : platform_.runs()) {
     moved = count > 1 ? id : moved;
@@ -105,8 +105,8 @@
   ASSERT_TRUE(story);
   EXPECT_THAT(story->cause, HasSubstr("cannot be checked"));
   ASSERT_EQ(story->beliefs.size(), 1U);
-  EXPECT_TRUE(has(story->beliefs[0].lines, "lost")) << "since when the store is away";
-  EXPECT_TRUE(has(story->beliefs[0].lines, "in force")) << "which version it acted on";
+  EXPECT_TRUE(has(story->beliefs[0].lines, "lost")) << "since when the store is unavailable";
+  EXPECT_TRUE(has(story->beliefs[0].lines, "in force")) << "which version the node used";
 }
 
 }  // namespace
--- a/tests/shell/log_outcomes_test.cpp
+++ b/tests/shell/log_outcomes_test.cpp
@@ -1,4 +1,4 @@
-// Counting what became of requests, from the lines of several nodes.
+// Counts of request outcomes from the log lines of several nodes.
 #include "node/log_outcomes.h"
 
 #include <gtest/gtest.h>
@@ -52,7 +52,7 @@
 }
 
 TEST(LogOutcomes, ShowsTheMostReplicasThatAnyNodeCounted) {
-  // A node that is cut off counts none; the model is served all the same.
+  // A partitioned node counts none although the model is served.
   const std::string text =
       read(line("10:00:00.000000", "a1", "fleet", "capacity", R"(,"model":"m","replicas":7)") +
            line("10:00:00.000000", "b1", "fleet", "capacity", R"(,"model":"m","replicas":0)"))
--- a/tests/shell/log_story_test.cpp
+++ b/tests/shell/log_story_test.cpp
@@ -1,4 +1,4 @@
-// Stories of requests from log lines: which lines belong to one, and what cause is named.
+// Timelines of requests from log lines: which lines are included, and which cause is reported.
 #include "node/log_story.h"
 
 #include <gmock/gmock.h>
@@ -49,7 +49,7 @@
 }
 
 TEST(LogStory, ARequestIsFollowedAcrossNodesInOrderOfTime) {
-  // A caller whose first attempt was refused came back to another node under the same id.
+  // A caller whose first attempt was refused tried again at another node with the same id.
   const std::string text =
       line("05.000000", "n-2",
            R"("part":"request","message":"ended","request":"r-1","result":"failed",)"
@@ -84,7 +84,7 @@
 }
 
 TEST(LogStory, ARefusedPoisonRequestNamesItsEvidence) {
-  // It came under other ids before, at other nodes, more than a while ago.
+  // The same request came earlier with other ids, at other nodes, before the lookback time.
   const std::string print = R"("print":"00000000000000aa")";
   const std::string text =
       line("01.000000", "n-2",
@@ -135,8 +135,8 @@
 }
 
 TEST(LogStory, AValueOfACallerCannotForgeALine) {
-  // Symptom: the story shows an event that never was. Sequence: a caller's id holds a line break,
-  // which the log escapes and the reader unescapes. Cause: values printed as they are.
+  // Guards against forged events in the output: a value from a caller can contain a line break,
+  // which the log escapes and the reader unescapes.
   const std::string text =
       line("09.500000", "n-1",
            R"("part":"request","message":"ended","request":"r","result":"done","reason":"",)"
