--- a/src/node/log_outcomes.cpp
+++ b/src/node/log_outcomes.cpp
@@ -162,7 +162,7 @@
     most = std::max(most, counts.not_well());
   }
   std::string text = "from    " + std::string(counts_head) +
-                     "   lost  orders  failed  replicas by model, main reason of failures\n";
+                     "   lost  orders  failed  replicas by model, what mostly went wrong\n";
   for (const auto& [time, counts] : by_window_) {
     char numbers[64];
     std::snprintf(numbers, sizeof numbers, " %6llu %7llu %7llu  ",
--- a/src/node/log_story.cpp
+++ b/src/node/log_story.cpp
@@ -139,59 +139,58 @@
 // Explains each reason and says where to look next. The reasons are those in the nodes' log lines.
 constexpr std::array<known_reason, 23> known_reasons = {{
     {"every replica is full",
-     "All slots of the model's replicas were in use. The number of replicas that the node counted "
-     "is shown below. If it is low, look at the keeper plan lines of the data centre; otherwise "
-     "the load exceeded the capacity of the fleet."},
+     "Each replica of the model had all its slots in use. The number of replicas that the node "
+     "counted is shown below. If it is low, look at the keeper plan lines of the data centre; "
+     "otherwise there was more load than the fleet serves."},
     {"no replica of the model serves",
      "No replica of the model was open and free of suspect members. Look at the keeper plan and "
      "keeper order lines of the data centre."},
     {"its replica lost a member",
      "The streams of a replica stopped together and one of its members did not answer, so the "
-     "request was sent to another replica, if its route allows that."},
-    {"no time is left", "The time allowed by the caller or the route was used up."},
+     "request was sent on to another replica, if its route allows that."},
+    {"no time is left", "The time that the caller or the route allows was used up."},
     {"connection lost",
-     "The connection to the target broke during the answer: the target ended or was unreachable."},
+     "The connection to the target broke while it answered: the target ended or was cut off."},
     {"reset", "The target or the network reset the connection."},
-    {"timeout", "The target did not answer within the remaining time."},
+    {"timeout", "The target did not answer within the time that was left."},
     {"could not be sent",
      "No connection to the target could be established, so the request did not run there."},
     {"the target did not run it",
-     "The target rejected the request: it was full, stalled, or no longer the head of its "
-     "replica."},
+     "The target rejected the request: it was full, stalled, or not the head of its replica any "
+     "more."},
     {"the target failed", "The target answered with an error of its own."},
     {"the target's own failure",
      "The target answered with an error of its own, which was passed on unchanged."},
     {"the stream ended inside an event", "The target's stream ended in the middle of an event."},
-    {"events out of order", "The target's events were not consecutive."},
+    {"events out of order", "The target's events did not follow on one another."},
     {"the answer was not this request's",
      "The target sent an answer without its signature, or the answer to another request."},
-    {"no configuration is known yet", "The node had just started and had not reached a store yet."},
+    {"no configuration is known yet", "The node had just started and reached no store yet."},
     {"the configuration may be out of date",
      "The node could not confirm that its configuration is current, so it may not report that a "
-     "route does not exist. See its store lines below."},
+     "route is not there. See its store lines below."},
     {"keys cannot be checked: the configuration is stale",
      "The node had no recent proof that its configuration is the newest: a key might have "
      "been withdrawn. See its store lines below, and the link to its hub."},
     {"the key cannot be confirmed",
-     "The proof that the configuration is the newest expired while the request waited."},
+     "The proof that the configuration is the newest ran out while the request waited."},
     {"the key was withdrawn", "A newer configuration took the caller's key away."},
     {"the key is not known", "No workspace of the configuration in force has the caller's key."},
     {"no route has this host and path",
      "No route of the configuration in force matches the host and path."},
     {"it ended the targets that ran it",
      "The same request (same workspace, path and body) was running each time when targets ended, "
-     "one after the other, and never completed. It was refused without being run; see the poison "
+     "one after the other, and never completed. It was refused without a run; see the poison "
      "evidence and poison convicted lines below, and /poison at a node's metrics address to "
-     "release "
-     "it."},
+     "release it."},
     {"no instance is known", "No instance of the service was listed as ready."},
 }};
 
 std::string cause_of(const std::vector<logged_line>& own) {
   const auto end = std::find_if(own.rbegin(), own.rend(), is_end);
   if (end == own.rend()) {
-    return "No line says that it ended: it is still running, its lines were suppressed, or the "
-           "node stopped before it ended.";
+    return "No line says that it ended: it is still running, its lines were left out, or the node "
+           "ended before.";
   }
   if (end->field("result") == "done") {
     return {};
--- a/tests/shell/explain_test.cpp
+++ b/tests/shell/explain_test.cpp
@@ -106,7 +106,7 @@
   EXPECT_THAT(story->cause, HasSubstr("cannot be checked"));
   ASSERT_EQ(story->beliefs.size(), 1U);
   EXPECT_TRUE(has(story->beliefs[0].lines, "lost")) << "since when the store is unavailable";
-  EXPECT_TRUE(has(story->beliefs[0].lines, "in force")) << "which version the node used";
+  EXPECT_TRUE(has(story->beliefs[0].lines, "in force")) << "which version it acted on";
 }
 
 }  // namespace
