--- a/src/node/log_story.cpp
+++ b/src/node/log_story.cpp
@@ -179,8 +179,9 @@
     {"no route has this host and path",
      "No route of the configuration in force matches the host and path."},
     {"it ended the targets that ran it",
-     "The same request (same workspace, path and body) was running each time when targets ended, "
-     "one after the other, and never completed. It was refused without a run; see the poison "
+     "The same request (identified by workspace, path and body) was running each time when "
+     "targets ended, one after the other, and never completed. It was refused without a run; see "
+     "the poison "
      "evidence and poison convicted lines below, and /poison at a node's metrics address to "
      "release it."},
     {"no instance is known", "No instance of the service was listed as ready."},
