--- a/src/node/log_outcomes.h
+++ b/src/node/log_outcomes.h
@@ -19,7 +19,7 @@
 
 struct outcome_counts {
   std::map<std::string, std::uint64_t> by_result;  // done, refused, failed, cut, caller_gone
-  std::map<std::string, std::uint64_t> by_reason;  // unsuccessful requests only
+  std::map<std::string, std::uint64_t> by_reason;  // of requests that did not succeed
   // Serving replicas by model: the highest count of any node, since nodes that are partitioned or
   // have just started count fewer.
   std::map<std::string, std::uint64_t> replicas;
--- a/src/node/log_story.cpp
+++ b/src/node/log_story.cpp
@@ -181,9 +181,8 @@
     {"it ended the targets that ran it",
      "The same request (identified by workspace, path and body) was running each time when "
      "targets ended, one after the other, and never completed. It was refused without a run; see "
-     "the poison "
-     "evidence and poison convicted lines below, and /poison at a node's metrics address to "
-     "release it."},
+     "the poison evidence and poison convicted lines below, and /poison at a node's metrics "
+     "address to release it."},
     {"no instance is known", "No instance of the service was listed as ready."},
 }};
 
--- a/tests/shell/log_story_test.cpp
+++ b/tests/shell/log_story_test.cpp
@@ -84,7 +84,8 @@
 }
 
 TEST(LogStory, ARefusedPoisonRequestNamesItsEvidence) {
-  // The same request came earlier with other ids, at other nodes, before the lookback time.
+  // The same request came earlier with other ids, at other nodes, longer ago than the events that
+  // are included.
   const std::string print = R"("print":"00000000000000aa")";
   const std::string text =
       line("01.000000", "n-2",
