--- a/src/cli/explain.cpp
+++ b/src/cli/explain.cpp
@@ -1,9 +1,9 @@
-// `explain`: the story of one request, from the log lines of all nodes.
+// `explain`: the timeline of one request, from the log lines of all nodes.
 #include <fstream>
 #include <iostream>
 
 #include "cli/commands.h"
-#include "node/log_story.h"
+#include "node/request_timeline.h"
 
 namespace arbutus {
 
@@ -24,13 +24,13 @@
   if (unreadable > 0) {
     std::cerr << "explain: " << unreadable << " lines are not of a node and were left out\n";
   }
-  const auto story = reader.tell(options.request);
-  if (!story) {
+  const auto timeline = reader.timeline_of(options.request);
+  if (!timeline) {
     std::cerr << "explain: no line names request " << options.request
               << "; with log level \"info\" those that went well have none\n";
     return to_status(exit_code::failure);
   }
-  out << to_text(*story);
+  out << to_text(*timeline);
   return to_status(exit_code::ok);
 }
 
--- a/src/node/call_context.cpp
+++ b/src/node/call_context.cpp
@@ -1,4 +1,4 @@
-// The first steps of every call.
+// Authentication, request class, deadline and rate limit of a call.
 #include "node/call_context.h"
 
 #include <charconv>
@@ -99,9 +99,9 @@
   call.priority = call.request_class.priority;
   call.measured.request_class = call.request_class.name;
   call.deadline = call.arrival + call.request_class.deadline;
-  if (const auto asked = number_header(request.headers, "x-deadline-ms")) {
-    const auto longest = static_cast<std::uint64_t>(to_milliseconds(call.request_class.deadline));
-    call.deadline = call.arrival + std::chrono::milliseconds(std::min(*asked, longest));
+  if (const auto requested = number_header(request.headers, "x-deadline-ms")) {
+    const auto max_ms = static_cast<std::uint64_t>(to_milliseconds(call.request_class.deadline));
+    call.deadline = call.arrival + std::chrono::milliseconds(std::min(*requested, max_ms));
   }
   const limit_result verdict = node.limits.take(call.arrival, call.workspace->id);
   if (const auto* exceeded = std::get_if<limit_exceeded>(&verdict)) {
--- a/src/node/configure.cpp
+++ b/src/node/configure.cpp
@@ -1,4 +1,4 @@
-// Proposing a configuration on behalf of an operator.
+// Proposes a configuration on behalf of an operator.
 #include "node/configure.h"
 
 #include <nlohmann/json.hpp>
@@ -16,12 +16,12 @@
 
 using json = nlohmann::json;
 
-// How long one proposal is pursued before the operator is told that it is not known.
+// After this time, a proposal whose outcome is still unknown is reported so to the operator.
 constexpr duration proposal_timeout = 10s;
 constexpr duration pause_between_reads = 200ms;
-// How long an accepted version may take to be in force on the node that proposed it.
+// How long to wait until an accepted version is in force on the node that proposed it.
 constexpr duration in_force_timeout = 3s;
-constexpr duration pause_for_view = 10ms;
+constexpr duration view_poll_interval = 10ms;
 
 struct change {
   std::uint64_t base{};
@@ -94,17 +94,17 @@
       [](const unknown& u) -> outcome<head_row> { return u; });
 }
 
-// What a conflict is explained with: contents as encode_content gives them.
-struct known_contents {
-  std::string base;  // that the operator's change was made on; empty: not at hand
+// Contents, as encode_content returns them, from which the reported differences are computed.
+struct change_contents {
+  std::string base;  // what the operator's change is based on; empty: not available
   std::string proposed;
 };
 
-// Carries out the steps of one proposal and answers the operator.
+// Executes the steps of one proposal and answers the operator.
 class proposal_run {
  public:
   proposal_run(platform_client& platform, control& core, response_writer& writer,
-               config_proposer proposer, known_contents contents)
+               config_proposer proposer, change_contents contents)
       : platform_(platform),
         core_(core),
         writer_(writer),
@@ -140,7 +140,7 @@
   }
 
   proposal_step carry_out(const proposal_accepted& s, bool) {
-    // Shown to the operator: a base that was taken without having been read shows here.
+    // All differences to the base, so that an operator who did not read the base notices it.
     const json changes = contents_.base.empty()
                              ? json::array()
                              : json(changes_between(contents_.base, contents_.proposed));
@@ -155,9 +155,9 @@
     return s;
   }
 
-  // Goes wrong: the table is restored from an old copy right after it took the write, before any
-  // node read it, and an accepted version is lost without a trace. A node that holds it heals the
-  // table; so this one takes it before the operator is told.
+  // Waits until this node holds the accepted version, before the operator is notified. Guards
+  // against the loss of an accepted version when the table is restored from an old copy right after
+  // the write, before any node has read it: a node that holds the version repairs the table.
   bool wait_in_force(std::uint64_t version) {
     core_.post(
         [](time_point, coordinator&) { return effects{table_read{std::string(config_head_key)}}; });
@@ -167,13 +167,14 @@
       if (view->config && view->config->version >= version) {
         return true;
       }
-      sleep_until(monotonic_now() + pause_for_view);
+      sleep_until(monotonic_now() + view_poll_interval);
     }
     return false;
   }
 
-  // What the other operator changed. Without the content of the base, what the proposed one would
-  // have changed back: the operator sees the other's change in it, among the own ones.
+  // The changes made by the other operator. If the content of the base is not available, the
+  // differences to the proposed content, which show the other operator's changes among the own
+  // ones.
   json changed(const std::optional<config_head>& current) {
     if (!current) {
       return json::array();
@@ -210,7 +211,7 @@
   control& core_;
   response_writer& writer_;
   config_proposer proposer_;
-  known_contents contents_;
+  change_contents contents_;
   bool answered_ = false;
 };
 
@@ -228,24 +229,25 @@
     refuse(writer, 405, "method_not_allowed", "use GET or POST");
     return;
   }
-  const std::optional<change> asked = parse_change(request.body);
-  if (!asked) {
+  const std::optional<change> requested = parse_change(request.body);
+  if (!requested) {
     refuse(writer, 400, "invalid_change",
            "expected base_version, proposal, inventory and rules as JSON");
     return;
   }
-  const import_result imported = import_texts(asked->inventory, std::string(inventory_file_name),
-                                              asked->rules, std::string(rules_file_name));
+  const import_result imported =
+      import_texts(requested->inventory, std::string(inventory_file_name), requested->rules,
+                   std::string(rules_file_name));
   if (has_errors(imported.problems)) {
     send_json(writer, 422, {{"findings", findings_json(imported.problems)}});
     return;
   }
   const std::string base_content =
       view->config ? encode_content(view->config->assets, view->config->desired) : std::string{};
-  known_contents contents;
-  contents.base = known == asked->base ? base_content : std::string{};
+  change_contents contents;
+  contents.base = known == requested->base ? base_content : std::string{};
   contents.proposed = encode_content(imported.assets, imported.desired);
-  config_proposer proposer(asked->id, contents.proposed, asked->base, known, base_content);
+  config_proposer proposer(requested->id, contents.proposed, requested->base, known, base_content);
   proposal_run(platform, core, writer, std::move(proposer), std::move(contents)).run();
 }
 
--- a/src/node/control.cpp
+++ b/src/node/control.cpp
@@ -1,4 +1,4 @@
-// The loop around the coordination core.
+// The event loop of the coordination core.
 #include "node/control.h"
 
 #include <algorithm>
@@ -37,11 +37,11 @@
 
   // Only on worker 0.
   coordinator core;
-  bool dirty = false;  // something was fed since the last view
+  bool dirty = false;  // the core got input since the last view was published
   std::uint64_t published_revision = 0;
   time_point published_at = time_point::min();
 
-  // The loop's wake-up. A fiber lock, since the loop waits on it in a fiber.
+  // Wakes the loop. A fiber mutex, since the loop waits in a fiber.
   boost::fibers::mutex wake_lock;
   boost::fibers::condition_variable wake;
   bool woken = false;
@@ -58,27 +58,27 @@
   void publish(time_point now);
   void run(const effects& list);
   void run_one(const effect& e);
-  void feed_here(const input& in);
+  void feed_on_worker(const input& in);
   template <class Work>
-  void in_fiber(Work work);
-  void carry_out(const table_read& asked);
-  void carry_out(const table_write& asked);
-  void carry_out(const object_get& asked);
-  void carry_out(const object_put& asked);
-  void carry_out(const probe& asked);
-  void carry_out(const order& asked);
-  void carry_out(const vm_list_read& asked);
+  void run_in_fiber(Work work);
+  void carry_out(const table_read& request);
+  void carry_out(const table_write& request);
+  void carry_out(const object_get& request);
+  void carry_out(const object_put& request);
+  void carry_out(const probe& request);
+  void carry_out(const order& request);
+  void carry_out(const vm_list_read& request);
   [[nodiscard]] std::optional<socket_address> address_of(const vm_id& vm) const;
 };
 
 template <class Work>
-void control::state::in_fiber(Work work) {
+void control::state::run_in_fiber(Work work) {
   runtime.post(control_worker, [self = shared_from_this(), work = std::move(work)]() mutable {
-    self->feed_here(work(*self));
+    self->feed_on_worker(work(*self));
   });
 }
 
-void control::state::feed_here(const input& in) {
+void control::state::feed_on_worker(const input& in) {
   dirty = true;
   run(core.on(monotonic_now(), in));
   publish_if_due(monotonic_now());
@@ -171,66 +171,67 @@
                             notice_listener(n);
                           }
                         },
-                        [this](const auto& asked) { carry_out(asked); }},
+                        [this](const auto& request) { carry_out(request); }},
              e);
 }
 
-void control::state::carry_out(const table_read& asked) {
-  in_fiber([asked](state& s) {
+void control::state::carry_out(const table_read& request) {
+  run_in_fiber([request](state& s) {
     return input{
-        table_read_result{asked, s.platform.read(asked, monotonic_now() + platform_timeout)}};
+        table_read_result{request, s.platform.read(request, monotonic_now() + platform_timeout)}};
   });
 }
 
-void control::state::carry_out(const table_write& asked) {
-  in_fiber([asked](state& s) {
+void control::state::carry_out(const table_write& request) {
+  run_in_fiber([request](state& s) {
     return input{
-        table_write_result{asked, s.platform.write(asked, monotonic_now() + platform_timeout)}};
+        table_write_result{request, s.platform.write(request, monotonic_now() + platform_timeout)}};
   });
 }
 
-void control::state::carry_out(const object_get& asked) {
-  in_fiber([asked](state& s) {
+void control::state::carry_out(const object_get& request) {
+  run_in_fiber([request](state& s) {
     return input{
-        object_get_result{asked, s.platform.get(asked, monotonic_now() + platform_timeout)}};
+        object_get_result{request, s.platform.get(request, monotonic_now() + platform_timeout)}};
   });
 }
 
-void control::state::carry_out(const object_put& asked) {
-  in_fiber([asked](state& s) {
+void control::state::carry_out(const object_put& request) {
+  run_in_fiber([request](state& s) {
     return input{
-        object_put_result{asked, s.platform.put(asked, monotonic_now() + platform_timeout)}};
+        object_put_result{request, s.platform.put(request, monotonic_now() + platform_timeout)}};
   });
 }
 
-void control::state::carry_out(const vm_list_read& asked) {
-  static_cast<void>(asked);
-  in_fiber([](state& s) {
+void control::state::carry_out(const vm_list_read& request) {
+  static_cast<void>(request);
+  run_in_fiber([](state& s) {
     return input{vm_list_result{s.platform.list_vms(monotonic_now() + platform_timeout)}};
   });
 }
 
-void control::state::carry_out(const probe& asked) {
-  in_fiber([asked](state& s) {
+void control::state::carry_out(const probe& request) {
+  run_in_fiber([request](state& s) {
     const time_point sent_at = monotonic_now();
-    const auto address = s.address_of(asked.vm);
+    const auto address = s.address_of(request.vm);
     outcome<engine_report> result = refused{"not in the inventory"};
     if (address) {
       result = s.engines.probe(*address, sent_at + probe_timeout);
     }
-    return input{probe_result{asked.vm, sent_at, std::move(result)}};
+    return input{probe_result{request.vm, sent_at, std::move(result)}};
   });
 }
 
-void control::state::carry_out(const order& asked) {
-  in_fiber([asked](state& s) {
-    const auto address = s.address_of(asked.vm);
+void control::state::carry_out(const order& request) {
+  run_in_fiber([request](state& s) {
+    const auto address = s.address_of(request.vm);
     outcome<engine_report> result = refused{"not in the inventory"};
     if (address) {
-      const auto still_due = [&s, &asked] { return s.core.may_send(monotonic_now(), asked); };
-      result = s.engines.send(*address, asked, monotonic_now() + asked.validity_period, still_due);
+      const auto still_due = [&s, &request] { return s.core.may_send(monotonic_now(), request); };
+      result =
+          s.engines.send(*address, request, monotonic_now() + request.validity_period, still_due);
     }
-    return input{order_result{asked, std::move(result)}};
+    return input{order_result{request, std::move(result)}};
   });
 }
 
@@ -300,7 +301,7 @@
 
 void control::feed(input in) {
   state_->runtime.post(control_worker,
-                       [self = state_, in = std::move(in)] { self->feed_here(in); });
+                       [self = state_, in = std::move(in)] { self->feed_on_worker(in); });
 }
 
 }  // namespace arbutus
--- a/src/node/controller_losses.cpp
+++ b/src/node/controller_losses.cpp
@@ -133,11 +133,11 @@
   const target_view* view = node_.fleet.find(head);
   if (view == nullptr || !view->record.member_of) {
     node_.stalls.found_healthy(monotonic_now(), head);
-    node_.attempts.move_away(head);
+    node_.attempts.cancel_resumable(head);
     return;
   }
   if (!is_serving_replica(*view)) {
-    const std::size_t moved = node_.attempts.move_away(head);
+    const std::size_t moved = node_.attempts.cancel_resumable(head);
     log_line(log_level::info, "fleet", "suspected",
              {{"head", head}, {"told_by", "list"}, {"streams_moved", std::uint64_t{moved}}});
     node_.stalls.found_healthy(monotonic_now(), head);
@@ -152,7 +152,7 @@
   }
   // Two independent indications: a peer that probed a member, and the stall of the streams here.
   if (node_.lost_reports.contains_any(monotonic_now(), members)) {
-    const std::size_t moved = node_.attempts.move_away(head);
+    const std::size_t moved = node_.attempts.cancel_resumable(head);
     log_line(log_level::info, "fleet", "suspected",
              {{"head", head}, {"told_by", "peer"}, {"streams_moved", std::uint64_t{moved}}});
     node_.stalls.found_healthy(monotonic_now(), head);
@@ -173,7 +173,7 @@
       if (!well) {
         // The streams are late already, whatever the second probe yields, so they are moved to
         // other replicas.
-        const std::size_t moved = node_.attempts.move_away(head);
+        const std::size_t moved = node_.attempts.cancel_resumable(head);
         log_line(log_level::info, "fleet", "suspected",
                  {{"target", member}, {"head", head}, {"streams_moved", std::uint64_t{moved}}});
         well = probe(member, probe_timeout, "silent");
@@ -225,7 +225,7 @@
     const target_view* view = node_.fleet.find(id);
     if (view != nullptr && view->record.member_of) {
       const std::size_t moved =
-          node_.attempts.move_away(head_of(view->record.member_of->replica.name));
+          node_.attempts.cancel_resumable(head_of(view->record.member_of->replica.name));
       log_line(log_level::warning, "fleet", "lost",
                {{"target", id}, {"told_by", "peer"}, {"streams_moved", std::uint64_t{moved}}});
     }
--- a/src/node/front.cpp
+++ b/src/node/front_end.cpp
@@ -1,5 +1,5 @@
-// Paths of a node.
-#include "node/front.h"
+// The HTTP paths of a node.
+#include "node/front_end.h"
 
 #include "node/model_call.h"
 #include "node/service_call.h"
@@ -27,10 +27,10 @@
 
 }  // namespace
 
-front::front(call_context& node, operator_paths operators)
+front_end::front_end(call_context& node, operator_paths operators)
     : node_(node), operators_(std::move(operators)) {}
 
-void front::serve(const http_request& request, response_writer& writer) {
+void front_end::serve(const http_request& request, response_writer& writer) {
   const std::string_view path =
       std::string_view(request.target).substr(0, request.target.find('?'));
   if (path == "/v1/completions" || path == "/v1/chat/completions") {
@@ -53,8 +53,8 @@
   }
 }
 
-// Ready: a configuration is in force and this node is not stopping.
-void front::serve_ready(response_writer& writer) const {
+// A node is ready when a configuration is in force and it is not draining.
+void front_end::serve_ready(response_writer& writer) const {
   if (draining_) {
     send_text(writer, 503, "text/plain", "draining\n");
   } else if (!node_.core.view()->config) {
@@ -64,7 +64,7 @@
   }
 }
 
-bool front::is_operator(const http_request& request) const {
+bool front_end::is_operator(const http_request& request) const {
   const auto authorization = request.headers.find("authorization");
   if (operators_.key_hash.empty() || !authorization || !authorization->starts_with(bearer)) {
     return false;
@@ -72,7 +72,7 @@
   return equal_constant_time(sha256_hex(authorization->substr(bearer.size())), operators_.key_hash);
 }
 
-void front::serve_admin(const http_request& request, response_writer& writer) {
+void front_end::serve_admin(const http_request& request, response_writer& writer) {
   if (!is_operator(request)) {
     refuse(writer, 401, "unauthorized", "send the operators' key as 'Authorization: Bearer KEY'");
   } else if (request.target == "/admin/status" && request.method == "GET") {
--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -216,7 +216,7 @@
       request, writer, read_head(request), nullptr, nullptr, nullptr, {}, {}, {}, {}, {}, 0, 0, {},
       {},      0};
   call.arrived = monotonic_now();
-  call.logged = log_keeps_request(call.arrived, call.head.id.str());
+  call.logged = log_accepts_request(call.arrived, call.head.id.str());
   node.requests_seen = true;
   call_preparation start(node, call);
   if (!start.run()) {
--- a/src/node/hosted_node.cpp
+++ b/src/node/hosted_node.cpp
@@ -133,7 +133,7 @@
     add("arbutusworks_poison_convicted", state.poison.tracker.quarantined());
     add("arbutusworks_poison_turned_away", state.poison.tracker.rejected_strikes());
     add("arbutusworks_log_lines_dropped", dropped_log_lines());
-    add("arbutusworks_log_requests_left_out", requests_without_log());
+    add("arbutusworks_log_requests_left_out", log_requests_suppressed());
     return text;
   }
 
--- a/src/node/keyed_driver.cpp
+++ b/src/node/keyed_driver.cpp
@@ -1,4 +1,4 @@
-// One non-repeatable call, step by step.
+// The effect loop of one non-repeatable call.
 #include "node/keyed_driver.h"
 
 #include <algorithm>
@@ -42,13 +42,15 @@
     add(call_.tick(monotonic_now(), wall_now()));
   }
 
-  void carry_out(const table_read& asked) {
-    table_read_result result{asked, platform_.read(asked, monotonic_now() + table_call_timeout)};
+  void carry_out(const table_read& request) {
+    table_read_result result{request,
+                             platform_.read(request, monotonic_now() + table_call_timeout)};
     add(call_.on(monotonic_now(), wall_now(), result));
   }
 
-  void carry_out(const table_write& asked) {
-    table_write_result result{asked, platform_.write(asked, monotonic_now() + table_call_timeout)};
+  void carry_out(const table_write& request) {
+    table_write_result result{request,
+                              platform_.write(request, monotonic_now() + table_call_timeout)};
     add(call_.on(monotonic_now(), wall_now(), result));
   }
 
--- a/src/node/log_outcomes.cpp
+++ b/src/node/log_outcomes.cpp
@@ -1,4 +1,4 @@
-// Counting log lines, and the tables of them.
+// Counts log lines by outcome and prints the tables.
 #include "node/log_outcomes.h"
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::size_t most_reasons = 12;
-constexpr std::size_t bar_length = 30;
+constexpr std::size_t max_reasons = 12;
+constexpr std::size_t max_bar_length = 30;
 
-std::uint64_t number_in(std::string_view text) {
+std::uint64_t parse_count(std::string_view text) {
   std::uint64_t value = 0;
   std::from_chars(text.data(), text.data() + text.size(), value);
   return value;
@@ -35,7 +35,7 @@
   return found == counts.end() ? 0 : found->second;
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> largest_first(
+std::vector<std::pair<std::string, std::uint64_t>> sorted_by_count(
     const std::map<std::string, std::uint64_t>& counts) {
   std::vector<std::pair<std::string, std::uint64_t>> sorted(counts.begin(), counts.end());
   std::stable_sort(sorted.begin(), sorted.end(),
@@ -54,14 +54,14 @@
   return text;
 }
 
-constexpr std::string_view counts_head = "   done  refused  failed    cut   gone";
+constexpr std::string_view counts_header = "   done  refused  failed    cut   gone";
 
 void append_totals(std::string& text, std::string_view title,
                    const std::map<std::string, outcome_counts>& groups) {
   text += "\n" + std::string(title) + std::string(24 - title.size(), ' ') +
-          std::string(counts_head) + "  mostly\n";
+          std::string(counts_header) + "  main reason\n";
   for (const auto& [name, counts] : groups) {
-    const auto reasons = largest_first(counts.by_reason);
+    const auto reasons = sorted_by_count(counts.by_reason);
     text += name + std::string(name.size() < 24 ? 24 - name.size() : 1, ' ') + counts_text(counts) +
             "  " + (reasons.empty() ? "" : reasons.front().first) + "\n";
   }
@@ -74,7 +74,7 @@
                          [](std::uint64_t sum, const auto& entry) { return sum + entry.second; });
 }
 
-std::uint64_t outcome_counts::not_well() const {
+std::uint64_t outcome_counts::unsuccessful() const {
   return ended() - count_of(by_result, "done");
 }
 
@@ -83,7 +83,7 @@
   std::string text;
   while (std::getline(lines, text)) {
     if (const auto line = read_log_line(text)) {
-      take(*line);
+      count_line(*line);
     } else {
       ++unreadable;
     }
@@ -91,26 +91,26 @@
   return unreadable;
 }
 
-void log_outcomes::take(const logged_line& line) {
+void log_outcomes::count_line(const logged_line& line) {
   const auto since_epoch = line.time.time_since_epoch();
   outcome_counts& counts =
       by_window_[wall_clock_time(since_epoch - since_epoch % std::chrono::microseconds(window_))];
   if (line.part == "request" && line.message == "ended") {
-    take_request(line, counts);
+    count_request(line, counts);
   } else if (line.part == "fleet" && line.message == "capacity") {
-    take_capacity(line);
+    record_capacity(line);
   } else if (line.part == "fleet" && line.message == "lost") {
     ++counts.lost_targets;
   } else if (line.part == "keeper" && line.message == "order") {
     const std::string_view outcome = line.field("outcome");
     const bool obeyed = outcome == "begun" || outcome == "holds";
-    ++(obeyed ? counts.orders_obeyed : counts.orders_failed);
+    ++(obeyed ? counts.orders_accepted : counts.orders_failed);
   } else if (line.part == "node" && line.message == "started") {
     data_centre_of_[line.node] = line.field("data_centre");
   }
 }
 
-void log_outcomes::take_request(const logged_line& line, outcome_counts& counts) {
+void log_outcomes::count_request(const logged_line& line, outcome_counts& counts) {
   const std::string result(line.field("result"));
   for (outcome_counts* c :
        {&counts, &by_route_[std::string(line.field("route"))], &by_node_[line.node]}) {
@@ -121,26 +121,26 @@
   }
 }
 
-void log_outcomes::take_capacity(const logged_line& line) {
+void log_outcomes::record_capacity(const logged_line& line) {
   capacity_[std::string(line.field("model"))][line.node][line.time] =
-      number_in(line.field("replicas"));
+      parse_count(line.field("replicas"));
 }
 
 std::map<std::string, std::uint64_t> log_outcomes::replicas_at(wall_clock_time window) const {
   std::map<std::string, std::uint64_t> result;
   for (const auto& [model, nodes] : capacity_) {
-    std::uint64_t& most = result[model];
+    std::uint64_t& max_count = result[model];
     for (const auto& [node, counts] : nodes) {
       const auto after = counts.upper_bound(window + window_);
       if (after != counts.begin()) {
-        most = std::max(most, std::prev(after)->second);
+        max_count = std::max(max_count, std::prev(after)->second);
       }
     }
   }
   return result;
 }
 
-// A node's first line may be in a file that was read last.
+// Computed when printing, since a node's "started" line may be in a file that was read last.
 std::map<std::string, outcome_counts> log_outcomes::by_data_centre() const {
   std::map<std::string, outcome_counts> result;
   for (const auto& [node, counts] : by_node_) {
@@ -157,24 +157,24 @@
 }
 
 std::string log_outcomes::to_text() const {
-  std::uint64_t most = 1;
+  std::uint64_t max_count = 1;
   for (const auto& [time, counts] : by_window_) {
-    most = std::max(most, counts.not_well());
+    max_count = std::max(max_count, counts.unsuccessful());
   }
-  std::string text = "from    " + std::string(counts_head) +
+  std::string text = "from    " + std::string(counts_header) +
                      "   lost  orders  failed  replicas by model, what mostly went wrong\n";
   for (const auto& [time, counts] : by_window_) {
     char numbers[64];
     std::snprintf(numbers, sizeof numbers, " %6llu %7llu %7llu  ",
                   static_cast<unsigned long long>(counts.lost_targets),
-                  static_cast<unsigned long long>(counts.orders_obeyed),
+                  static_cast<unsigned long long>(counts.orders_accepted),
                   static_cast<unsigned long long>(counts.orders_failed));
     text += clock_text(time) + counts_text(counts) + numbers;
     for (const auto& [model, replicas] : replicas_at(time)) {
       text += model + " " + std::to_string(replicas) + " ";
     }
-    text += std::string(counts.not_well() * bar_length / most, '#');
-    const auto reasons = largest_first(counts.by_reason);
+    text += std::string(counts.unsuccessful() * max_bar_length / max_count, '#');
+    const auto reasons = sorted_by_count(counts.by_reason);
     text += reasons.empty() ? "\n" : " " + reasons.front().first + "\n";
   }
   append_totals(text, "route", by_route_);
@@ -187,13 +187,13 @@
     }
   }
   std::size_t shown = 0;
-  for (const auto& [reason, count] : largest_first(all)) {
-    if (shown++ == most_reasons) {
+  for (const auto& [reason, count] : sorted_by_count(all)) {
+    if (shown++ == max_reasons) {
       break;
     }
     char number[16];
     std::snprintf(number, sizeof number, "%8llu  ", static_cast<unsigned long long>(count));
-    text += number + (reason.empty() ? "not said" : reason) + "\n";
+    text += number + (reason.empty() ? "not given" : reason) + "\n";
   }
   return text;
 }
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -1,4 +1,4 @@
-// Histograms by Boost.Histogram.
+// Histograms with Boost.Histogram, and their Prometheus text.
 #include "node/metrics.h"
 
 #include <boost/histogram.hpp>
@@ -14,7 +14,8 @@
 
 namespace bh = boost::histogram;
 
-// 0.25 ms to 128 s, four bins for each doubling: a percentile read from it is within 19 %.
+// 0.25 ms to about 128 s with four bins per doubling: a percentile computed from the histogram is
+// accurate to 19 %.
 constexpr unsigned latency_bins = 76;
 constexpr double latency_low = 0.00025;
 constexpr double latency_high = 131.072;
@@ -27,7 +28,7 @@
   return bh::make_histogram(latency_axis(latency_bins, latency_low, latency_high));
 }
 
-struct timed {
+struct duration_stats {
   latency_histogram histogram = make_latency_histogram();
   double sum = 0;
   std::uint64_t count = 0;
@@ -37,21 +38,21 @@
     sum += to_seconds(value);
     ++count;
   }
-  void merge(const timed& other) {
+  void merge(const duration_stats& other) {
     histogram += other.histogram;
     sum += other.sum;
     count += other.count;
   }
 };
 
-struct class_key {
+struct series_key {
   std::string workspace;
   std::string request_class;
   std::string target;
-  auto operator<=>(const class_key&) const = default;
+  auto operator<=>(const series_key&) const = default;
 };
 
-using series_map = std::map<class_key, timed>;
+using series_map = std::map<series_key, duration_stats>;
 using counter_key = std::pair<std::string, std::string>;  // name and labels
 
 std::string escape_label(std::string_view value) {
@@ -65,8 +66,8 @@
   return result;
 }
 
-std::string labels_of(const class_key& key) {
-  if (key == class_key{}) {
+std::string labels_of(const series_key& key) {
+  if (key == series_key{}) {
     return {};
   }
   return "workspace=\"" + escape_label(key.workspace) + "\",class=\"" +
@@ -77,14 +78,14 @@
   out << "# TYPE " << name << " histogram\n";
   for (const auto& [key, value] : series) {
     const std::string labels = labels_of(key);
-    const std::string before_bound = labels.empty() ? labels : labels + ",";
-    double below = value.histogram.at(-1);
+    const std::string label_prefix = labels.empty() ? labels : labels + ",";
+    double cumulative = value.histogram.at(-1);
     for (int i = 0; i < value.histogram.axis().size(); ++i) {
-      below += value.histogram.at(i);
-      out << name << "_bucket{" << before_bound << "le=\"" << value.histogram.axis().bin(i).upper()
-          << "\"} " << below << '\n';
+      cumulative += value.histogram.at(i);
+      out << name << "_bucket{" << label_prefix << "le=\"" << value.histogram.axis().bin(i).upper()
+          << "\"} " << cumulative << '\n';
     }
-    out << name << "_bucket{" << before_bound << "le=\"+Inf\"} " << value.count << '\n';
+    out << name << "_bucket{" << label_prefix << "le=\"+Inf\"} " << value.count << '\n';
     out << name << "_sum{" << labels << "} " << value.sum << '\n';
     out << name << "_count{" << labels << "} " << value.count << '\n';
   }
@@ -97,7 +98,7 @@
   series_map total;
   series_map first_token;
   series_map queued;
-  std::map<std::string, timed, std::less<>> steps;
+  std::map<std::string, duration_stats, std::less<>> steps;
   std::map<counter_key, std::uint64_t> counters;
 
   void merge(const shard_state& other) {
@@ -126,7 +127,7 @@
 
 void metrics::record(std::size_t shard, const finished_call& call) {
   shard_state& state = state_[shard % shards_];
-  const class_key key{call.workspace.str(), call.request_class, call.target};
+  const series_key key{call.workspace.str(), call.request_class, call.target};
   const std::lock_guard guard(state.lock);
   state.total[key].add(call.total);
   state.queued[key].add(call.queued);
@@ -146,7 +147,8 @@
   shard_state& state = state_[shard % shards_];
   const std::lock_guard guard(state.lock);
   const auto found = state.steps.find(step);
-  (found == state.steps.end() ? state.steps.emplace(step, timed{}).first : found)->second.add(took);
+  (found == state.steps.end() ? state.steps.emplace(step, duration_stats{}).first : found)
+      ->second.add(took);
 }
 
 void metrics::count(std::size_t shard, std::string_view name, std::string_view labels,
@@ -166,7 +168,7 @@
   print_histogram(out, "arbutusworks_first_token_seconds", all.first_token);
   print_histogram(out, "arbutusworks_queued_seconds", all.queued);
   for (const auto& [step, value] : all.steps) {
-    print_histogram(out, "arbutusworks_" + step + "_seconds", {{class_key{}, value}});
+    print_histogram(out, "arbutusworks_" + step + "_seconds", {{series_key{}, value}});
   }
   std::string_view last;
   for (const auto& [key, value] : all.counters) {
--- a/src/node/model_attempt.cpp
+++ b/src/node/model_attempt.cpp
@@ -1,4 +1,4 @@
-// One attempt of a model call.
+// Sends one attempt of a model call and checks the answer.
 #include "node/model_attempt.h"
 
 #include <algorithm>
@@ -39,18 +39,18 @@
   return request;
 }
 
-// The target itself says that it did not run the request.
+// Whether the target reports that it did not run the request.
 bool refused_by_target(int status) {
   return status == status_conflict || status == status_unavailable;
 }
 
-// The request itself is at fault; another replica would say the same.
-bool is_callers_fault(int status) {
+// Whether the request itself is invalid; another replica would answer the same.
+bool is_client_error(int status) {
   return status == status_bad_request || status == status_not_found || status == status_too_large ||
          status == status_unprocessable;
 }
 
-// An answer belongs to the request only if it names it, and the composition it was sent to.
+// Whether the answer carries the id of the request; otherwise it does not belong to it.
 bool names_request(const http_headers& headers, const request_id& id) {
   const auto named = headers.find("x-request-id");
   return named && *named == id.str();
@@ -64,29 +64,29 @@
   return text;
 }
 
-// Without a complete answer: what the connection proves.
-void set_unanswered(const call_result& result, attempt_end& end) {
+// No complete answer: sets what the state of the connection proves.
+void set_transport_failure(const call_result& result, attempt_outcome& end) {
   end.ran = result.outcome == call_outcome::not_sent ? execution::not_run : execution::unknown;
   end.reason = describe(result);
   end.target_lost = result.failure == call_failure::connect_failed ||
                     result.failure == call_failure::connection_lost;
 }
 
-// With a complete answer of status other than 200.
-void set_refusal(const call_result& result, attempt_end& end) {
+// A complete answer with a status other than 200.
+void set_error_status(const call_result& result, attempt_outcome& end) {
   end.status = result.response.status;
   if (refused_by_target(end.status)) {
     end.ran = execution::not_run;
     end.reason = "refused by the target";
     return;
   }
-  end.engine_error = is_callers_fault(end.status);
+  end.engine_error = is_client_error(end.status);
   end.ran = end.engine_error ? execution::not_run : execution::unknown;
   end.reason = "status " + std::to_string(end.status);
 }
 
-// Asks the newest view, not the one the choice was made from: since then a member may have been
-// lost, or this process may have been paused until every permission lapsed.
+// Checks the newest view, not the one that the replica was chosen from: since then a member may
+// have been lost, or this process may have been paused until every permission expired.
 send_permit permit_for(const call_context& node, const replica_route& chosen) {
   return [&node, &chosen] {
     const std::shared_ptr<const node_view> view = node.core.view();
@@ -99,19 +99,19 @@
   };
 }
 
-attempt_end run_whole(call_context& node, const model_attempt& attempt, const replica_route& route,
-                      const cancel_token& cancel) {
-  attempt_end end;
+attempt_outcome run_buffered(call_context& node, const model_attempt& attempt,
+                             const replica_route& route, const cancel_token& cancel) {
+  attempt_outcome end;
   end.first_token = time_point::min();
   const http_request request = make_request(attempt, route, 0);
   call_result result = node.client.fetch(address_of(route.address), request, attempt.deadline,
                                          cancel, permit_for(node, route));
   if (!result.ok()) {
-    set_unanswered(result, end);
+    set_transport_failure(result, end);
     return end;
   }
   if (result.response.status != status_ok) {
-    set_refusal(result, end);
+    set_error_status(result, end);
     end.body = std::move(result.response.body);
     return end;
   }
@@ -128,14 +128,14 @@
   return end;
 }
 
-// Frames of one attempt, checked one by one before any goes to the caller.
+// Parses the frames of one attempt and checks each before it is forwarded to the caller.
 class frame_reader {
  public:
   frame_reader(const model_attempt& attempt, answer_stream& answer, const frame_sink& sink,
-               attempt_end& end)
+               attempt_outcome& end)
       : attempt_(attempt), answer_(answer), sink_(sink), end_(end) {}
 
-  // False: give the attempt up.
+  // False: the attempt has to be aborted.
   bool on_bytes(std::string_view bytes) {
     splitter_.append(bytes);
     if (splitter_.overflowed()) {
@@ -186,17 +186,17 @@
     if (end_.first_token == time_point::min()) {
       end_.first_token = monotonic_now();
     }
-    if (frame.last && !is_whole(frame.id, frame.offset + 1)) {
+    if (frame.last && !is_complete(frame.id, frame.offset + 1)) {
       return false;
     }
     return sink_(text) || give_up("caller gone");
   }
 
   bool on_finish(const engine_frame& frame, std::string_view text) {
-    return is_whole(frame.id, frame.offset) && (sink_(text) || give_up("caller gone"));
+    return is_complete(frame.id, frame.offset) && (sink_(text) || give_up("caller gone"));
   }
 
-  bool is_whole(const request_id& id, std::uint64_t tokens) {
+  bool is_complete(const request_id& id, std::uint64_t tokens) {
     return answer_.finish(id, tokens) == end_status::complete ||
            give_up("the finish does not match the tokens");
   }
@@ -204,14 +204,14 @@
   const model_attempt& attempt_;
   answer_stream& answer_;
   const frame_sink& sink_;
-  attempt_end& end_;
+  attempt_outcome& end_;
   sse_splitter splitter_;
 };
 
-attempt_end run_streamed(call_context& node, const model_attempt& attempt,
-                         const replica_route& route, answer_stream& answer, const frame_sink& sink,
-                         const cancel_token& cancel) {
-  attempt_end end;
+attempt_outcome run_streamed(call_context& node, const model_attempt& attempt,
+                             const replica_route& route, answer_stream& answer,
+                             const frame_sink& sink, const cancel_token& cancel) {
+  attempt_outcome end;
   end.first_token = time_point::min();
   answer.begin_attempt();
   const http_request request = make_request(attempt, route, answer.resume_offset());
@@ -236,12 +236,12 @@
       node.client.stream(address_of(route.address), request, attempt.deadline, on_headers, on_chunk,
                          cancel, permit_for(node, route));
   if (result.ok() && status != status_ok) {
-    set_refusal(result, end);
+    set_error_status(result, end);
   } else if (answer.complete()) {
     end.ran = execution::done;
     end.status = status_ok;
   } else if (!result.ok() && end.reason.empty()) {
-    set_unanswered(result, end);
+    set_transport_failure(result, end);
   } else if (end.reason.empty()) {
     end.reason = "the stream ended without a finish";
   }
@@ -250,13 +250,13 @@
 
 }  // namespace
 
-attempt_end run_attempt(call_context& node, const model_attempt& attempt,
-                        const replica_route& route, answer_stream& answer, const frame_sink& sink,
-                        const cancel_token& cancel) {
-  const time_point begun = monotonic_now();
-  attempt_end end = attempt.stream ? run_streamed(node, attempt, route, answer, sink, cancel)
-                                   : run_whole(node, attempt, route, cancel);
-  end.total = monotonic_now() - begun;
+attempt_outcome run_attempt(call_context& node, const model_attempt& attempt,
+                            const replica_route& route, answer_stream& answer,
+                            const frame_sink& sink, const cancel_token& cancel) {
+  const time_point started = monotonic_now();
+  attempt_outcome end = attempt.stream ? run_streamed(node, attempt, route, answer, sink, cancel)
+                                       : run_buffered(node, attempt, route, cancel);
+  end.total = monotonic_now() - started;
   return end;
 }
 
--- a/src/node/model_gate.cpp
+++ b/src/node/model_gate.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-// How often the queue is looked through for hopeless requests while any wait: a refusal comes at
-// most this late.
-constexpr duration pump_interval = 10ms;
+// How often the queue is checked for requests that can no longer be served in time; their rejection
+// is delayed by this at most.
+constexpr duration queue_sweep_interval = 10ms;
 
 }  // namespace
 
-// Notifies under the lock: once the waiting fiber can see the end, it may return and take this
-// object with it, so nothing of it may be touched after the lock is given up.
-void admission_waiter::finish(admission_end how) {
+// Notifies while holding the lock: as soon as the waiting fiber sees the result, it may return and
+// destroy this object, so no member may be used after the lock is released.
+void admission_waiter::finish(admission_outcome how) {
   const std::lock_guard guard(lock_);
   if (end_) {
     return;
@@ -27,7 +27,7 @@
   changed_.notify_all();
 }
 
-admission_end admission_waiter::wait() {
+admission_outcome admission_waiter::wait() {
   std::unique_lock guard(lock_);
   changed_.wait(guard, [this] { return end_.has_value(); });
   return *end_;
@@ -38,7 +38,8 @@
 
 void model_gate::apply_capacity(time_point now, const node_view& view) {
   router_.set_nodes(view.live_nodes);
-  const slot_count slots = usable_slots(now, view.routes, model_, flights_, view.live_nodes);
+  const slot_count slots =
+      usable_slots(now, view.routes, model_, in_flight_requests_, view.live_nodes);
   start(admission_.on_capacity(now, {slots.free_slots, slots.slots, duration::zero()}));
 }
 
@@ -46,7 +47,7 @@
   for (const request_id& id : ids) {
     const auto found = waiters_.find(id);
     if (found != waiters_.end()) {
-      found->second->finish({admission_end::kind::admitted, {}});
+      found->second->finish({admission_outcome::kind::admitted, {}});
       waiters_.erase(found);
     }
   }
@@ -55,7 +56,7 @@
 void model_gate::refuse(const rejection& one) {
   const auto found = waiters_.find(one.id);
   if (found != waiters_.end()) {
-    found->second->finish({admission_end::kind::rejected, one.why});
+    found->second->finish({admission_outcome::kind::rejected, one.why});
     waiters_.erase(found);
   }
 }
@@ -66,8 +67,8 @@
   }
 }
 
-admission_end model_gate::enter(const node_view& view, const request_facts& facts,
-                                admission_waiter& waiter) {
+admission_outcome model_gate::enter(const node_view& view, const request_facts& facts,
+                                    admission_waiter& waiter) {
   {
     const std::lock_guard guard(lock_);
     const time_point now = monotonic_now();
@@ -77,16 +78,16 @@
       refuse(*result.displaced);
     }
     if (std::holds_alternative<admitted>(result.verdict)) {
-      return {admission_end::kind::admitted, {}};
+      return {admission_outcome::kind::admitted, {}};
     }
     if (const auto* why = std::get_if<rejected>(&result.verdict)) {
-      return {admission_end::kind::rejected, *why};
+      return {admission_outcome::kind::rejected, *why};
     }
     waiters_.emplace(facts.id, &waiter);
-    start_pump();
+    start_queue_sweep();
   }
-  const admission_end end = waiter.wait();
-  if (end.what == admission_end::kind::caller_gone) {
+  const admission_outcome end = waiter.wait();
+  if (end.what == admission_outcome::kind::caller_gone) {
     const std::lock_guard guard(lock_);
     waiters_.erase(facts.id);
     start(admission_.abandon(monotonic_now(), facts.id));
@@ -99,17 +100,17 @@
   start(admission_.finished(monotonic_now(), id, served));
 }
 
-void model_gate::start_pump() {
-  if (pumping_) {
+void model_gate::start_queue_sweep() {
+  if (sweeping_) {
     return;
   }
-  pumping_ = true;
-  runtime_.post(0, [this] { pump(); });
+  sweeping_ = true;
+  runtime_.post(0, [this] { sweep_queue(); });
 }
 
-// Runs only while requests wait, so an idle node does nothing.
-void model_gate::pump() {
-  while (sleep_until(monotonic_now() + pump_interval)) {
+// Runs only while requests wait, so that it costs an idle node nothing.
+void model_gate::sweep_queue() {
+  while (sleep_until(monotonic_now() + queue_sweep_interval)) {
     const std::lock_guard guard(lock_);
     const time_point now = monotonic_now();
     if (view_) {
@@ -117,7 +118,7 @@
     }
     refuse(admission_.tick(now));
     if (waiters_.empty()) {
-      pumping_ = false;
+      sweeping_ = false;
       return;
     }
   }
@@ -127,15 +128,15 @@
                                                const request_facts& facts,
                                                std::span<const replica_id> tried) {
   const std::lock_guard guard(lock_);
-  return router_.choose(now, view.routes, facts, flights_, tried);
+  return router_.choose(now, view.routes, facts, in_flight_requests_, tried);
 }
 
 std::uint32_t model_gate::sent(time_point now, const replica_id& replica,
                                const request_facts& facts) {
   const std::lock_guard guard(lock_);
-  flights_.sent(now, facts.id, replica, facts.cost);
+  in_flight_requests_.sent(now, facts.id, replica, facts.cost);
   router_.sent(now, replica, facts);
-  return flights_.count(replica);
+  return in_flight_requests_.count(replica);
 }
 
 void model_gate::first_token(time_point now, const request_facts& facts,
@@ -148,9 +149,9 @@
 std::uint32_t model_gate::ended(time_point now, const request_facts& facts,
                                 const attempt_result& result) {
   const std::lock_guard guard(lock_);
-  flights_.ended(now, facts.id, result.replica);
+  in_flight_requests_.ended(now, facts.id, result.replica);
   router_.observe(now, result);
-  return flights_.count(result.replica);
+  return in_flight_requests_.count(result.replica);
 }
 
 void model_gate::first_attempt(time_point now) {
@@ -166,8 +167,8 @@
                       random_);
 }
 
-std::optional<time_point> model_gate::ask_hedge_at(std::string_view request_class,
-                                                   time_point sent) {
+std::optional<time_point> model_gate::hedge_decision_time(std::string_view request_class,
+                                                          time_point sent) {
   const std::lock_guard guard(lock_);
   return hedging_.hedge_at(request_class, sent);
 }
@@ -185,7 +186,7 @@
 
 std::uint32_t model_gate::in_flight_at(const replica_id& replica) {
   const std::lock_guard guard(lock_);
-  return flights_.count(replica);
+  return in_flight_requests_.count(replica);
 }
 
 std::size_t model_gate::waiting() {
@@ -198,9 +199,9 @@
   return admission_.running();
 }
 
-// A replica that was formed anew has an empty cache, another speed and none of the requests that
-// were counted for its predecessor.
-void model_gate::forget_re_formed(const routing_snapshot& routes) {
+// A replica that was formed again under the same id has an empty cache, another speed and none of
+// the requests that were counted for its previous generation.
+void model_gate::reset_reformed_replicas(const routing_snapshot& routes) {
   for (const replica_route& route : routes.replicas) {
     if (route.model != model_) {
       continue;
@@ -211,14 +212,14 @@
     }
     known->second = route.gen;
     router_.forget(route.id);
-    flights_.forget(route.id);
+    in_flight_requests_.forget(route.id);
   }
 }
 
 void model_gate::refresh(const std::shared_ptr<const node_view>& view) {
   const std::lock_guard guard(lock_);
   view_ = view;
-  forget_re_formed(view->routes);
+  reset_reformed_replicas(view->routes);
   const time_point now = monotonic_now();
   apply_capacity(now, *view);
   refuse(admission_.tick(now));
--- a/src/node/model_gate.h
+++ b/src/node/model_gate.h
@@ -1,7 +1,7 @@
 // The decisions about one model's requests at this node, under one lock: admission, choice of
-// replica, retry budget, hedging. Lives as long as the process; requests come and go.
+// replica, retry budget, hedging. Lives as long as the process.
 //
-// A waiting request suspends its fiber; whoever frees capacity wakes it, from any worker.
+// A waiting request suspends its fiber; the worker that frees capacity wakes it.
 #pragma once
 
 #include <boost/fiber/condition_variable.hpp>
@@ -22,39 +22,40 @@
 namespace arbutus {
 
 // How a request's wait for admission ended.
-struct admission_end {
+struct admission_outcome {
   enum class kind { admitted, rejected, caller_gone } what = kind::admitted;
   rejected why;  // for rejected
 };
 
-// One request's place in the queue. Lives in the request's frame until enter() returned.
+// A request that waits in the queue. Lives in the request's stack frame until enter() has returned.
 class admission_waiter {
  public:
-  // The caller hung up: enter() returns soon. From any worker.
-  void caller_gone() { finish({admission_end::kind::caller_gone, {}}); }
+  // The caller has disconnected: makes enter() return. May be called from any worker.
+  void caller_gone() { finish({admission_outcome::kind::caller_gone, {}}); }
 
  private:
   friend class model_gate;
-  void finish(admission_end how);
-  admission_end wait();
+  void finish(admission_outcome how);
+  admission_outcome wait();
 
   std::mutex lock_;
   boost::fibers::condition_variable_any changed_;
-  std::optional<admission_end> end_;  // set once; the first end counts
+  std::optional<admission_outcome> end_;  // set once; later calls of finish() are ignored
 };
 
 class model_gate {
  public:
   model_gate(fiber_runtime& runtime, model_id model, std::uint64_t seed);
 
-  // Suspends until the request may start, is refused or its caller is gone.
-  admission_end enter(const node_view& view, const request_facts& facts, admission_waiter& waiter);
-  // For a request that entered: its place is free again. `served`: it ran to its end.
+  // Suspends until the request may start, is rejected or its caller has disconnected.
+  admission_outcome enter(const node_view& view, const request_facts& facts,
+                          admission_waiter& waiter);
+  // Releases the slot of an admitted request. `served`: the request was answered.
   void leave(const request_id& id, bool served);
 
   std::optional<route_choice> choose(time_point now, const node_view& view,
                                      const request_facts& facts, std::span<const replica_id> tried);
-  // Both return how many of this node's requests are at the replica now.
+  // sent() and ended() return how many of this node's requests are now at the replica.
   std::uint32_t sent(time_point now, const replica_id& replica, const request_facts& facts);
   void first_token(time_point now, const request_facts& facts, std::string_view request_class,
                    duration latency);
@@ -63,7 +64,7 @@
   void first_attempt(time_point now);
   retry_decision retry(time_point now, const attempt_context& context, execution last,
                        const request_facts& facts);
-  std::optional<time_point> ask_hedge_at(std::string_view request_class, time_point sent);
+  std::optional<time_point> hedge_decision_time(std::string_view request_class, time_point sent);
   bool decide_hedge(time_point now, std::string_view request_class, time_point sent,
                     const attempt_context& context, const request_facts& facts);
 
@@ -72,36 +73,36 @@
   [[nodiscard]] std::size_t waiting();
   [[nodiscard]] std::size_t running();
 
-  // A new view: capacity may have changed.
+  // To be called with each new view, since the capacity may have changed.
   void refresh(const std::shared_ptr<const node_view>& view);
   void set_shares(const rules& desired);
 
  private:
   void apply_capacity(time_point now, const node_view& view);
-  void forget_re_formed(const routing_snapshot& routes);
+  void reset_reformed_replicas(const routing_snapshot& routes);
   void start(const std::vector<request_id>& ids);
   void refuse(const std::vector<rejection>& list);
   void refuse(const rejection& one);
-  void start_pump();
-  void pump();
+  void start_queue_sweep();
+  void sweep_queue();
 
   fiber_runtime& runtime_;
   model_id model_;
   std::mutex lock_;  // guards all below
   admission admission_;
   expected_completion router_;
-  in_flight flights_;
+  in_flight in_flight_requests_;
   retry_budget budget_;
   hedging hedging_;
   rng random_;
-  // Invariant: holds exactly the requests that admission_ has waiting.
+  // Invariant: contains exactly the requests that wait in admission_.
   std::unordered_map<request_id, admission_waiter*> waiters_;
   std::shared_ptr<const node_view> view_;
-  std::map<replica_id, generation> generations_;  // as last seen; replicas that left stay known
-  bool pumping_ = false;  // a fiber looks after hopeless requests while any wait
+  std::map<replica_id, generation> generations_;  // as last seen; removed replicas are kept
+  bool sweeping_ = false;  // a fiber periodically rejects requests that wait in vain
 };
 
-// The gates of all models; made on first use, kept for the process's incarnation.
+// The gates of all models; created on first use and kept as long as the process runs.
 class model_gates {
  public:
   model_gates(fiber_runtime& runtime, std::uint64_t seed) : runtime_(runtime), seed_(seed) {}
@@ -116,7 +117,7 @@
   std::uint64_t seed_;
   std::mutex lock_;
   std::map<model_id, std::unique_ptr<model_gate>> gates_;
-  std::uint64_t config_version_ = 0;  // whose shares were set
+  std::uint64_t config_version_ = 0;  // whose workspace shares were set last
 };
 
 }  // namespace arbutus
--- a/src/node/model_request.cpp
+++ b/src/node/model_request.cpp
@@ -1,4 +1,4 @@
-// Reading the body of a model call.
+// Parses the body of a model call.
 #include "node/model_request.h"
 
 #include <nlohmann/json.hpp>
@@ -9,7 +9,7 @@
 
 using json = nlohmann::json;
 
-constexpr std::uint32_t most_tokens = 1'000'000;
+constexpr std::uint32_t max_accepted_tokens = 1'000'000;
 
 std::optional<call_error> read_prompt(model_api api, const json& body, std::string& prompt) {
   if (api == model_api::completions) {
@@ -50,7 +50,7 @@
   }
   parsed.model = model_id{model->get<std::string>()};
   if (const auto tokens = body.find("max_tokens"); tokens != body.end()) {
-    if (!tokens->is_number_unsigned() || *tokens == 0 || *tokens > most_tokens) {
+    if (!tokens->is_number_unsigned() || *tokens == 0 || *tokens > max_accepted_tokens) {
       return invalid_request("invalid_max_tokens", "'max_tokens' has to be a whole number from 1");
     }
     parsed.max_tokens = tokens->get<std::uint32_t>();
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -1,11 +1,11 @@
-// Joins the parts of a node.
+// Creates, connects and stops the components of a node.
 #include "node/node.h"
 
 #include <optional>
 
 #include "connection/clock.h"
 #include "node/configure.h"
-#include "node/front.h"
+#include "node/front_end.h"
 #include "node/peer_links.h"
 #include "node/periodic.h"
 #include "node/status_json.h"
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-// In order of construction: what is below uses what is above.
+// The members are in order of construction: later ones use earlier ones.
 struct node::parts {
   explicit parts(node_setup o)
       : options(std::move(o)),
@@ -75,7 +75,7 @@
   void on_view(const std::shared_ptr<const node_view>& view);
   void listen();
   void send_to_peer(const peer_send& message);
-  void tell_limits();
+  void send_limit_leases();
 
   node_setup options;
   fiber_runtime runtime;
@@ -88,23 +88,24 @@
   service_health services;
   control core;
   call_context context;
-  front callers;
+  front_end callers;
   std::unique_ptr<peer_links> links;
   std::unique_ptr<http_server> server;
-  std::unique_ptr<periodic> limit_teller;  // uses the links
-  std::uint64_t peers_of_config = 0;       // configuration version whose peers are linked; worker 0
+  std::unique_ptr<periodic> limit_sender;  // uses the links
+  std::uint64_t linked_config_version =
+      0;  // configuration version whose peers are linked; worker 0
   bool running = false;
 };
 
 // Called on worker 0 for each new view.
 void node::parts::on_view(const std::shared_ptr<const node_view>& view) {
   gates.refresh(view);
-  if (!view->config || view->config->version == peers_of_config) {
+  if (!view->config || view->config->version == linked_config_version) {
     return;
   }
-  peers_of_config = view->config->version;
+  linked_config_version = view->config->version;
   limits.configure(monotonic_now(), *view->config);
-  // Links to removed peers are ended in a fiber of their own, since that may wait.
+  // In a fiber of its own, since closing the links to removed peers may block.
   runtime.post(0, [this, view] { links->set_peers(view->config->assets.nodes); });
 }
 
@@ -156,10 +157,10 @@
   if (parts_->running) {
     parts_->core.stop();
   }
-  // Goes wrong: parts that end on their workers wait for ever when the runtime was stopped before
-  // them. So the runtime is last.
+  // The runtime is stopped last: components that shut down on their workers would otherwise wait
+  // for ever.
   parts_->server.reset();
-  parts_->limit_teller.reset();
+  parts_->limit_sender.reset();
   parts_->links.reset();
   parts_->runtime.stop();
   parts_->runtime.join();
@@ -167,14 +168,14 @@
 
 void node::parts::send_to_peer(const peer_send& message) {
   links->send(link_channel::coordination, message);
-  // Behind it in the queue, so that both leave in one write.
+  // Queued directly after the message, so that both are sent in one write.
   if (const auto limit = limits.piggyback_message(monotonic_now(), message.to)) {
     links->send(link_channel::limits, *limit);
   }
 }
 
-// Leases of limits, to the peers.
-void node::parts::tell_limits() {
+// Sends the leases of the workspaces' rate limits to the peers.
+void node::parts::send_limit_leases() {
   for (const peer_send& message : limits.tell(monotonic_now())) {
     links->send(link_channel::limits, message);
   }
@@ -183,8 +184,9 @@
 void node::start() {
   parts_->running = true;
   parts_->core.start();
-  parts_->limit_teller = std::make_unique<periodic>(
-      parts_->runtime, 0, limit_settings{}.message_interval, [this] { parts_->tell_limits(); });
+  parts_->limit_sender =
+      std::make_unique<periodic>(parts_->runtime, 0, limit_settings{}.message_interval,
+                                 [this] { parts_->send_limit_leases(); });
 }
 
 bool node::stop() {
@@ -194,7 +196,7 @@
     c.begin_drain(now);
     return effects{};
   });
-  // New callers still come until the balancer has noticed; they are served like all others.
+  // New callers still arrive until the balancer has noticed; they are served as usual.
   bool clean = false;
   p.runtime.run_on(0, [&p, &clean] {
     sleep_until(monotonic_now() + p.options.balancer_lag);
--- a/src/node/log_story.cpp
+++ b/src/node/request_timeline.cpp
@@ -1,5 +1,5 @@
-// Stories of requests.
-#include "node/log_story.h"
+// Assembles the timeline of a request and explains its outcome.
+#include "node/request_timeline.h"
 
 #include <algorithm>
 #include <array>
@@ -15,11 +15,12 @@
 
 using namespace std::chrono_literals;
 
-// A target's trouble begins before the request notices it: streams end up to 4 s after their
-// replica lost a member (the engines' own stall), so that much is looked back.
-constexpr auto looked_back = 5s;
+// A failure of a target precedes its effect on the request: streams end up to 4 s after their
+// replica lost a member (the engines stall for that long). Events up to this time before the
+// request's arrival are included.
+constexpr auto lookback = 5s;
 
-// Fields that every line has, which are members of logged_line.
+// Fields that every line has; they are not stored in logged_line::fields.
 constexpr std::array<std::string_view, 5> common_fields = {"time", "level", "part", "node",
                                                            "message"};
 
@@ -60,17 +61,17 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-bool in_order(const logged_line& a, const logged_line& b) {
+bool by_time(const logged_line& a, const logged_line& b) {
   return a.time < b.time;
 }
 
-// Of all lines of a request the one that says how it ended at a node.
+// Whether the line says how the request ended at a node.
 bool is_end(const logged_line& line) {
   return line.part == "request" && line.message == "ended";
 }
 
-// Prints of a request: its lines on broken attempts and verdicts name it.
-std::set<std::string> prints_of(const std::vector<logged_line>& own) {
+// Fingerprints of the request, from its lines about broken attempts and quarantine.
+std::set<std::string> fingerprints_of(const std::vector<logged_line>& own) {
   std::set<std::string> result;
   for (const logged_line& line : own) {
     if (const auto fingerprint = line.field("print"); !fingerprint.empty()) {
@@ -96,7 +97,7 @@
   return result;
 }
 
-wall_clock_time beginning(const std::vector<logged_line>& own) {
+wall_clock_time request_start(const std::vector<logged_line>& own) {
   wall_clock_time first = own.front().time;
   for (const logged_line& line : own) {
     double total_ms = 0;
@@ -109,8 +110,9 @@
   return first;
 }
 
-// Lines that a newer one of the same kind replaces; empty: not a belief.
-std::string belief_kind(const logged_line& line) {
+// Kind of node state that the line reports; a newer line of the same kind supersedes it. Empty if
+// the line reports no such state.
+std::string state_kind(const logged_line& line) {
   if (line.part == "configuration" && line.message == "in force") {
     return "configuration";
   }
@@ -134,48 +136,53 @@
   std::string_view cause;
 };
 
-// What each reason means and where to look on. The reasons are those of the nodes' lines.
+// Explains each reason and says where to look next. The reasons are those in the nodes' log lines.
 constexpr std::array<known_reason, 23> known_reasons = {{
     {"every replica is full",
-     "Each replica of the model had all its places taken. The replicas that the node counted stand "
-     "below; few of them: look at keeper plan of the data centre, else there was more load than "
-     "the fleet serves."},
+     "Each replica of the model had all its slots in use. The number of replicas that the node "
+     "counted is shown below. If it is low, look at the keeper plan lines of the data centre; "
+     "otherwise there was more load than the fleet serves."},
     {"no replica of the model serves",
-     "No replica of the model was open and unsuspected. Look at keeper plan and keeper order of "
-     "the data centre."},
+     "No replica of the model was open and free of suspect members. Look at the keeper plan and "
+     "keeper order lines of the data centre."},
     {"its replica lost a member",
      "The streams of a replica stopped together and one of its members did not answer, so the "
-     "request was sent on, as far as its route allows."},
+     "request was sent on to another replica, if its route allows that."},
     {"no time is left", "The time that the caller or the route allows was used up."},
     {"connection lost",
      "The connection to the target broke while it answered: the target ended or was cut off."},
     {"reset", "The target or the network reset the connection."},
     {"timeout", "The target did not answer within the time that was left."},
-    {"could not be sent", "No connection to the target came about, so that it did not run there."},
+    {"could not be sent",
+     "No connection to the target could be established, so the request did not run there."},
     {"the target did not run it",
-     "The target turned it away: it was full, stalled, or not the head of its replica any more."},
-    {"the target failed", "The target answered with a failure of its own."},
-    {"the target's own failure", "The target answered with a failure of its own, passed on as is."},
-    {"the stream ended inside an event", "The target broke off in the middle of an event."},
-    {"events out of order", "The target's events did not follow on each other."},
+     "The target rejected the request: it was full, stalled, or not the head of its replica any "
+     "more."},
+    {"the target failed", "The target answered with an error of its own."},
+    {"the target's own failure",
+     "The target answered with an error of its own, which was passed on unchanged."},
+    {"the stream ended inside an event", "The target's stream ended in the middle of an event."},
+    {"events out of order", "The target's events did not follow on one another."},
     {"the answer was not this request's",
-     "The target sent an answer without its signature, or to another request."},
+     "The target sent an answer without its signature, or the answer to another request."},
     {"no configuration is known yet", "The node had just started and reached no store yet."},
     {"the configuration may be out of date",
-     "The node could not confirm its configuration, so that it may not say that a route is not "
-     "there. See its store lines below."},
+     "The node could not confirm that its configuration is current, so it may not report that a "
+     "route is not there. See its store lines below."},
     {"keys cannot be checked: the configuration is stale",
-     "The node had no proof, young enough, that its configuration is the newest: a key might have "
+     "The node had no recent proof that its configuration is the newest: a key might have "
      "been withdrawn. See its store lines below, and the link to its hub."},
     {"the key cannot be confirmed",
      "The proof that the configuration is the newest ran out while the request waited."},
     {"the key was withdrawn", "A newer configuration took the caller's key away."},
     {"the key is not known", "No workspace of the configuration in force has the caller's key."},
-    {"no route has this host and path", "No route of the configuration in force fits."},
+    {"no route has this host and path",
+     "No route of the configuration in force matches the host and path."},
     {"it ended the targets that ran it",
-     "The same request, by workspace, path and body, was running each time when targets ended, one "
-     "after the other, and never ended well. It was refused without a run; see its evidence and "
-     "verdict below, and /poison at a node's metrics address to lift it."},
+     "The same request (identified by workspace, path and body) was running each time when "
+     "targets ended, one after the other, and never completed. It was refused without a run; see "
+     "the poison evidence and poison convicted lines below, and /poison at a node's metrics "
+     "address to release it."},
     {"no instance is known", "No instance of the service was listed as ready."},
 }};
 
@@ -195,7 +202,7 @@
   if (known != known_reasons.end()) {
     text += known->cause;
   }
-  // Why it was not served at first: the last decision alone rarely tells.
+  // Reasons of earlier failed attempts: the final reason alone is rarely enough.
   for (const logged_line& line : own) {
     if (line.message == "attempt ended") {
       text += " Before: " + std::string(line.field("reason")) + " at " +
@@ -213,7 +220,7 @@
   text += line.node + "  " + line.part + ' ' + line.message;
   for (const auto& [key, value] : line.fields) {
     if (key != "request") {
-      // Quoted: a caller chose some of these values, and control characters stay out.
+      // Quoted, since callers choose some of these values: escapes control characters.
       text += ' ' + key + '=' +
               nlohmann::json(value).dump(-1, ' ', true, nlohmann::json::error_handler_t::replace);
     }
@@ -239,7 +246,7 @@
     return std::nullopt;
   }
   logged_line line;
-  const auto take = [&](const char* key, std::string& into) {
+  const auto read_text = [&](const char* key, std::string& into) {
     const auto found = value.find(key);
     if (found == value.end() || !found->is_string()) {
       return false;
@@ -248,8 +255,8 @@
     return true;
   };
   std::string time;
-  if (!take("time", time) || !take("node", line.node) || !take("part", line.part) ||
-      !take("message", line.message)) {
+  if (!read_text("time", time) || !read_text("node", line.node) || !read_text("part", line.part) ||
+      !read_text("message", line.message)) {
     return std::nullopt;
   }
   const auto read = read_time(time);
@@ -269,7 +276,7 @@
   std::size_t unreadable = 0;
   std::string text;
   while (std::getline(lines, text)) {
-    // Most lines of a large log are on other requests: they are not parsed.
+    // Most lines of a large log belong to other requests; they are skipped without parsing.
     const bool other =
         text.find("\"request\":") != std::string::npos && text.find(request) == std::string::npos;
     if (text.empty() || other) {
@@ -287,22 +294,22 @@
   return unreadable;
 }
 
-std::optional<request_story> log_reader::tell(std::string_view request) const {
-  request_story story;
-  story.request = std::string(request);
-  std::copy_if(own_.begin(), own_.end(), std::back_inserter(story.own),
+std::optional<request_timeline> log_reader::timeline_of(std::string_view request) const {
+  request_timeline timeline;
+  timeline.request = std::string(request);
+  std::copy_if(own_.begin(), own_.end(), std::back_inserter(timeline.own),
                [&](const logged_line& line) { return line.field("request") == request; });
-  if (story.own.empty()) {
+  if (timeline.own.empty()) {
     return std::nullopt;
   }
-  std::stable_sort(story.own.begin(), story.own.end(), in_order);
-  story.cause = cause_of(story.own);
-  const wall_clock_time from = beginning(story.own) - looked_back;
-  const wall_clock_time until = story.own.back().time;
-  const std::set<std::string> targets = targets_of(story.own);
-  const std::set<std::string> fingerprints = prints_of(story.own);
+  std::stable_sort(timeline.own.begin(), timeline.own.end(), by_time);
+  timeline.cause = cause_of(timeline.own);
+  const wall_clock_time from = request_start(timeline.own) - lookback;
+  const wall_clock_time until = timeline.own.back().time;
+  const std::set<std::string> targets = targets_of(timeline.own);
+  const std::set<std::string> fingerprints = fingerprints_of(timeline.own);
   std::set<std::string> nodes;
-  for (const logged_line& line : story.own) {
+  for (const logged_line& line : timeline.own) {
     nodes.insert(line.node);
   }
   std::map<std::string, std::map<std::string, const logged_line*>> newest;
@@ -312,43 +319,43 @@
     }
     const bool of_target = targets.contains(std::string(line.field("target"))) ||
                            targets.contains(std::string(line.field("head")));
-    const bool of_print =
+    const bool same_fingerprint =
         line.part == "poison" && fingerprints.contains(std::string(line.field("print")));
-    if ((of_target && line.time >= from) || of_print) {
-      story.around.push_back(line);
+    if ((of_target && line.time >= from) || same_fingerprint) {
+      timeline.related.push_back(line);
     }
-    const std::string kind = belief_kind(line);
+    const std::string kind = state_kind(line);
     if (!kind.empty() && nodes.contains(line.node)) {
       const logged_line*& known = newest[line.node][kind];
       known = known == nullptr || known->time <= line.time ? &line : known;
     }
   }
-  std::stable_sort(story.around.begin(), story.around.end(), in_order);
+  std::stable_sort(timeline.related.begin(), timeline.related.end(), by_time);
   for (const auto& [node, kinds] : newest) {
-    node_belief belief{node, {}};
+    last_known_state state{node, {}};
     for (const auto& [kind, line] : kinds) {
-      belief.lines.push_back(*line);
+      state.lines.push_back(*line);
     }
-    std::stable_sort(belief.lines.begin(), belief.lines.end(), in_order);
-    story.beliefs.push_back(std::move(belief));
+    std::stable_sort(state.lines.begin(), state.lines.end(), by_time);
+    timeline.last_known.push_back(std::move(state));
   }
-  return story;
+  return timeline;
 }
 
-std::string to_text(const request_story& story) {
-  const wall_clock_time start = beginning(story.own);
-  std::string text = "request " + story.request + '\n';
-  text += story.cause.empty() ? "  served whole\n" : "  " + story.cause + '\n';
-  std::vector<logged_line> lines = story.own;
-  lines.insert(lines.end(), story.around.begin(), story.around.end());
-  std::stable_sort(lines.begin(), lines.end(), in_order);
+std::string to_text(const request_timeline& timeline) {
+  const wall_clock_time start = request_start(timeline.own);
+  std::string text = "request " + timeline.request + '\n';
+  text += timeline.cause.empty() ? "  served whole\n" : "  " + timeline.cause + '\n';
+  std::vector<logged_line> lines = timeline.own;
+  lines.insert(lines.end(), timeline.related.begin(), timeline.related.end());
+  std::stable_sort(lines.begin(), lines.end(), by_time);
   text += "in order, from its arrival by the nodes' clocks\n";
   for (const logged_line& line : lines) {
     add_line(text, line, start);
   }
-  for (const node_belief& belief : story.beliefs) {
-    text += "newest of what " + belief.node + " knew\n";
-    for (const logged_line& line : belief.lines) {
+  for (const last_known_state& state : timeline.last_known) {
+    text += "newest of what " + state.node + " knew\n";
+    for (const logged_line& line : state.lines) {
       add_line(text, line, start);
     }
   }
--- a/src/node/service_call.cpp
+++ b/src/node/service_call.cpp
@@ -1,4 +1,4 @@
-// Calls of plain services.
+// Forwards calls of plain services to their instances.
 #include "node/service_call.h"
 
 #include <algorithm>
@@ -16,8 +16,8 @@
 constexpr duration retry_after_failure = 500ms;
 constexpr std::uint32_t max_attempts = 3;
 
-// Headers that speak of the caller's connection to this node, or that only this node may set.
-bool is_passed_on(std::string_view name) {
+// Not forwarded: headers about the connection itself, and headers that only this node may set.
+bool is_forwarded_header(std::string_view name) {
   static constexpr std::string_view dropped[] = {
       "authorization", "connection",      "keep-alive", "proxy-authorization", "te",
       "upgrade",       "expect",          "host",       "x-workspace",         "x-request-id",
@@ -53,7 +53,7 @@
   return std::any_of(service.idempotent_calls.begin(), service.idempotent_calls.end(), covers);
 }
 
-call_error problem(int status, std::string code, std::string message) {
+call_error make_error(int status, std::string code, std::string message) {
   call_error error;
   error.status = status;
   error.code = std::move(code);
@@ -68,7 +68,7 @@
 
   void run() {
     if (const auto error = begin()) {
-      finish_with(*error);
+      finish_with_error(*error);
       return;
     }
     cancel_ = cancel_token::make();
@@ -88,18 +88,18 @@
     const std::string_view path = path_of(request_.target);
     service_ = find_service_by_path(call_.view->config->desired, path);
     if (service_ == nullptr || has_dot_segment(path)) {
-      return problem(404, "unknown_path", "no service has this path");
+      return make_error(404, "unknown_path", "no service has this path");
     }
     call_.measured.target = service_->id.str();
     const auto& allowed = service_->workspaces;
     if (!allowed.empty() &&
         std::find(allowed.begin(), allowed.end(), call_.workspace->id) == allowed.end()) {
-      return problem(403, "service_not_allowed", "this workspace may not use the service");
+      return make_error(403, "service_not_allowed", "this workspace may not use the service");
     }
     return std::nullopt;
   }
 
-  // Own data centre first, then the others; those that failed lately last.
+  // Instances of the own data centre first, then the others; those that failed recently last.
   [[nodiscard]] std::vector<endpoint> instances() const {
     struct ranked {
       int rank;
@@ -112,9 +112,10 @@
       if (target.service != service_->id) {
         continue;
       }
-      const int far = target.data_centre == node_.data_centre ? 0 : 1;
-      const int bad = node_.services.failed_recently(now, target.address) ? 2 : 0;
-      list.push_back({far + bad, rendezvous_weight(call_.id.str(), to_string(target.address)),
+      const int remote_penalty = target.data_centre == node_.data_centre ? 0 : 1;
+      const int failure_penalty = node_.services.failed_recently(now, target.address) ? 2 : 0;
+      list.push_back({remote_penalty + failure_penalty,
+                      rendezvous_weight(call_.id.str(), to_string(target.address)),
                       target.address});
     }
     std::sort(list.begin(), list.end(), [](const ranked& a, const ranked& b) {
@@ -133,7 +134,7 @@
     out.target = request_.target;
     out.body = request_.body;
     for (const auto& [name, value] : request_.headers) {
-      if (is_passed_on(name)) {
+      if (is_forwarded_header(name)) {
         out.headers.add(name, value);
       }
     }
@@ -142,8 +143,8 @@
     return out;
   }
 
-  // `use`: a kept connection may close just as the request is written, which leaves it unknown
-  // whether it ran; what may not be repeated gets a fresh one.
+  // `use`: a pooled connection may close just as the request is written; then it is unknown whether
+  // the request ran. So calls that may not be repeated use a fresh connection.
   call_result send_to(const endpoint& instance, const send_permit& permit, connection_use use) {
     ++call_.measured.attempts;
     call_result result =
@@ -164,7 +165,7 @@
     for (std::size_t i = 0; i < std::min<std::size_t>(list.size(), max_attempts); ++i) {
       const call_result result = send_to(list[i], {}, connection_use::pooled);
       if (result.ok()) {
-        pass_on(result.response);
+        relay_response(result.response);
         return;
       }
       if (result.outcome == call_outcome::unknown) {
@@ -186,7 +187,8 @@
     keyed_call_facts facts;
     facts.workspace = call_.workspace->id;
     const auto key = request_.headers.find("idempotency-key");
-    // Without a key of the caller's, each call is its own: it still gets one attempt.
+    // Without a key from the caller, each call counts as a different one; it also runs at most
+    // once.
     facts.key = idempotency_key{key ? std::string(*key) : call_.id.str()};
     facts.owner = {node_.self, node_.incarnation, call_.id};
     facts.body_hash = content_hash(request_.method + '\n' + request_.target + '\n' + request_.body);
@@ -196,8 +198,8 @@
     drive_keyed_call(node_.platform, facts, send, reply);
   }
 
-  // Instances that cannot even be connected to have seen nothing, so the next may be tried; the
-  // first byte that may have left ends that.
+  // An instance that cannot be connected to has not received the call, so the next one is tried.
+  // Once any byte may have been sent, no other instance is tried.
   call_result send_once(const send_permit& permit) {
     call_result result;
     result.outcome = call_outcome::not_sent;
@@ -226,23 +228,25 @@
         give_up(execution::unknown, "outcome_unknown", reply.reason, reply.retry_after);
         return;
       case kind::in_progress: {
-        call_error error = problem(409, "in_progress", "an equal call is running");
+        call_error error = make_error(409, "in_progress", "an equal call is running");
         error.ran = execution::unknown;
         error.retry_after = reply.retry_after;
-        finish_with(error);
+        finish_with_error(error);
         return;
       }
       case kind::conflict:
-        finish_with(problem(422, "key_reused", "the idempotency key was used with another body"));
+        finish_with_error(
+            make_error(422, "key_reused", "the idempotency key was used with another body"));
         return;
     }
   }
 
   void send_recorded(const keyed_reply& reply) {
     if (reply.body_dropped) {
-      call_error error = problem(409, "answer_not_kept", "the call ran; its answer was too large");
+      call_error error =
+          make_error(409, "answer_not_kept", "the call ran; its answer was too large");
       error.ran = execution::done;
-      finish_with(error);
+      finish_with_error(error);
       return;
     }
     http_response response;
@@ -252,13 +256,13 @@
       response.headers.add("idempotent-replayed", "true");
     }
     response.body = reply.body;
-    pass_on(response);
+    relay_response(response);
   }
 
-  void pass_on(const http_response& response) {
+  void relay_response(const http_response& response) {
     http_headers headers;
     for (const auto& [name, value] : response.headers) {
-      if (is_passed_on(name)) {
+      if (is_forwarded_header(name)) {
         headers.add(name, value);
       }
     }
@@ -270,13 +274,13 @@
   void give_up(execution ran, std::string code, std::string message,
                duration retry_after = retry_after_failure) {
     call_error error =
-        problem(ran == execution::unknown ? 502 : 503, std::move(code), std::move(message));
+        make_error(ran == execution::unknown ? 502 : 503, std::move(code), std::move(message));
     error.ran = ran;
     error.retry_after = retry_after;
-    finish_with(error);
+    finish_with_error(error);
   }
 
-  void finish_with(const call_error& error) {
+  void finish_with_error(const call_error& error) {
     send_error(writer_, error, call_.id);
     finish(std::string(to_string(error.ran)), error.code);
   }
--- a/src/node/spill_call.cpp
+++ b/src/node/spill_call.cpp
@@ -1,4 +1,4 @@
-// Model calls over a node of another data centre.
+// Forwards model calls to nodes of other data centres.
 #include "node/spill_call.h"
 
 #include <algorithm>
@@ -25,8 +25,8 @@
   const std::string region = region_of(assets, own);
   std::vector<data_centre_distance> result;
   for (const data_centre_record& centre : assets.data_centres) {
-    const bool near = centre.region == region;
-    result.push_back({centre.id, near ? same_region_round_trip : other_region_round_trip});
+    const bool same_region = centre.region == region;
+    result.push_back({centre.id, same_region ? same_region_round_trip : other_region_round_trip});
   }
   return result;
 }
@@ -64,7 +64,7 @@
   return status == status_ok && type && type->starts_with("text/event-stream");
 }
 
-// The answer of the other node on its way to the caller.
+// Forwards the answer of the other node to the caller.
 class relay {
  public:
   explicit relay(response_writer& writer) : writer_(writer) {}
@@ -84,7 +84,7 @@
     return true;
   }
 
-  spill_end end(const call_result& result) {
+  spill_outcome end(const call_result& result) {
     if (result.ok()) {
       const bool sent = streamed_ ? writer_.finish() : writer_.send(status_, headers_, body_);
       return {true, sent && status_ == status_ok, execution::done};
@@ -116,18 +116,20 @@
                                            const node_view& view, const request_facts& facts,
                                            std::optional<duration> local_wait,
                                            bool already_spilled) {
-  const std::vector<data_centre_distance> far = distances(view.config->assets, node.data_centre);
-  const auto chosen = choose_spill(now, view.routes, facts, local_wait, far, already_spilled);
+  const std::vector<data_centre_distance> round_trips =
+      distances(view.config->assets, node.data_centre);
+  const auto chosen =
+      choose_spill(now, view.routes, facts, local_wait, round_trips, already_spilled);
   if (!chosen) {
     return std::nullopt;
   }
-  // Spread over the nodes there, by request.
+  // Distributes the calls over the nodes there by a hash of the request id.
   const std::uint64_t pick = stable_hash(facts.id.str());
   return chosen->entry[pick % chosen->entry.size()];
 }
 
-spill_end relay_call(call_context& node, const http_request& request, response_writer& writer,
-                     const endpoint& entry, time_point deadline, const cancel_token& cancel) {
+spill_outcome relay_call(call_context& node, const http_request& request, response_writer& writer,
+                         const endpoint& entry, time_point deadline, const cancel_token& cancel) {
   relay answer(writer);
   const call_result result = node.client.stream(
       address_of(entry), outgoing(request, deadline), deadline,
--- a/tests/shell/explain_test.cpp
+++ b/tests/shell/explain_test.cpp
@@ -1,19 +1,19 @@
-// The three ways of docs/OPERATIONS.md from a failed request's id to its cause, walked over the
-// logs that nodes write before a stand-in of the platform.
+// Follows the three procedures of docs/OPERATIONS.md from a failed request's id to its cause, with
+// the logs of nodes that run against a stand-in of the platform.
 #include <gmock/gmock.h>
 
 #include <sstream>
 
 #include "hosted_fixture.h"
 #include "node/log.h"
-#include "node/log_story.h"
+#include "node/request_timeline.h"
 
 namespace arbutus::testing_support {
 namespace {
 
 using testing::HasSubstr;
 
-// All log lines of a test, of both nodes: they share one process, and so one log.
+// Collects the log lines of both nodes of a test; they run in one process and share one log.
 class Explain : public hosted_fixture {
  protected:
   explicit Explain(const standin::hosted_platform_settings& settings = {})
@@ -22,16 +22,16 @@
   }
   ~Explain() override { stop_log(); }
 
-  // Ends the log. A node writes a request's last line after its answer has left: once it has
-  // answered another request that line is written.
-  std::optional<request_story> explained(const std::string& id) {
+  // Stops the log and reads it. A node writes a request's last line after it has sent the answer;
+  // that line is certain to be written once the node has answered another request.
+  std::optional<request_timeline> explain_request(const std::string& id) {
     (void)ask(0, "/llm/x", "after-0");
     (void)ask(1, "/llm/x", "after-1");
     stop_log();
     std::istringstream lines(log_.str());
     log_reader reader;
     EXPECT_EQ(reader.read(lines, id), 0U) << "a line that its own reader cannot read";
-    return reader.tell(id);
+    return reader.timeline_of(id);
   }
 
   static bool has(const std::vector<logged_line>& lines, std::string_view message) {
@@ -43,7 +43,7 @@
   std::ostringstream log_;
 };
 
-// One replica of the model, with 16 places and 2 beyond, and answers of 2 s.
+// One replica of the model with 16 slots and room for 2 more requests; answers take 2 s.
 class ExplainLoad : public Explain {
  protected:
   ExplainLoad() : Explain({.engines_each = 3, .events = 40, .event_gap = 50ms}) {}
@@ -66,11 +66,12 @@
                                     [](const call_result& r) { return r.response.status == 503; });
   ASSERT_NE(refused, results.end());
   const std::string id = "l" + std::to_string(refused - results.begin());
-  const auto story = explained(id);
-  ASSERT_TRUE(story);
-  EXPECT_THAT(story->cause, HasSubstr("every replica is full"));
-  ASSERT_EQ(story->beliefs.size(), 1U);
-  EXPECT_TRUE(has(story->beliefs[0].lines, "capacity")) << "how many replicas the node counted";
+  const auto timeline = explain_request(id);
+  ASSERT_TRUE(timeline);
+  EXPECT_THAT(timeline->cause, HasSubstr("every replica is full"));
+  ASSERT_EQ(timeline->last_known.size(), 1U);
+  EXPECT_TRUE(has(timeline->last_known[0].lines, "capacity"))
+      << "how many replicas the node counted";
 }
 
 TEST_F(Explain, AStreamWhoseReplicaLostAMember) {
@@ -85,28 +86,29 @@
   for (std::thread& t : threads) {
     t.join();
   }
-  // Which of the streams were on that replica is the nodes' choice: those that ran twice.
+  // The nodes choose which streams are on that replica; they are the ones that ran twice.
   std::string moved;
   for (const auto& [id, count] : platform_.runs()) {
     moved = count > 1 ? id : moved;
   }
   ASSERT_FALSE(moved.empty()) << "no stream was on the replica";
-  const auto story = explained(moved);
-  ASSERT_TRUE(story);
-  EXPECT_TRUE(has(story->own, "attempt ended"));
-  EXPECT_TRUE(has(story->around, "suspected") || has(story->around, "lost")) << to_text(*story);
+  const auto timeline = explain_request(moved);
+  ASSERT_TRUE(timeline);
+  EXPECT_TRUE(has(timeline->own, "attempt ended"));
+  EXPECT_TRUE(has(timeline->related, "suspected") || has(timeline->related, "lost"))
+      << to_text(*timeline);
 }
 
 TEST_F(Explain, AKeyThatCannotBeChecked) {
   ASSERT_TRUE(serves());
   platform_.set_store_down(true);
   ASSERT_TRUE(eventually([&] { return ask(0, "/llm/2f", "d0").response.status == 503; }));
-  const auto story = explained("d0");
-  ASSERT_TRUE(story);
-  EXPECT_THAT(story->cause, HasSubstr("cannot be checked"));
-  ASSERT_EQ(story->beliefs.size(), 1U);
-  EXPECT_TRUE(has(story->beliefs[0].lines, "lost")) << "since when the store is away";
-  EXPECT_TRUE(has(story->beliefs[0].lines, "in force")) << "which version it acted on";
+  const auto timeline = explain_request("d0");
+  ASSERT_TRUE(timeline);
+  EXPECT_THAT(timeline->cause, HasSubstr("cannot be checked"));
+  ASSERT_EQ(timeline->last_known.size(), 1U);
+  EXPECT_TRUE(has(timeline->last_known[0].lines, "lost")) << "since when the store is unavailable";
+  EXPECT_TRUE(has(timeline->last_known[0].lines, "in force")) << "which version it acted on";
 }
 
 }  // namespace
--- a/tests/shell/log_outcomes_test.cpp
+++ b/tests/shell/log_outcomes_test.cpp
@@ -1,4 +1,4 @@
-// Counting what became of requests, from the lines of several nodes.
+// Counts of request outcomes from the log lines of several nodes.
 #include "node/log_outcomes.h"
 
 #include <gtest/gtest.h>
@@ -42,7 +42,7 @@
   EXPECT_NE(text.find("       2  every replica is full"), std::string::npos) << text;
 }
 
-TEST(LogOutcomes, KnowsTheDataCentreFromALineThatComesLater) {
+TEST(LogOutcomes, ReadsTheDataCentreFromALaterLine) {
   const std::string text =
       read(ended("10:00:00.100000", "a1", "failed", "no time is left") +
            line("09:59:00.000000", "a1", "node", "started", R"(,"data_centre":"hall-a")"))
@@ -51,8 +51,8 @@
   EXPECT_EQ(text.find("unknown"), std::string::npos) << text;
 }
 
-TEST(LogOutcomes, ShowsTheMostReplicasThatAnyNodeCounted) {
-  // A node that is cut off counts none; the model is served all the same.
+TEST(LogOutcomes, ShowsTheHighestReplicaCountOfAnyNode) {
+  // A partitioned node counts none although the model is served.
   const std::string text =
       read(line("10:00:00.000000", "a1", "fleet", "capacity", R"(,"model":"m","replicas":7)") +
            line("10:00:00.000000", "b1", "fleet", "capacity", R"(,"model":"m","replicas":0)"))
@@ -60,7 +60,7 @@
   EXPECT_NE(text.find("m 7 "), std::string::npos) << text;
 }
 
-TEST(LogOutcomes, LeavesOutWhatIsNoLineOfANode) {
+TEST(LogOutcomes, SkipsLinesThatNoNodeWrote) {
   EXPECT_TRUE(read("kernel: something\n", 1).empty());
 }
 
--- a/tests/shell/log_story_test.cpp
+++ b/tests/shell/request_timeline_test.cpp
@@ -1,5 +1,5 @@
-// Stories of requests from log lines: which lines belong to one, and what cause is named.
-#include "node/log_story.h"
+// Timelines of requests from log lines: which lines are included, and which cause is reported.
+#include "node/request_timeline.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -17,16 +17,16 @@
          R"(",)" + rest + "}\n";
 }
 
-request_story story_of(const std::string& text, const std::string& id) {
+request_timeline read_timeline(const std::string& text, const std::string& id) {
   std::istringstream lines(text);
   log_reader reader;
   EXPECT_EQ(reader.read(lines, id), 0U);
-  const auto story = reader.tell(id);
-  EXPECT_TRUE(story) << "no line names " << id;
-  return story.value_or(request_story{});
+  const auto timeline = reader.timeline_of(id);
+  EXPECT_TRUE(timeline) << "no line names " << id;
+  return timeline.value_or(request_timeline{});
 }
 
-TEST(LogStory, ReadsALineBehindWhatACollectorPutBeforeIt) {
+TEST(RequestTimeline, ReadsALineBehindACollectorsPrefix) {
   const auto read = read_log_line(
       R"(12.5 n-1 {"time":"2026-03-01T10:00:07.250000Z","level":"info","part":"fleet","node":"n-1",)"
       R"("message":"lost","target":"e-4","age_ms":12.5,"listed":true})");
@@ -39,17 +39,17 @@
   EXPECT_EQ(read->field("none"), "");
 }
 
-TEST(LogStory, WhatIsNoLineOfANodeIsCounted) {
+TEST(RequestTimeline, CountsLinesThatNoNodeWrote) {
   std::istringstream lines(
       "Starting...\n{\"time\":1}\n{\"time\":\"2026-13-01T10:00:07.250000Z\",\"node\":\"n\","
       "\"part\":\"p\",\"message\":\"m\"}\n{broken\n\n");
   log_reader reader;
   EXPECT_EQ(reader.read(lines, "r"), 4U);
-  EXPECT_FALSE(reader.tell("r"));
+  EXPECT_FALSE(reader.timeline_of("r"));
 }
 
-TEST(LogStory, ARequestIsFollowedAcrossNodesInOrderOfTime) {
-  // A caller whose first attempt was refused came back to another node under the same id.
+TEST(RequestTimeline, OrdersTheLinesOfARequestAcrossNodesByTime) {
+  // A caller whose first attempt was refused tried again at another node with the same id.
   const std::string text =
       line("05.000000", "n-2",
            R"("part":"request","message":"ended","request":"r-1","result":"failed",)"
@@ -60,13 +60,13 @@
       line("04.500000", "n-1",
            R"("part":"request","message":"ended","request":"r-10","result":"refused",)"
            R"("reason":"every replica is full","targets":"","total_ms":2.0)");
-  const request_story story = story_of(text, "r-1");
-  ASSERT_EQ(story.own.size(), 2U);
-  EXPECT_EQ(story.own[0].node, "n-1");
-  EXPECT_THAT(story.cause, HasSubstr("failed: the target's own failure."));
+  const request_timeline timeline = read_timeline(text, "r-1");
+  ASSERT_EQ(timeline.own.size(), 2U);
+  EXPECT_EQ(timeline.own[0].node, "n-1");
+  EXPECT_THAT(timeline.cause, HasSubstr("failed: the target's own failure."));
 }
 
-TEST(LogStory, TellsWhatHappenedToItsTargetsAndNotToOthers) {
+TEST(RequestTimeline, IncludesEventsOfItsOwnTargetsOnly) {
   const std::string text =
       line("01.000000", "n-1", R"("part":"fleet","message":"lost","target":"e-1","head":"e-1")") +
       line("08.000000", "n-1", R"("part":"fleet","message":"lost","target":"e-2","head":"e-1")") +
@@ -76,37 +76,39 @@
            R"("part":"request","message":"ended","request":"r","result":"cut","reason":"reset",)"
            R"("targets":"e-1","total_ms":2000.0)") +
       line("11.000000", "n-1", R"("part":"fleet","message":"back","target":"e-1")");
-  const request_story story = story_of(text, "r");
-  ASSERT_EQ(story.around.size(), 2U) << "the loss of its replica and the order; not what came "
-                                        "long before, later, or to others";
-  EXPECT_EQ(story.around[0].field("target"), "e-2");
-  EXPECT_EQ(story.around[1].node, "n-2");
+  const request_timeline timeline = read_timeline(text, "r");
+  ASSERT_EQ(timeline.related.size(), 2U) << "the loss of its replica and the order; not what came "
+                                            "long before, later, or to others";
+  EXPECT_EQ(timeline.related[0].field("target"), "e-2");
+  EXPECT_EQ(timeline.related[1].node, "n-2");
 }
 
-TEST(LogStory, ARefusedPoisonRequestNamesItsEvidence) {
-  // It came under other ids before, at other nodes, more than a while ago.
-  const std::string print = R"("print":"00000000000000aa")";
+TEST(RequestTimeline, IncludesTheStrikesOfARefusedPoisonRequest) {
+  // The same request came earlier with other ids, at other nodes, longer ago than the events that
+  // are included.
+  const std::string fingerprint = R"("print":"00000000000000aa")";
   const std::string text =
       line("01.000000", "n-2",
-           R"("part":"poison","message":"evidence","run_of":"r-0",)" + print +
+           R"("part":"poison","message":"evidence","run_of":"r-0",)" + fingerprint +
                R"(,"target":"e-1","marks":1)") +
       line("02.000000", "n-2",
            R"("part":"poison","message":"evidence","run_of":"r-7","print":"00000000000000bb",)"
            R"("target":"e-3","marks":1)") +
       line("09.000000", "n-3",
-           R"("part":"poison","message":"convicted",)" + print + R"(,"targets":"e-1,e-2")") +
-      line("20.000000", "n-1", R"("part":"poison","message":"refused","request":"r-1",)" + print) +
+           R"("part":"poison","message":"convicted",)" + fingerprint + R"(,"targets":"e-1,e-2")") +
+      line("20.000000", "n-1",
+           R"("part":"poison","message":"refused","request":"r-1",)" + fingerprint) +
       line("20.000100", "n-1",
            R"("part":"request","message":"ended","request":"r-1","result":"refused",)"
            R"("reason":"it ended the targets that ran it","targets":"","total_ms":0.2)");
-  const std::string told = to_text(story_of(text, "r-1"));
+  const std::string told = to_text(read_timeline(text, "r-1"));
   EXPECT_THAT(told, HasSubstr("when targets ended"));
   EXPECT_THAT(told, HasSubstr("poison evidence run_of=\"r-0\""));
   EXPECT_THAT(told, HasSubstr("poison convicted"));
   EXPECT_THAT(told, Not(HasSubstr("r-7")));
 }
 
-TEST(LogStory, KeepsTheNewestOfWhatItsNodeBelieved) {
+TEST(RequestTimeline, KeepsTheNewestStateOfItsNodes) {
   const std::string text =
       line("01.000000", "n-1", R"("part":"configuration","message":"in force","version":3)") +
       line("02.000000", "n-1", R"("part":"configuration","message":"in force","version":4)") +
@@ -117,31 +119,31 @@
            R"("part":"request","message":"ended","request":"r","result":"refused",)"
            R"("reason":"every replica is full","targets":"","total_ms":1.0)") +
       line("06.000000", "n-1", R"("part":"configuration","message":"in force","version":5)");
-  const request_story story = story_of(text, "r");
-  ASSERT_EQ(story.beliefs.size(), 1U);
-  ASSERT_EQ(story.beliefs[0].lines.size(), 3U);
-  EXPECT_EQ(story.beliefs[0].lines[0].field("version"), "4");
-  const std::string shown = to_text(story);
+  const request_timeline timeline = read_timeline(text, "r");
+  ASSERT_EQ(timeline.last_known.size(), 1U);
+  ASSERT_EQ(timeline.last_known[0].lines.size(), 3U);
+  EXPECT_EQ(timeline.last_known[0].lines[0].field("version"), "4");
+  const std::string shown = to_text(timeline);
   EXPECT_THAT(shown, HasSubstr("replicas=\"2\""));
   EXPECT_THAT(shown, Not(HasSubstr("n-2")));
 }
 
-TEST(LogStory, SaysSoWhenNoLineTellsTheEnd) {
+TEST(RequestTimeline, ReportsThatNoLineSaysHowItEnded) {
   const std::string text =
       line("09.500000", "n-1",
            R"("part":"request","message":"attempt ended","request":"r","target":"e-1",)"
            R"("reason":"reset")");
-  EXPECT_THAT(story_of(text, "r").cause, HasSubstr("No line says that it ended"));
+  EXPECT_THAT(read_timeline(text, "r").cause, HasSubstr("No line says that it ended"));
 }
 
-TEST(LogStory, AValueOfACallerCannotForgeALine) {
-  // Symptom: the story shows an event that never was. Sequence: a caller's id holds a line break,
-  // which the log escapes and the reader unescapes. Cause: values printed as they are.
+TEST(RequestTimeline, ACallersValueCannotForgeALine) {
+  // Guards against forged events in the output: a value from a caller can contain a line break,
+  // which the log escapes and the reader unescapes.
   const std::string text =
       line("09.500000", "n-1",
            R"("part":"request","message":"ended","request":"r","result":"done","reason":"",)"
            R"("route":"a\n+0.000 s  n-1  fleet lost\u001b[31m","total_ms":1.0)");
-  const std::string shown = to_text(story_of(text, "r"));
+  const std::string shown = to_text(read_timeline(text, "r"));
   EXPECT_THAT(shown, HasSubstr("served whole"));
   EXPECT_EQ(shown.find('\x1b'), std::string::npos);
   EXPECT_EQ(std::count(shown.begin(), shown.end(), '\n'), 4) << shown;
