--- a/src/connection/await.h
+++ b/src/connection/await.h
@@ -1,7 +1,8 @@
-// Waiting in a fiber for a handler of Asio. Only for the .cpp files of this folder.
+// Suspends a fiber until an Asio completion handler has run. Only for the .cpp files of this folder.
 //
-// Fiber and handler share one worker, and handlers run only while no other fiber of that worker
-// does. So a flag needs no lock, and the check of it and the wait cannot be parted by the handler.
+// Fiber and handler run on the same worker, and handlers run only while no other fiber of that
+// worker does. So a flag needs no lock, and no handler can run between the check of the flag and
+// the wait.
 #pragma once
 
 #include <boost/fiber/condition_variable.hpp>
@@ -15,7 +16,7 @@
 
 namespace arbutus {
 
-// Something that happens once; one fiber waits for it.
+// An event that occurs once. One fiber waits for it.
 class one_shot {
  public:
   void set() {
@@ -43,7 +44,8 @@
   bool done_{false};
 };
 
-// Starts an operation with a handler taking Results..., and suspends the fiber until it ran.
+// Starts an operation with a handler that takes Results..., and suspends the fiber until the
+// handler has run.
 template <class... Results, class Start>
 std::tuple<Results...> await_result(Start&& start) {
   one_shot fired;
@@ -56,9 +58,9 @@
   return results;
 }
 
-// The same with a deadline. When it comes, `cancel` is called and the handler is still waited for,
-// since it refers to this frame. True in `timed_out` says that `cancel` was called; the operation
-// may have succeeded all the same.
+// The same with a deadline. At the deadline `cancel` is called, and the fiber still waits for the
+// handler, since the handler refers to this stack frame. `timed_out` is true if `cancel` was called;
+// the operation may have succeeded even so.
 template <class... Results, class Start, class Cancel>
 std::tuple<Results...> await_result_until(time_point deadline, bool& timed_out, Start&& start,
                                           Cancel&& cancel) {
--- a/src/connection/bench_connections.cpp
+++ b/src/connection/bench_connections.cpp
@@ -1,4 +1,4 @@
-// Measures the connections of this folder against themselves on loopback.
+// Benchmarks of the connection layer, with both ends in one process over loopback.
 #include "connection/bench_connections.h"
 
 #include <sys/resource.h>
@@ -22,10 +22,10 @@
 constexpr std::size_t callers_per_worker = 16;
 constexpr std::size_t concurrent_streams = 16;
 
-// Below the usual limit of 1024 open files with both ends of each in one process.
+// Both ends of each connection are in this process. Stays below the usual limit of 1024 open files.
 constexpr std::size_t open_connections = 400;
 
-// About the size of a small JSON answer and of one token as a server-sent event.
+// About the size of a small JSON response and of one token as a server-sent event.
 constexpr std::size_t answer_bytes = 256;
 constexpr std::size_t chunk_bytes = 64;
 constexpr std::size_t frame_bytes = 110;
@@ -226,7 +226,7 @@
 
 connection_figures bench_connections(duration each) {
   connection_figures figures;
-  figures.memory = bench_memory();  // first, while nothing has grown the heap yet
+  figures.memory = bench_memory();  // first, before other benchmarks grow the heap
   figures.idle = bench_idle(4 * each);
   figures.requests.push_back(bench_requests(1, 1, each));
   for (std::size_t workers = 1; workers <= most_workers; ++workers) {
--- a/src/connection/bench_connections.h
+++ b/src/connection/bench_connections.h
@@ -1,4 +1,4 @@
-// Measures the connections of this folder against themselves on loopback.
+// Benchmarks of the connection layer, with both ends in one process over loopback.
 #pragma once
 
 #include <cstddef>
@@ -10,16 +10,16 @@
 
 namespace arbutus {
 
-// What an idle runtime costs, with open connections and links that carry nothing.
+// CPU use of an idle runtime with open connections and links that carry no traffic.
 struct idle_cost {
   std::size_t workers{};
   double core_fraction{};  // processor time over wall time, of the whole process
 };
 
-// Whole requests of a client against a server, each on a runtime of its own.
+// Throughput and latency of complete requests. Client and server each have their own runtime.
 struct request_rate {
   std::size_t workers{};  // of each of the two runtimes
-  std::size_t callers{};  // calls under way at any time
+  std::size_t callers{};  // concurrent calls
   double per_second{};
   duration p50{};
   duration p99{};
@@ -27,21 +27,21 @@
   std::uint64_t failed{};
 };
 
-// Chunks of one long answer, written one by one and read as they come.
+// Chunks of endless responses, written one by one and read as they arrive.
 struct stream_rate {
   std::size_t streams{};
   double chunks_per_second{};
   duration processor_per_thousand_chunks{};  // both sides together
 };
 
-// Frames over one link, as many as it takes.
+// Frames sent over one link as fast as it accepts them.
 struct frame_rate {
   double per_second{};
   std::uint64_t dropped{};
 };
 
-// Resident memory that open connections take, both sides together: while each carries a request,
-// and idle afterwards (stacks of fibers that have ended are kept for the next ones).
+// Resident memory per open connection, both sides together: while each carries a request, and idle
+// afterwards. Stacks of finished fibers are kept for reuse.
 struct connection_memory {
   std::size_t connections{};
   std::size_t busy_bytes_each{};
@@ -56,10 +56,11 @@
   connection_memory memory;
 };
 
-// Each figure is measured for about `each`; all of them take about 15 times that. Not from a fiber.
+// Each benchmark runs for about `each`; all of them take about 15 times that. Must not be called
+// from a fiber.
 [[nodiscard]] connection_figures bench_connections(duration each);
 
-// One figure a line, for people.
+// One result per line, human-readable.
 void print(std::ostream& out, const connection_figures& figures);
 
 }  // namespace arbutus
--- a/src/connection/cancel_token.cpp
+++ b/src/connection/cancel_token.cpp
@@ -1,4 +1,4 @@
-// Cancelling a call means closing its connection, on the worker that owns it.
+// A call is cancelled by closing its connection on the worker that owns it.
 #include "connection/cancel_token.h"
 
 #include <atomic>
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Runs on the stream's worker. The scope may have ended since: then there is nothing to close.
+// Runs on the stream's worker. If the scope has ended in the meantime, there is nothing to close.
 void abort_stream(cancel_state& state) {
   const std::lock_guard lock(state.mutex);
   if (state.stream != nullptr) {
--- a/src/connection/cancel_token.h
+++ b/src/connection/cancel_token.h
@@ -1,4 +1,4 @@
-// Ends a call from another fiber or thread.
+// Cancels a call from another fiber or thread.
 #pragma once
 
 #include <memory>
@@ -8,8 +8,8 @@
 class fiber_stream;
 struct cancel_state;
 
-// Copies speak of the same call. Shared ownership, because the caller that cancels and the call
-// itself end in either order.
+// Copies refer to the same call. They share ownership of its state, because the call and the caller
+// that cancels it may end in either order.
 class cancel_token {
  public:
   // A token that is never cancelled.
@@ -17,12 +17,13 @@
 
   [[nodiscard]] static cancel_token make();
 
-  // Closes the connection of the running call, and fails calls that begin later. Does not wait.
-  // From any thread.
+  // Closes the connection of the running call, and makes calls that begin later fail. Does not wait.
+  // Callable from any thread.
   void cancel() const;
   [[nodiscard]] bool cancelled() const;
 
-  // For clients: names the connection to close while the scope lives. On the worker of the stream.
+  // For clients: registers the connection to close, for the lifetime of the scope. Used on the
+  // worker of the stream.
   class scope {
    public:
     scope(const cancel_token& token, fiber_stream& stream);
--- a/src/connection/clock.cpp
+++ b/src/connection/clock.cpp
@@ -1,4 +1,4 @@
-// The clocks of this machine.
+// Reads the clocks of this machine.
 #include "connection/clock.h"
 
 #include <ctime>
--- a/src/connection/clock.h
+++ b/src/connection/clock.h
@@ -1,4 +1,5 @@
-// The clocks of this machine. Shells read time here and nowhere else, and pass it on as `now`.
+// The clocks of this machine. Only the I/O code reads the time, always through these functions, and
+// passes it to the decision code as `now`.
 #pragma once
 
 #include <chrono>
@@ -7,16 +8,17 @@
 
 namespace arbutus {
 
-// Monotonic time of this machine; never steps back, and goes on while the machine is suspended.
-// What goes wrong with a clock that stands still then: leases and proofs that lapsed during the
-// suspension would look valid after it, and a withdrawn key would be served.
+// Monotonic time of this machine. It never steps back and includes the time during which the machine
+// is suspended. With a clock that stops then, leases and proofs that expired during the suspension
+// would look valid after it, and a revoked key would still be accepted.
 [[nodiscard]] time_point monotonic_now();
 
-// The moment `t` on the standard library's steady clock, which timers use. That clock may stand
-// still during a suspension, so the result is good for arming a timer now, not for keeping.
+// Converts `t` to the standard library's steady clock, which timers use. That clock may stop while
+// the machine is suspended, so the result is only valid for starting a timer now; do not store it.
 [[nodiscard]] std::chrono::steady_clock::time_point to_steady(time_point t);
 
-// Time since the Unix epoch, which operators may step; only for what outlives the process.
+// Time since the Unix epoch. Operators may set this clock, so use it only for times that outlive the
+// process.
 [[nodiscard]] wall_time wall_now();
 
 }  // namespace arbutus
--- a/src/connection/connection_registry.h
+++ b/src/connection/connection_registry.h
@@ -1,4 +1,4 @@
-// The open connections of a server, worker by worker. Only for the .cpp files of this folder.
+// The open connections of a server, per worker. Only for the .cpp files of this folder.
 #pragma once
 
 #include <atomic>
@@ -16,7 +16,7 @@
  public:
   explicit connection_registry(std::size_t workers) : shards_(workers) {}
 
-  // The worker with the fewest connections. From any thread.
+  // The worker with the fewest connections. Callable from any thread.
   [[nodiscard]] std::size_t least_loaded() const {
     std::size_t best = 0;
     for (std::size_t i = 1; i < shards_.size(); ++i) {
@@ -35,8 +35,8 @@
     return total;
   }
 
-  // Counts a connection that is on its way to `worker`. From any thread; each opened() is followed
-  // by one closed() on that worker.
+  // Counts a connection that is being passed to `worker`. Callable from any thread. Each opened() is
+  // followed by one closed() on that worker.
   void opened(std::size_t worker) { ++shards_[worker].open; }
 
   void closed() {
@@ -49,7 +49,7 @@
 
   void delist(Connection& connection) { shards_[current_worker()].connections.erase(&connection); }
 
-  // For the connections of the calling worker. `action` must not suspend.
+  // Calls `action` for each connection of the calling worker. `action` must not suspend.
   template <class Action>
   void for_each(Action&& action) {
     for (Connection* connection : shards_[current_worker()].connections) {
@@ -57,7 +57,7 @@
     }
   }
 
-  // Suspends until the calling worker has none left.
+  // Suspends until the calling worker has no connections left.
   void wait_until_empty() {
     shard& own = shards_[current_worker()];
     no_lock lock;
@@ -67,7 +67,8 @@
  private:
   struct shard {
     std::atomic<std::size_t> open{0};
-    // Touched on its worker only. Those of `open` that are not here have not begun yet.
+    // Accessed only on its worker. Connections that are counted in `open` but missing here have not
+    // been started yet.
     std::unordered_set<Connection*> connections;
     boost::fibers::condition_variable_any changed;
   };
--- a/src/connection/fiber_runtime.cpp
+++ b/src/connection/fiber_runtime.cpp
@@ -1,4 +1,4 @@
-// The scheduler that joins Boost.Fiber with Boost.Asio, and the threads that use it.
+// A Boost.Fiber scheduler that runs an Asio io_context when idle, and the threads that use it.
 #include "connection/fiber_runtime.h"
 
 #include <boost/fiber/algo/algorithm.hpp>
@@ -20,12 +20,12 @@
 
 thread_local fiber_worker* worker_of_thread = nullptr;
 
-// Ready fibers run first in, first out. The dispatcher, the fiber of Boost.Fiber that wakes
-// sleepers and takes in wake-ups of other threads, is held apart: it runs when nobody else can, and
-// after every `fibers_between_polls` others.
+// Ready fibers run first in, first out. The dispatcher, the fiber of Boost.Fiber that wakes sleeping
+// fibers and processes wake-ups from other threads, is kept separately: it runs when no other fiber
+// is ready, and after every `fibers_between_polls` other fibers.
 //
-// Handlers of Asio run only on the dispatcher. On the stack of a fiber that is about to suspend
-// they could make that same fiber ready, and it would be resumed into itself.
+// Asio handlers run only on the dispatcher. On the stack of a fiber that is about to suspend, a
+// handler could make that same fiber ready, and the fiber would be resumed from itself.
 class io_scheduler final : public boost::fibers::algo::algorithm {
  public:
   explicit io_scheduler(asio::io_context& io) : io_(io), wake_up_(io) {}
@@ -68,15 +68,15 @@
     io_.poll();
   }
 
-  // From any thread. A posted handler is kept by Asio, so that a wake-up between the last look at
-  // the queues and the wait is not lost.
+  // Called from any thread. Asio queues a posted handler, so a wake-up between the last check of the
+  // queues and the wait is not lost.
   void notify() noexcept override {
     asio::post(io_, [] {});
   }
 
  private:
-  // An alarm that rings too early only costs one look at the sleepers. So the alarm is moved only
-  // to an earlier time: deadlines of calls mostly grow, and most are never reached.
+  // A timer that fires too early costs only one check of the sleeping fibers. So the timer is only
+  // ever moved to an earlier time: deadlines of calls mostly increase, and most are never reached.
   void arm(const steady_time& until) {
     if (until >= armed_until_) {
       return;
--- a/src/connection/fiber_runtime.h
+++ b/src/connection/fiber_runtime.h
@@ -1,9 +1,9 @@
-// Worker threads that run fibers and sockets side by side.
+// Worker threads that run fibers and handle sockets.
 //
-// Boost.Fiber schedules fibers, Boost.Asio waits for sockets, and neither knows of the other. Each
-// worker here owns one io_context and one scheduler whose idle state *is* waiting in that
-// io_context, so that an idle worker sleeps in the kernel. A fiber stays on its worker for
-// incarnation: state that belongs to one worker needs no lock.
+// Boost.Fiber schedules fibers and Boost.Asio waits for sockets, independently of each other. Each
+// worker here owns one io_context and one scheduler, which waits in that io_context when no fiber is
+// ready, so that an idle worker sleeps in the kernel. A fiber stays on its worker until it ends, so
+// state that belongs to one worker needs no lock.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +16,13 @@
 
 struct fiber_worker;
 
-// One stack per fiber. Parsing JSON and writing logs fit well into half of it; only pages that were
-// touched take memory.
+// Bytes of stack per fiber. Parsing JSON and writing logs need less than half of it; only pages that
+// were touched use memory.
 constexpr std::size_t fiber_stack_size = 128UL * 1024;
 
-// Ready fibers a worker runs before it looks at its sockets again. Without a bound, fibers that
-// keep each other ready would starve every socket; with a bound of one, each switch would pay a
-// system call.
+// Number of ready fibers that a worker runs before it polls its sockets again. Without a bound,
+// fibers that keep each other ready would starve all sockets; with a bound of one, each switch would
+// cost a system call.
 constexpr std::size_t fibers_between_polls = 64;
 
 class fiber_runtime {
@@ -36,23 +36,23 @@
 
   [[nodiscard]] std::size_t workers() const noexcept;
 
-  // Starts the threads. Work posted earlier begins now. Not after a server, client or link that
-  // was made before it has been destroyed again.
+  // Starts the threads, which begin the work posted so far. Must not be called once a server, client
+  // or link that was created before the call has been destroyed.
   void run();
   [[nodiscard]] bool running() const noexcept;
 
-  // Asks the workers to end once their fibers have returned, and wakes every sleep_until().
-  // Servers, clients and links are destroyed first: their fibers do not end by themselves.
+  // Makes the workers end once their fibers have returned, and wakes every sleep_until(). Servers,
+  // clients and links must be destroyed before: their fibers do not end on their own.
   void stop();
 
   // Waits until every worker has ended.
   void join();
 
-  // Starts `work` in a fiber of its own on `worker`. From any thread.
+  // Starts `work` in a new fiber on `worker`. Callable from any thread.
   void post(std::size_t worker, std::function<void()> work);
 
-  // Runs `work` in a fiber on `worker` and waits for it; in place when the threads have ended or
-  // never ran. From any thread or fiber.
+  // Runs `work` in a fiber on `worker` and waits for it. Calls it directly if the threads have ended
+  // or were never started. Callable from any thread or fiber.
   void run_on(std::size_t worker, const std::function<void()>& work);
 
   // For the other parts of this folder.
@@ -63,12 +63,12 @@
   std::unique_ptr<state> state_;
 };
 
-// The worker that runs the calling fiber, or `no_worker` on a foreign thread.
+// The worker that runs the calling fiber, or `no_worker` on a thread that is not a worker.
 constexpr std::size_t no_worker = static_cast<std::size_t>(-1);
 [[nodiscard]] std::size_t current_worker() noexcept;
 
-// Suspends the calling fiber until `until`. False if the runtime was stopped meanwhile; the caller
-// then returns soon.
+// Suspends the calling fiber until `until`. False if the runtime was stopped in the meantime; the
+// fiber then has to end promptly.
 bool sleep_until(time_point until);
 
 }  // namespace arbutus
--- a/src/connection/fiber_stream.cpp
+++ b/src/connection/fiber_stream.cpp
@@ -33,8 +33,9 @@
   }
 }
 
-// A cancel that comes between two operations finds nothing to cancel. Each operation therefore
-// looks at the reasons for it first, or a timed-out exchange would go on for as long as bytes come.
+// A cancellation between two operations has no operation to cancel. Each operation therefore first
+// checks for an abort and for the deadline. Otherwise a timed-out exchange would continue for as
+// long as bytes arrive.
 bool fiber_stream::begin(error_code& error) {
   error = {};
   if (aborted_) {
--- a/src/connection/fiber_stream.h
+++ b/src/connection/fiber_stream.h
@@ -1,6 +1,6 @@
-// A TCP socket whose reads and writes suspend the fiber, with one deadline for all of them. It has
-// the form of a synchronous stream of Asio, so that the plain algorithms of Beast run on it. Only
-// for the .cpp files of this folder.
+// A TCP socket whose reads and writes suspend the fiber, with one deadline for all of them. It
+// satisfies the SyncStream requirements of Asio, so that the synchronous algorithms of Beast work
+// with it. Only for the .cpp files of this folder.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -13,7 +13,8 @@
 
 namespace arbutus {
 
-// What a stream without bytes to read looks like.
+// Result of checking a stream without waiting: nothing to read, bytes to read, or closed by the peer
+// or an error.
 enum class peek_state : std::uint8_t { quiet, readable, closed };
 
 class fiber_stream {
@@ -26,32 +27,33 @@
   executor_type get_executor() { return socket_.get_executor(); }
   boost::asio::ip::tcp::socket& socket() { return socket_; }
 
-  // For every operation begun from now on; they fail with `timed_out` at that time.
+  // Applies to all operations that start from now on: they fail with `timed_out` at `deadline`.
   void set_deadline(time_point deadline) { deadline_ = deadline; }
 
-  // Ends the running operation and all later ones with `operation_aborted`. On the own worker.
+  // Ends the running operation and all later ones with `operation_aborted`. Only on the stream's
+  // worker.
   void abort();
   [[nodiscard]] bool aborted() const noexcept { return aborted_; }
 
-  // Ends the running operation alone with `operation_aborted`. On the own worker.
+  // Ends only the running operation, with `operation_aborted`. Only on the stream's worker.
   void interrupt();
 
-  // Sends the end of our side, and takes in what the peer still sends until `deadline` or its end:
-  // closing with unread bytes would reset the connection and destroy answers on their way.
+  // Shuts down the sending side, and discards what the peer still sends until it closes or `deadline`
+  // comes. Closing with unread bytes would reset the connection and destroy responses in transit.
   void close_gently(time_point deadline);
 
-  // Closes with a reset: bytes that are still on their way are dropped.
+  // Closes with a reset: bytes in transit are dropped.
   void close_at_once();
 
-  // Bytes handed to the kernel so far. Zero proves that the peer has seen nothing.
+  // Bytes passed to the kernel so far. Zero proves that the peer has received nothing.
   [[nodiscard]] std::uint64_t written() const noexcept { return written_; }
 
   void connect(const boost::asio::ip::tcp::endpoint& peer, error_code& error);
 
-  // Looks without waiting and without taking bytes.
+  // Checks the socket without waiting and without consuming bytes.
   [[nodiscard]] peek_state peek();
 
-  // Waits until there is something to read, an end included.
+  // Waits until there is something to read or the peer has closed.
   void wait_readable(error_code& error);
 
   template <class Buffers>
@@ -76,7 +78,7 @@
     return count;
   }
 
-  // Writes what the kernel takes at once; waits only when it takes nothing.
+  // Writes as much as the kernel accepts immediately; waits only if it accepts nothing.
   template <class Buffers>
   std::size_t write_some(const Buffers& buffers, error_code& error) {
     while (begin(error)) {
--- a/src/connection/fiber_worker.h
+++ b/src/connection/fiber_worker.h
@@ -1,5 +1,5 @@
-// The inside of one worker: its io_context, its stacks and the fibers that live on it. Only for the
-// .cpp files of this folder, since it brings in Asio.
+// State of one worker: its io_context, its stacks and its fibers. Only for the .cpp files of this
+// folder, since it includes Asio.
 #pragma once
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -18,7 +18,7 @@
 
 namespace arbutus {
 
-// For condition variables whose waiters and notifiers all live on one worker.
+// A no-op lock for condition variables whose waiters and notifiers all run on one worker.
 struct no_lock {
   void lock() noexcept {}
   void unlock() noexcept {}
@@ -33,7 +33,7 @@
       boost::asio::make_work_guard(io)};
   std::thread thread;
 
-  // The rest belongs to the worker's own thread.
+  // The members below are accessed only on the worker's own thread.
   boost::fibers::pooled_fixedsize_stack stacks{fiber_stack_size};
   std::size_t live_fibers{};
   bool stopping{};
@@ -48,7 +48,7 @@
   }
 };
 
-// The worker of the calling thread; null on a foreign thread.
+// The worker of the calling thread; null on a thread that is not a worker.
 [[nodiscard]] fiber_worker* this_worker() noexcept;
 
 // Starts a fiber on the calling worker.
@@ -64,7 +64,7 @@
       .detach();
 }
 
-// Starts a fiber on `worker` from any thread. `work` may be movable only.
+// Starts a fiber on `worker`. Callable from any thread. `work` may be move-only.
 template <class Work>
 void spawn_on(fiber_worker& worker, Work&& work) {
   boost::asio::post(worker.io, [&worker, work = std::forward<Work>(work)]() mutable {
--- a/src/connection/frame_queue.cpp
+++ b/src/connection/frame_queue.cpp
@@ -1,4 +1,4 @@
-// The frames that wait for a slow peer.
+// Queue of frames to be sent to a peer.
 #include "connection/frame_queue.h"
 
 #include "connection/link_wire.h"
@@ -33,9 +33,9 @@
   return dropped;
 }
 
-std::size_t frame_queue::take(std::vector<std::uint8_t>& out, std::size_t enough) {
+std::size_t frame_queue::take(std::vector<std::uint8_t>& out, std::size_t batch_bytes) {
   std::size_t count = 0;
-  for (; !empty() && out.size() < enough; ++count) {
+  for (; !empty() && out.size() < batch_bytes; ++count) {
     frames& from = urgent_.empty() ? state_ : urgent_;
     append_frame(out, from.front());
     pop(from);
--- a/src/connection/frame_queue.h
+++ b/src/connection/frame_queue.h
@@ -1,4 +1,4 @@
-// The frames that wait for a slow peer, within a bound.
+// Bounded queue of frames to be sent to a peer.
 #pragma once
 
 #include <cstddef>
@@ -15,16 +15,16 @@
  public:
   explicit frame_queue(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // Adds a frame and returns how many were dropped for it: the oldest state first, then, so that
-  // memory stays bounded even so, the oldest urgent ones. The newest frame is always kept.
+  // Adds a frame and returns the number of frames dropped to make room: first the oldest state, then
+  // the oldest urgent frames, so that memory stays bounded in any case. The new frame is always kept.
   std::size_t push(std::vector<std::uint8_t> frame, frame_priority priority);
 
-  // Drops all state; returns how many frames that were.
+  // Drops all frames of priority `state` and returns their number.
   std::size_t drop_state();
 
-  // Moves frames with their prefixes to the end of `out`, urgent ones first, until it holds about
-  // `enough` bytes. Returns how many frames those are.
-  std::size_t take(std::vector<std::uint8_t>& out, std::size_t enough);
+  // Appends frames with their length prefixes to `out`, urgent ones first, until it holds at least
+  // `batch_bytes` bytes or the queue is empty. Returns the number of frames.
+  std::size_t take(std::vector<std::uint8_t>& out, std::size_t batch_bytes);
 
   [[nodiscard]] bool empty() const { return urgent_.empty() && state_.empty(); }
   [[nodiscard]] std::size_t bytes() const { return bytes_; }
@@ -34,7 +34,7 @@
   void pop(frames& from);
 
   std::size_t max_bytes_;
-  std::size_t bytes_{0};  // payloads in both queues
+  std::size_t bytes_{0};  // total payload in both queues
   frames urgent_;
   frames state_;
 };
--- a/src/connection/http_call.cpp
+++ b/src/connection/http_call.cpp
@@ -1,4 +1,4 @@
-// One request and its answer on one connection.
+// One request and its response on one connection of the HTTP client.
 #include "connection/http_call.h"
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 
 constexpr std::size_t read_buffer_size = 16UL * 1024;
 
-// A target that answers before it has read the whole request has an answer waiting; more than this
-// is not spent on it.
+// Time limit for reading a response that the target sent before it had read the whole request. That
+// response has already been sent, so a short limit suffices.
 constexpr duration early_answer_wait = 250ms;
 
 http_headers headers_of(const http::fields& fields) {
@@ -102,14 +102,15 @@
   if (!read_body(*parser, sink, limits, error)) {
     return error ? broken(error) : abandoned();
   }
-  // Bytes behind the answer belong to no request of ours, so the two sides disagree on framing.
+  // Bytes after the response belong to no request of this client: the two sides disagree on framing,
+  // so the connection is not reused.
   reusable_ = !write_error && parser->keep_alive() && connection_.input.size() == 0;
   result_.outcome = call_outcome::ok;
   return std::move(result_);
 }
 
-// A target may refuse a large request before reading all of it, and close. Its answer still
-// counts.
+// A target may refuse a large request before reading all of it, and close the connection. Its
+// response is still read.
 bool http_call::await_early_answer(const error_code& write_error) {
   if (write_error == asio::error::timed_out || write_error == asio::error::operation_aborted) {
     return false;
@@ -118,7 +119,7 @@
   return true;
 }
 
-// Answers with a status of 1xx only announce the real one.
+// Skips interim responses (status 1xx), which precede the final one.
 std::unique_ptr<http_call::answer_parser> http_call::read_headers(const http_client_limits& limits,
                                                                   bool bounded_body,
                                                                   error_code& error) {
@@ -139,15 +140,15 @@
   }
 }
 
-// An answer that is longer than the link carries by the deadline would otherwise never be read:
-// each new call begins it again.
+// Without this, a response that the link cannot transfer before the deadline would never be read
+// completely: each new call would start from its beginning.
 void http_call::extend_deadline(time_point headers_at, const http_client_limits& limits) {
   const time_point last = headers_at + limits.longest_body;
   const time_point next = std::min(monotonic_now() + limits.body_stall, last);
   connection_.stream.set_deadline(std::max(deadline_, next));
 }
 
-// False with `error` clear if the sink wants no more.
+// False with `error` clear if the sink stops the transfer.
 bool http_call::read_body(answer_parser& parser, const answer_sink& sink,
                           const http_client_limits& limits, error_code& error) {
   const bool extends = sink.bounded && limits.body_stall > duration::zero();
--- a/src/connection/http_call.h
+++ b/src/connection/http_call.h
@@ -1,4 +1,4 @@
-// One request and its answer on one connection of the HTTP client. Only for the .cpp files of this
+// One request and its response on one connection of the HTTP client. Only for the .cpp files of this
 // folder.
 #pragma once
 
@@ -13,7 +13,7 @@
 
 using wire_request = boost::beast::http::request<boost::beast::http::span_body<const char>>;
 
-// An open connection to a target. Between calls it holds no more than its socket.
+// An open connection to a target. Between calls it holds no resources besides its socket.
 struct http_connection {
   explicit http_connection(fiber_stream s) : stream(std::move(s)) {}
 
@@ -22,22 +22,22 @@
   time_point idle_since{};
 };
 
-// How a failed operation on a stream is reported.
+// Maps the error of a stream operation to the failure that the call reports.
 [[nodiscard]] call_failure failure_of(const boost::system::error_code& error);
 
 [[nodiscard]] call_result failed_call(call_outcome outcome, call_failure failure,
                                       std::string detail);
 
-// Fills `wire`, which refers to the body of `request`. False if the request holds text that would
+// Fills `wire`, which refers to the body of `request`. False if the request contains text that would
 // break its framing.
 [[nodiscard]] bool build_request(const socket_address& target, const http_request& request,
                                  wire_request& wire);
 
-// Where the parts of one answer go.
+// Receives the parts of one response.
 struct answer_sink {
   const http_client::headers_handler& on_headers;
   const http_client::chunk_handler& on_chunk;
-  bool bounded;  // whether the body must stay within the limit
+  bool bounded;  // whether the body limit applies
 };
 
 class http_call {
@@ -45,13 +45,14 @@
   http_call(http_connection& connection, const wire_request& request, time_point deadline)
       : connection_(connection), request_(request), deadline_(deadline) {}
 
-  // Once.
+  // Called once.
   call_result run(const answer_sink& sink, const http_client_limits& limits);
 
-  // True if any byte of the request may have left.
+  // True if any byte of the request may have been sent.
   [[nodiscard]] bool sent() const { return connection_.stream.written() != written_before_; }
 
-  // Whether another request may follow: only after a whole answer with nothing behind it.
+  // Whether another request may use the connection: only after a complete response that no further
+  // bytes follow.
   [[nodiscard]] bool reusable() const { return reusable_; }
 
  private:
--- a/src/connection/http_client.cpp
+++ b/src/connection/http_client.cpp
@@ -1,4 +1,4 @@
-// The pool of connections to targets, and which of them a call takes.
+// The pool of idle connections to targets, and the choice of the connection for a call.
 #include "connection/http_client.h"
 
 #include <algorithm>
@@ -15,13 +15,13 @@
 using boost::system::error_code;
 
 using connection_ptr = std::unique_ptr<http_connection>;
-using idle_list = std::vector<connection_ptr>;  // the one used last is at the end
+using idle_list = std::vector<connection_ptr>;  // most recently used last
 
 // The idle connections of one worker.
 struct worker_pool {
   std::map<socket_address, idle_list> idle;
   std::unique_ptr<asio::steady_timer> sweep_timer;
-  bool sweep_pending{false};  // the timer's handler refers to this
+  bool sweep_pending{false};  // a timer handler that refers to this object is pending
   boost::fibers::condition_variable_any swept;
 };
 
@@ -33,8 +33,8 @@
 
   worker_pool& pool() { return pools[current_worker()]; }
 
-  // Null if there is no usable one. A connection that became readable while idle was closed by the
-  // target, or carries an answer that nobody asked for; both end it.
+  // Null if there is no usable idle connection. One that became readable while idle was closed by
+  // the target or carries an unsolicited response; either way it is discarded.
   connection_ptr take_idle(const socket_address& target) {
     const auto entry = pool().idle.find(target);
     if (entry == pool().idle.end()) {
@@ -57,11 +57,11 @@
     return found;
   }
 
-  void put_idle(const socket_address& target, connection_ptr link) {
-    link->idle_since = monotonic_now();
+  void put_idle(const socket_address& target, connection_ptr connection) {
+    connection->idle_since = monotonic_now();
     idle_list& idle = pool().idle[target];
     if (idle.size() < limits.idle_per_target) {
-      idle.push_back(std::move(link));
+      idle.push_back(std::move(connection));
     }
     sweep_later(pool());
   }
@@ -100,53 +100,55 @@
     wire_request wire;
     if (!build_request(target, request, wire)) {
       return failed_call(call_outcome::not_sent, call_failure::malformed,
-                         "unsafe text in the request");
+                         "unsafe characters in the request line or headers");
     }
     for (;;) {
       call_result result;
-      connection_ptr link = use == connection_use::pooled ? take_idle(target) : nullptr;
-      const bool was_idle = link != nullptr;
-      if (!link) {
-        link = connect(target, deadline, token, result);
+      connection_ptr connection = use == connection_use::pooled ? take_idle(target) : nullptr;
+      const bool was_idle = connection != nullptr;
+      if (!connection) {
+        connection = connect(target, deadline, token, result);
       }
-      if (!link) {
+      if (!connection) {
         return result;
       }
       if (permit && !permit()) {
-        put_idle(target, std::move(link));
+        put_idle(target, std::move(connection));
         return failed_call(call_outcome::not_sent, call_failure::not_permitted, "too late to send");
       }
       bool retry = false;
       {
-        const cancel_token::scope cancellable(token, link->stream);
-        http_call once(*link, wire, deadline);
-        result = once.run(sink, limits);
-        // The target closed the idle connection in the moment before the write. Nothing was sent,
-        // so a new connection may carry the request.
+        const cancel_token::scope cancellable(token, connection->stream);
+        http_call current_call(*connection, wire, deadline);
+        result = current_call.run(sink, limits);
+        // The target closed the idle connection just before the write. Nothing was sent, so the
+        // request may be sent on a new connection.
         retry = was_idle && result.outcome == call_outcome::not_sent &&
                 result.failure == call_failure::connection_lost;
-        // Calls that take fresh connections only would fill the pool with ones that nobody uses,
-        // until the target takes no more: seen as resets of every new connection.
-        // Goes wrong without the reset: the request is held up by a cut, its caller leaves, and
-        // when the cut heals the target gets it and works for nobody. One would see requests arrive
-        // seconds after their callers' deadline.
-        if (!result.ok() || link->stream.aborted()) {
-          link->stream.close_at_once();
-        } else if (!once.reusable() || use == connection_use::fresh) {
-          link->stream.socket().close();
+        // Without the reset, a request that is held up by a network partition whose caller has left
+        // would still be delivered when the partition heals: the target would receive it seconds
+        // after the caller's deadline and work for nobody.
+        // Fresh connections are closed. Otherwise, calls that only use fresh ones would fill the
+        // pool with connections that are never reused, until the target accepts no more and resets
+        // every new connection.
+        if (!result.ok() || connection->stream.aborted()) {
+          connection->stream.close_at_once();
+        } else if (!current_call.reusable() || use == connection_use::fresh) {
+          connection->stream.socket().close();
         }
       }
       if (retry) {
         continue;
       }
-      if (link->stream.socket().is_open()) {
-        put_idle(target, std::move(link));
+      if (connection->stream.socket().is_open()) {
+        put_idle(target, std::move(connection));
       }
       return result;
     }
   }
 
-  // Without it a target that is no longer called would keep its connections for ever.
+  // Schedules a sweep of expired idle connections. Without it, connections to a target that is no
+  // longer called would stay open forever.
   void sweep_later(worker_pool& own) {
     if (own.sweep_pending) {
       return;
@@ -188,7 +190,7 @@
 
   fiber_runtime& runtime;
   http_client_limits limits;
-  std::vector<worker_pool> pools;  // one for each worker, touched only there
+  std::vector<worker_pool> pools;  // one per worker, accessed only on that worker
 };
 
 http_client::http_client(fiber_runtime& runtime, const http_client_limits& limits)
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -1,7 +1,7 @@
-// HTTP/1.1 calls to targets, with connections kept open per target and worker.
+// HTTP/1.1 calls to targets, with a pool of open connections per target and worker.
 //
-// What a caller may be told depends on one fact: could any byte of the request have reached the
-// target? The outcome of each call says so, and is never optimistic.
+// What may be reported to a caller depends on whether any byte of the request can have reached the
+// target. The outcome of each call states this conservatively: if in doubt, it is `unknown`.
 #pragma once
 
 #include <cstdint>
@@ -17,29 +17,29 @@
 namespace arbutus {
 
 enum class call_outcome : std::uint8_t {
-  ok,        // the whole answer arrived; its status may still be an error
-  not_sent,  // no byte was handed to the kernel: the target has seen nothing
-  unknown,   // some byte may have been sent, and no whole answer came
+  ok,        // the complete response arrived; its status may still be an error
+  not_sent,  // no byte was passed to the kernel: the target has received nothing
+  unknown,   // some byte may have been sent, and no complete response arrived
 };
 
 enum class call_failure : std::uint8_t {
   none,
   connect_failed,   // refused, unreachable, or over the connect timeout
-  deadline,         // the deadline came
+  deadline,         // the deadline passed
   cancelled,        // by the cancel_token
   abandoned,        // by on_headers or on_chunk returning false
   connection_lost,  // the target closed or reset the connection
-  malformed,        // the answer is no HTTP, or the request cannot be written as such
-  too_large,        // the answer exceeds a limit
-  not_permitted,    // the send_permit said no
+  malformed,        // the response is not valid HTTP, or the request cannot be written as HTTP
+  too_large,        // the response exceeds a limit
+  not_permitted,    // the send_permit returned false
 };
 
 struct call_result {
   call_outcome outcome{call_outcome::unknown};
   call_failure failure{call_failure::none};
-  http_response response;  // for streams without the body; filled once headers arrived
+  http_response response;  // for stream() without the body; filled once the headers arrived
   std::string detail;      // for logs
-  bool refused = false;    // the connection: no process listens at the address
+  bool refused = false;    // connection refused: no process listens at the address
 
   [[nodiscard]] bool ok() const noexcept { return outcome == call_outcome::ok; }
 };
@@ -47,31 +47,31 @@
 [[nodiscard]] std::string_view to_string(call_outcome outcome);
 [[nodiscard]] std::string_view to_string(call_failure failure);
 
-// Asked directly before the first byte goes out, when a connection is at hand. What made a send
-// right may have passed while the call waited for its connection, or while this process was
-// paused. Must not suspend. Empty: always permitted.
+// Called directly before the first byte is sent, when the connection is established. The conditions
+// for sending may have ceased to hold while the call waited for its connection or while this process
+// was paused. Must not suspend. Empty: always permitted.
 using send_permit = std::function<bool()>;
 
-// Whether a call may go over a connection that was used before. The target may close an idle
-// connection just while a request is written to it, and the outcome is then unknown. For calls that
-// may not be repeated, a new connection is worth its round trip; it is closed after the call.
+// Whether a call may use a pooled connection. The target may close an idle connection just while a
+// request is written to it, and the outcome is then unknown. For calls that must not be repeated, a
+// new connection is worth the extra round trip; it is closed after the call.
 enum class connection_use : std::uint8_t { pooled, fresh };
 
 struct http_client_limits {
   duration connect_timeout{1s};
   std::size_t header_bytes{64UL * 1024};
-  std::size_t body_bytes{64UL * 1024 * 1024};  // of whole answers; streams have no limit
-  std::size_t idle_per_target{32};             // kept open for each target and worker
-  duration idle_expiry{30s};                   // below the idle timeout of the targets
-  // Of fetch(): while bytes of the body come, its deadline is at least so long after the newest;
-  // 0: it stays as it is.
+  std::size_t body_bytes{64UL * 1024 * 1024};  // for fetch(); stream() has no limit
+  std::size_t idle_per_target{32};             // idle connections per target and worker
+  duration idle_expiry{30s};                   // shorter than the idle timeout of the targets
+  // For fetch(): each time bytes of the body arrive, the deadline is extended to at least this long
+  // after them. 0: the deadline is not extended.
   duration body_stall{};
-  duration longest_body{10s};  // from the headers on, however steadily the body comes
+  duration longest_body{10s};  // limit for extended deadlines, counted from the headers
 };
 
 class http_client {
  public:
-  // Return false to give up the rest of the answer.
+  // Return false to abandon the rest of the response.
   using headers_handler = std::function<bool(int status, const http_headers& headers)>;
   using chunk_handler = std::function<bool(std::string_view bytes)>;
 
@@ -83,24 +83,24 @@
   http_client(http_client&&) = delete;
   http_client& operator=(http_client&&) = delete;
 
-  // The calls run in a fiber of the runtime. `deadline` covers connecting, sending and the whole
-  // answer, of which the body may have longer: see body_stall.
+  // Must be called in a fiber of the runtime. `deadline` covers connecting, sending and the whole
+  // response. The body may take longer: see body_stall.
   call_result fetch(const socket_address& target, const http_request& request, time_point deadline,
                     const cancel_token& token = {}, const send_permit& permit = {},
                     connection_use use = connection_use::pooled);
 
-  // Passes the answer on as it arrives. Both handlers run in the calling fiber and may suspend it;
-  // the target then has to wait.
+  // Passes the response to the handlers as it arrives. They run in the calling fiber and may suspend
+  // it, which slows the target down by TCP flow control.
   call_result stream(const socket_address& target, const http_request& request, time_point deadline,
                      const headers_handler& on_headers, const chunk_handler& on_chunk,
                      const cancel_token& token = {}, const send_permit& permit = {},
                      connection_use use = connection_use::pooled);
 
-  // Closes the calling worker's idle connections to a target that has started again: they are dead,
-  // and silent if it lost its power.
+  // Closes the calling worker's idle connections to a target that was restarted. They are broken,
+  // and if its machine lost power, no packet has reported that.
   void forget(const socket_address& target);
 
-  // Open idle connections of the calling worker.
+  // Number of open idle connections of the calling worker.
   [[nodiscard]] std::size_t idle_connections() const;
 
  private:
--- a/src/connection/http_exchange.cpp
+++ b/src/connection/http_exchange.cpp
@@ -1,5 +1,5 @@
-// One connection of the HTTP server: reading requests, refusing malformed ones, writing answers and
-// noticing that the caller has gone.
+// One connection of the HTTP server: reads requests, rejects malformed ones, writes responses and
+// detects that the caller has closed its end.
 #include "connection/http_exchange.h"
 
 #include <boost/asio/error.hpp>
@@ -16,14 +16,14 @@
 using boost::system::error_code;
 using request_parser = http::request_parser<http::string_body>;
 
-// How long a caller that is sent away may go on sending before the connection is reset.
+// How long a caller whose connection is being closed may go on sending before it is reset.
 constexpr duration linger_time = 1s;
 
-// Connections over the limit that are still answered with a 503; above that they are just closed.
+// Connections over the limit that still get a 503 response; any further ones are closed without one.
 constexpr std::size_t most_turned_away = 256;
 
 struct refusal {
-  int status{};  // zero: nobody is there to be told
+  int status{};  // zero: the caller is gone, so no response is sent
   std::string_view reason;
 };
 
@@ -48,8 +48,9 @@
   return {400, "the request is malformed"};
 }
 
-// What Beast lets pass and two readers could frame differently. One of them would then take a part
-// of the body for the next request: seen as an answer to a request that nobody sent.
+// Rejects requests that Beast accepts but that two parsers could frame differently. One of them
+// would then take a part of the body for the next request and respond to a request that nobody sent
+// (request smuggling).
 bool is_framed_beyond_doubt(const http::request<http::string_body>& fields, bool chunked) {
   const auto lengths = fields.count(http::field::content_length);
   const auto encodings = fields.count(http::field::transfer_encoding);
@@ -122,8 +123,8 @@
   }
 }
 
-// Waits for the first byte of the next request. A server that drains takes only a request that is
-// already here, since closing would leave its caller without knowing whether it ran.
+// Waits for the first byte of the next request. A draining server accepts only a request that has
+// already arrived: if it closed the connection, the caller would not know whether the request ran.
 bool http_exchange::await_request() {
   if (input_.size() > 0) {
     return true;
@@ -204,16 +205,15 @@
   try {
     core_.handler()(request, writer);
   } catch (const std::exception&) {
-    // Left to the check below: the caller gets a 500, or a stream that is visibly cut.
+    // Handled by the check below: the caller gets a 500, or a stream that is visibly truncated.
   }
   stop_watching();
   if (phase_ == phase::waiting) {
     send(500, {{"Content-Type", "application/json"}},
          core_.error_body()(500, "the request was not answered"));
   }
-  // A stream that was not finished may not look complete: its connection closes without the last
-  // chunk, which the caller notices. A request that stands behind this one is not run for a caller
-  // that has left.
+  // An unfinished stream must not look complete: the connection is closed without the last chunk,
+  // which the caller detects. A pipelined request is not run for a caller that is gone.
   keep_alive_ = keep_alive_ && phase_ == phase::complete && !gone_;
   core_.answered();
 }
@@ -269,7 +269,7 @@
   if (phase_ != phase::waiting) {
     return false;
   }
-  // Callers of HTTP/1.0 know no chunks: the end of the connection ends their answer.
+  // HTTP/1.0 has no chunks: closing the connection ends the response.
   keep_alive_ = keep_alive_ && !core_.close_after_answers() && version_ >= 11;
   http::response<http::empty_body> message;
   put_head(message, status, headers);
@@ -283,7 +283,7 @@
   if (phase_ != phase::streaming) {
     return false;
   }
-  // An empty chunk would be the last one.
+  // An empty chunk would end the stream.
   if (chunk.empty() || head_only_) {
     return true;
   }
@@ -341,8 +341,8 @@
   });
 }
 
-// A caller may send its next request early and then close. The end can only be seen behind those
-// bytes, so they are taken in, up to the limit for a header.
+// A caller may send its next request early and then close. The close can only be detected after
+// those bytes, so they are read, up to the size limit for a header.
 void http_exchange::look_for_end() {
   if (!notice_) {
     return;
--- a/src/connection/http_exchange.h
+++ b/src/connection/http_exchange.h
@@ -1,5 +1,5 @@
-// The inside of the HTTP server: what its connections share, and one connection. Only for the .cpp
-// files of this folder.
+// Internals of the HTTP server: the state that its connections share, and one connection. Only for
+// the .cpp files of this folder.
 #pragma once
 
 #include <atomic>
@@ -37,7 +37,7 @@
   void began() { ++active_; }
   void answered() { --active_; }
 
-  // On the worker of the connection, as its last act.
+  // Called on the worker of the connection, as the last action of its fiber.
   void closed();
 
   void begin_drain() { draining_ = true; }
@@ -45,7 +45,7 @@
   [[nodiscard]] bool close_after_answers() const { return close_after_answers_ || draining_; }
   bool wait_until_empty(time_point deadline);
 
-  // For the connections of the calling worker.
+  // Close the connections of the calling worker.
   void close_idle();
   void close_all();
 
@@ -58,11 +58,11 @@
   std::atomic<bool> draining_{false};
   std::atomic<bool> close_after_answers_{false};
   std::atomic<bool> closing_{false};
-  boost::fibers::mutex empty_mutex_;  // a connection is closed under it, so that no wait misses it
+  boost::fibers::mutex empty_mutex_;  // held while a connection is removed, so no wait misses it
   boost::fibers::condition_variable empty_;
 };
 
-// One connection and the request it carries at the moment. Lives on the stack of its fiber.
+// One connection and its current request. Lives on the stack of its fiber.
 class http_exchange {
  public:
   http_exchange(server_core& core, boost::asio::ip::tcp::socket socket);
@@ -70,10 +70,10 @@
   // Serves requests until either side ends the connection.
   void serve();
 
-  // Answers 503 and closes: more connections than the limit.
+  // Responds with 503 and closes, because the limit on connections is exceeded.
   void turn_away();
 
-  // From another fiber of the worker.
+  // Called from another fiber of the worker.
   void close_if_idle();
   void close_now();
 
@@ -86,7 +86,7 @@
   void on_gone(std::function<void()> notice);
 
  private:
-  // Of the answer.
+  // State of the response.
   enum class phase : std::uint8_t { waiting, streaming, complete, failed };
 
   bool await_request();
@@ -110,20 +110,20 @@
   std::string remote_;
   boost::beast::flat_buffer input_;  // bytes received and not yet parsed
 
-  bool idle_{false};        // waits for the first byte of a request
+  bool idle_{false};        // waiting for the first byte of a request
   bool keep_alive_{false};  // whether the caller may send another request
-  bool linger_{false};      // whether the caller may still be sending what is not read
+  bool linger_{false};      // whether the caller may still send bytes that will not be read
   bool head_only_{false};
   unsigned version_{11};
   phase phase_{phase::waiting};
 
   std::function<void()> notice_;
   bool gone_{false};
-  bool watching_{false};  // a wait for the caller's end is pending; its handler refers to this
+  bool watching_{false};  // a wait for the caller to close is pending; its handler refers to this
   boost::fibers::condition_variable_any watch_ended_;
 };
 
-// The body of a connection's fiber. `socket` was counted by opened().
+// Main function of a connection's fiber. `socket` was counted by opened().
 void serve_connection(server_core& core, boost::asio::ip::tcp::socket socket);
 
 }  // namespace arbutus
--- a/src/connection/http_message.cpp
+++ b/src/connection/http_message.cpp
@@ -1,4 +1,4 @@
-// Header fields.
+// HTTP header fields.
 #include "connection/http_message.h"
 
 #include <algorithm>
--- a/src/connection/http_message.h
+++ b/src/connection/http_message.h
@@ -1,4 +1,4 @@
-// HTTP messages as plain values, for servers and clients alike.
+// HTTP messages as plain values, for servers and clients.
 #pragma once
 
 #include <compare>
@@ -11,7 +11,7 @@
 
 namespace arbutus {
 
-// Where a process listens. Always by IP number: no name service is asked.
+// Address of a listening process. Always an IP address; names are not resolved.
 struct socket_address {
   std::string ip;
   std::uint16_t port{};
@@ -21,7 +21,7 @@
 
 [[nodiscard]] std::string to_string(const socket_address& address);
 
-// Header fields in the order of the message. Names compare without regard to case.
+// Header fields in the order of the message. Names are case-insensitive.
 class http_headers {
  public:
   using field = std::pair<std::string, std::string>;
@@ -35,7 +35,7 @@
   void set(std::string_view name, std::string value);
   void remove(std::string_view name);
 
-  // The first field of that name; the view lives as long as the headers stay unchanged.
+  // The first field of that name. The view is valid until the headers change.
   [[nodiscard]] std::optional<std::string_view> find(std::string_view name) const;
 
   [[nodiscard]] auto begin() const { return fields_.begin(); }
@@ -52,7 +52,7 @@
   std::string target{"/"};
   http_headers headers;
   std::string body;
-  std::string remote;  // "ip:port" of the caller; unused in requests that we send
+  std::string remote;  // "ip:port" of the caller; unused in requests sent by a client
 };
 
 struct http_response {
@@ -61,12 +61,12 @@
   std::string body;
 };
 
-// Field names and values that would end a line early let a caller's text become a header or a
-// message of its own. Such fields are never sent.
+// Whether a header field can be sent. A name or value that contains a line break would let a
+// caller's text become a separate header or message, so such fields are never sent.
 [[nodiscard]] bool is_safe_field(std::string_view name, std::string_view value);
 
-// Fields that concern one connection, not what is passed on over several: how a message is framed
-// and what its sender expects next. Whoever sends a message sets them anew.
+// Whether a header field applies to one connection only (framing, keep-alive, expectations). Such
+// fields are not forwarded; each sender of a message sets its own.
 [[nodiscard]] bool is_framing_field(std::string_view name);
 
 [[nodiscard]] bool equal_ignoring_case(std::string_view a, std::string_view b);
--- a/src/connection/http_server.cpp
+++ b/src/connection/http_server.cpp
@@ -1,4 +1,4 @@
-// Listening, spreading connections over the workers, and ending them in an orderly way.
+// Listens, distributes connections over the workers, and closes them in an orderly way.
 #include "connection/http_server.h"
 
 #include "connection/http_exchange.h"
@@ -92,7 +92,7 @@
   closing_ = true;
   registry_.for_each([](http_exchange& exchange) { exchange.close_now(); });
   registry_.wait_until_empty();
-  // The last one may still be leaving closed().
+  // Waits until the fiber of the last connection has left closed().
   const std::lock_guard lock(empty_mutex_);
 }
 
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -1,7 +1,7 @@
-// An HTTP/1.1 server: one fiber for each connection, spread over the workers of a runtime.
+// An HTTP/1.1 server: one fiber per connection, distributed over the workers of a runtime.
 //
-// The caller of this server is not trusted: every size and every wait has a limit, and a message
-// that cannot be framed beyond doubt is answered with an error and its connection closed.
+// Callers are not trusted: every size and every wait has a limit, and a request with ambiguous
+// framing gets an error response, after which its connection is closed.
 #pragma once
 
 #include <cstddef>
@@ -17,8 +17,8 @@
 
 class http_exchange;
 
-// How one request is answered: with send(), or with start(), write()... and finish(). All of them
-// suspend the fiber while the caller reads slowly, and return false once the caller cannot be
+// Writes the response to one request: with send(), or with start(), write()... and finish(). All of
+// them suspend the fiber while the caller reads slowly. They return false once the caller cannot be
 // reached or has not read within the write timeout; nothing more can be sent then.
 class response_writer {
  public:
@@ -30,16 +30,17 @@
   bool write(std::string_view chunk);
   bool finish();
 
-  // Whether a status was already sent, so that no other can be.
+  // Whether a status was already sent, so that it can no longer be chosen.
   [[nodiscard]] bool started() const;
 
-  // Whether the caller closed its end. Looks at the socket; does not suspend. A caller that closes
-  // only its sending side counts as gone, but is still written to.
+  // Whether the caller has closed its end. Checks the socket without suspending. A caller that closes
+  // only its sending side counts as gone, but can still be written to.
   [[nodiscard]] bool caller_gone();
 
-  // Calls `notice` as soon as the caller closes its end, also while this fiber waits for something
-  // else. It runs on this worker between fibers and must not suspend: it cancels what is upstream.
-  // It is dropped when the handler returns; an empty function drops it earlier.
+  // Calls `notice` as soon as the caller closes its end, even while this fiber waits for something
+  // else. `notice` runs on this worker between fibers and must not suspend; it is meant to cancel
+  // upstream calls. It is removed when the request handler returns, or earlier by passing an empty
+  // function.
   void on_gone(std::function<void()> notice);
 
  private:
@@ -51,25 +52,25 @@
   std::size_t body_bytes{8UL * 1024 * 1024};
   std::size_t connections{4096};
   duration read_timeout{15s};   // from the first byte of a request to its last
-  duration idle_timeout{60s};   // without any byte between requests
-  duration write_timeout{20s};  // for one write to be taken by the caller's side
+  duration idle_timeout{60s};   // between requests
+  duration write_timeout{20s};  // for one write to be accepted by the kernel
 };
 
 using http_handler = std::function<void(const http_request&, response_writer&)>;
-// The JSON body of an answer that the server gives by itself.
+// Builds the JSON body of an error response that the server sends on its own.
 using http_error_body = std::function<std::string(int status, std::string_view reason)>;
 
 [[nodiscard]] std::string default_error_body(int status, std::string_view reason);
 
 class http_server {
  public:
-  // Listens at once; port 0 takes any free one. Throws boost::system::system_error when the address
-  // cannot be listened on. The runtime outlives the server.
+  // Starts listening immediately; port 0 selects any free port. Throws boost::system::system_error
+  // if it cannot listen on the address. The runtime outlives the server.
   http_server(fiber_runtime& runtime, const socket_address& address,
               const http_server_limits& limits, http_handler handler,
               http_error_body error_body = default_error_body);
-  // Closes every connection and waits for its handler to return. A handler that waits upstream is
-  // told by on_gone().
+  // Closes every connection and waits for its handler to return. Handlers that wait for upstream
+  // calls are notified through on_gone().
   ~http_server();
   http_server(const http_server&) = delete;
   http_server& operator=(const http_server&) = delete;
@@ -78,20 +79,21 @@
 
   [[nodiscard]] std::uint16_t port() const noexcept;
 
-  // From now on each answer says that its connection closes, and closes it. New connections and
-  // requests are served as before: the balancer still sends some.
+  // From now on, each response announces `Connection: close` and its connection is closed. New
+  // connections and requests are still served, because the load balancer still sends some.
   void close_after_answers();
 
-  // Closes the listening socket; connections go on.
+  // Closes the listening socket; open connections continue.
   void stop_accepting();
 
   // Stops accepting, closes idle connections, lets requests in flight finish and closes each
-  // connection after its answer. Waits until none is left or `deadline` has come; true if none is.
+  // connection after its response. Waits until none is left or `deadline` has passed; true if none
+  // is left.
   bool drain(time_point deadline);
 
-  // Connections that are open, idle ones included.
+  // Number of open connections, including idle ones.
   [[nodiscard]] std::size_t connections() const noexcept;
-  // Requests that were begun and are not yet answered.
+  // Number of requests in progress.
   [[nodiscard]] std::size_t active() const noexcept;
 
  private:
--- a/src/connection/link_wire.cpp
+++ b/src/connection/link_wire.cpp
@@ -59,14 +59,14 @@
   return node_id(std::string(payload.begin() + 1, payload.end()));
 }
 
-void detect_dead_peer(boost::asio::ip::tcp::socket& socket, duration silence) {
+void detect_dead_peer(boost::asio::ip::tcp::socket& socket, duration timeout) {
   // Links between data centres carry a frame every few minutes, and a node has hundreds: after 15 s
   // of silence their keep-alives alone would take half of its traffic budget. A dead peer is found
   // by the next frame, too.
   constexpr int idle_seconds = 120;
   constexpr int probe_seconds = 2;
   constexpr int probes = 3;
-  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(silence);
+  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(timeout);
   set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(milliseconds.count()));
   set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
   set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, idle_seconds);
--- a/src/connection/link_wire.h
+++ b/src/connection/link_wire.h
@@ -28,7 +28,7 @@
 
 // Lets the kernel notice a peer that vanished without a word: by unacknowledged data within
 // `silence`, and by probes on a link that has nothing to send.
-void detect_dead_peer(boost::asio::ip::tcp::socket& socket, duration silence);
+void detect_dead_peer(boost::asio::ip::tcp::socket& socket, duration timeout);
 
 struct atomic_link_counters {
   std::atomic<std::uint64_t> bytes_in{0};
--- a/tests/shell/connection_bad_http_test.cpp
+++ b/tests/shell/connection_bad_http_test.cpp
@@ -63,7 +63,7 @@
 // Cause: a server that guesses instead of refusing and closing.
 TEST_F(connection_bad_http, each_malformed_request_is_refused_and_closed) {
   const std::string post = "POST / HTTP/1.1\r\n";
-  const std::vector<bad_request> shapes = {
+  const std::vector<bad_request> cases = {
       {"no HTTP", "hello there\r\n\r\n", "400"},
       {"bad version", "GET / HTTP/9.1\r\n\r\n", "400"},
       {"length and encoding",
@@ -90,12 +90,12 @@
       {"long header", "GET / HTTP/1.1\r\nX: " + std::string(3000, 'x') + "\r\n\r\n", "431"},
   };
   start();
-  for (const auto& shape : shapes) {
-    const auto answer = answer_to(shape.bytes);
-    EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 " + shape.status) << shape.name;
-    EXPECT_NE(answer.find("application/json"), std::string::npos) << shape.name;
-    EXPECT_NE(answer.find("\"code\":" + shape.status), std::string::npos) << shape.name;
-    EXPECT_EQ(answer.find("HTTP/1.1", 1), std::string::npos) << "answered twice: " << shape.name;
+  for (const auto& bad : cases) {
+    const auto answer = answer_to(bad.bytes);
+    EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 " + bad.status) << bad.name;
+    EXPECT_NE(answer.find("application/json"), std::string::npos) << bad.name;
+    EXPECT_NE(answer.find("\"code\":" + bad.status), std::string::npos) << bad.name;
+    EXPECT_EQ(answer.find("HTTP/1.1", 1), std::string::npos) << "answered twice: " << bad.name;
   }
   EXPECT_EQ(handled, 0);
   expect_serving();
--- a/tests/shell/connection_client_test.cpp
+++ b/tests/shell/connection_client_test.cpp
@@ -80,7 +80,7 @@
 TEST_F(connection_client, a_body_that_stops_coming_is_not_waited_for) {
   http_client_limits limits;
   limits.body_stall = 100ms;
-  http_client patient{runtime, limits};
+  http_client limited_client{runtime, limits};
   play([&] {
     auto caller = target.accept();
     caller.read_until("card");
@@ -88,7 +88,7 @@
     caller.read_all();
   });
   in_fiber([&] {
-    const auto result = patient.fetch(local(target.port()), {"POST", "/job", {}, "card", {}},
+    const auto result = limited_client.fetch(local(target.port()), {"POST", "/job", {}, "card", {}},
                                       monotonic_now() + 200ms);
     EXPECT_EQ(result.failure, call_failure::deadline);
     EXPECT_EQ(result.response.body, "o");
@@ -99,7 +99,7 @@
   http_client_limits limits;
   limits.body_stall = 5s;
   limits.longest_body = 200ms;
-  http_client patient{runtime, limits};
+  http_client limited_client{runtime, limits};
   play([&] {
     auto caller = target.accept();
     caller.read_until("card");
@@ -107,7 +107,7 @@
     caller.read_all();
   });
   in_fiber([&] {
-    const auto result = patient.fetch(local(target.port()), {"POST", "/job", {}, "card", {}},
+    const auto result = limited_client.fetch(local(target.port()), {"POST", "/job", {}, "card", {}},
                                       monotonic_now() + 100ms);
     EXPECT_EQ(result.failure, call_failure::deadline);
   });
@@ -369,7 +369,7 @@
 TEST_F(connection_client, an_answer_over_the_limit_is_given_up) {
   http_client_limits limits;
   limits.body_bytes = 10;
-  http_client strict(runtime, limits);
+  http_client limited_client(runtime, limits);
   play([&] {
     auto caller = target.accept();
     caller.read_until(end_of_header);
@@ -377,7 +377,7 @@
     caller.read_all();
   });
   in_fiber([&] {
-    const auto result = strict.fetch(local(target.port()), {}, soon());
+    const auto result = limited_client.fetch(local(target.port()), {}, soon());
     EXPECT_EQ(result.outcome, call_outcome::unknown);
     EXPECT_EQ(result.failure, call_failure::too_large);
   });
--- a/tests/shell/connection_http_test.cpp
+++ b/tests/shell/connection_http_test.cpp
@@ -38,11 +38,11 @@
 
 TEST_F(connection_http, streams_chunk_by_chunk) {
   boost::fibers::promise<void> first_seen;
-  auto may_go_on = first_seen.get_future();
+  auto first_chunk_read = first_seen.get_future();
   http_server server(runtime, any_port, {}, [&](const http_request&, response_writer& writer) {
     writer.start(200, {{"Content-Type", "text/event-stream"}});
     writer.write("one");
-    may_go_on.wait();  // the second chunk is written only after the first was read
+    first_chunk_read.wait();  // the second chunk is written only after the first was read
     writer.write("");  // must not end the stream
     writer.write("two");
     writer.finish();
@@ -249,12 +249,12 @@
 
 TEST_F(connection_drain, destroying_a_server_tells_its_handlers) {
   watched<int> waiting;
-  bool told = false;
+  bool notified = false;
   auto other = std::make_unique<http_server>(runtime, any_port, http_server_limits{},
                                              [&](const http_request&, response_writer& writer) {
-                                               writer.on_gone([&told] { told = true; });
+                                               writer.on_gone([&notified] { notified = true; });
                                                waiting.set(1);
-                                               EXPECT_TRUE(fiber_waits([&told] { return told; }));
+                                               EXPECT_TRUE(fiber_waits([&notified] { return notified; }));
                                                EXPECT_FALSE(writer.send(200, {}, "late"));
                                              });
   auto caller = raw_connection::to(other->port());
--- a/tests/shell/connection_link_test.cpp
+++ b/tests/shell/connection_link_test.cpp
@@ -157,7 +157,7 @@
 TEST_F(connection_link, strangers_are_turned_away) {
   limits.hello_timeout = 30ms;
   auto server = make_server();
-  const std::vector<std::string> strangers = {
+  const std::vector<std::string> invalid_hellos = {
       "GET / HTTP/1.1\r\n\r\n",  // its first bytes are no length
       wire_of("\x02"
               "a"),                             // another version of the protocol
@@ -166,11 +166,11 @@
       std::string(4, '\0'),                     // an empty frame
       hello_of_a.substr(0, 5),                  // half a hello, then silence
   };
-  for (const auto& stranger : strangers) {
+  for (const auto& hello : invalid_hellos) {
     auto caller = raw_connection::to(server->port());
-    caller.send(stranger);
+    caller.send(hello);
     EXPECT_EQ(caller.read_all(), "");
-    EXPECT_FALSE(caller.silent());
+    EXPECT_FALSE(caller.timed_out());
   }
   EXPECT_EQ(server_sees.get(), "");
   auto client = make_client(server->port());
--- a/tests/shell/platform_test.cpp
+++ b/tests/shell/platform_test.cpp
@@ -90,7 +90,7 @@
   // Sequence: something else than an engine writes into the list. Cause: missing fields have
   // values of ours, an unknown state counts as ready.
   using nlohmann::json;
-  const json whole = {{"service", "llm"},
+  const json complete = {{"service", "llm"},
                       {"address", "10.0.0.7:9000"},
                       {"zone", "a"},
                       {"slots", 26},
@@ -105,9 +105,9 @@
     EXPECT_EQ(readable, problem.empty()) << problem;
     return readable;
   };
-  ASSERT_TRUE(reads("i-1", whole));
+  ASSERT_TRUE(reads("i-1", complete));
   for (const char* needed : {"service", "address", "zone", "slots", "state"}) {
-    json without = whole;
+    json without = complete;
     without.erase(needed);
     EXPECT_FALSE(reads("i-1", without)) << needed;
   }
@@ -117,21 +117,21 @@
       const bool is_text = odd.is_string();
       const bool any_text =
           is_text && (field == std::string_view("service") || field == std::string_view("zone"));
-      json changed = whole;
+      json changed = complete;
       changed[field] = odd;
       EXPECT_EQ(reads("i-1", changed), any_text) << field << " " << odd;
     }
   }
   for (const char* field : {"name", "epoch", "rank", "state"}) {
-    json changed = whole;
+    json changed = complete;
     changed["group"][field] = json::object();
     EXPECT_FALSE(reads("i-1", changed)) << field;
   }
-  json unknown_state = whole;
+  json unknown_state = complete;
   unknown_state["group"]["state"] = "asleep";
   EXPECT_FALSE(reads("i-1", unknown_state));
-  EXPECT_FALSE(reads("no engine", whole));
-  EXPECT_FALSE(reads("i-1~3", whole));
+  EXPECT_FALSE(reads("no engine", complete));
+  EXPECT_FALSE(reads("i-1~3", complete));
   std::string problem;
   for (const char* text : {"", "{", "[]", "null", "\xff\xfe", "7"}) {
     EXPECT_FALSE(read_target_record("i-1", text, problem)) << text;
--- a/tests/shell/raw_peer.h
+++ b/tests/shell/raw_peer.h
@@ -15,7 +15,7 @@
 
 namespace arbutus::testing_support {
 
-// A test whose peer stays silent fails by this, in seconds, in place of hanging.
+// A test whose peer stays timed_out fails by this, in seconds, in place of hanging.
 constexpr int raw_patience = 10;
 
 class raw_connection {
@@ -70,8 +70,8 @@
 
   // Closes with a reset in place of an orderly end.
   void reset() {
-    const linger at_once{1, 0};
-    ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    const linger reset_on_close{1, 0};
+    ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     close();
   }
 
@@ -96,7 +96,7 @@
       const auto count = ::recv(socket_, buffer, sizeof buffer, 0);
       if (count <= 0) {
         ended_ = count == 0;
-        silent_ = count < 0 && errno == EAGAIN;
+        timed_out_ = count < 0 && errno == EAGAIN;
         reset_ = count < 0 && errno == ECONNRESET;
         return seen;
       }
@@ -107,13 +107,13 @@
   // Of the last read_all(): an orderly end, a reset, or neither within the patience.
   [[nodiscard]] bool ended() const { return ended_; }
   [[nodiscard]] bool was_reset() const { return reset_; }
-  [[nodiscard]] bool silent() const { return silent_; }
+  [[nodiscard]] bool timed_out() const { return timed_out_; }
 
  private:
   int socket_;
   bool ended_{false};
   bool reset_{false};
-  bool silent_{false};
+  bool timed_out_{false};
 };
 
 class raw_listener {
