--- a/src/connection/await.h
+++ b/src/connection/await.h
@@ -1,4 +1,5 @@
-// Suspends a fiber until an Asio completion handler has run. Only for the .cpp files of this folder.
+// Suspends a fiber until an Asio completion handler has run. Only for the .cpp files of this
+// folder.
 //
 // Fiber and handler run on the same worker, and handlers run only while no other fiber of that
 // worker does. So a flag needs no lock, and no handler can run between the check of the flag and
@@ -59,8 +60,8 @@
 }
 
 // The same with a deadline. At the deadline `cancel` is called, and the fiber still waits for the
-// handler, since the handler refers to this stack frame. `timed_out` is true if `cancel` was called;
-// the operation may have succeeded even so.
+// handler, since the handler refers to this stack frame. `timed_out` is true if `cancel` was
+// called; the operation may have succeeded even so.
 template <class... Results, class Start, class Cancel>
 std::tuple<Results...> await_result_until(time_point deadline, bool& timed_out, Start&& start,
                                           Cancel&& cancel) {
--- a/src/connection/cancel_token.h
+++ b/src/connection/cancel_token.h
@@ -17,8 +17,8 @@
 
   [[nodiscard]] static cancel_token make();
 
-  // Closes the connection of the running call, and makes calls that begin later fail. Does not wait.
-  // Callable from any thread.
+  // Closes the connection of the running call, and makes calls that begin later fail. Does not
+  // wait. Callable from any thread.
   void cancel() const;
   [[nodiscard]] bool cancelled() const;
 
--- a/src/connection/connection_registry.h
+++ b/src/connection/connection_registry.h
@@ -35,8 +35,8 @@
     return total;
   }
 
-  // Counts a connection that is being passed to `worker`. Callable from any thread. Each opened() is
-  // followed by one closed() on that worker.
+  // Counts a connection that is being passed to `worker`. Callable from any thread. Each opened()
+  // is followed by one closed() on that worker.
   void opened(std::size_t worker) { ++shards_[worker].open; }
 
   void closed() {
--- a/src/connection/fiber_runtime.cpp
+++ b/src/connection/fiber_runtime.cpp
@@ -20,9 +20,9 @@
 
 thread_local fiber_worker* worker_of_thread = nullptr;
 
-// Ready fibers run first in, first out. The dispatcher, the fiber of Boost.Fiber that wakes sleeping
-// fibers and processes wake-ups from other threads, is kept separately: it runs when no other fiber
-// is ready, and after every `fibers_between_polls` other fibers.
+// Ready fibers run first in, first out. The dispatcher, the fiber of Boost.Fiber that wakes
+// sleeping fibers and processes wake-ups from other threads, is kept separately: it runs when no
+// other fiber is ready, and after every `fibers_between_polls` other fibers.
 //
 // Asio handlers run only on the dispatcher. On the stack of a fiber that is about to suspend, a
 // handler could make that same fiber ready, and the fiber would be resumed from itself.
@@ -68,8 +68,8 @@
     io_.poll();
   }
 
-  // Called from any thread. Asio queues a posted handler, so a wake-up between the last check of the
-  // queues and the wait is not lost.
+  // Called from any thread. Asio queues a posted handler, so a wake-up between the last check of
+  // the queues and the wait is not lost.
   void notify() noexcept override {
     asio::post(io_, [] {});
   }
--- a/src/connection/fiber_runtime.h
+++ b/src/connection/fiber_runtime.h
@@ -1,9 +1,9 @@
 // Worker threads that run fibers and handle sockets.
 //
 // Boost.Fiber schedules fibers and Boost.Asio waits for sockets, independently of each other. Each
-// worker here owns one io_context and one scheduler, which waits in that io_context when no fiber is
-// ready, so that an idle worker sleeps in the kernel. A fiber stays on its worker until it ends, so
-// state that belongs to one worker needs no lock.
+// worker here owns one io_context and one scheduler, which waits in that io_context when no fiber
+// is ready, so that an idle worker sleeps in the kernel. A fiber stays on its worker until it ends,
+// so state that belongs to one worker needs no lock.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +16,13 @@
 
 struct fiber_worker;
 
-// Bytes of stack per fiber. Parsing JSON and writing logs need less than half of it; only pages that
-// were touched use memory.
+// Bytes of stack per fiber. Parsing JSON and writing logs need less than half of it; only pages
+// that were touched use memory.
 constexpr std::size_t fiber_stack_size = 128UL * 1024;
 
 // Number of ready fibers that a worker runs before it polls its sockets again. Without a bound,
-// fibers that keep each other ready would starve all sockets; with a bound of one, each switch would
-// cost a system call.
+// fibers that keep each other ready would starve all sockets; with a bound of one, each switch
+// would cost a system call.
 constexpr std::size_t fibers_between_polls = 64;
 
 class fiber_runtime {
@@ -36,8 +36,8 @@
 
   [[nodiscard]] std::size_t workers() const noexcept;
 
-  // Starts the threads, which begin the work posted so far. Must not be called once a server, client
-  // or link that was created before the call has been destroyed.
+  // Starts the threads, which begin the work posted so far. Must not be called once a server,
+  // client or link that was created before the call has been destroyed.
   void run();
   [[nodiscard]] bool running() const noexcept;
 
@@ -51,8 +51,8 @@
   // Starts `work` in a new fiber on `worker`. Callable from any thread.
   void post(std::size_t worker, std::function<void()> work);
 
-  // Runs `work` in a fiber on `worker` and waits for it. Calls it directly if the threads have ended
-  // or were never started. Callable from any thread or fiber.
+  // Runs `work` in a fiber on `worker` and waits for it. Calls it directly if the threads have
+  // ended or were never started. Callable from any thread or fiber.
   void run_on(std::size_t worker, const std::function<void()>& work);
 
   // For the other parts of this folder.
--- a/src/connection/fiber_stream.h
+++ b/src/connection/fiber_stream.h
@@ -13,8 +13,8 @@
 
 namespace arbutus {
 
-// Result of checking a stream without waiting: nothing to read, bytes to read, or closed by the peer
-// or an error.
+// Result of checking a stream without waiting: nothing to read, bytes to read, or closed by the
+// peer or an error.
 enum class peek_state : std::uint8_t { quiet, readable, closed };
 
 class fiber_stream {
@@ -38,8 +38,9 @@
   // Ends only the running operation, with `operation_aborted`. Only on the stream's worker.
   void interrupt();
 
-  // Shuts down the sending side, and discards what the peer still sends until it closes or `deadline`
-  // comes. Closing with unread bytes would reset the connection and destroy responses in transit.
+  // Shuts down the sending side, and discards what the peer still sends until it closes or
+  // `deadline` comes. Closing with unread bytes would reset the connection and destroy responses in
+  // transit.
   void close_gently(time_point deadline);
 
   // Closes with a reset: bytes in transit are dropped.
--- a/src/connection/frame_queue.h
+++ b/src/connection/frame_queue.h
@@ -15,8 +15,9 @@
  public:
   explicit frame_queue(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // Adds a frame and returns the number of frames dropped to make room: first the oldest state, then
-  // the oldest urgent frames, so that memory stays bounded in any case. The new frame is always kept.
+  // Adds a frame and returns the number of frames dropped to make room: first the oldest state,
+  // then the oldest urgent frames, so that memory stays bounded in any case. The new frame is
+  // always kept.
   std::size_t push(std::vector<std::uint8_t> frame, frame_priority priority);
 
   // Drops all frames of priority `state` and returns their number.
--- a/src/connection/http_call.cpp
+++ b/src/connection/http_call.cpp
@@ -102,8 +102,8 @@
   if (!read_body(*parser, sink, limits, error)) {
     return error ? broken(error) : abandoned();
   }
-  // Bytes after the response belong to no request of this client: the two sides disagree on framing,
-  // so the connection is not reused.
+  // Bytes after the response belong to no request of this client: the two sides disagree on
+  // framing, so the connection is not reused.
   reusable_ = !write_error && parser->keep_alive() && connection_.input.size() == 0;
   result_.outcome = call_outcome::ok;
   return std::move(result_);
--- a/src/connection/http_call.h
+++ b/src/connection/http_call.h
@@ -1,5 +1,5 @@
-// One request and its response on one connection of the HTTP client. Only for the .cpp files of this
-// folder.
+// One request and its response on one connection of the HTTP client. Only for the .cpp files of
+// this folder.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -28,8 +28,8 @@
 [[nodiscard]] call_result failed_call(call_outcome outcome, call_failure failure,
                                       std::string detail);
 
-// Fills `wire`, which refers to the body of `request`. False if the request contains text that would
-// break its framing.
+// Fills `wire`, which refers to the body of `request`. False if the request contains text that
+// would break its framing.
 [[nodiscard]] bool build_request(const socket_address& target, const http_request& request,
                                  wire_request& wire);
 
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -48,8 +48,8 @@
 [[nodiscard]] std::string_view to_string(call_failure failure);
 
 // Called directly before the first byte is sent, when the connection is established. The conditions
-// for sending may have ceased to hold while the call waited for its connection or while this process
-// was paused. Must not suspend. Empty: always permitted.
+// for sending may have ceased to hold while the call waited for its connection or while this
+// process was paused. Must not suspend. Empty: always permitted.
 using send_permit = std::function<bool()>;
 
 // Whether a call may use a pooled connection. The target may close an idle connection just while a
@@ -89,8 +89,8 @@
                     const cancel_token& token = {}, const send_permit& permit = {},
                     connection_use use = connection_use::pooled);
 
-  // Passes the response to the handlers as it arrives. They run in the calling fiber and may suspend
-  // it, which slows the target down by TCP flow control.
+  // Passes the response to the handlers as it arrives. They run in the calling fiber and may
+  // suspend it, which slows the target down by TCP flow control.
   call_result stream(const socket_address& target, const http_request& request, time_point deadline,
                      const headers_handler& on_headers, const chunk_handler& on_chunk,
                      const cancel_token& token = {}, const send_permit& permit = {},
--- a/src/connection/http_exchange.cpp
+++ b/src/connection/http_exchange.cpp
@@ -19,7 +19,8 @@
 // How long a caller whose connection is being closed may go on sending before it is reset.
 constexpr duration linger_time = 1s;
 
-// Connections over the limit that still get a 503 response; any further ones are closed without one.
+// Connections over the limit that still get a 503 response; any further ones are closed without
+// one.
 constexpr std::size_t most_turned_away = 256;
 
 struct refusal {
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -33,8 +33,8 @@
   // Whether a status was already sent, so that it can no longer be chosen.
   [[nodiscard]] bool started() const;
 
-  // Whether the caller has closed its end. Checks the socket without suspending. A caller that closes
-  // only its sending side counts as gone, but can still be written to.
+  // Whether the caller has closed its end. Checks the socket without suspending. A caller that
+  // closes only its sending side counts as gone, but can still be written to.
   [[nodiscard]] bool caller_gone();
 
   // Calls `notice` as soon as the caller closes its end, even while this fiber waits for something
@@ -53,7 +53,7 @@
   std::size_t connections{4096};
   duration read_timeout{15s};   // from the first byte of a request to its last
   duration idle_timeout{60s};   // between requests
-  duration write_timeout{20s};  // for one write to be accepted by the kernel
+  duration write_timeout{20s};  // for one write to complete
 };
 
 using http_handler = std::function<void(const http_request&, response_writer&)>;
--- a/src/connection/link.h
+++ b/src/connection/link.h
@@ -1,13 +1,13 @@
-// Links between our own processes: TCP connections that carry length-prefixed frames one way, from
-// a link_client to a link_server. What a frame means is up to others; they encode it as
-// MessagePack.
+// Links between nodes: TCP connections that carry length-prefixed frames in one direction, from a
+// link_client to a link_server. The payload is opaque here; its users encode it as MessagePack.
 //
-// A frame is a length of four bytes, most significant first, and that many bytes. Each side first
-// sends a hello frame with its node id: an address may have passed to another node since it was
-// learned, and the sender must not take that one for its peer.
+// A frame is a length of four bytes, big-endian, followed by that many bytes. Each side first sends
+// a hello frame with its node id: since the sender learned the address, it may have been reassigned
+// to another node, which must not be mistaken for the peer.
 //
-// Delivery is not promised. A frame that was handed to the kernel when a link broke may or may not
-// have arrived; the sender is told that the link is up again and then sends its whole state.
+// Delivery is not guaranteed. A frame that was passed to the kernel before a link broke may or may
+// not have arrived. The sender is notified when the link is up again, and then sends its complete
+// state.
 #pragma once
 
 #include <cstddef>
@@ -23,45 +23,45 @@
 
 namespace arbutus {
 
-// Longest payload of a frame in bytes. A length above it means that the peer speaks something else.
+// Maximum payload of a frame in bytes. A greater length means that the peer uses another protocol.
 constexpr std::size_t max_frame_bytes = 1024UL * 1024;
 
 enum class frame_priority : std::uint8_t {
-  state,   // superseded by later frames: the oldest are dropped when the peer is slow
-  urgent,  // goes ahead of state, and is kept while the link is down
+  state,   // superseded by later frames: the oldest are dropped if the peer is slow
+  urgent,  // sent before state, and kept while the link is down
 };
 
 struct link_limits {
   duration connect_timeout{1s};
   duration hello_timeout{2s};
-  duration write_timeout{3s};  // a peer that takes nothing for so long is not up
+  duration write_timeout{3s};  // a peer that accepts no data for this long counts as down
   duration first_backoff{50ms};
   duration longest_backoff{2s};
   std::size_t queue_bytes{256UL * 1024};
 };
 
-// Sums since the start, both of bytes as they are handed to TCP (length prefixes and hello frames
-// included, headers of TCP and IP not).
+// Totals since the start. Bytes are counted as passed to TCP: with length prefixes and hello
+// frames, without TCP and IP headers.
 struct link_counters {
   std::uint64_t bytes_in{};
   std::uint64_t bytes_out{};
   std::uint64_t frames_in{};
   std::uint64_t frames_out{};
   std::uint64_t frames_dropped{};  // from the queue, because the peer was slow or the link down
-  std::uint64_t connects{};        // links that came up
+  std::uint64_t connects{};        // number of times that a link came up
 };
 
-// Called in a fiber, which it may suspend; for one link never twice at a time.
+// Called in a fiber, which it may suspend. Calls for one link never overlap.
 using link_change_handler = std::function<void(const node_id& peer, bool up)>;
 using link_frame_handler =
     std::function<void(const node_id& peer, std::span<const std::uint8_t> bytes)>;
 
-// The receiving end for any number of peers. While a peer has several links, as it may when an old
-// one is not yet known to be broken, it counts as up once.
+// The receiving end for any number of peers. A peer may have several links while an old one is not
+// yet known to be broken; it counts as up while it has at least one.
 class link_server {
  public:
-  // Listens at once; port 0 takes any free one. Throws boost::system::system_error. The runtime
-  // outlives the server. The handlers are called on any worker.
+  // Starts listening immediately; port 0 selects any free port. Throws boost::system::system_error.
+  // The runtime outlives the server. The handlers are called on any worker.
   link_server(fiber_runtime& runtime, const socket_address& address, const node_id& self,
               const link_limits& limits, link_frame_handler on_frame,
               link_change_handler on_change);
@@ -79,11 +79,11 @@
   std::unique_ptr<state> state_;
 };
 
-// The sending end to one peer. It connects by itself, and again whenever the link breaks, after a
-// pause that doubles and is spread at random so that peers do not return all at once.
+// The sending end to one peer. It connects automatically and reconnects whenever the link breaks,
+// with exponential backoff and jitter, so that peers do not all reconnect simultaneously.
 class link_client {
  public:
-  // Lives on `worker`; `seed` spreads the pauses. The runtime outlives the client.
+  // Runs on `worker`; `seed` determines the jitter. The runtime outlives the client.
   link_client(fiber_runtime& runtime, std::size_t worker, const socket_address& address,
               const node_id& self, std::uint64_t seed, const link_limits& limits,
               link_change_handler on_change);
@@ -93,8 +93,8 @@
   link_client(link_client&&) = delete;
   link_client& operator=(link_client&&) = delete;
 
-  // Queues a frame of 1 to max_frame_bytes. False if it is not queued: it is too long or empty, or
-  // it is state and the link is down. From any thread; does not suspend.
+  // Queues a frame of 1 to max_frame_bytes. False if the frame is not queued: it is too long or
+  // empty, or it is state and the link is down. Callable from any thread; does not suspend.
   bool send(std::vector<std::uint8_t> bytes, frame_priority priority);
 
   [[nodiscard]] bool up() const noexcept;
--- a/src/connection/link_client.cpp
+++ b/src/connection/link_client.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Frames that wait are written together up to this many bytes: one packet costs less than many.
+// Queued frames are written together until they reach this size: one packet costs less than many.
 constexpr std::size_t bytes_at_once = 16UL * 1024;
 
 }  // namespace
@@ -32,13 +32,13 @@
         random(seed),
         queue(l.queue_bytes) {}
 
-  // The fiber of the client: one link after the other.
+  // Main function of the client's fiber: makes one link after the other.
   void keep_connected() {
     duration backoff = limits.first_backoff;
     while (!closing) {
       const time_point began = monotonic_now();
       serve_one_link();
-      // A peer that greets and then closes again and again is not called more often for it.
+      // The backoff is not reset for a peer that repeatedly sends its hello and then closes.
       const bool lasted = monotonic_now() - began > limits.longest_backoff;
       backoff = lasted ? limits.first_backoff : std::min(2 * backoff, limits.longest_backoff);
       pause(backoff / 2 + random.jitter(backoff / 2));
@@ -100,7 +100,7 @@
     return answer ? parse_hello(*answer) : std::nullopt;
   }
 
-  // The server sends nothing after its hello; a read that returns means the link has ended.
+  // The server sends nothing after its hello, so the link has ended when a read fails.
   void watch_for_end(frame_reader& reader) {
     while (reader.next()) {
     }
@@ -118,7 +118,7 @@
     }
   }
 
-  // Replaces `bytes` by the next frames; zero when the link is to end.
+  // Replaces `bytes` with the next frames and returns their number; zero if the link has to end.
   std::size_t await_frames(std::vector<std::uint8_t>& bytes) {
     bytes.clear();
     for (;;) {
@@ -195,9 +195,9 @@
   const link_change_handler on_change;
   atomic_link_counters counters;
 
-  // Touched on the worker only.
+  // Accessed on the worker only.
   rng random;
-  bool running{true};  // from the start: the fiber is posted by the constructor
+  bool running{true};  // true from the start, because the constructor posts the fiber
   bool closing{false};
   bool broken{false};  // of the current link
   fiber_stream* current{nullptr};
@@ -205,7 +205,7 @@
 
   std::mutex mutex;
   frame_queue queue;        // guarded by mutex
-  bool wake_posted{false};  // wake_writer() is on its way; guarded by mutex
+  bool wake_posted{false};  // a call of wake_writer() is posted; guarded by mutex
   std::atomic<bool> up{false};
 };
 
--- a/src/connection/link_server.cpp
+++ b/src/connection/link_server.cpp
@@ -98,7 +98,7 @@
   const link_change_handler on_change;
   atomic_link_counters counters;
   std::mutex mutex;
-  std::map<node_id, int> links;  // links that are up for each peer; guarded by mutex
+  std::map<node_id, int> links;  // number of links that are up, per peer; guarded by mutex
   std::atomic<bool> closing{false};
   connection_registry<fiber_stream> registry;
   listener door;
--- a/src/connection/link_wire.cpp
+++ b/src/connection/link_wire.cpp
@@ -1,4 +1,4 @@
-// Frames on a stream.
+// Encodes frames to a stream and decodes them from it.
 #include "connection/link_wire.h"
 
 #include <netinet/in.h>
@@ -11,12 +11,12 @@
 namespace arbutus {
 namespace {
 
-// The first byte of a hello; raised when frames change their form.
+// The first byte of a hello: the protocol version, incremented when the frame format changes.
 constexpr std::uint8_t link_protocol = 1;
 constexpr std::size_t longest_node_id = 255;
 
-// A buffer that grew for one long frame is given back before the next, so that an idle link holds
-// little.
+// A buffer that grew for a long frame shrinks to this size before the next one, so that an idle
+// link uses little memory.
 constexpr std::size_t usual_buffer = 4UL * 1024;
 
 std::size_t read_prefix(const std::uint8_t* at) {
@@ -60,9 +60,9 @@
 }
 
 void detect_dead_peer(boost::asio::ip::tcp::socket& socket, duration timeout) {
-  // Links between data centres carry a frame every few minutes, and a node has hundreds: after 15 s
-  // of silence their keep-alives alone would take half of its traffic budget. A dead peer is found
-  // by the next frame, too.
+  // Links between data centres carry a frame every few minutes, and a node has hundreds of them.
+  // With keep-alives after 15 s without traffic, these alone would use half of the node's traffic
+  // budget. The next frame detects a dead peer as well.
   constexpr int idle_seconds = 120;
   constexpr int probe_seconds = 2;
   constexpr int probes = 3;
@@ -93,7 +93,7 @@
   return payload;
 }
 
-// Waits until `desired` bytes stand at begin_.
+// Reads until at least `desired` bytes are buffered at begin_. False if the stream ends before.
 bool frame_reader::fill(std::size_t desired) {
   make_room(desired);
   while (end_ - begin_ < desired) {
--- a/src/connection/link_wire.h
+++ b/src/connection/link_wire.h
@@ -1,4 +1,4 @@
-// Frames on a stream and the counting of them. Only for the .cpp files of this folder.
+// Reads, writes and counts frames on a stream. Only for the .cpp files of this folder.
 #pragma once
 
 #include <atomic>
@@ -14,20 +14,20 @@
 
 constexpr std::size_t frame_prefix_bytes = 4;
 
-// Kernel buffers of a link, in bytes. State that waits there can no longer be superseded, so they
-// are kept small; control messages fit many times over.
+// Size of the kernel's socket buffers of a link, in bytes. State frames in them can no longer be
+// superseded, so they are small; still, many control messages fit.
 constexpr int link_kernel_buffer = 64 * 1024;
 
-// Adds the frame of `payload` to `out`.
+// Appends `payload` with its length prefix to `out`.
 void append_frame(std::vector<std::uint8_t>& out, std::span<const std::uint8_t> payload);
 
 [[nodiscard]] std::vector<std::uint8_t> hello_payload(const node_id& self);
 
-// Nothing if the payload is no hello of a protocol version that we speak.
+// Empty if the payload is not a hello of the supported protocol version.
 [[nodiscard]] std::optional<node_id> parse_hello(std::span<const std::uint8_t> payload);
 
-// Lets the kernel notice a peer that vanished without a word: by unacknowledged data within
-// `silence`, and by probes on a link that has nothing to send.
+// Makes the kernel detect a peer that vanished without closing the connection: by data that is not
+// acknowledged within `timeout`, and by keep-alive probes while there is nothing to send.
 void detect_dead_peer(boost::asio::ip::tcp::socket& socket, duration timeout);
 
 struct atomic_link_counters {
@@ -41,14 +41,14 @@
   [[nodiscard]] link_counters read() const;
 };
 
-// Cuts what a stream delivers into frames.
+// Splits the bytes of a stream into frames.
 class frame_reader {
  public:
   frame_reader(fiber_stream& stream, atomic_link_counters& counters)
       : stream_(stream), counters_(counters) {}
 
-  // The payload of the next frame, valid until the next call. Nothing at the end, on an error, and
-  // when the peer sends a length that no frame has.
+  // The payload of the next frame, valid until the next call. Empty at the end of the stream, on an
+  // error, and if the peer sends an invalid length.
   std::optional<std::span<const std::uint8_t>> next();
 
  private:
@@ -58,11 +58,11 @@
   fiber_stream& stream_;
   atomic_link_counters& counters_;
   std::vector<std::uint8_t> buffer_;
-  std::size_t begin_{0};  // first byte not yet given out
+  std::size_t begin_{0};  // first byte not yet returned
   std::size_t end_{0};    // past the last byte received; begin_ <= end_ <= buffer_.size()
 };
 
-// Writes whole frames; false on an error.
+// Writes `frames`, which contains `count` complete frames. False on an error.
 bool write_frames(fiber_stream& stream, std::span<const std::uint8_t> frames, std::uint64_t count,
                   atomic_link_counters& counters);
 
--- a/src/connection/listener.cpp
+++ b/src/connection/listener.cpp
@@ -1,4 +1,4 @@
-// Accepting connections on worker 0.
+// Accepts connections on worker 0.
 #include "connection/listener.h"
 
 #include <boost/asio/error.hpp>
@@ -14,8 +14,8 @@
 
 namespace {
 
-// Out of file descriptors or memory, accept() fails at once and again: without a pause it would
-// take the whole worker until others have closed something.
+// Without file descriptors or memory, accept() fails immediately and repeatedly. Without a pause,
+// the retries would occupy the worker until something else has closed descriptors.
 constexpr duration pause_after_failed_accept = 50ms;
 
 }  // namespace
--- a/src/connection/listener.h
+++ b/src/connection/listener.h
@@ -1,4 +1,4 @@
-// Accepts TCP connections and hands them to workers. Only for the .cpp files of this folder.
+// Accepts TCP connections and assigns them to workers. Only for the .cpp files of this folder.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,14 +12,14 @@
 
 class listener {
  public:
-  // Names the worker for the next connection.
+  // Returns the index of the worker for the next connection.
   using chooser = std::function<std::size_t()>;
-  // Takes a new connection, whose socket belongs to `worker`. Runs on worker 0 and must not throw.
+  // Receives a new connection, whose socket belongs to `worker`. Runs on worker 0, must not throw.
   using taker = std::function<void(fiber_worker& worker, boost::asio::ip::tcp::socket socket)>;
 
-  // Listens at once, accepts as soon as the runtime runs. Port 0 takes any free one. A positive
-  // `receive_buffer` limits what the kernel takes in for each connection, in bytes. Throws
-  // boost::system::system_error.
+  // Starts listening immediately, and accepts as soon as the runtime runs. Port 0 selects any free
+  // port. A positive `receive_buffer` sets the kernel's receive buffer of each connection, in
+  // bytes. Throws boost::system::system_error.
   listener(fiber_runtime& runtime, const socket_address& address, int receive_buffer,
            chooser choose_worker, taker take);
   ~listener();
@@ -30,7 +30,7 @@
 
   [[nodiscard]] std::uint16_t port() const noexcept { return port_; }
 
-  // Stops listening; no connection is taken after the return.
+  // Stops listening. No connection is accepted after it has returned.
   void close();
 
  private:
@@ -41,7 +41,7 @@
   taker take_;
   boost::asio::ip::tcp::acceptor acceptor_;  // used on worker 0
   std::uint16_t port_{};
-  bool accepting_{true};  // until accept_all() has ended; touched on worker 0
+  bool accepting_{true};  // until accept_all() has ended; accessed on worker 0
   boost::fibers::condition_variable_any ended_;
 };
 
--- a/tests/shell/connection_bad_http_test.cpp
+++ b/tests/shell/connection_bad_http_test.cpp
@@ -1,4 +1,4 @@
-// What the HTTP server does with callers that are broken, slow or hostile.
+// The HTTP server with callers that are broken, slow or malicious.
 #include <string>
 #include <vector>
 
@@ -27,7 +27,7 @@
         });
   }
 
-  // The whole answer to `bytes`, after which the server has to close.
+  // Returns the complete response to `bytes`, and expects the server to close the connection.
   std::string answer_to(std::string_view bytes, bool end_after = false) {
     auto caller = raw_connection::to(server->port());
     caller.send(bytes);
@@ -57,10 +57,10 @@
   std::string status;
 };
 
-// Symptom: the handler runs on half a request, or the rest of a message is taken for the next
-// request and its answer goes to the wrong caller.
-// Sequence: a caller, or a proxy before it, sends a message that can be read in two ways.
-// Cause: a server that guesses instead of refusing and closing.
+// Guards against a handler that runs on half a request, and against the rest of a message being
+// taken for the next request, whose response then goes to the wrong caller. A caller, or a proxy in
+// front of it, sends a message with ambiguous framing, and the server guesses instead of refusing
+// it and closing.
 TEST_F(connection_bad_http, each_malformed_request_is_refused_and_closed) {
   const std::string post = "POST / HTTP/1.1\r\n";
   const std::vector<bad_request> cases = {
@@ -113,9 +113,9 @@
   expect_serving();
 }
 
-// Symptom: a caller that sends one byte now and then holds a connection for ever.
-// Sequence: part of a request arrives, then nothing.
-// Cause: a limit on single reads in place of one on the whole request.
+// Guards against a caller that occupies a connection forever by sending a byte now and then. The
+// time limit has to apply to the whole request, not to single reads. Here part of a request
+// arrives, then nothing.
 TEST_F(connection_bad_http, a_slow_request_is_timed_out) {
   limits.read_timeout = 30ms;
   start();
@@ -165,9 +165,9 @@
   EXPECT_LT(first, second);
 }
 
-// Symptom: a stream is cut, or memory grows, because one caller reads slowly.
-// Sequence: the handler writes without end; the caller reads nothing.
-// Cause: chunks queued in the process; here a write waits, and fails at the write timeout.
+// Guards against memory that grows, or other streams that are cut, because one caller reads slowly:
+// chunks must not be queued in the process. The handler writes without end and the caller reads
+// nothing, so a write waits, and fails at the write timeout.
 TEST_F(connection_bad_http, a_caller_that_does_not_read_fails_the_write) {
   limits.write_timeout = 50ms;
   watched<bool> failed;
@@ -184,9 +184,8 @@
   EXPECT_TRUE(failed.wait_for(true));
 }
 
-// Symptom: headers that the service never set appear in its answer.
-// Sequence: text of a caller with a line break in it is put into a header.
-// Cause: header values written without a check.
+// Guards against header injection: a line break in a caller's text that is copied into a header
+// must not add headers to the response.
 TEST_F(connection_bad_http, a_header_with_a_line_break_is_not_sent) {
   http_server plain(runtime, any_port, limits, [](const http_request&, response_writer& writer) {
     writer.send(200, {{"X-Bad", "a\r\nSet-Cookie: b"}, {"X-Good", "c"}}, "");
--- a/tests/shell/connection_client_test.cpp
+++ b/tests/shell/connection_client_test.cpp
@@ -1,4 +1,4 @@
-// What the HTTP client says about calls that go wrong, against targets that are played by hand.
+// Outcomes of failed calls of the HTTP client, against targets scripted with raw sockets.
 #include <thread>
 
 #include "connection/http_client.h"
@@ -18,7 +18,7 @@
  protected:
   ~connection_client() override { join(); }
 
-  // Plays the target in a thread of its own.
+  // Runs the script of the target in its own thread.
   void play(std::function<void()> script) { thread = std::thread(std::move(script)); }
   void join() {
     if (thread.joinable()) {
@@ -89,7 +89,7 @@
   });
   in_fiber([&] {
     const auto result = limited_client.fetch(local(target.port()), {"POST", "/job", {}, "card", {}},
-                                      monotonic_now() + 200ms);
+                                             monotonic_now() + 200ms);
     EXPECT_EQ(result.failure, call_failure::deadline);
     EXPECT_EQ(result.response.body, "o");
   });
@@ -108,7 +108,7 @@
   });
   in_fiber([&] {
     const auto result = limited_client.fetch(local(target.port()), {"POST", "/job", {}, "card", {}},
-                                      monotonic_now() + 100ms);
+                                             monotonic_now() + 100ms);
     EXPECT_EQ(result.failure, call_failure::deadline);
   });
 }
@@ -119,9 +119,9 @@
   call_failure failure;
 };
 
-// Symptom: a caller is told that a job card was not written, and writes it twice.
-// Sequence: the request leaves whole; the answer is cut or is no answer at all.
-// Cause: taking a broken answer for proof that nothing ran.
+// Guards against a caller that writes a job card twice because it was told that the first write did
+// not happen. The request is sent completely, but the response is truncated or invalid; that does
+// not prove that nothing ran.
 TEST_F(connection_client, a_broken_answer_leaves_it_unknown) {
   const std::vector<broken_answer> answers = {
       {"none", "", call_failure::connection_lost},
@@ -169,9 +169,8 @@
   });
 }
 
-// Symptom: a request fails although its target is well.
-// Sequence: the target closes an idle connection; the next request is written to it.
-// Cause: reuse without a look at the connection.
+// Guards against a request that fails although its target works: the target has closed an idle
+// connection, and the next request is written to it without a check of the connection.
 TEST_F(connection_client, a_connection_closed_while_idle_is_replaced) {
   watched<bool> closed;
   play([&] {
@@ -195,9 +194,9 @@
   });
 }
 
-// Symptom: a job card is written twice.
-// Sequence: the request goes out on a kept connection; the target reads it and closes.
-// Cause: a client that takes this for a stale connection and sends the request once more.
+// Guards against a job card that is written twice: the request is sent on a reused connection, the
+// target reads it and closes, and the client sends it again because it assumes that the connection
+// was stale.
 TEST_F(connection_client, a_request_written_once_is_never_written_again) {
   play([&] {
     auto caller = target.accept();
@@ -234,10 +233,9 @@
   });
 }
 
-// Symptom: a target resets every new connection, and calls that may not be repeated end as unknown.
-// Sequence: calls that take fresh connections only come one after the other; each leaves its
-// connection in the pool, where none of them looks, until the target takes no more.
-// Cause: fresh connections are kept like all others.
+// Guards against a target that resets every new connection, so that calls that must not be repeated
+// end as unknown. Calls that only use fresh connections must not leave them in the pool: they would
+// never be reused, and accumulate until the target accepts no more.
 TEST_F(connection_client, fresh_connections_do_not_fill_the_pool) {
   constexpr int calls = 20;
   play([&] {
@@ -257,9 +255,8 @@
   });
 }
 
-// Symptom: an order is sent by a node that had lost its right to send it.
-// Sequence: the right lapses while the call waits for its connection.
-// Cause: a check of the right before the wait only.
+// Guards against an order that a node sends after its permission has expired. The permission
+// expires while the call waits for its connection, so it has to be checked after the wait.
 TEST_F(connection_client, a_call_whose_permit_lapsed_is_not_sent) {
   play([&] {
     auto caller = target.accept();
@@ -275,9 +272,8 @@
   });
 }
 
-// Symptom: a caller gets the answer to another caller's request.
-// Sequence: the target sends more than one answer to one request, at once or a little later.
-// Cause: reusing a connection that has bytes nobody asked for.
+// Guards against a caller that gets the response to another caller's request. The target sends two
+// responses to one request, together or a little later, so the connection must not be reused.
 TEST_F(connection_client, a_connection_with_unasked_bytes_is_not_reused) {
   watched<bool> sent_late;
   play([&] {
@@ -303,7 +299,7 @@
   });
 }
 
-// Symptom: as above; here the unread rest of an abandoned answer is taken for the next one.
+// Guards against the unread rest of an abandoned response being taken for the next response.
 TEST_F(connection_client, an_abandoned_answer_ends_its_connection) {
   play([&] {
     auto first = target.accept();
@@ -343,10 +339,10 @@
 }
 
 TEST_F(connection_client, what_is_given_up_is_not_delivered_later) {
-  // Symptom: targets run requests seconds after their callers have left. Sequence: a target's link
-  // is cut, a request is written to it and stays on the way; the caller leaves; the cut heals, and
-  // the request arrives. Cause: the connection ended in order, so that what was sent is delivered.
-  // Here the target sees how the connection ends: by a reset, which drops what is on its way.
+  // Guards against targets that run requests seconds after their callers have left. During a
+  // network partition a request is written to the connection, its caller leaves, and the request
+  // arrives when the partition heals, because an orderly close delivers what was sent. So the
+  // connection has to end with a reset, which drops data in transit.
   watched<bool> reset(false);
   play([&] {
     raw_connection peer = target.accept();
@@ -397,9 +393,9 @@
   });
 }
 
-// Symptom: a request refused for its size is reported as unknown.
-// Sequence: the target answers 413 after the header and closes, while the body is being written.
-// Cause: giving up at the failed write without a look at the answer that is already there.
+// Guards against reporting a request that was refused for its size as unknown. The target responds
+// with 413 after the header and closes while the body is being written; after the failed write the
+// client has to read the response that has already arrived.
 TEST_F(connection_client, an_answer_before_the_end_of_the_request_counts) {
   http_server_limits limits;
   limits.body_bytes = 1000;
--- a/tests/shell/connection_fixture.h
+++ b/tests/shell/connection_fixture.h
@@ -1,4 +1,4 @@
-// What the tests of connections share: a running runtime and ways to wait for a condition.
+// Shared by the tests of connections: a running runtime and ways to wait for a condition.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   return monotonic_now() + 10s;
 }
 
-// A value that threads and fibers change and a test's own thread waits for.
+// A value that threads and fibers change and for which the test's thread can wait.
 template <class T>
 class watched {
  public:
@@ -46,7 +46,8 @@
     return value_;
   }
 
-  // Blocks the thread: only for threads that run no fibers. False after ten seconds.
+  // Blocks the thread, so it must not be called on a thread that runs fibers. False after ten
+  // seconds.
   template <class Predicate>
   [[nodiscard]] bool wait(Predicate&& holds) {
     std::unique_lock lock(mutex_);
@@ -63,7 +64,7 @@
   T value_;
 };
 
-// Suspends the fiber, turn by turn, until `holds()`; false after ten seconds.
+// Suspends the fiber and polls until `holds()` returns true; false after ten seconds.
 inline bool fiber_waits(const std::function<bool()>& holds) {
   const time_point limit = soon();
   while (!holds()) {
--- a/tests/shell/connection_http_test.cpp
+++ b/tests/shell/connection_http_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server and client against each other, callers that leave, and draining.
+// The HTTP client with the HTTP server, callers that disconnect, and draining.
 #include <boost/fiber/future.hpp>
 #include <set>
 
@@ -43,7 +43,7 @@
     writer.start(200, {{"Content-Type", "text/event-stream"}});
     writer.write("one");
     first_chunk_read.wait();  // the second chunk is written only after the first was read
-    writer.write("");  // must not end the stream
+    writer.write("");         // must not end the stream
     writer.write("two");
     writer.finish();
   });
@@ -136,9 +136,8 @@
   });
 }
 
-// Symptom: a caller takes half an answer for the whole.
-// Sequence: the handler gives up in the middle of a stream.
-// Cause: a server that ends the stream in good order all the same.
+// Guards against a caller that takes half a response for the complete one: if the handler returns
+// in the middle of a stream, the server must not end the stream properly.
 TEST_F(connection_http, a_stream_given_up_is_visibly_cut) {
   http_server server(runtime, any_port, {}, [](const http_request&, response_writer& writer) {
     writer.start(200, {});
@@ -153,9 +152,9 @@
   });
 }
 
-// Symptom: engines go on generating for callers that have hung up.
-// Sequence: the caller closes while the handler waits for a target that has not begun to answer.
-// Cause: a server that looks at the caller's socket only when it writes.
+// Guards against engines that go on generating for callers that have disconnected. The caller
+// closes while the handler waits for a target that has not begun its response, so the server must
+// not check the caller's socket only when it writes.
 TEST_F(connection_http, a_caller_that_leaves_cancels_the_call_upstream) {
   const raw_listener upstream;
   http_client client(runtime);
@@ -169,7 +168,7 @@
     EXPECT_EQ(result.outcome, call_outcome::unknown);
     EXPECT_EQ(result.failure, call_failure::cancelled);
   });
-  // The second caller has sent its next request before it leaves. That one is not run.
+  // The second caller sends its next request before it disconnects. That request must not be run.
   const std::string get = "GET / HTTP/1.1\r\n\r\n";
   for (const auto& early : {std::string{}, get}) {
     handled = 0;
@@ -186,9 +185,9 @@
   }
 }
 
-// Symptom: a crash, or a call of another caller cancelled, some time after a request has ended.
-// Sequence: a handler asks for a notice and returns; the connection ends later.
-// Cause: a notice that is kept for longer than what it refers to.
+// Guards against a crash, or the cancellation of another caller's call, some time after a request
+// has ended: a handler registers a callback with on_gone() and returns, and the connection ends
+// later. The callback must not outlive what it refers to.
 TEST_F(connection_http, a_notice_does_not_outlive_its_request) {
   std::atomic<int> notices{0};
   auto server = std::make_unique<http_server>(runtime, any_port, http_server_limits{},
@@ -206,7 +205,7 @@
   EXPECT_EQ(notices, 0);
 }
 
-// A server whose handler waits until the test lets it go on.
+// A server whose handler waits until the test releases it.
 class connection_drain : public connection_fixture {
  protected:
   void answer(response_writer& writer) {
@@ -222,9 +221,8 @@
                      }};
 };
 
-// Symptom: a planned stop cuts off answers.
-// Sequence: drain while one request runs and one connection is idle.
-// Cause: closing connections without regard to what they carry.
+// Guards against a planned stop that truncates responses: drain() is called while one request runs
+// and one connection is idle, and only the idle one may be closed.
 TEST_F(connection_drain, finishes_what_is_in_flight) {
   auto idle = raw_connection::to(server.port());
   auto busy = raw_connection::to(server.port());
@@ -250,13 +248,13 @@
 TEST_F(connection_drain, destroying_a_server_tells_its_handlers) {
   watched<int> waiting;
   bool notified = false;
-  auto other = std::make_unique<http_server>(runtime, any_port, http_server_limits{},
-                                             [&](const http_request&, response_writer& writer) {
-                                               writer.on_gone([&notified] { notified = true; });
-                                               waiting.set(1);
-                                               EXPECT_TRUE(fiber_waits([&notified] { return notified; }));
-                                               EXPECT_FALSE(writer.send(200, {}, "late"));
-                                             });
+  auto other = std::make_unique<http_server>(
+      runtime, any_port, http_server_limits{}, [&](const http_request&, response_writer& writer) {
+        writer.on_gone([&notified] { notified = true; });
+        waiting.set(1);
+        EXPECT_TRUE(fiber_waits([&notified] { return notified; }));
+        EXPECT_FALSE(writer.send(200, {}, "late"));
+      });
   auto caller = raw_connection::to(other->port());
   caller.send("GET / HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(waiting.wait_for(1));
--- a/tests/shell/connection_link_test.cpp
+++ b/tests/shell/connection_link_test.cpp
@@ -1,4 +1,4 @@
-// Links between nodes, with well-behaved peers and with peers that are played by hand.
+// Links between nodes, with real peers and with peers scripted with raw sockets.
 #include "connection/frame_queue.h"
 #include "connection/link.h"
 #include "shell/connection_fixture.h"
@@ -92,9 +92,8 @@
   EXPECT_EQ(received.get().back(), "a:end");
 }
 
-// Symptom: a node that was restarted gets no news any more.
-// Sequence: the peer ends and comes back on the same address.
-// Cause: a link that is made once.
+// Guards against a restarted node that receives no updates any more: the peer ends and returns at
+// the same address, so the link has to be made again.
 TEST_F(connection_link, comes_back_with_its_peer) {
   auto server = make_server();
   const auto port = server->port();
@@ -112,9 +111,9 @@
   EXPECT_EQ(client->counters().frames_dropped, 1U);
 }
 
-// Symptom: memory grows with every slow peer, and it acts on state long past when it recovers.
-// Sequence: the peer greets and then reads nothing, while state is sent again and again.
-// Cause: a queue without bound, or one that refuses the new in favour of the old.
+// Guards against memory that grows with every slow peer, and against a recovered peer that acts on
+// outdated state. The peer sends its hello and then reads nothing, while state is sent repeatedly.
+// The queue has to be bounded, and to drop old frames rather than new ones.
 TEST_F(connection_link, a_slow_peer_gets_the_newest_state) {
   const raw_listener peer;
   limits.queue_bytes = 8UL * 1024;
@@ -135,9 +134,8 @@
   EXPECT_NE(seen.find("urgent!"), std::string::npos);
 }
 
-// Symptom: a paused peer counts as up, and what it should know waits for it.
-// Sequence: the peer's kernel takes what fits, its process reads nothing.
-// Cause: a write without a limit.
+// Guards against a paused peer that counts as up while frames wait for it. The peer's kernel
+// accepts what fits into its buffers, its process reads nothing, so writes need a time limit.
 TEST_F(connection_link, a_peer_that_reads_nothing_is_down) {
   const raw_listener peer;
   limits.write_timeout = 30ms;
@@ -158,7 +156,7 @@
   limits.hello_timeout = 30ms;
   auto server = make_server();
   const std::vector<std::string> invalid_hellos = {
-      "GET / HTTP/1.1\r\n\r\n",  // its first bytes are no length
+      "GET / HTTP/1.1\r\n\r\n",  // its first bytes are not a valid length
       wire_of("\x02"
               "a"),                             // another version of the protocol
       wire_of("\x01"),                          // no name
@@ -188,9 +186,9 @@
   EXPECT_EQ(received.get().size(), 1U);
 }
 
-// Symptom: a peer is taken for lost although its new link works.
-// Sequence: the link breaks unseen by one side; the peer links again; the old one is found broken.
-// Cause: taking the end of one link for the end of the peer.
+// Guards against a peer that counts as lost although its new link works. The link breaks without
+// one side noticing, the peer reconnects, and only then the old link is found to be broken; the end
+// of one link must not count as the loss of the peer.
 TEST_F(connection_link, the_end_of_an_older_link_does_not_lose_the_peer) {
   auto server = make_server();
   auto older = raw_connection::to(server->port());
--- a/tests/shell/connection_runtime_test.cpp
+++ b/tests/shell/connection_runtime_test.cpp
@@ -1,4 +1,4 @@
-// Fibers and sockets on one worker.
+// The fiber runtime: scheduling of fibers and timers on a worker.
 #include <boost/fiber/operations.hpp>
 #include <thread>
 #include <vector>
@@ -27,9 +27,9 @@
   EXPECT_FALSE(moved);
 }
 
-// Symptom: under load no socket and no timer is served, while the worker is fully busy.
-// Sequence: some fibers keep each other ready; the worker never gets to its idle state.
-// Cause: a scheduler that looks at the io_context only when no fiber is ready.
+// Guards against a fully loaded worker that serves no sockets and timers: fibers keep each other
+// ready, so the worker is never idle, and the scheduler must not poll the io_context only when no
+// fiber is ready.
 TEST_F(connection_runtime, busy_fibers_do_not_starve_timers) {
   bool fired = false;
   int busy = 0;
@@ -59,9 +59,8 @@
   });
 }
 
-// Symptom: a process that is told to end hangs until its longest timer has passed.
-// Sequence: a fiber sleeps for an hour; the runtime is stopped.
-// Cause: stop() that waits for fibers without waking the sleeping ones.
+// Guards against a process that hangs at its end until its longest timer fires: a fiber sleeps for
+// an hour when the runtime is stopped, so stop() has to wake sleeping fibers.
 TEST(connection_runtime_stop, wakes_sleeping_fibers) {
   fiber_runtime runtime(2);
   runtime.run();
--- a/tests/shell/platform_mutation_test.cpp
+++ b/tests/shell/platform_mutation_test.cpp
@@ -1,4 +1,5 @@
-// The readers of what others write, over documents with bytes changed, cut and doubled at random.
+// Mutation tests of the parsers of external documents: bytes are changed, removed and duplicated at
+// random.
 #include <gtest/gtest.h>
 
 #include <string>
--- a/tests/shell/platform_test.cpp
+++ b/tests/shell/platform_test.cpp
@@ -1,4 +1,4 @@
-// The platform's documents and heads, read into the product's types.
+// Parsing of the platform's documents and HTTP headers.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -86,19 +86,19 @@
 }
 
 TEST(PlatformDocuments, AnEntryOfAnotherWriterNamesNoTarget) {
-  // Symptom: requests go to what is no engine, or all other targets are lost with the one entry.
-  // Sequence: something else than an engine writes into the list. Cause: missing fields have
-  // values of ours, an unknown state counts as ready.
+  // Guards against requests to something that is not an engine, and against one bad row hiding all
+  // other targets. Another program writes into the table of targets; missing fields must not get
+  // default values, and an unknown state must not count as ready.
   using nlohmann::json;
   const json complete = {{"service", "llm"},
-                      {"address", "10.0.0.7:9000"},
-                      {"zone", "a"},
-                      {"slots", 26},
-                      {"state", "ready"},
-                      {"born", 7},
-                      {"models", {{{"name", "m0"}, {"version", 1}}}},
-                      {"staged", {"m0"}},
-                      {"group", {{"name", "r"}, {"epoch", 3}, {"rank", 0}, {"state", "open"}}}};
+                         {"address", "10.0.0.7:9000"},
+                         {"zone", "a"},
+                         {"slots", 26},
+                         {"state", "ready"},
+                         {"born", 7},
+                         {"models", {{{"name", "m0"}, {"version", 1}}}},
+                         {"staged", {"m0"}},
+                         {"group", {{"name", "r"}, {"epoch", 3}, {"rank", 0}, {"state", "open"}}}};
   const auto reads = [](std::string_view name, const json& document) {
     std::string problem;
     const bool readable = read_target_record(name, document.dump(), problem).has_value();
@@ -169,8 +169,8 @@
 }
 
 TEST(PlatformDialect, PassesNeitherKeysNorForgedFieldsOn) {
-  // Symptom: a target sees a caller's key, or takes a caller for another workspace. Cause: fields
-  // that only this node may set are passed on as they came.
+  // Guards against a target that receives a caller's API key or attributes a request to the wrong
+  // workspace: headers that only this node may set must not be forwarded from the caller.
   passing_on facts;
   facts.target = target_id{"i-7"};
   facts.time_left = 1500ms;
@@ -181,7 +181,7 @@
   EXPECT_EQ(out.body, "body");
   EXPECT_FALSE(out.headers.find("Authorization"));
   EXPECT_FALSE(out.headers.find("Connection"));
-  EXPECT_FALSE(out.headers.find("Last-Event-Id")) << "only what the relay has passed on counts";
+  EXPECT_FALSE(out.headers.find("Last-Event-Id")) << "set only to events that the relay forwarded";
   EXPECT_EQ(out.headers.find("X-Tenant"), "desk");
   EXPECT_EQ(out.headers.find("X-Expect-Instance"), "i-7");
   EXPECT_EQ(out.headers.find("X-Deadline-Ms"), "1500");
@@ -191,7 +191,7 @@
 }
 
 TEST(PlatformDialect, BelievesOnlyASignedAnswerToTheOwnRequest) {
-  // Symptom: a caller gets another's answer, or one that no engine made.
+  // Guards against a caller that gets another caller's response, or one that no engine made.
   const request_id id{"b7e2"};
   const http_headers signed_own = {{"X-Request-Id", "b7e2"}, {"X-Response-Seal", "s"}};
   EXPECT_EQ(read_answer(200, signed_own, id).kind, answer_kind::own);
--- a/tests/shell/raw_peer.h
+++ b/tests/shell/raw_peer.h
@@ -1,4 +1,4 @@
-// Plain blocking sockets for tests that send or expect bytes which no well-behaved peer would.
+// Blocking sockets for tests that send or expect byte sequences that a correct peer would not.
 #pragma once
 
 #include <arpa/inet.h>
@@ -39,7 +39,7 @@
     address.sin_family = AF_INET;
     address.sin_port = htons(port);
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the form of the system call
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): required by the system call
     const auto* generic = reinterpret_cast<const sockaddr*>(&address);
     if (::connect(socket, generic, sizeof address) != 0) {
       ::close(socket);
@@ -68,14 +68,14 @@
     }
   }
 
-  // Closes with a reset in place of an orderly end.
+  // Closes with a reset instead of an orderly close.
   void reset() {
     const linger reset_on_close{1, 0};
     ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     close();
   }
 
-  // Everything up to and including `mark`, or up to the end if that comes first.
+  // Reads up to and including `mark`, or up to the end of the connection if that comes first.
   std::string read_until(std::string_view mark) {
     std::string seen;
     while (!seen.ends_with(mark)) {
@@ -88,7 +88,7 @@
     return seen;
   }
 
-  // Everything up to the end of the peer, a reset, or a silence that is too long.
+  // Reads until the peer closes or resets the connection, or nothing arrives within the timeout.
   std::string read_all() {
     std::string seen;
     char buffer[4096];
@@ -104,7 +104,7 @@
     }
   }
 
-  // Of the last read_all(): an orderly end, a reset, or neither within the patience.
+  // How the last read_all() ended: by an orderly close, a reset, or the timeout.
   [[nodiscard]] bool ended() const { return ended_; }
   [[nodiscard]] bool was_reset() const { return reset_; }
   [[nodiscard]] bool timed_out() const { return timed_out_; }
@@ -123,7 +123,7 @@
     address.sin_family = AF_INET;
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof address;
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): the form of the system call
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-reinterpret-cast): required by the system call
     auto* generic = reinterpret_cast<sockaddr*>(&address);
     const bool listening = ::bind(socket_, generic, size) == 0 && ::listen(socket_, 64) == 0;
     if (!listening) {
