--- a/src/connection/http_client.cpp
+++ b/src/connection/http_client.cpp
@@ -100,7 +100,7 @@
     wire_request wire;
     if (!build_request(target, request, wire)) {
       return failed_call(call_outcome::not_sent, call_failure::malformed,
-                         "unsafe characters in the request line or headers");
+                         "unsafe text in the request line or headers");
     }
     for (;;) {
       call_result result;
@@ -119,8 +119,8 @@
       bool retry = false;
       {
         const cancel_token::scope cancellable(token, connection->stream);
-        http_call current_call(*connection, wire, deadline);
-        result = current_call.run(sink, limits);
+        http_call once(*connection, wire, deadline);
+        result = once.run(sink, limits);
         // The target closed the idle connection just before the write. Nothing was sent, so the
         // request may be sent on a new connection.
         retry = was_idle && result.outcome == call_outcome::not_sent &&
@@ -133,7 +133,7 @@
         // every new connection.
         if (!result.ok() || connection->stream.aborted()) {
           connection->stream.close_at_once();
-        } else if (!current_call.reusable() || use == connection_use::fresh) {
+        } else if (!once.reusable() || use == connection_use::fresh) {
           connection->stream.socket().close();
         }
       }
--- a/tests/shell/connection_client_test.cpp
+++ b/tests/shell/connection_client_test.cpp
@@ -119,9 +119,9 @@
   call_failure failure;
 };
 
-// Guards against a caller that writes a job card twice because it was told that the first write did
-// not happen. The request is sent completely, but the response is truncated or invalid; that does
-// not prove that nothing ran.
+// Guards against a caller that writes a job card twice because the first write was reported as not
+// sent. The request is sent completely, but the response is truncated or invalid, which does not
+// prove that nothing ran.
 TEST_F(connection_client, a_broken_answer_leaves_it_unknown) {
   const std::vector<broken_answer> answers = {
       {"none", "", call_failure::connection_lost},
--- a/tests/shell/connection_link_test.cpp
+++ b/tests/shell/connection_link_test.cpp
@@ -162,7 +162,7 @@
       wire_of("\x01"),                          // no name
       wire_of("\x01" + std::string(256, 'a')),  // a name too long
       std::string(4, '\0'),                     // an empty frame
-      hello_of_a.substr(0, 5),                  // half a hello, then silence
+      hello_of_a.substr(0, 5),                  // half a hello, then nothing
   };
   for (const auto& hello : invalid_hellos) {
     auto caller = raw_connection::to(server->port());
--- a/tests/shell/platform_test.cpp
+++ b/tests/shell/platform_test.cpp
@@ -181,7 +181,7 @@
   EXPECT_EQ(out.body, "body");
   EXPECT_FALSE(out.headers.find("Authorization"));
   EXPECT_FALSE(out.headers.find("Connection"));
-  EXPECT_FALSE(out.headers.find("Last-Event-Id")) << "set only to events that the relay forwarded";
+  EXPECT_FALSE(out.headers.find("Last-Event-Id")) << "only what the relay has passed on counts";
   EXPECT_EQ(out.headers.find("X-Tenant"), "desk");
   EXPECT_EQ(out.headers.find("X-Expect-Instance"), "i-7");
   EXPECT_EQ(out.headers.find("X-Deadline-Ms"), "1500");
--- a/tests/shell/raw_peer.h
+++ b/tests/shell/raw_peer.h
@@ -15,7 +15,7 @@
 
 namespace arbutus::testing_support {
 
-// A test whose peer stays timed_out fails by this, in seconds, in place of hanging.
+// Receive timeout in seconds: a test whose peer sends nothing fails after it instead of hanging.
 constexpr int raw_patience = 10;
 
 class raw_connection {
