--- a/src/connection/bench_connections.cpp
+++ b/src/connection/bench_connections.cpp
@@ -1,4 +1,4 @@
-// Measures the connections of this folder against themselves on loopback.
+// Benchmarks of the connection layer, with both ends in one process over loopback.
 #include "connection/bench_connections.h"
 
 #include <sys/resource.h>
@@ -18,14 +18,14 @@
 namespace arbutus {
 namespace {
 
-constexpr std::size_t most_workers = 4;
+constexpr std::size_t max_bench_workers = 4;
 constexpr std::size_t callers_per_worker = 16;
 constexpr std::size_t concurrent_streams = 16;
 
-// Below the usual limit of 1024 open files with both ends of each in one process.
+// Both ends of each connection are in this process. Stays below the usual limit of 1024 open files.
 constexpr std::size_t open_connections = 400;
 
-// About the size of a small JSON answer and of one token as a server-sent event.
+// About the size of a small JSON response and of one token as a server-sent event.
 constexpr std::size_t answer_bytes = 256;
 constexpr std::size_t chunk_bytes = 64;
 constexpr std::size_t frame_bytes = 110;
@@ -203,7 +203,7 @@
 }
 
 idle_cost bench_idle(duration each) {
-  fiber_runtime runtime(most_workers);
+  fiber_runtime runtime(max_bench_workers);
   runtime.run();
   const http_server server(runtime, any_port, {}, [](const http_request&, response_writer& writer) {
     writer.send(200, {}, "");
@@ -214,22 +214,22 @@
       [](const node_id&, std::span<const std::uint8_t>) {}, [](const node_id&, bool) {});
   const link_client link(runtime, 0, {"127.0.0.1", link_end.port()}, node_id("sender"), 1, {},
                          [](const node_id&, bool) {});
-  run_callers(runtime, most_workers, [&](std::size_t) {
+  run_callers(runtime, max_bench_workers, [&](std::size_t) {
     client.fetch({"127.0.0.1", server.port()}, {}, monotonic_now() + 10s);
   });
   const stopwatch watch;
   std::this_thread::sleep_for(each);
-  return {most_workers, to_seconds(watch.processor()) / to_seconds(watch.elapsed())};
+  return {max_bench_workers, to_seconds(watch.processor()) / to_seconds(watch.elapsed())};
 }
 
 }  // namespace
 
 connection_figures bench_connections(duration each) {
   connection_figures figures;
-  figures.memory = bench_memory();  // first, while nothing has grown the heap yet
+  figures.memory = bench_memory();  // first, before other benchmarks grow the heap
   figures.idle = bench_idle(4 * each);
   figures.requests.push_back(bench_requests(1, 1, each));
-  for (std::size_t workers = 1; workers <= most_workers; ++workers) {
+  for (std::size_t workers = 1; workers <= max_bench_workers; ++workers) {
     figures.requests.push_back(bench_requests(workers, workers * callers_per_worker, each));
   }
   figures.streams = bench_streams(each);
--- a/src/connection/fiber_stream.cpp
+++ b/src/connection/fiber_stream.cpp
@@ -33,8 +33,9 @@
   }
 }
 
-// A cancel that comes between two operations finds nothing to cancel. Each operation therefore
-// looks at the reasons for it first, or a timed-out exchange would go on for as long as bytes come.
+// A cancellation between two operations has no operation to cancel. Each operation therefore first
+// checks for an abort and for the deadline. Otherwise a timed-out exchange would continue for as
+// long as bytes arrive.
 bool fiber_stream::begin(error_code& error) {
   error = {};
   if (aborted_) {
@@ -79,23 +80,23 @@
   if (!error) {
     return peek_state::readable;
   }
-  return error == asio::error::would_block ? peek_state::quiet : peek_state::closed;
+  return error == asio::error::would_block ? peek_state::no_data : peek_state::closed;
 }
 
-void fiber_stream::close_gently(time_point deadline) {
-  constexpr std::size_t most_discarded = 1024UL * 1024;
+void fiber_stream::close_gracefully(time_point deadline) {
+  constexpr std::size_t max_discarded_bytes = 1024UL * 1024;
   error_code error;
   socket_.shutdown(tcp::socket::shutdown_send, error);
   set_deadline(deadline);
   std::array<char, 4096> discarded{};
   std::size_t total = 0;
-  while (!error && total < most_discarded) {
+  while (!error && total < max_discarded_bytes) {
     total += read_some(asio::buffer(discarded), error);
   }
   socket_.close(error);
 }
 
-void fiber_stream::close_at_once() {
+void fiber_stream::close_with_reset() {
   error_code error;
   socket_.set_option(asio::socket_base::linger(true, 0), error);
   socket_.close(error);
--- a/src/connection/http_exchange.cpp
+++ b/src/connection/http_exchange.cpp
@@ -1,5 +1,5 @@
-// One connection of the HTTP server: reading requests, refusing malformed ones, writing answers and
-// noticing that the caller has gone.
+// One connection of the HTTP server: reads requests, rejects malformed ones, writes responses and
+// detects that the caller has closed its end.
 #include "connection/http_exchange.h"
 
 #include <boost/asio/error.hpp>
@@ -16,14 +16,15 @@
 using boost::system::error_code;
 using request_parser = http::request_parser<http::string_body>;
 
-// How long a caller that is sent away may go on sending before the connection is reset.
+// How long a caller whose connection is being closed may go on sending before it is reset.
 constexpr duration linger_time = 1s;
 
-// Connections over the limit that are still answered with a 503; above that they are just closed.
-constexpr std::size_t most_turned_away = 256;
+// Connections over the limit that still get a 503 response; any further ones are closed without
+// one.
+constexpr std::size_t max_rejected_connections = 256;
 
 struct refusal {
-  int status{};  // zero: nobody is there to be told
+  int status{};  // zero: the caller is gone, so no response is sent
   std::string_view reason;
 };
 
@@ -48,9 +49,10 @@
   return {400, "the request is malformed"};
 }
 
-// What Beast lets pass and two readers could frame differently. One of them would then take a part
-// of the body for the next request: seen as an answer to a request that nobody sent.
-bool is_framed_beyond_doubt(const http::request<http::string_body>& fields, bool chunked) {
+// Rejects requests that Beast accepts but that two parsers could frame differently. One of them
+// would then take a part of the body for the next request and respond to a request that nobody sent
+// (request smuggling).
+bool has_unambiguous_framing(const http::request<http::string_body>& fields, bool chunked) {
   const auto lengths = fields.count(http::field::content_length);
   const auto encodings = fields.count(http::field::transfer_encoding);
   if (lengths > 1 || encodings > 1 || (lengths > 0 && encodings > 0)) {
@@ -77,15 +79,15 @@
 void serve_connection(server_core& core, tcp::socket socket) {
   {
     http_exchange exchange(core, std::move(socket));
-    core.registry().enlist(exchange);
+    core.registry().register_connection(exchange);
     if (core.closing()) {
       exchange.close_now();
     } else if (core.connections() > core.limits().connections) {
-      exchange.turn_away();
+      exchange.reject_over_limit();
     } else {
       exchange.serve();
     }
-    core.registry().delist(exchange);
+    core.registry().unregister_connection(exchange);
   }
   core.closed();
 }
@@ -104,8 +106,8 @@
   close();
 }
 
-void http_exchange::turn_away() {
-  if (core_.connections() > core_.limits().connections + most_turned_away) {
+void http_exchange::reject_over_limit() {
+  if (core_.connections() > core_.limits().connections + max_rejected_connections) {
     return;
   }
   refuse(503, "too many connections");
@@ -118,12 +120,12 @@
   }
   const bool unread = input_.size() > 0 || stream_.peek() == peek_state::readable;
   if (linger_ || unread) {
-    stream_.close_gently(monotonic_now() + linger_time);
+    stream_.close_gracefully(monotonic_now() + linger_time);
   }
 }
 
-// Waits for the first byte of the next request. A server that drains takes only a request that is
-// already here, since closing would leave its caller without knowing whether it ran.
+// Waits for the first byte of the next request. A draining server accepts only a request that has
+// already arrived: if it closed the connection, the caller would not know whether the request ran.
 bool http_exchange::await_request() {
   if (input_.size() > 0) {
     return true;
@@ -154,14 +156,15 @@
     refuse(error);
     return false;
   }
-  if (!is_framed_beyond_doubt(parser.get(), parser.chunked())) {
+  if (!has_unambiguous_framing(parser.get(), parser.chunked())) {
     refuse(400, "the length of the request body is ambiguous");
     return false;
   }
-  const bool asks_first = equal_ignoring_case(parser.get()[http::field::expect], "100-continue");
-  if (asks_first && !parser.is_done() && input_.size() == 0) {
-    constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
-    asio::write(stream_, asio::buffer(go_on), error);
+  const bool expects_continue =
+      equal_ignoring_case(parser.get()[http::field::expect], "100-continue");
+  if (expects_continue && !parser.is_done() && input_.size() == 0) {
+    constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
+    asio::write(stream_, asio::buffer(continue_response), error);
   }
   if (!error && !parser.is_done()) {
     http::read(stream_, input_, parser, error);
@@ -198,24 +201,23 @@
 }
 
 void http_exchange::handle(const http_request& request) {
-  core_.began();
-  gone_ = false;
+  core_.request_started();
+  caller_gone_ = false;
   response_writer writer(*this);
   try {
     core_.handler()(request, writer);
   } catch (const std::exception&) {
-    // Left to the check below: the caller gets a 500, or a stream that is visibly cut.
+    // Handled by the check below: the caller gets a 500, or a stream that is visibly truncated.
   }
   stop_watching();
   if (phase_ == phase::waiting) {
     send(500, {{"Content-Type", "application/json"}},
          core_.error_body()(500, "the request was not answered"));
   }
-  // A stream that was not finished may not look complete: its connection closes without the last
-  // chunk, which the caller notices. A request that stands behind this one is not run for a caller
-  // that has left.
-  keep_alive_ = keep_alive_ && phase_ == phase::complete && !gone_;
-  core_.answered();
+  // An unfinished stream must not look complete: the connection is closed without the last chunk,
+  // which the caller detects. A pipelined request is not run for a caller that is gone.
+  keep_alive_ = keep_alive_ && phase_ == phase::complete && !caller_gone_;
+  core_.request_finished();
 }
 
 template <class Message>
@@ -232,7 +234,7 @@
 
 template <class Write>
 bool http_exchange::put(phase after, Write&& write) {
-  if (gone_ && stream_.aborted()) {
+  if (caller_gone_ && stream_.aborted()) {
     phase_ = phase::failed;
   }
   if (phase_ == phase::failed) {
@@ -269,7 +271,7 @@
   if (phase_ != phase::waiting) {
     return false;
   }
-  // Callers of HTTP/1.0 know no chunks: the end of the connection ends their answer.
+  // HTTP/1.0 has no chunks: closing the connection ends the response.
   keep_alive_ = keep_alive_ && !core_.close_after_answers() && version_ >= 11;
   http::response<http::empty_body> message;
   put_head(message, status, headers);
@@ -283,7 +285,7 @@
   if (phase_ != phase::streaming) {
     return false;
   }
-  // An empty chunk would be the last one.
+  // An empty chunk would end the stream.
   if (chunk.empty() || head_only_) {
     return true;
   }
@@ -309,19 +311,19 @@
 }
 
 bool http_exchange::caller_gone() {
-  if (!gone_) {
-    gone_ = stream_.aborted() || stream_.peek() == peek_state::closed;
+  if (!caller_gone_) {
+    caller_gone_ = stream_.aborted() || stream_.peek() == peek_state::closed;
   }
-  return gone_;
+  return caller_gone_;
 }
 
-void http_exchange::on_gone(std::function<void()> notice) {
-  notice_ = std::move(notice);
-  if (!notice_) {
+void http_exchange::on_caller_gone(std::function<void()> notice) {
+  caller_gone_handler_ = std::move(notice);
+  if (!caller_gone_handler_) {
     return;
   }
   if (caller_gone()) {
-    std::exchange(notice_, nullptr)();
+    std::exchange(caller_gone_handler_, nullptr)();
     return;
   }
   watch();
@@ -335,16 +337,16 @@
   stream_.socket().async_wait(tcp::socket::wait_read, [this](const error_code& error) {
     watching_ = false;
     if (!error) {
-      look_for_end();
+      check_for_end();
     }
     watch_ended_.notify_all();
   });
 }
 
-// A caller may send its next request early and then close. The end can only be seen behind those
-// bytes, so they are taken in, up to the limit for a header.
-void http_exchange::look_for_end() {
-  if (!notice_) {
+// A caller may send its next request early and then close. The close can only be detected after
+// those bytes, so they are read, up to the size limit for a header.
+void http_exchange::check_for_end() {
+  if (!caller_gone_handler_) {
     return;
   }
   constexpr std::size_t step = 4096;
@@ -352,15 +354,15 @@
   const auto count = stream_.socket().read_some(input_.prepare(step), error);
   input_.commit(count);
   if (error && error != asio::error::would_block) {
-    gone_ = true;
-    std::exchange(notice_, nullptr)();
+    caller_gone_ = true;
+    std::exchange(caller_gone_handler_, nullptr)();
   } else if (input_.size() < core_.limits().header_bytes) {
     watch();
   }
 }
 
 void http_exchange::stop_watching() {
-  notice_ = nullptr;
+  caller_gone_handler_ = nullptr;
   if (watching_) {
     stream_.interrupt();
   }
@@ -376,9 +378,9 @@
 
 void http_exchange::close_now() {
   stream_.abort();
-  gone_ = true;
-  if (notice_) {
-    std::exchange(notice_, nullptr)();
+  caller_gone_ = true;
+  if (caller_gone_handler_) {
+    std::exchange(caller_gone_handler_, nullptr)();
   }
 }
 
--- a/src/connection/http_server.cpp
+++ b/src/connection/http_server.cpp
@@ -1,4 +1,4 @@
-// Listening, spreading connections over the workers, and ending them in an orderly way.
+// Listens, distributes connections over the workers, and closes them in an orderly way.
 #include "connection/http_server.h"
 
 #include "connection/http_exchange.h"
@@ -13,7 +13,7 @@
         http_handler handler, http_error_body error_body)
       : runtime(r),
         core(r.workers(), limits, std::move(handler), std::move(error_body)),
-        door(
+        acceptor(
             r, address, 0, [this] { return core.registry().least_loaded(); },
             [this](fiber_worker& worker, tcp::socket socket) { take(worker, std::move(socket)); }) {
   }
@@ -27,7 +27,7 @@
 
   fiber_runtime& runtime;
   server_core core;
-  listener door;
+  listener acceptor;
 };
 
 http_server::http_server(fiber_runtime& runtime, const socket_address& address,
@@ -44,7 +44,7 @@
 }
 
 std::uint16_t http_server::port() const noexcept {
-  return state_->door.port();
+  return state_->acceptor.port();
 }
 
 void http_server::close_after_answers() {
@@ -52,7 +52,7 @@
 }
 
 void http_server::stop_accepting() {
-  state_->door.close();
+  state_->acceptor.close();
 }
 
 bool http_server::drain(time_point deadline) {
@@ -92,7 +92,7 @@
   closing_ = true;
   registry_.for_each([](http_exchange& exchange) { exchange.close_now(); });
   registry_.wait_until_empty();
-  // The last one may still be leaving closed().
+  // Waits until the fiber of the last connection has left closed().
   const std::lock_guard lock(empty_mutex_);
 }
 
@@ -120,8 +120,8 @@
   return exchange_.caller_gone();
 }
 
-void response_writer::on_gone(std::function<void()> notice) {
-  exchange_.on_gone(std::move(notice));
+void response_writer::on_caller_gone(std::function<void()> notice) {
+  exchange_.on_caller_gone(std::move(notice));
 }
 
 std::string default_error_body(int status, std::string_view reason) {
--- a/src/connection/link_server.cpp
+++ b/src/connection/link_server.cpp
@@ -20,7 +20,7 @@
         on_frame(std::move(frame_handler)),
         on_change(std::move(change_handler)),
         registry(r.workers()),
-        door(
+        acceptor(
             r, address, link_kernel_buffer, [this] { return registry.least_loaded(); },
             [this](fiber_worker& worker, tcp::socket socket) { take(worker, std::move(socket)); }) {
   }
@@ -30,11 +30,11 @@
     spawn_on(worker, [this, socket = std::move(socket)]() mutable {
       {
         fiber_stream stream(std::move(socket));
-        registry.enlist(stream);
+        registry.register_connection(stream);
         if (!closing) {
           serve(stream);
         }
-        registry.delist(stream);
+        registry.unregister_connection(stream);
       }
       registry.closed();
     });
@@ -46,31 +46,31 @@
     stream.set_deadline(monotonic_now() + limits.hello_timeout);
     const auto hello = reader.next();
     const auto peer = hello ? parse_hello(*hello) : std::nullopt;
-    if (!peer || !greet(stream)) {
+    if (!peer || !send_hello(stream)) {
       return;
     }
     stream.set_deadline(time_point::max());
-    came_up(*peer);
+    link_came_up(*peer);
     while (const auto payload = reader.next()) {
       on_frame(*peer, *payload);
     }
-    went_down(*peer);
+    link_went_down(*peer);
   }
 
-  bool greet(fiber_stream& stream) {
+  bool send_hello(fiber_stream& stream) {
     std::vector<std::uint8_t> hello;
     append_frame(hello, hello_payload(self));
     return write_frames(stream, hello, 1, counters);
   }
 
-  void came_up(const node_id& peer) {
+  void link_came_up(const node_id& peer) {
     ++counters.connects;
     if (count_link(peer, +1) == 1) {
       on_change(peer, true);
     }
   }
 
-  void went_down(const node_id& peer) {
+  void link_went_down(const node_id& peer) {
     if (count_link(peer, -1) == 0) {
       on_change(peer, false);
     }
@@ -98,10 +98,10 @@
   const link_change_handler on_change;
   atomic_link_counters counters;
   std::mutex mutex;
-  std::map<node_id, int> links;  // links that are up for each peer; guarded by mutex
+  std::map<node_id, int> links;  // number of links that are up, per peer; guarded by mutex
   std::atomic<bool> closing{false};
   connection_registry<fiber_stream> registry;
-  listener door;
+  listener acceptor;
 };
 
 link_server::link_server(fiber_runtime& runtime, const socket_address& address, const node_id& self,
@@ -111,14 +111,14 @@
                                      std::move(on_change))) {}
 
 link_server::~link_server() {
-  state_->door.close();
+  state_->acceptor.close();
   for (std::size_t i = 0; i < state_->runtime.workers(); ++i) {
     state_->runtime.run_on(i, [this] { state_->close_all(); });
   }
 }
 
 std::uint16_t link_server::port() const noexcept {
-  return state_->door.port();
+  return state_->acceptor.port();
 }
 
 link_counters link_server::counters() const {
--- a/src/connection/link_wire.cpp
+++ b/src/connection/link_wire.cpp
@@ -1,4 +1,4 @@
-// Frames on a stream.
+// Encodes frames to a stream and decodes them from it.
 #include "connection/link_wire.h"
 
 #include <netinet/in.h>
@@ -11,13 +11,13 @@
 namespace arbutus {
 namespace {
 
-// The first byte of a hello; raised when frames change their form.
+// The first byte of a hello: the protocol version, incremented when the frame format changes.
 constexpr std::uint8_t link_protocol = 1;
-constexpr std::size_t longest_node_id = 255;
+constexpr std::size_t max_node_id_length = 255;
 
-// A buffer that grew for one long frame is given back before the next, so that an idle link holds
-// little.
-constexpr std::size_t usual_buffer = 4UL * 1024;
+// A buffer that grew for a long frame shrinks to this size before the next one, so that an idle
+// link uses little memory.
+constexpr std::size_t default_buffer_bytes = 4UL * 1024;
 
 std::size_t read_prefix(const std::uint8_t* at) {
   std::size_t length = 0;
@@ -51,7 +51,7 @@
 }
 
 std::optional<node_id> parse_hello(std::span<const std::uint8_t> payload) {
-  const bool valid = payload.size() > 1 && payload.size() <= longest_node_id + 1 &&
+  const bool valid = payload.size() > 1 && payload.size() <= max_node_id_length + 1 &&
                      payload.front() == link_protocol;
   if (!valid) {
     return std::nullopt;
@@ -59,14 +59,14 @@
   return node_id(std::string(payload.begin() + 1, payload.end()));
 }
 
-void detect_dead_peer(boost::asio::ip::tcp::socket& socket, duration silence) {
-  // Links between data centres carry a frame every few minutes, and a node has hundreds: after 15 s
-  // of silence their keep-alives alone would take half of its traffic budget. A dead peer is found
-  // by the next frame, too.
+void detect_dead_peer(boost::asio::ip::tcp::socket& socket, duration timeout) {
+  // Links between data centres carry a frame every few minutes, and a node has hundreds of them.
+  // With keep-alives after 15 s without traffic, these alone would use half of the node's traffic
+  // budget. The next frame detects a dead peer as well.
   constexpr int idle_seconds = 120;
   constexpr int probe_seconds = 2;
   constexpr int probes = 3;
-  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(silence);
+  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(timeout);
   set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(milliseconds.count()));
   set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
   set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, idle_seconds);
@@ -93,7 +93,7 @@
   return payload;
 }
 
-// Waits until `desired` bytes stand at begin_.
+// Reads until at least `desired` bytes are buffered at begin_. False if the stream ends before.
 bool frame_reader::fill(std::size_t desired) {
   make_room(desired);
   while (end_ - begin_ < desired) {
@@ -116,7 +116,7 @@
             buffer_.begin() + static_cast<std::ptrdiff_t>(end_), buffer_.begin());
   begin_ = 0;
   end_ = held;
-  const std::size_t size = std::max({desired, held, usual_buffer});
+  const std::size_t size = std::max({desired, held, default_buffer_bytes});
   if (buffer_.size() > 2 * size) {
     std::vector<std::uint8_t>(buffer_.begin(), buffer_.begin() + static_cast<std::ptrdiff_t>(size))
         .swap(buffer_);
--- a/src/connection/listener.h
+++ b/src/connection/listener.h
@@ -1,4 +1,4 @@
-// Accepts TCP connections and hands them to workers. Only for the .cpp files of this folder.
+// Accepts TCP connections and assigns them to workers. Only for the .cpp files of this folder.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,16 +12,17 @@
 
 class listener {
  public:
-  // Names the worker for the next connection.
-  using chooser = std::function<std::size_t()>;
-  // Takes a new connection, whose socket belongs to `worker`. Runs on worker 0 and must not throw.
-  using taker = std::function<void(fiber_worker& worker, boost::asio::ip::tcp::socket socket)>;
-
-  // Listens at once, accepts as soon as the runtime runs. Port 0 takes any free one. A positive
-  // `receive_buffer` limits what the kernel takes in for each connection, in bytes. Throws
-  // boost::system::system_error.
+  // Returns the index of the worker for the next connection.
+  using worker_selector = std::function<std::size_t()>;
+  // Receives a new connection, whose socket belongs to `worker`. Runs on worker 0, must not throw.
+  using connection_handler =
+      std::function<void(fiber_worker& worker, boost::asio::ip::tcp::socket socket)>;
+
+  // Starts listening immediately, and accepts as soon as the runtime runs. Port 0 selects any free
+  // port. A positive `receive_buffer` sets the kernel's receive buffer of each connection, in
+  // bytes. Throws boost::system::system_error.
   listener(fiber_runtime& runtime, const socket_address& address, int receive_buffer,
-           chooser choose_worker, taker take);
+           worker_selector choose_worker, connection_handler take);
   ~listener();
   listener(const listener&) = delete;
   listener& operator=(const listener&) = delete;
@@ -30,18 +31,18 @@
 
   [[nodiscard]] std::uint16_t port() const noexcept { return port_; }
 
-  // Stops listening; no connection is taken after the return.
+  // Stops listening. No connection is accepted after it has returned.
   void close();
 
  private:
   void accept_all();
 
   fiber_runtime& runtime_;
-  chooser choose_worker_;
-  taker take_;
+  worker_selector choose_worker_;
+  connection_handler take_;
   boost::asio::ip::tcp::acceptor acceptor_;  // used on worker 0
   std::uint16_t port_{};
-  bool accepting_{true};  // until accept_all() has ended; touched on worker 0
+  bool accepting_{true};  // until accept_all() has ended; accessed on worker 0
   boost::fibers::condition_variable_any ended_;
 };
 
--- a/src/node/hosted_buffered.cpp
+++ b/src/node/hosted_buffered.cpp
@@ -18,14 +18,14 @@
   buffered_call(hosted_state& node, hosted_request& call) : node_(node), call_(call) {}
 
   void run() {
-    call_.writer.on_gone([this] {
+    call_.writer.on_caller_gone([this] {
       caller_gone_ = true;
       cancel_.cancel();
     });
     while (!ended_) {
       next_attempt();
     }
-    call_.writer.on_gone({});
+    call_.writer.on_caller_gone({});
   }
 
  private:
@@ -93,7 +93,7 @@
   }
 
   void attempt(const service_instance& instance) {
-    passing_on facts;
+    forwarded_fields facts;
     facts.target = instance.id;
     facts.time_left = call_.deadline - monotonic_now();
     facts.workspace = call_.workspace;
@@ -142,7 +142,8 @@
 
   void read_answer_of(time_point now, const service_instance& instance,
                       const http_response& response) {
-    const answer_head head = read_answer(response.status, response.headers, call_.head.id);
+    const response_fields head =
+        read_response_fields(response.status, response.headers, call_.head.id);
     note_limit(node_, sent_at_, instance.id, response.status, head);
     if (head.running) {
       node_.instances.told(now, instance.id,
@@ -153,7 +154,7 @@
         node_.instances.ended(now, instance.id, call_end::not_run);
         broken(instance, "the target did not run it");
         return;
-      case answer_kind::foreign:
+      case answer_kind::mismatched:
       case answer_kind::unsigned_success:
         node_.instances.ended(now, instance.id, call_end::failed);
         ++call_.may_have_run;
--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -123,7 +123,7 @@
 
 void respond_locally(hosted_state& node, hosted_request& call, int status, duration retry_after,
                      std::string_view reason) {
-  own_answer answer;
+  local_response answer;
   answer.status = status;
   answer.reason = std::string(reason);
   const bool promises_not_run = status == 503 || status == 429 || status == 408;
@@ -135,8 +135,8 @@
   } else if (promises_not_run) {
     answer.retry_after = retry_after;
   }
-  const bool sent =
-      call.writer.send(answer.status, own_headers(answer, call.head.id), own_body(answer));
+  const bool sent = call.writer.send(answer.status, local_response_headers(answer, call.head.id),
+                                     local_response_body(answer));
   finish_call(node, call, sent ? (call.may_have_run > 0 ? "failed" : "refused") : "caller_gone",
               reason, answer.status);
 }
@@ -193,7 +193,7 @@
 }
 
 void note_limit(hosted_state& node, time_point sent_at, const target_id& target, int status,
-                const answer_head& answer) {
+                const response_fields& answer) {
   // A failure may come from a component of the target that does not report the limit, so only a
   // success without a limit removes it.
   const bool lifts = answer.kind == answer_kind::own && status / 100 == 2;
@@ -212,9 +212,12 @@
 }
 
 void serve_hosted_call(hosted_state& node, const http_request& request, response_writer& writer) {
-  hosted_request call{
-      request, writer, read_head(request), nullptr, nullptr, nullptr, {}, {}, {}, {}, {}, 0, 0, {},
-      {},      0};
+  hosted_request call{request, writer,  read_request_fields(request),
+                      nullptr, nullptr, nullptr,
+                      {},      {},      {},
+                      {},      {},      0,
+                      0,       {},      {},
+                      0};
   call.arrived = monotonic_now();
   call.logged = log_accepts_request(call.arrived, call.head.id.str());
   node.requests_seen = true;
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -9,7 +9,7 @@
 #include "connection/clock.h"
 #include "connection/http_server.h"
 #include "node/hosted_state.h"
-#include "platform/dialect.h"
+#include "platform/http_fields.h"
 #include "request/request_fingerprint.h"
 
 namespace arbutus {
@@ -18,7 +18,7 @@
 struct hosted_request {
   const http_request& raw_request;
   response_writer& writer;
-  call_head head;
+  request_fields head;
   std::shared_ptr<const service_map> map;  // the configuration version when the call arrived
   const route* matched_route = nullptr;
   const service_spec* service = nullptr;
@@ -64,7 +64,7 @@
 
 // Updates the send limit of the target from its response to a request sent at `sent_at`.
 void note_limit(hosted_state& node, time_point sent_at, const target_id& target, int status,
-                const answer_head& answer);
+                const response_fields& answer);
 
 void serve_stream(hosted_state& node, hosted_request& call);
 void serve_buffered(hosted_state& node, hosted_request& call);
--- a/src/node/hosted_state.cpp
+++ b/src/node/hosted_state.cpp
@@ -54,7 +54,7 @@
   limits.body_bytes = 16UL * 1024 * 1024;
   limits.idle_per_target = 4;
   limits.idle_expiry = 10s;
-  limits.body_stall = 500ms;
+  limits.body_stall_timeout = 500ms;
   return limits;
 }
 
@@ -109,8 +109,8 @@
 }
 
 void hosted_state::forget_connections(const endpoint& address) {
-  targets.forget(address_of_endpoint(address));
-  control.forget(address_of_endpoint(address));
+  targets.close_idle_connections(address_of_endpoint(address));
+  control.close_idle_connections(address_of_endpoint(address));
 }
 
 retry_window& hosted_state::retries_of(const service_id& service) {
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -29,7 +29,7 @@
       respond_locally(node_, call_, 503, retry_after_no_target, "no such model is configured");
       return;
     }
-    call_.writer.on_gone([this] {
+    call_.writer.on_caller_gone([this] {
       caller_gone_ = true;
       if (running_ != nullptr) {
         running_->cancel.cancel();
@@ -38,7 +38,7 @@
     while (!ended_) {
       next_attempt();
     }
-    call_.writer.on_gone({});
+    call_.writer.on_caller_gone({});
   }
 
  private:
@@ -201,7 +201,7 @@
     status_ = 0;
     answer_ = {};
     failure_body_.clear();
-    passing_on facts;
+    forwarded_fields facts;
     facts.target = replica.head;
     facts.time_left = call_.deadline - monotonic_now();
     facts.workspace = call_.workspace;
@@ -229,7 +229,7 @@
   }
 
   bool on_head(int status, const http_headers& headers) {
-    answer_ = read_answer(status, headers, call_.head.id);
+    answer_ = read_response_fields(status, headers, call_.head.id);
     note_limit(node_, sent_at_, head_, status, answer_);
     status_ = status;
     if (answer_.kind == answer_kind::own) {
@@ -369,7 +369,7 @@
   replica_estimate expected_;
   bool had_first_event_ = false;
   bool connection_lost_ = false;  // closed or reset by the target
-  answer_head answer_;
+  response_fields answer_;
   int status_ = 0;
   http_headers headers_;
   std::string failure_body_;
--- a/src/node/model_call.cpp
+++ b/src/node/model_call.cpp
@@ -46,7 +46,7 @@
       return;
     }
     cancel_ = cancel_token::make();
-    writer_.on_gone([this] {
+    writer_.on_caller_gone([this] {
       waiter_.caller_gone();
       cancel_.cancel();
     });
@@ -323,7 +323,7 @@
                       response_writer& writer) {
   model_call call(node, api, request, writer);
   call.run();
-  writer.on_gone({});
+  writer.on_caller_gone({});
 }
 
 }  // namespace arbutus
--- a/src/node/poison_watch.cpp
+++ b/src/node/poison_watch.cpp
@@ -57,19 +57,20 @@
 
 // Queries whether the target has ended: its address refuses connections, or another incarnation
 // answers there.
-life_sign query_target(hosted_state& node, const target_id& target, const endpoint& address) {
+incarnation_state query_target(hosted_state& node, const target_id& target,
+                               const endpoint& address) {
   const target_view* view = node.fleet.find(target);
   if (view == nullptr) {
-    return life_sign::ended;
+    return incarnation_state::ended;
   }
   node.metrics.count("arbutusworks_questions", "why=\"broken\"");
-  return node.engines.look(target, address, monotonic_now() + end_query_timeout);
+  return node.engines.check_incarnation(target, address, monotonic_now() + end_query_timeout);
 }
 
-void finish_end_check(hosted_state& node, const target_id& target, life_sign sign) {
+void finish_end_check(hosted_state& node, const target_id& target, incarnation_state sign) {
   target_end_check& end = node.poison.end_checks[target];
   end.query_pending = false;
-  end.ended = sign == life_sign::ended;
+  end.ended = sign == incarnation_state::ended;
   const std::vector<broken_run> runs = std::move(end.waiting);
   end.waiting.clear();
   if (end.ended) {
@@ -81,13 +82,14 @@
   log_line(log_level::info, "poison", "no evidence",
            {{"target", target},
             {"runs", std::uint64_t{runs.size()}},
-            {"reason", sign == life_sign::lives ? "the target is alive" : "the target is silent"}});
+            {"reason",
+             sign == incarnation_state::alive ? "the target is alive" : "the target is silent"}});
   node.metrics.count("arbutusworks_poison_evidence", "counts=\"target_lives\"", runs.size());
 }
 
 void query_until_known(hosted_state& node, const target_id& target, const endpoint& address) {
-  life_sign sign = life_sign::silent;
-  for (std::uint32_t i = 0; i < max_end_queries && sign == life_sign::silent; ++i) {
+  incarnation_state sign = incarnation_state::unresponsive;
+  for (std::uint32_t i = 0; i < max_end_queries && sign == incarnation_state::unresponsive; ++i) {
     if (!sleep_until(monotonic_now() + (i == 0 ? process_exit_delay : end_query_interval))) {
       return;
     }
--- a/src/node/service_call.cpp
+++ b/src/node/service_call.cpp
@@ -73,7 +73,7 @@
     }
     cancel_ = cancel_token::make();
     if (is_idempotent(*service_, request_.method, path_of(request_.target))) {
-      writer_.on_gone([this] { cancel_.cancel(); });
+      writer_.on_caller_gone([this] { cancel_.cancel(); });
       run_repeatable();
     } else {
       run_keyed();
@@ -314,7 +314,7 @@
 void serve_service_call(call_context& node, const http_request& request, response_writer& writer) {
   service_call call(node, request, writer);
   call.run();
-  writer.on_gone({});
+  writer.on_caller_gone({});
 }
 
 }  // namespace arbutus
--- a/tests/shell/connection_client_test.cpp
+++ b/tests/shell/connection_client_test.cpp
@@ -1,4 +1,4 @@
-// What the HTTP client says about calls that go wrong, against targets that are played by hand.
+// Outcomes of failed calls of the HTTP client, against targets scripted with raw sockets.
 #include <thread>
 
 #include "connection/http_client.h"
@@ -18,15 +18,15 @@
  protected:
   ~connection_client() override { join(); }
 
-  // Plays the target in a thread of its own.
-  void play(std::function<void()> script) { thread = std::thread(std::move(script)); }
+  // Runs the script of the target in its own thread.
+  void run_target(std::function<void()> script) { thread = std::thread(std::move(script)); }
   void join() {
     if (thread.joinable()) {
       thread.join();
     }
   }
 
-  call_result fetch(time_point deadline = soon(), const cancel_token& token = {}) {
+  call_result fetch(time_point deadline = test_deadline(), const cancel_token& token = {}) {
     return client.fetch(local(target.port()), {"POST", "/job", {}, "card", {}}, deadline, token);
   }
 
@@ -44,25 +44,25 @@
   });
 }
 
-TEST_F(connection_client, what_never_left_is_not_sent) {
+TEST_F(connection_client, a_request_that_was_never_written_is_not_sent) {
   in_fiber([&] {
     EXPECT_EQ(fetch(monotonic_now()).outcome, call_outcome::not_sent);
 
     const auto token = cancel_token::make();
     token.cancel();
-    const auto cancelled = fetch(soon(), token);
+    const auto cancelled = fetch(test_deadline(), token);
     EXPECT_EQ(cancelled.outcome, call_outcome::not_sent);
     EXPECT_EQ(cancelled.failure, call_failure::cancelled);
 
     const http_request unsafe{"GET", "/a HTTP/1.1\r\nX: y", {}, "", {}};
-    const auto refused = client.fetch(local(target.port()), unsafe, soon());
+    const auto refused = client.fetch(local(target.port()), unsafe, test_deadline());
     EXPECT_EQ(refused.outcome, call_outcome::not_sent);
     EXPECT_EQ(refused.failure, call_failure::malformed);
   });
 }
 
-TEST_F(connection_client, what_never_left_on_a_kept_connection_is_not_sent) {
-  play([&] {
+TEST_F(connection_client, a_request_never_written_on_a_reused_connection_is_not_sent) {
+  run_target([&] {
     auto caller = target.accept();
     caller.read_until("card");
     caller.send(ok_answer);
@@ -77,38 +77,38 @@
   });
 }
 
-TEST_F(connection_client, a_body_that_stops_coming_is_not_waited_for) {
+TEST_F(connection_client, a_stalled_body_ends_at_the_deadline) {
   http_client_limits limits;
-  limits.body_stall = 100ms;
-  http_client patient{runtime, limits};
-  play([&] {
+  limits.body_stall_timeout = 100ms;
+  http_client limited_client{runtime, limits};
+  run_target([&] {
     auto caller = target.accept();
     caller.read_until("card");
     caller.send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\no");
     caller.read_all();
   });
   in_fiber([&] {
-    const auto result = patient.fetch(local(target.port()), {"POST", "/job", {}, "card", {}},
-                                      monotonic_now() + 200ms);
+    const auto result = limited_client.fetch(local(target.port()), {"POST", "/job", {}, "card", {}},
+                                             monotonic_now() + 200ms);
     EXPECT_EQ(result.failure, call_failure::deadline);
     EXPECT_EQ(result.response.body, "o");
   });
 }
 
-TEST_F(connection_client, a_body_that_comes_for_ever_ends_its_call) {
+TEST_F(connection_client, a_body_ends_at_its_maximum_duration) {
   http_client_limits limits;
-  limits.body_stall = 5s;
-  limits.longest_body = 200ms;
-  http_client patient{runtime, limits};
-  play([&] {
+  limits.body_stall_timeout = 5s;
+  limits.max_body_duration = 200ms;
+  http_client limited_client{runtime, limits};
+  run_target([&] {
     auto caller = target.accept();
     caller.read_until("card");
     caller.send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\no");
     caller.read_all();
   });
   in_fiber([&] {
-    const auto result = patient.fetch(local(target.port()), {"POST", "/job", {}, "card", {}},
-                                      monotonic_now() + 100ms);
+    const auto result = limited_client.fetch(local(target.port()), {"POST", "/job", {}, "card", {}},
+                                             monotonic_now() + 100ms);
     EXPECT_EQ(result.failure, call_failure::deadline);
   });
 }
@@ -119,10 +119,10 @@
   call_failure failure;
 };
 
-// Symptom: a caller is told that a job card was not written, and writes it twice.
-// Sequence: the request leaves whole; the answer is cut or is no answer at all.
-// Cause: taking a broken answer for proof that nothing ran.
-TEST_F(connection_client, a_broken_answer_leaves_it_unknown) {
+// Guards against a caller that writes a job card twice because the first write was reported as not
+// sent. The request is sent completely, but the response is truncated or invalid, which does not
+// prove that nothing ran.
+TEST_F(connection_client, a_broken_response_leaves_the_outcome_unknown) {
   const std::vector<broken_answer> answers = {
       {"none", "", call_failure::connection_lost},
       {"half a header", "HTTP/1.1 200", call_failure::connection_lost},
@@ -134,7 +134,7 @@
       {"bad chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxy\r\n",
        call_failure::malformed},
   };
-  play([&] {
+  run_target([&] {
     for (const auto& answer : answers) {
       auto caller = target.accept();
       caller.read_until("card");
@@ -152,7 +152,7 @@
 }
 
 TEST_F(connection_client, the_deadline_covers_the_whole_answer) {
-  play([&] {
+  run_target([&] {
     auto caller = target.accept();
     caller.read_until("card");
     caller.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
@@ -169,17 +169,16 @@
   });
 }
 
-// Symptom: a request fails although its target is well.
-// Sequence: the target closes an idle connection; the next request is written to it.
-// Cause: reuse without a look at the connection.
+// Guards against a request that fails although its target works: the target has closed an idle
+// connection, and the next request is written to it without a check of the connection.
 TEST_F(connection_client, a_connection_closed_while_idle_is_replaced) {
-  watched<bool> closed;
-  play([&] {
+  awaitable_value<bool> closed;
+  run_target([&] {
     {
       auto first = target.accept();
       first.read_until("card");
       first.send(ok_answer);
-      first.end_sending();
+      first.close_send_side();
       closed.set(true);
       first.read_all();
     }
@@ -189,17 +188,17 @@
   });
   in_fiber([&] {
     EXPECT_TRUE(fetch().ok());
-    EXPECT_TRUE(fiber_waits([&] { return closed.get(); }));
+    EXPECT_TRUE(fiber_wait_until([&] { return closed.get(); }));
     EXPECT_TRUE(fetch().ok());
     EXPECT_EQ(client.idle_connections(), 1U);
   });
 }
 
-// Symptom: a job card is written twice.
-// Sequence: the request goes out on a kept connection; the target reads it and closes.
-// Cause: a client that takes this for a stale connection and sends the request once more.
+// Guards against a job card that is written twice: the request is sent on a reused connection, the
+// target reads it and closes, and the client sends it again because it assumes that the connection
+// was stale.
 TEST_F(connection_client, a_request_written_once_is_never_written_again) {
-  play([&] {
+  run_target([&] {
     auto caller = target.accept();
     caller.read_until("card");
     caller.send(ok_answer);
@@ -211,11 +210,11 @@
     EXPECT_EQ(result.outcome, call_outcome::unknown);
     EXPECT_EQ(result.failure, call_failure::connection_lost);
   });
-  EXPECT_FALSE(target.has_waiting());
+  EXPECT_FALSE(target.has_pending_connection());
 }
 
-TEST_F(connection_client, a_fresh_connection_is_made_when_asked_for) {
-  play([&] {
+TEST_F(connection_client, a_fresh_connection_is_made_on_request) {
+  run_target([&] {
     auto first = target.accept();
     first.read_until("card");
     first.send(ok_answer);
@@ -228,19 +227,18 @@
     EXPECT_EQ(client.idle_connections(), 1U);
     const http_request job{"POST", "/job", {}, "card", {}};
     const auto result =
-        client.fetch(local(target.port()), job, soon(), {}, {}, connection_use::fresh);
+        client.fetch(local(target.port()), job, test_deadline(), {}, {}, connection_use::fresh);
     EXPECT_TRUE(result.ok());
     EXPECT_EQ(client.idle_connections(), 1U);
   });
 }
 
-// Symptom: a target resets every new connection, and calls that may not be repeated end as unknown.
-// Sequence: calls that take fresh connections only come one after the other; each leaves its
-// connection in the pool, where none of them looks, until the target takes no more.
-// Cause: fresh connections are kept like all others.
+// Guards against a target that resets every new connection, so that calls that must not be repeated
+// end as unknown. Calls that only use fresh connections must not leave them in the pool: they would
+// never be reused, and accumulate until the target accepts no more.
 TEST_F(connection_client, fresh_connections_do_not_fill_the_pool) {
   constexpr int calls = 20;
-  play([&] {
+  run_target([&] {
     for (int i = 0; i < calls; ++i) {
       auto caller = target.accept();
       caller.read_until("card");
@@ -251,36 +249,36 @@
     const http_request job{"POST", "/job", {}, "card", {}};
     for (int i = 0; i < calls; ++i) {
       EXPECT_TRUE(
-          client.fetch(local(target.port()), job, soon(), {}, {}, connection_use::fresh).ok());
+          client.fetch(local(target.port()), job, test_deadline(), {}, {}, connection_use::fresh)
+              .ok());
     }
     EXPECT_EQ(client.idle_connections(), 0U);
   });
 }
 
-// Symptom: an order is sent by a node that had lost its right to send it.
-// Sequence: the right lapses while the call waits for its connection.
-// Cause: a check of the right before the wait only.
-TEST_F(connection_client, a_call_whose_permit_lapsed_is_not_sent) {
-  play([&] {
+// Guards against an order that a node sends after its permission has expired. The permission
+// expires while the call waits for its connection, so it has to be checked after the wait.
+TEST_F(connection_client, a_call_whose_permit_expired_is_not_sent) {
+  run_target([&] {
     auto caller = target.accept();
     EXPECT_EQ(caller.read_until("card").find("not permitted"), std::string::npos);
     caller.send(ok_answer);
   });
   in_fiber([&] {
     const http_request late{"POST", "/late", {{"X", "not permitted"}}, "", {}};
-    const auto result = client.fetch(local(target.port()), late, soon(), {}, [] { return false; });
+    const auto result =
+        client.fetch(local(target.port()), late, test_deadline(), {}, [] { return false; });
     EXPECT_EQ(result.outcome, call_outcome::not_sent);
     EXPECT_EQ(result.failure, call_failure::not_permitted);
     EXPECT_TRUE(fetch().ok());
   });
 }
 
-// Symptom: a caller gets the answer to another caller's request.
-// Sequence: the target sends more than one answer to one request, at once or a little later.
-// Cause: reusing a connection that has bytes nobody asked for.
-TEST_F(connection_client, a_connection_with_unasked_bytes_is_not_reused) {
-  watched<bool> sent_late;
-  play([&] {
+// Guards against a caller that gets the response to another caller's request. The target sends two
+// responses to one request, together or a little later, so the connection must not be reused.
+TEST_F(connection_client, a_connection_with_unsolicited_bytes_is_not_reused) {
+  awaitable_value<bool> sent_late;
+  run_target([&] {
     auto at_once = target.accept();
     at_once.read_until("card");
     at_once.send(ok_answer + ok_answer);
@@ -298,14 +296,14 @@
     EXPECT_TRUE(fetch().ok());
     EXPECT_EQ(client.idle_connections(), 0U);
     EXPECT_TRUE(fetch().ok());
-    EXPECT_TRUE(fiber_waits([&] { return sent_late.get(); }));
+    EXPECT_TRUE(fiber_wait_until([&] { return sent_late.get(); }));
     EXPECT_EQ(fetch().response.body, "ok");
   });
 }
 
-// Symptom: as above; here the unread rest of an abandoned answer is taken for the next one.
-TEST_F(connection_client, an_abandoned_answer_ends_its_connection) {
-  play([&] {
+// Guards against the unread rest of an abandoned response being taken for the next response.
+TEST_F(connection_client, an_abandoned_response_closes_its_connection) {
+  run_target([&] {
     auto first = target.accept();
     first.read_until("card");
     first.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n");
@@ -317,7 +315,7 @@
   });
   in_fiber([&] {
     const auto result = client.stream(
-        local(target.port()), {"POST", "/", {}, "card", {}}, soon(),
+        local(target.port()), {"POST", "/", {}, "card", {}}, test_deadline(),
         [](int, const http_headers&) { return true; }, [](std::string_view) { return false; });
     EXPECT_EQ(result.outcome, call_outcome::unknown);
     EXPECT_EQ(result.failure, call_failure::abandoned);
@@ -328,7 +326,7 @@
 
 TEST_F(connection_client, a_cancelled_call_is_seen_by_the_target) {
   const auto token = cancel_token::make();
-  play([&] {
+  run_target([&] {
     auto caller = target.accept();
     caller.read_until("card");
     token.cancel();
@@ -336,19 +334,19 @@
     EXPECT_TRUE(caller.was_reset());
   });
   in_fiber([&] {
-    const auto result = fetch(soon(), token);
+    const auto result = fetch(test_deadline(), token);
     EXPECT_EQ(result.outcome, call_outcome::unknown);
     EXPECT_EQ(result.failure, call_failure::cancelled);
   });
 }
 
-TEST_F(connection_client, what_is_given_up_is_not_delivered_later) {
-  // Symptom: targets run requests seconds after their callers have left. Sequence: a target's link
-  // is cut, a request is written to it and stays on the way; the caller leaves; the cut heals, and
-  // the request arrives. Cause: the connection ended in order, so that what was sent is delivered.
-  // Here the target sees how the connection ends: by a reset, which drops what is on its way.
-  watched<bool> reset(false);
-  play([&] {
+TEST_F(connection_client, a_cancelled_request_resets_its_connection) {
+  // Guards against targets that run requests seconds after their callers have left. During a
+  // network partition a request is written to the connection, its caller leaves, and the request
+  // arrives when the partition heals, because an orderly close delivers what was sent. So the
+  // connection has to end with a reset, which drops data in transit.
+  awaitable_value<bool> reset(false);
+  run_target([&] {
     raw_connection peer = target.accept();
     peer.read_until(end_of_header);
     peer.read_all();
@@ -360,31 +358,31 @@
       sleep_until(monotonic_now() + 50ms);
       token.cancel();
     });
-    EXPECT_EQ(fetch(soon(), token).failure, call_failure::cancelled);
+    EXPECT_EQ(fetch(test_deadline(), token).failure, call_failure::cancelled);
   });
   join();
   EXPECT_TRUE(reset.get());
 }
 
-TEST_F(connection_client, an_answer_over_the_limit_is_given_up) {
+TEST_F(connection_client, a_response_over_the_limit_fails_as_too_large) {
   http_client_limits limits;
   limits.body_bytes = 10;
-  http_client strict(runtime, limits);
-  play([&] {
+  http_client limited_client(runtime, limits);
+  run_target([&] {
     auto caller = target.accept();
     caller.read_until(end_of_header);
     caller.send("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n01234567890");
     caller.read_all();
   });
   in_fiber([&] {
-    const auto result = strict.fetch(local(target.port()), {}, soon());
+    const auto result = limited_client.fetch(local(target.port()), {}, test_deadline());
     EXPECT_EQ(result.outcome, call_outcome::unknown);
     EXPECT_EQ(result.failure, call_failure::too_large);
   });
 }
 
-TEST_F(connection_client, reads_past_interim_answers_and_up_to_the_end) {
-  play([&] {
+TEST_F(connection_client, skips_interim_responses_and_reads_to_the_end) {
+  run_target([&] {
     auto caller = target.accept();
     caller.read_until("card");
     caller.send("HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\n\r\nup to the end");
@@ -397,16 +395,17 @@
   });
 }
 
-// Symptom: a request refused for its size is reported as unknown.
-// Sequence: the target answers 413 after the header and closes, while the body is being written.
-// Cause: giving up at the failed write without a look at the answer that is already there.
-TEST_F(connection_client, an_answer_before_the_end_of_the_request_counts) {
+// Guards against reporting a request that was refused for its size as unknown. The target responds
+// with 413 after the header and closes while the body is being written; after the failed write the
+// client has to read the response that has already arrived.
+TEST_F(connection_client, a_response_before_the_end_of_the_request_counts) {
   http_server_limits limits;
   limits.body_bytes = 1000;
   http_server server(runtime, any_port, limits, [](const http_request&, response_writer&) {});
   const std::string body(16UL * 1024 * 1024, 'b');
   in_fiber([&] {
-    const auto result = client.fetch(local(server.port()), {"POST", "/", {}, body, {}}, soon());
+    const auto result =
+        client.fetch(local(server.port()), {"POST", "/", {}, body, {}}, test_deadline());
     EXPECT_TRUE(result.ok()) << to_string(result.failure) << " " << result.detail;
     EXPECT_EQ(result.response.status, 413);
     EXPECT_EQ(client.idle_connections(), 0U);
@@ -417,14 +416,14 @@
   http_client_limits limits;
   limits.idle_expiry = 20ms;
   http_client short_lived(runtime, limits);
-  play([&] {
+  run_target([&] {
     auto caller = target.accept();
     caller.read_until(end_of_header);
     caller.send(ok_answer);
     caller.read_all();
     EXPECT_TRUE(caller.ended());
   });
-  in_fiber([&] { EXPECT_TRUE(short_lived.fetch(local(target.port()), {}, soon()).ok()); });
+  in_fiber([&] { EXPECT_TRUE(short_lived.fetch(local(target.port()), {}, test_deadline()).ok()); });
   join();
   in_fiber([&] { EXPECT_EQ(short_lived.idle_connections(), 0U); });
 }
--- a/tests/shell/connection_fixture.h
+++ b/tests/shell/connection_fixture.h
@@ -1,4 +1,4 @@
-// What the tests of connections share: a running runtime and ways to wait for a condition.
+// Shared by the tests of connections: a running runtime and ways to wait for a condition.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,15 +20,15 @@
   return {"127.0.0.1", port};
 }
 
-inline time_point soon() {
+inline time_point test_deadline() {
   return monotonic_now() + 10s;
 }
 
-// A value that threads and fibers change and a test's own thread waits for.
+// A value that threads and fibers change and for which the test's thread can wait.
 template <class T>
-class watched {
+class awaitable_value {
  public:
-  explicit watched(T initial = {}) : value_(std::move(initial)) {}
+  explicit awaitable_value(T initial = {}) : value_(std::move(initial)) {}
 
   template <class Change>
   void change(Change&& apply) {
@@ -46,7 +46,8 @@
     return value_;
   }
 
-  // Blocks the thread: only for threads that run no fibers. False after ten seconds.
+  // Blocks the thread, so it must not be called on a thread that runs fibers. False after ten
+  // seconds.
   template <class Predicate>
   [[nodiscard]] bool wait(Predicate&& holds) {
     std::unique_lock lock(mutex_);
@@ -63,9 +64,9 @@
   T value_;
 };
 
-// Suspends the fiber, turn by turn, until `holds()`; false after ten seconds.
-inline bool fiber_waits(const std::function<bool()>& holds) {
-  const time_point limit = soon();
+// Suspends the fiber and polls until `holds()` returns true; false after ten seconds.
+inline bool fiber_wait_until(const std::function<bool()>& holds) {
+  const time_point limit = test_deadline();
   while (!holds()) {
     if (monotonic_now() > limit || !sleep_until(monotonic_now() + 1ms)) {
       return false;
--- a/tests/shell/connection_http_test.cpp
+++ b/tests/shell/connection_http_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server and client against each other, callers that leave, and draining.
+// The HTTP client with the HTTP server, callers that disconnect, and draining.
 #include <boost/fiber/future.hpp>
 #include <set>
 
@@ -25,7 +25,7 @@
   in_fiber([&] {
     for (int i = 0; i < 3; ++i) {
       const http_request request{"POST", "/a", {}, "body " + std::to_string(i), {}};
-      const auto result = client.fetch(local(server.port()), request, soon());
+      const auto result = client.fetch(local(server.port()), request, test_deadline());
       ASSERT_TRUE(result.ok()) << result.detail;
       EXPECT_EQ(result.response.status, 200);
       EXPECT_EQ(result.response.body, "POST body " + std::to_string(i));
@@ -38,12 +38,12 @@
 
 TEST_F(connection_http, streams_chunk_by_chunk) {
   boost::fibers::promise<void> first_seen;
-  auto may_go_on = first_seen.get_future();
+  auto first_chunk_read = first_seen.get_future();
   http_server server(runtime, any_port, {}, [&](const http_request&, response_writer& writer) {
     writer.start(200, {{"Content-Type", "text/event-stream"}});
     writer.write("one");
-    may_go_on.wait();  // the second chunk is written only after the first was read
-    writer.write("");  // must not end the stream
+    first_chunk_read.wait();  // the second chunk is written only after the first was read
+    writer.write("");         // must not end the stream
     writer.write("two");
     writer.finish();
   });
@@ -51,7 +51,7 @@
   in_fiber([&] {
     std::string seen;
     const auto result = client.stream(
-        local(server.port()), {}, soon(),
+        local(server.port()), {}, test_deadline(),
         [](int status, const http_headers&) { return status == 200; },
         [&](std::string_view chunk) {
           if (seen.empty()) {
@@ -71,7 +71,8 @@
   http_client client(runtime);
   const std::string body(5UL * 1024 * 1024, 'b');
   in_fiber([&] {
-    const auto result = client.fetch(local(server.port()), {"PUT", "/", {}, body, {}}, soon());
+    const auto result =
+        client.fetch(local(server.port()), {"PUT", "/", {}, body, {}}, test_deadline());
     ASSERT_TRUE(result.ok()) << result.detail;
     EXPECT_EQ(result.response.body, "PUT " + body);
   });
@@ -82,7 +83,8 @@
   http_client client(runtime);
   in_fiber([&] {
     for (int i = 0; i < 2; ++i) {
-      const auto result = client.fetch(local(server.port()), {"HEAD", "/", {}, "", {}}, soon());
+      const auto result =
+          client.fetch(local(server.port()), {"HEAD", "/", {}, "", {}}, test_deadline());
       ASSERT_TRUE(result.ok()) << result.detail;
       EXPECT_EQ(result.response.headers.find("content-length"), "5");
       EXPECT_EQ(result.response.body, "");
@@ -91,7 +93,7 @@
   });
 }
 
-TEST_F(connection_http, a_stream_to_an_old_caller_ends_with_its_connection) {
+TEST_F(connection_http, a_stream_to_an_http_1_0_caller_ends_with_its_connection) {
   http_server server(runtime, any_port, {}, [](const http_request&, response_writer& writer) {
     writer.start(200, {});
     writer.write("ab");
@@ -106,7 +108,7 @@
 }
 
 TEST_F(connection_http, spreads_connections_over_the_workers) {
-  watched<std::set<std::size_t>> used;
+  awaitable_value<std::set<std::size_t>> used;
   http_server server(runtime, any_port, {}, [&](const http_request&, response_writer& writer) {
     used.change([](auto& workers) { workers.insert(current_worker()); });
     writer.send(200, {}, "");
@@ -129,33 +131,33 @@
   http_client client(runtime);
   in_fiber([&] {
     for (const char* target : {"/throw", "/silent"}) {
-      const auto result = client.fetch(local(server.port()), {"GET", target, {}, "", {}}, soon());
+      const auto result =
+          client.fetch(local(server.port()), {"GET", target, {}, "", {}}, test_deadline());
       ASSERT_TRUE(result.ok()) << result.detail;
       EXPECT_EQ(result.response.status, 500);
     }
   });
 }
 
-// Symptom: a caller takes half an answer for the whole.
-// Sequence: the handler gives up in the middle of a stream.
-// Cause: a server that ends the stream in good order all the same.
-TEST_F(connection_http, a_stream_given_up_is_visibly_cut) {
+// Guards against a caller that takes half a response for the complete one: if the handler returns
+// in the middle of a stream, the server must not end the stream properly.
+TEST_F(connection_http, an_unfinished_stream_is_visibly_truncated) {
   http_server server(runtime, any_port, {}, [](const http_request&, response_writer& writer) {
     writer.start(200, {});
     writer.write("half");
   });
   http_client client(runtime);
   in_fiber([&] {
-    const auto result = client.fetch(local(server.port()), {}, soon());
+    const auto result = client.fetch(local(server.port()), {}, test_deadline());
     EXPECT_EQ(result.outcome, call_outcome::unknown);
     EXPECT_EQ(result.failure, call_failure::connection_lost);
     EXPECT_EQ(result.response.body, "half");
   });
 }
 
-// Symptom: engines go on generating for callers that have hung up.
-// Sequence: the caller closes while the handler waits for a target that has not begun to answer.
-// Cause: a server that looks at the caller's socket only when it writes.
+// Guards against engines that go on generating for callers that have disconnected. The caller
+// closes while the handler waits for a target that has not begun its response, so the server must
+// not check the caller's socket only when it writes.
 TEST_F(connection_http, a_caller_that_leaves_cancels_the_call_upstream) {
   const raw_listener upstream;
   http_client client(runtime);
@@ -163,13 +165,13 @@
   http_server server(runtime, any_port, {}, [&](const http_request&, response_writer& writer) {
     ++handled;
     const auto token = cancel_token::make();
-    writer.on_gone([&token] { token.cancel(); });
-    const auto result = client.fetch(local(upstream.port()), {}, soon(), token);
+    writer.on_caller_gone([&token] { token.cancel(); });
+    const auto result = client.fetch(local(upstream.port()), {}, test_deadline(), token);
     EXPECT_TRUE(writer.caller_gone());
     EXPECT_EQ(result.outcome, call_outcome::unknown);
     EXPECT_EQ(result.failure, call_failure::cancelled);
   });
-  // The second caller has sent its next request before it leaves. That one is not run.
+  // The second caller sends its next request before it disconnects. That request must not be run.
   const std::string get = "GET / HTTP/1.1\r\n\r\n";
   for (const auto& early : {std::string{}, get}) {
     handled = 0;
@@ -181,19 +183,19 @@
     caller.close();
     target.read_all();
     EXPECT_TRUE(target.was_reset());
-    in_fiber([&] { EXPECT_TRUE(fiber_waits([&] { return server.connections() == 0; })); });
+    in_fiber([&] { EXPECT_TRUE(fiber_wait_until([&] { return server.connections() == 0; })); });
     EXPECT_EQ(handled, 1);
   }
 }
 
-// Symptom: a crash, or a call of another caller cancelled, some time after a request has ended.
-// Sequence: a handler asks for a notice and returns; the connection ends later.
-// Cause: a notice that is kept for longer than what it refers to.
-TEST_F(connection_http, a_notice_does_not_outlive_its_request) {
+// Guards against a crash, or the cancellation of another caller's call, some time after a request
+// has ended: a handler registers a callback with on_caller_gone() and returns, and the connection
+// ends later. The callback must not outlive what it refers to.
+TEST_F(connection_http, a_caller_gone_handler_does_not_outlive_its_request) {
   std::atomic<int> notices{0};
   auto server = std::make_unique<http_server>(runtime, any_port, http_server_limits{},
                                               [&](const http_request&, response_writer& writer) {
-                                                writer.on_gone([&notices] { ++notices; });
+                                                writer.on_caller_gone([&notices] { ++notices; });
                                                 EXPECT_FALSE(writer.caller_gone());
                                                 writer.send(200, {}, "");
                                               });
@@ -206,32 +208,31 @@
   EXPECT_EQ(notices, 0);
 }
 
-// A server whose handler waits until the test lets it go on.
+// A server whose handler waits until the test releases it.
 class connection_drain : public connection_fixture {
  protected:
   void answer(response_writer& writer) {
     entered.change([](int& n) { ++n; });
-    fiber_waits([this] { return released.load(); });
+    fiber_wait_until([this] { return released.load(); });
     writer.send(200, {}, "whole");
   }
 
-  watched<int> entered;
+  awaitable_value<int> entered;
   std::atomic<bool> released{false};
   http_server server{runtime, any_port, {}, [this](const http_request&, response_writer& writer) {
                        answer(writer);
                      }};
 };
 
-// Symptom: a planned stop cuts off answers.
-// Sequence: drain while one request runs and one connection is idle.
-// Cause: closing connections without regard to what they carry.
+// Guards against a planned stop that truncates responses: drain() is called while one request runs
+// and one connection is idle, and only the idle one may be closed.
 TEST_F(connection_drain, finishes_what_is_in_flight) {
   auto idle = raw_connection::to(server.port());
   auto busy = raw_connection::to(server.port());
   busy.send("GET / HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(entered.wait_for(1));
   in_fiber([&] {
-    EXPECT_TRUE(fiber_waits([&] { return server.connections() == 2; }));
+    EXPECT_TRUE(fiber_wait_until([&] { return server.connections() == 2; }));
     EXPECT_FALSE(server.drain(monotonic_now() + 5ms));
   });
   idle.read_all();
@@ -243,20 +244,20 @@
   EXPECT_TRUE(busy.ended());
   EXPECT_NE(answer.find("Connection: close"), std::string::npos);
   EXPECT_EQ(answer.substr(answer.size() - 5), "whole");
-  EXPECT_TRUE(server.drain(soon()));
+  EXPECT_TRUE(server.drain(test_deadline()));
   EXPECT_EQ(server.active(), 0U);
 }
 
-TEST_F(connection_drain, destroying_a_server_tells_its_handlers) {
-  watched<int> waiting;
-  bool told = false;
-  auto other = std::make_unique<http_server>(runtime, any_port, http_server_limits{},
-                                             [&](const http_request&, response_writer& writer) {
-                                               writer.on_gone([&told] { told = true; });
-                                               waiting.set(1);
-                                               EXPECT_TRUE(fiber_waits([&told] { return told; }));
-                                               EXPECT_FALSE(writer.send(200, {}, "late"));
-                                             });
+TEST_F(connection_drain, destroying_a_server_notifies_its_handlers) {
+  awaitable_value<int> waiting;
+  bool notified = false;
+  auto other = std::make_unique<http_server>(
+      runtime, any_port, http_server_limits{}, [&](const http_request&, response_writer& writer) {
+        writer.on_caller_gone([&notified] { notified = true; });
+        waiting.set(1);
+        EXPECT_TRUE(fiber_wait_until([&notified] { return notified; }));
+        EXPECT_FALSE(writer.send(200, {}, "late"));
+      });
   auto caller = raw_connection::to(other->port());
   caller.send("GET / HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(waiting.wait_for(1));
--- a/tests/shell/connection_link_test.cpp
+++ b/tests/shell/connection_link_test.cpp
@@ -1,4 +1,4 @@
-// Links between nodes, with well-behaved peers and with peers that are played by hand.
+// Links between nodes, with real peers and with peers scripted with raw sockets.
 #include "connection/frame_queue.h"
 #include "connection/link.h"
 #include "shell/connection_fixture.h"
@@ -33,7 +33,7 @@
  protected:
   connection_link() {
     limits.first_backoff = 2ms;
-    limits.longest_backoff = 20ms;
+    limits.max_backoff = 20ms;
   }
 
   std::unique_ptr<link_server> make_server(std::uint16_t port = 0) {
@@ -44,25 +44,28 @@
             seen.push_back(peer.str() + ":" + std::string(payload.begin(), payload.end()));
           });
         },
-        [this](const node_id& peer, bool up) { server_sees.set(peer.str() + (up ? "+" : "-")); });
+        [this](const node_id& peer, bool up) {
+          server_link_state.set(peer.str() + (up ? "+" : "-"));
+        });
   }
 
   std::unique_ptr<link_client> make_client(std::uint16_t port) {
-    return std::make_unique<link_client>(
-        runtime, 0, local(port), node_id("a"), 7, limits,
-        [this](const node_id& peer, bool up) { client_sees.set(peer.str() + (up ? "+" : "-")); });
+    return std::make_unique<link_client>(runtime, 0, local(port), node_id("a"), 7, limits,
+                                         [this](const node_id& peer, bool up) {
+                                           client_link_state.set(peer.str() + (up ? "+" : "-"));
+                                         });
   }
 
   link_limits limits;
-  watched<std::vector<std::string>> received;
-  watched<std::string> server_sees;
-  watched<std::string> client_sees;
+  awaitable_value<std::vector<std::string>> received;
+  awaitable_value<std::string> server_link_state;
+  awaitable_value<std::string> client_link_state;
 };
 
 TEST_F(connection_link, carries_frames_in_order_and_counts_them) {
   auto server = make_server();
   auto client = make_client(server->port());
-  ASSERT_TRUE(client_sees.wait_for("b+"));
+  ASSERT_TRUE(client_link_state.wait_for("b+"));
   EXPECT_TRUE(client->up());
   EXPECT_TRUE(client->send(frame_of("one"), frame_priority::state));
   EXPECT_TRUE(client->send(frame_of("two"), frame_priority::state));
@@ -74,15 +77,15 @@
   EXPECT_EQ(client->counters().bytes_in, server->counters().bytes_out);
   EXPECT_EQ(client->counters().frames_dropped, 0U);
   client.reset();
-  EXPECT_TRUE(client_sees.wait_for("b-"));
-  EXPECT_TRUE(server_sees.wait_for("a-"));
+  EXPECT_TRUE(client_link_state.wait_for("b-"));
+  EXPECT_TRUE(server_link_state.wait_for("a-"));
 }
 
 TEST_F(connection_link, carries_the_longest_frame_and_refuses_a_longer_one) {
   limits.queue_bytes = 2 * max_frame_bytes;
   auto server = make_server();
   auto client = make_client(server->port());
-  ASSERT_TRUE(client_sees.wait_for("b+"));
+  ASSERT_TRUE(client_link_state.wait_for("b+"));
   EXPECT_TRUE(client->send(bytes(max_frame_bytes, 'x'), frame_priority::state));
   EXPECT_FALSE(client->send(bytes(max_frame_bytes + 1, 'x'), frame_priority::state));
   EXPECT_FALSE(client->send({}, frame_priority::state));
@@ -92,36 +95,35 @@
   EXPECT_EQ(received.get().back(), "a:end");
 }
 
-// Symptom: a node that was restarted gets no news any more.
-// Sequence: the peer ends and comes back on the same address.
-// Cause: a link that is made once.
-TEST_F(connection_link, comes_back_with_its_peer) {
+// Guards against a restarted node that receives no updates any more: the peer ends and returns at
+// the same address, so the link has to be made again.
+TEST_F(connection_link, reconnects_when_its_peer_returns) {
   auto server = make_server();
   const auto port = server->port();
   auto client = make_client(port);
-  ASSERT_TRUE(client_sees.wait_for("b+"));
+  ASSERT_TRUE(client_link_state.wait_for("b+"));
   server.reset();
-  ASSERT_TRUE(client_sees.wait_for("b-"));
+  ASSERT_TRUE(client_link_state.wait_for("b-"));
   EXPECT_FALSE(client->up());
   EXPECT_FALSE(client->send(frame_of("old state"), frame_priority::state));
   EXPECT_TRUE(client->send(frame_of("urgent"), frame_priority::urgent));
   server = make_server(port);
-  ASSERT_TRUE(client_sees.wait_for("b+"));
+  ASSERT_TRUE(client_link_state.wait_for("b+"));
   EXPECT_TRUE(received.wait_for({"a:urgent"}));
   EXPECT_EQ(client->counters().connects, 2U);
   EXPECT_EQ(client->counters().frames_dropped, 1U);
 }
 
-// Symptom: memory grows with every slow peer, and it acts on state long past when it recovers.
-// Sequence: the peer greets and then reads nothing, while state is sent again and again.
-// Cause: a queue without bound, or one that refuses the new in favour of the old.
+// Guards against memory that grows with every slow peer, and against a recovered peer that acts on
+// outdated state. The peer sends its hello and then reads nothing, while state is sent repeatedly.
+// The queue has to be bounded, and to drop old frames rather than new ones.
 TEST_F(connection_link, a_slow_peer_gets_the_newest_state) {
   const raw_listener peer;
   limits.queue_bytes = 8UL * 1024;
   auto client = make_client(peer.port());
   auto slow = peer.accept();
   slow.send(hello_of_b);
-  ASSERT_TRUE(client_sees.wait_for("b+"));
+  ASSERT_TRUE(client_link_state.wait_for("b+"));
   EXPECT_TRUE(client->send(frame_of("urgent!"), frame_priority::urgent));
   const std::string filler(1000, '.');
   int sent = 0;
@@ -135,46 +137,45 @@
   EXPECT_NE(seen.find("urgent!"), std::string::npos);
 }
 
-// Symptom: a paused peer counts as up, and what it should know waits for it.
-// Sequence: the peer's kernel takes what fits, its process reads nothing.
-// Cause: a write without a limit.
+// Guards against a paused peer that counts as up while frames wait for it. The peer's kernel
+// accepts what fits into its buffers, its process reads nothing, so writes need a time limit.
 TEST_F(connection_link, a_peer_that_reads_nothing_is_down) {
   const raw_listener peer;
   limits.write_timeout = 30ms;
   auto client = make_client(peer.port());
   auto paused = peer.accept();
   paused.send(hello_of_b);
-  ASSERT_TRUE(client_sees.wait_for("b+"));
+  ASSERT_TRUE(client_link_state.wait_for("b+"));
   const bytes large(limits.queue_bytes / 2, 'x');
   in_fiber([&] {
-    EXPECT_TRUE(fiber_waits([&] {
+    EXPECT_TRUE(fiber_wait_until([&] {
       client->send(large, frame_priority::state);
-      return client_sees.get() == "b-";
+      return client_link_state.get() == "b-";
     }));
   });
 }
 
-TEST_F(connection_link, strangers_are_turned_away) {
+TEST_F(connection_link, invalid_peers_are_disconnected) {
   limits.hello_timeout = 30ms;
   auto server = make_server();
-  const std::vector<std::string> strangers = {
-      "GET / HTTP/1.1\r\n\r\n",  // its first bytes are no length
+  const std::vector<std::string> invalid_hellos = {
+      "GET / HTTP/1.1\r\n\r\n",  // its first bytes are not a valid length
       wire_of("\x02"
               "a"),                             // another version of the protocol
       wire_of("\x01"),                          // no name
       wire_of("\x01" + std::string(256, 'a')),  // a name too long
       std::string(4, '\0'),                     // an empty frame
-      hello_of_a.substr(0, 5),                  // half a hello, then silence
+      hello_of_a.substr(0, 5),                  // half a hello, then nothing
   };
-  for (const auto& stranger : strangers) {
+  for (const auto& hello : invalid_hellos) {
     auto caller = raw_connection::to(server->port());
-    caller.send(stranger);
+    caller.send(hello);
     EXPECT_EQ(caller.read_all(), "");
-    EXPECT_FALSE(caller.silent());
+    EXPECT_FALSE(caller.timed_out());
   }
-  EXPECT_EQ(server_sees.get(), "");
+  EXPECT_EQ(server_link_state.get(), "");
   auto client = make_client(server->port());
-  EXPECT_TRUE(server_sees.wait_for("a+"));
+  EXPECT_TRUE(server_link_state.wait_for("a+"));
 }
 
 TEST_F(connection_link, a_length_over_the_limit_ends_the_link) {
@@ -184,29 +185,29 @@
   EXPECT_EQ(caller.read_until(hello_of_b), hello_of_b);
   ASSERT_TRUE(received.wait_for({"a:good"}));
   caller.send(std::string("\x00\x10\x00\x01", 4) + std::string(100, 'x'));
-  EXPECT_TRUE(server_sees.wait_for("a-"));
+  EXPECT_TRUE(server_link_state.wait_for("a-"));
   EXPECT_EQ(received.get().size(), 1U);
 }
 
-// Symptom: a peer is taken for lost although its new link works.
-// Sequence: the link breaks unseen by one side; the peer links again; the old one is found broken.
-// Cause: taking the end of one link for the end of the peer.
-TEST_F(connection_link, the_end_of_an_older_link_does_not_lose_the_peer) {
+// Guards against a peer that counts as lost although its new link works. The link breaks without
+// one side noticing, the peer reconnects, and only then the old link is found to be broken; the end
+// of one link must not count as the loss of the peer.
+TEST_F(connection_link, the_end_of_an_older_link_does_not_mark_the_peer_down) {
   auto server = make_server();
   auto older = raw_connection::to(server->port());
   older.send(hello_of_a);
   older.read_until(hello_of_b);
-  ASSERT_TRUE(server_sees.wait_for("a+"));
+  ASSERT_TRUE(server_link_state.wait_for("a+"));
   auto newer = raw_connection::to(server->port());
   newer.send(hello_of_a);
   newer.read_until(hello_of_b);
   older.reset();
   newer.send(wire_of("news"));
   ASSERT_TRUE(received.wait_for({"a:news"}));
-  in_fiber([&] { fiber_waits([&] { return server->counters().connects == 2; }); });
-  EXPECT_EQ(server_sees.get(), "a+");
+  in_fiber([&] { fiber_wait_until([&] { return server->counters().connects == 2; }); });
+  EXPECT_EQ(server_link_state.get(), "a+");
   newer.close();
-  EXPECT_TRUE(server_sees.wait_for("a-"));
+  EXPECT_TRUE(server_link_state.wait_for("a-"));
 }
 
 TEST(connection_frame_queue, drops_the_oldest_state_first) {
--- a/tests/shell/connection_runtime_test.cpp
+++ b/tests/shell/connection_runtime_test.cpp
@@ -1,4 +1,4 @@
-// Fibers and sockets on one worker.
+// The fiber runtime: scheduling of fibers and timers on a worker.
 #include <boost/fiber/operations.hpp>
 #include <thread>
 #include <vector>
@@ -13,7 +13,7 @@
 using connection_runtime = connection_fixture;
 
 TEST_F(connection_runtime, runs_work_in_order_on_its_worker) {
-  watched<std::vector<int>> seen;
+  awaitable_value<std::vector<int>> seen;
   std::atomic<bool> moved{false};
   for (int i = 0; i < 3; ++i) {
     runtime.post(1, [&, i] {
@@ -27,9 +27,9 @@
   EXPECT_FALSE(moved);
 }
 
-// Symptom: under load no socket and no timer is served, while the worker is fully busy.
-// Sequence: some fibers keep each other ready; the worker never gets to its idle state.
-// Cause: a scheduler that looks at the io_context only when no fiber is ready.
+// Guards against a fully loaded worker that serves no sockets and timers: fibers keep each other
+// ready, so the worker is never idle, and the scheduler must not poll the io_context only when no
+// fiber is ready.
 TEST_F(connection_runtime, busy_fibers_do_not_starve_timers) {
   bool fired = false;
   int busy = 0;
@@ -37,7 +37,7 @@
     for (int i = 0; i < 3; ++i) {
       runtime.post(0, [&] {
         ++busy;
-        const time_point limit = soon();
+        const time_point limit = test_deadline();
         while (!fired && monotonic_now() < limit) {
           boost::this_fiber::yield();
         }
@@ -46,12 +46,12 @@
     }
     fired = sleep_until(monotonic_now() + 5ms);
     EXPECT_EQ(busy, 3);
-    EXPECT_TRUE(fiber_waits([&] { return busy == 0; }));
+    EXPECT_TRUE(fiber_wait_until([&] { return busy == 0; }));
   });
   EXPECT_TRUE(fired);
 }
 
-TEST_F(connection_runtime, sleeps_no_shorter_than_asked) {
+TEST_F(connection_runtime, sleeps_at_least_as_long_as_requested) {
   in_fiber([] {
     const time_point until = monotonic_now() + 3ms;
     EXPECT_TRUE(sleep_until(until));
@@ -59,13 +59,12 @@
   });
 }
 
-// Symptom: a process that is told to end hangs until its longest timer has passed.
-// Sequence: a fiber sleeps for an hour; the runtime is stopped.
-// Cause: stop() that waits for fibers without waking the sleeping ones.
+// Guards against a process that hangs at its end until its longest timer fires: a fiber sleeps for
+// an hour when the runtime is stopped, so stop() has to wake sleeping fibers.
 TEST(connection_runtime_stop, wakes_sleeping_fibers) {
   fiber_runtime runtime(2);
   runtime.run();
-  watched<int> asleep;
+  awaitable_value<int> asleep;
   std::atomic<int> woken{0};
   for (std::size_t i = 0; i < 2; ++i) {
     runtime.post(i, [&] {
@@ -81,7 +80,7 @@
 
 TEST_F(connection_runtime, takes_work_from_many_threads) {
   constexpr int per_thread = 500;
-  watched<int> done;
+  awaitable_value<int> done;
   std::vector<std::thread> threads;
   threads.reserve(3);
   for (int t = 0; t < 3; ++t) {
--- a/tests/shell/hosted_fixture.h
+++ b/tests/shell/hosted_fixture.h
@@ -97,7 +97,7 @@
   }
 
   bool eventually(const std::function<bool()>& holds) {
-    const time_point limit = soon();
+    const time_point limit = test_deadline();
     while (!holds()) {
       if (monotonic_now() > limit) {
         return false;
--- a/tests/shell/hosted_poison_test.cpp
+++ b/tests/shell/hosted_poison_test.cpp
@@ -46,7 +46,7 @@
   }
 
   void repeat_visits(const std::string& path, const std::function<bool()>& until) {
-    const time_point limit = soon();
+    const time_point limit = test_deadline();
     while (!until() && monotonic_now() < limit) {
       visit(path);
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
--- a/tests/shell/platform_mutation_test.cpp
+++ b/tests/shell/platform_mutation_test.cpp
@@ -1,4 +1,5 @@
-// The readers of what others write, over documents with bytes changed, cut and doubled at random.
+// Mutation tests of the parsers of external documents: bytes are changed, removed and duplicated at
+// random.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -45,7 +46,7 @@
   return text;
 }
 
-TEST(PlatformMutation, AnEntryIsReadWholeOrNamesItsFault) {
+TEST(PlatformMutation, ARecordIsReadOrItsProblemIsReported) {
   rng random(7);
   for (int i = 0; i < rounds; ++i) {
     const std::string text = mutated(entry, random);
@@ -61,7 +62,7 @@
   }
 }
 
-TEST(PlatformMutation, AConfigurationIsReadWholeOrHasFindings) {
+TEST(PlatformMutation, AConfigurationIsReadOrHasFindings) {
   rng random(8);
   for (int i = 0; i < rounds; ++i) {
     const std::string text = mutated(configuration, random);
@@ -82,7 +83,7 @@
   return text;
 }
 
-TEST(PlatformMutation, AVersionReadAfterAnotherIsTheSameAsReadAlone) {
+TEST(PlatformMutation, IncrementalReadEqualsFullRead) {
   rng random(10);
   service_map_reader reader;
   for (int i = 0; i < rounds; ++i) {
@@ -92,7 +93,7 @@
   }
 }
 
-TEST(PlatformMutation, AValueIsDecodedOrNot) {
+TEST(PlatformMutation, MutatedBase64DoesNotCrashTheDecoder) {
   rng random(9);
   const std::string coded = base64_encode(entry);
   for (int i = 0; i < rounds; ++i) {
--- a/tests/shell/platform_test.cpp
+++ b/tests/shell/platform_test.cpp
@@ -1,11 +1,11 @@
-// The platform's documents and heads, read into the product's types.
+// Parsing of the platform's documents and HTTP headers.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
 #include "platform/base64.h"
-#include "platform/dialect.h"
 #include "platform/documents.h"
+#include "platform/http_fields.h"
 #include "process/target_incarnation.h"
 
 namespace arbutus {
@@ -44,7 +44,7 @@
   EXPECT_EQ(read.map->find_workspace("k2")->id, workspace_id{"desk"});
 }
 
-TEST(PlatformDocuments, NamesEveryMistakeWithItsPlace) {
+TEST(PlatformDocuments, ReportsEveryMistakeWithItsPlace) {
   const auto read = read_service_map(
       R"({"version":1,"routes":[{"hostname":5,"prefix":"/a/","route-type":"odd","service":"s"}],"services":[{}]})");
   EXPECT_FALSE(read.map);
@@ -75,7 +75,7 @@
   EXPECT_FALSE(read_target_record("i-1", R"({"address":"10.0.0.1:1","slots":"x"})", problem));
 }
 
-TEST(PlatformDocuments, ALifeIsTheNameAndTheStart) {
+TEST(PlatformDocuments, AnIncarnationIsTheNameAndTheStart) {
   std::string problem;
   const auto record = read_target_record(
       "i-1", R"({"service":"llm","address":"10.0.0.7:9000","zone":"a","slots":26,"state":"ready",
@@ -85,29 +85,29 @@
   EXPECT_EQ(record->id, incarnation_of("i-1", 1764722262000));
 }
 
-TEST(PlatformDocuments, AnEntryOfAnotherWriterNamesNoTarget) {
-  // Symptom: requests go to what is no engine, or all other targets are lost with the one entry.
-  // Sequence: something else than an engine writes into the list. Cause: missing fields have
-  // values of ours, an unknown state counts as ready.
+TEST(PlatformDocuments, ARowOfAnotherWriterIsNoTarget) {
+  // Guards against requests to something that is not an engine, and against one bad row hiding all
+  // other targets. Another program writes into the table of targets; missing fields must not get
+  // default values, and an unknown state must not count as ready.
   using nlohmann::json;
-  const json whole = {{"service", "llm"},
-                      {"address", "10.0.0.7:9000"},
-                      {"zone", "a"},
-                      {"slots", 26},
-                      {"state", "ready"},
-                      {"born", 7},
-                      {"models", {{{"name", "m0"}, {"version", 1}}}},
-                      {"staged", {"m0"}},
-                      {"group", {{"name", "r"}, {"epoch", 3}, {"rank", 0}, {"state", "open"}}}};
+  const json complete = {{"service", "llm"},
+                         {"address", "10.0.0.7:9000"},
+                         {"zone", "a"},
+                         {"slots", 26},
+                         {"state", "ready"},
+                         {"born", 7},
+                         {"models", {{{"name", "m0"}, {"version", 1}}}},
+                         {"staged", {"m0"}},
+                         {"group", {{"name", "r"}, {"epoch", 3}, {"rank", 0}, {"state", "open"}}}};
   const auto reads = [](std::string_view name, const json& document) {
     std::string problem;
     const bool readable = read_target_record(name, document.dump(), problem).has_value();
     EXPECT_EQ(readable, problem.empty()) << problem;
     return readable;
   };
-  ASSERT_TRUE(reads("i-1", whole));
+  ASSERT_TRUE(reads("i-1", complete));
   for (const char* needed : {"service", "address", "zone", "slots", "state"}) {
-    json without = whole;
+    json without = complete;
     without.erase(needed);
     EXPECT_FALSE(reads("i-1", without)) << needed;
   }
@@ -117,21 +117,21 @@
       const bool is_text = odd.is_string();
       const bool any_text =
           is_text && (field == std::string_view("service") || field == std::string_view("zone"));
-      json changed = whole;
+      json changed = complete;
       changed[field] = odd;
       EXPECT_EQ(reads("i-1", changed), any_text) << field << " " << odd;
     }
   }
   for (const char* field : {"name", "epoch", "rank", "state"}) {
-    json changed = whole;
+    json changed = complete;
     changed["group"][field] = json::object();
     EXPECT_FALSE(reads("i-1", changed)) << field;
   }
-  json unknown_state = whole;
+  json unknown_state = complete;
   unknown_state["group"]["state"] = "asleep";
   EXPECT_FALSE(reads("i-1", unknown_state));
-  EXPECT_FALSE(reads("no engine", whole));
-  EXPECT_FALSE(reads("i-1~3", whole));
+  EXPECT_FALSE(reads("no engine", complete));
+  EXPECT_FALSE(reads("i-1~3", complete));
   std::string problem;
   for (const char* text : {"", "{", "[]", "null", "\xff\xfe", "7"}) {
     EXPECT_FALSE(read_target_record("i-1", text, problem)) << text;
@@ -157,8 +157,8 @@
   return request;
 }
 
-TEST(PlatformDialect, ReadsAHead) {
-  const call_head head = read_head(sample_request());
+TEST(PlatformDialect, ReadsRequestFields) {
+  const request_fields head = read_request_fields(sample_request());
   EXPECT_EQ(head.id, request_id{"b7e2"});
   EXPECT_EQ(head.path, "/a/2f");
   EXPECT_EQ(head.key, "k1");
@@ -168,10 +168,10 @@
   EXPECT_EQ(head.resume_after, "12");
 }
 
-TEST(PlatformDialect, PassesNeitherKeysNorForgedFieldsOn) {
-  // Symptom: a target sees a caller's key, or takes a caller for another workspace. Cause: fields
-  // that only this node may set are passed on as they came.
-  passing_on facts;
+TEST(PlatformDialect, ForwardsNeitherKeysNorForgedFields) {
+  // Guards against a target that receives a caller's API key or attributes a request to the wrong
+  // workspace: headers that only this node may set must not be forwarded from the caller.
+  forwarded_fields facts;
   facts.target = target_id{"i-7"};
   facts.time_left = 1500ms;
   facts.workspace = workspace_id{"desk"};
@@ -190,32 +190,36 @@
   EXPECT_EQ(out.headers.find("X-Model"), "m0");
 }
 
-TEST(PlatformDialect, BelievesOnlyASignedAnswerToTheOwnRequest) {
-  // Symptom: a caller gets another's answer, or one that no engine made.
+TEST(PlatformDialect, AcceptsOnlyASignedResponseToItsOwnRequest) {
+  // Guards against a caller that gets another caller's response, or one that no engine made.
   const request_id id{"b7e2"};
   const http_headers signed_own = {{"X-Request-Id", "b7e2"}, {"X-Response-Seal", "s"}};
-  EXPECT_EQ(read_answer(200, signed_own, id).kind, answer_kind::own);
-  EXPECT_EQ(read_answer(200, {{"X-Request-Id", "other"}, {"X-Response-Seal", "s"}}, id).kind,
-            answer_kind::foreign);
-  EXPECT_EQ(read_answer(200, {{"X-Request-Id", "b7e2"}}, id).kind, answer_kind::unsigned_success);
-  EXPECT_EQ(read_answer(200, {{"X-Response-Seal", "s"}}, id).kind, answer_kind::unsigned_success);
+  EXPECT_EQ(read_response_fields(200, signed_own, id).kind, answer_kind::own);
+  EXPECT_EQ(
+      read_response_fields(200, {{"X-Request-Id", "other"}, {"X-Response-Seal", "s"}}, id).kind,
+      answer_kind::mismatched);
+  EXPECT_EQ(read_response_fields(200, {{"X-Request-Id", "b7e2"}}, id).kind,
+            answer_kind::unsigned_success);
+  EXPECT_EQ(read_response_fields(200, {{"X-Response-Seal", "s"}}, id).kind,
+            answer_kind::unsigned_success);
   http_headers encoded = signed_own;
   encoded.add("Content-Encoding", "gzip");
-  EXPECT_EQ(read_answer(200, encoded, id).kind, answer_kind::unsigned_success);
-  EXPECT_EQ(read_answer(503, {{"X-Not-Executed", "1"}}, id).kind, answer_kind::not_run);
-  EXPECT_EQ(read_answer(421, {}, id).kind, answer_kind::not_run);
-  EXPECT_EQ(read_answer(500, {{"X-Request-Id", "b7e2"}}, id).kind, answer_kind::own);
+  EXPECT_EQ(read_response_fields(200, encoded, id).kind, answer_kind::unsigned_success);
+  EXPECT_EQ(read_response_fields(503, {{"X-Not-Executed", "1"}}, id).kind, answer_kind::not_run);
+  EXPECT_EQ(read_response_fields(421, {}, id).kind, answer_kind::not_run);
+  EXPECT_EQ(read_response_fields(500, {{"X-Request-Id", "b7e2"}}, id).kind, answer_kind::own);
   const auto loaded =
-      read_answer(200, {{"X-Request-Id", "b7e2"}, {"X-Instance-Load", "3,2,8"}}, id);
+      read_response_fields(200, {{"X-Request-Id", "b7e2"}, {"X-Instance-Load", "3,2,8"}}, id);
   EXPECT_EQ(loaded.running, 3U);
   EXPECT_EQ(loaded.waiting, 2U);
 }
 
-TEST(PlatformDialect, TellsWhenToComeBackInFractionsOfASecond) {
-  const http_headers headers = own_headers({503, 250ms, "full"}, request_id{"x"});
+TEST(PlatformDialect, WritesRetryAfterInFractionsOfASecond) {
+  const http_headers headers = local_response_headers({503, 250ms, "full"}, request_id{"x"});
   EXPECT_EQ(headers.find("Retry-After"), "0.250");
   EXPECT_EQ(headers.find("X-Request-Id"), "x");
-  EXPECT_FALSE(own_headers({504, std::nullopt, ""}, request_id{"x"}).find("Retry-After"));
+  EXPECT_FALSE(
+      local_response_headers({504, std::nullopt, ""}, request_id{"x"}).find("Retry-After"));
 }
 
 TEST(PlatformBase64, RoundTrips) {
