--- a/src/standin/batch_standin.cpp
+++ b/src/standin/batch_standin.cpp
@@ -49,12 +49,12 @@
 }
 
 double batch_standin::seconds_to_next_finish(double speed) const {
-  double least = std::numeric_limits<double>::infinity();
+  double min_seconds = std::numeric_limits<double>::infinity();
   for (const batch_handle handle : running_) {
     const job_state& job = jobs_.at(handle);
-    least = std::min(least, seconds_until(job, job.job.tokens, speed));
+    min_seconds = std::min(min_seconds, seconds_until(job, job.job.tokens, speed));
   }
-  return least;
+  return min_seconds;
 }
 
 void batch_standin::progress_by(double seconds, double speed) {
--- a/src/standin/cache_standin.cpp
+++ b/src/standin/cache_standin.cpp
@@ -34,15 +34,15 @@
 }
 
 void cache_standin::store(time_point now, const std::vector<std::uint64_t>& chain) {
-  std::uint64_t before = 0;
+  std::uint64_t previous = 0;
   const std::size_t fitting = std::min(chain.size(), settings_.blocks);
   for (std::size_t i = 0; i < fitting; ++i) {
-    put(now, chain[i], before);
-    before = chain[i];
+    put(now, chain[i], previous);
+    previous = chain[i];
   }
 }
 
-void cache_standin::put(time_point now, std::uint64_t block, std::uint64_t before) {
+void cache_standin::put(time_point now, std::uint64_t block, std::uint64_t previous) {
   const auto found = entries_.find(block);
   if (found != entries_.end()) {
     by_use_.splice(by_use_.begin(), by_use_, found->second.use);
@@ -54,7 +54,7 @@
     by_use_.pop_back();
   }
   by_use_.push_front(block);
-  entries_[block] = {before, by_use_.begin()};
+  entries_[block] = {previous, by_use_.begin()};
   publish(now, cache_change::stored, block);
 }
 
@@ -77,7 +77,7 @@
       return {};
     }
     chain.push_back(next);
-    next = found->second.before;
+    next = found->second.previous;
   }
   std::string blob(blob_mark);
   for (auto i = chain.rbegin(); i != chain.rend(); ++i) {
--- a/src/standin/cache_standin.h
+++ b/src/standin/cache_standin.h
@@ -53,11 +53,11 @@
 
  private:
   struct entry {
-    std::uint64_t before{};  // the block in front of it; 0: none
+    std::uint64_t previous{};  // the preceding block of the chain; 0: none
     std::list<std::uint64_t>::iterator use;
   };
 
-  void put(time_point now, std::uint64_t block, std::uint64_t before);
+  void put(time_point now, std::uint64_t block, std::uint64_t previous);
   void publish(time_point now, cache_change change, std::uint64_t block);
 
   cache_settings settings_;
--- a/src/standin/completion_wire.cpp
+++ b/src/standin/completion_wire.cpp
@@ -26,7 +26,7 @@
   return chat_prompt(messages);
 }
 
-generation_request headers_of(const http_request& request) {
+generation_request parse_request_headers(const http_request& request) {
   generation_request r;
   r.id = request_id{header_text(request, "x-request-id")};
   r.replica = replica_id{header_text(request, "x-replica")};
@@ -51,7 +51,7 @@
     completion_call call;
     call.kind = kind;
     call.stream = body.value("stream", false);
-    call.request = headers_of(request);
+    call.request = parse_request_headers(request);
     call.request.model = model_id{body.at("model").get<std::string>()};
     call.request.prompt = prompt_of(kind, body);
     call.request.max_tokens = body.value("max_tokens", usual_max_tokens);
--- a/src/standin/engine_answers.cpp
+++ b/src/standin/engine_answers.cpp
@@ -65,7 +65,7 @@
  private:
   void break_off() {
     if (!writer_.started()) {
-      cut(writer_);
+      close_without_response(writer_);
     }
   }
 
@@ -132,8 +132,8 @@
     if (!sender.send(step) || step.state != stream_state::open) {
       return;
     }
-    const time_point look_at = monotonic_now() + look_interval;
-    if (!wait_until(writer, std::min(step.next_at.value_or(look_at), look_at))) {
+    const time_point poll_at = monotonic_now() + fault_poll_interval;
+    if (!wait_until(writer, std::min(step.next_at.value_or(poll_at), poll_at))) {
       return;
     }
   }
--- a/src/standin/engine_fabric.cpp
+++ b/src/standin/engine_fabric.cpp
@@ -7,11 +7,11 @@
 
 namespace arbutus::standin {
 
-void engine_fabric::enter(engine_standin& engine) {
+void engine_fabric::register_engine(engine_standin& engine) {
   engines_[engine.vm()] = &engine;
 }
 
-void engine_fabric::leave(const vm_id& vm) {
+void engine_fabric::unregister_engine(const vm_id& vm) {
   engines_.erase(vm);
 }
 
@@ -20,7 +20,7 @@
   return found == engines_.end() ? nullptr : found->second;
 }
 
-bool engine_fabric::whole(time_point now, const composition& group) const {
+bool engine_fabric::is_complete(time_point now, const composition& group) const {
   return std::all_of(group.members.begin(), group.members.end(), [&](const vm_id& vm) {
     const engine_standin* const member = find(vm);
     return member != nullptr && member->serves_in(now, group);
@@ -28,12 +28,12 @@
 }
 
 double engine_fabric::speed(const composition& group) const {
-  double least = group.members.empty() ? 0.0 : 1e9;
+  double min_speed = group.members.empty() ? 0.0 : 1e9;
   for (const vm_id& vm : group.members) {
     const engine_standin* const member = find(vm);
-    least = std::min(least, member == nullptr ? 0.0 : member->speed());
+    min_speed = std::min(min_speed, member == nullptr ? 0.0 : member->speed());
   }
-  return least;
+  return min_speed;
 }
 
 template <class Visit>
@@ -46,7 +46,7 @@
   }
 }
 
-void engine_fabric::settle(time_point now, const vm_id& vm) {
+void engine_fabric::advance_replicas_of(time_point now, const vm_id& vm) {
   for_groups_of(vm, [now](engine_standin& engine) { engine.advance(now); });
 }
 
--- a/src/standin/engine_fabric.h
+++ b/src/standin/engine_fabric.h
@@ -21,20 +21,20 @@
   engine_fabric& operator=(const engine_fabric&) = delete;
 
   // Engines enter and leave by themselves; the fabric outlives them.
-  void enter(engine_standin& engine);
-  void leave(const vm_id& vm);
+  void register_engine(engine_standin& engine);
+  void unregister_engine(const vm_id& vm);
 
   [[nodiscard]] engine_standin* find(const vm_id& vm) const;
   [[nodiscard]] weight_standin& weights() noexcept { return weights_; }
 
   // Whether every member is up, holds this composition and has its weights.
-  [[nodiscard]] bool whole(time_point now, const composition& group) const;
+  [[nodiscard]] bool is_complete(time_point now, const composition& group) const;
 
   // Of the slowest member; 0 while one is paused.
   [[nodiscard]] double speed(const composition& group) const;
 
   // Moves the replicas of this VM on to `now`; to be called before its speed changes.
-  void settle(time_point now, const vm_id& vm);
+  void advance_replicas_of(time_point now, const vm_id& vm);
 
   // This VM has left the group it was in: all requests of that replica are cut.
   void member_lost(time_point now, const vm_id& vm);
--- a/src/standin/engine_requests.cpp
+++ b/src/standin/engine_requests.cpp
@@ -53,7 +53,7 @@
   if (r.replica.empty() && r.model != model_) {
     return not_run{conflict_status, "another model"};
   }
-  if (!fabric_.whole(now, group_)) {
+  if (!fabric_.is_complete(now, group_)) {
     return not_run{unavailable_status, "a member is missing"};
   }
   if (batch_.queued() >= settings_.queue_limit) {
@@ -108,8 +108,9 @@
   }
   open_stream& own = streams_.at(handle);
   for (auto& [other_handle, other] : streams_) {
-    if (other_handle != handle && !other.answer.shown() && !other.cut && !other.finished) {
-      standin_answer::cross(own.answer, other.answer);
+    if (other_handle != handle && !other.answer.has_sent_tokens() && !other.cut &&
+        !other.finished) {
+      standin_answer::swap_answers(own.answer, other.answer);
       --faults_.crossed;
       return;
     }
@@ -117,7 +118,7 @@
   own.answer.hold_until(now + cross_wait);
 }
 
-stream_step engine_standin::take(time_point now, batch_handle handle, bool whole) {
+stream_step engine_standin::take(time_point now, batch_handle handle, bool complete_only) {
   advance(now);
   const auto found = streams_.find(handle);
   if (found == streams_.end() || found->second.cut) {
@@ -135,7 +136,7 @@
   }
   const bool all_made = made.remaining == duration{};
   stream_step step{stream_state::open, answer.shown_as(), {}, {}};
-  if (all_made || !whole) {
+  if (all_made || !complete_only) {
     step.tokens = answer.take(now, made.produced);
     step.state = state_after(now, answer, all_made);
   }
@@ -143,7 +144,7 @@
     ++counters_.completed;
     stream.finished = true;
   }
-  const std::uint32_t desired = whole ? answer.total() : made.produced + 1;
+  const std::uint32_t desired = complete_only ? answer.total() : made.produced + 1;
   if (const auto left = batch_.progress(handle, desired, speed).remaining) {
     step.next_at = std::max(now + *left, answer.not_before());
   }
--- a/src/standin/engine_server.cpp
+++ b/src/standin/engine_server.cpp
@@ -96,7 +96,7 @@
 bool engine_server::may_answer(response_writer& writer) {
   return wait_while(writer, [this] {
     const std::lock_guard lock(mutex_);
-    return engine_.paused() || engine_.silent();
+    return engine_.paused() || engine_.unresponsive();
   });
 }
 
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -13,11 +13,11 @@
       incarnation_(settings.first_incarnation),
       batch_(settings.usual.batch),
       cache_(settings.cache, settings.seed) {
-  fabric_.enter(*this);
+  fabric_.register_engine(*this);
 }
 
 engine_standin::~engine_standin() {
-  fabric_.leave(vm_);
+  fabric_.unregister_engine(vm_);
 }
 
 engine_state engine_standin::state(time_point now) const {
@@ -144,7 +144,7 @@
 engine_report engine_standin::report(time_point now) {
   advance(now);
   note_load(now);
-  const load_sample& load = load_.front();
+  const load_sample& load = load_samples_.front();
   engine_report r;
   r.vm = vm_;
   r.incarnation = incarnation_;
@@ -163,14 +163,15 @@
 
 void engine_standin::note_load(time_point now) {
   const load_sample s{now, batch_.running(), batch_.queued(), cache_.used()};
-  const bool unchanged = !load_.empty() && load_.back().running == s.running &&
-                         load_.back().queued == s.queued && load_.back().kv_used == s.kv_used;
+  const bool unchanged = !load_samples_.empty() && load_samples_.back().running == s.running &&
+                         load_samples_.back().queued == s.queued &&
+                         load_samples_.back().kv_used == s.kv_used;
   if (!unchanged) {
-    load_.push_back(s);
+    load_samples_.push_back(s);
   }
   const time_point shown = now - settings_.report_lag;
-  while (load_.size() > 1 && load_[1].at <= shown) {
-    load_.pop_front();
+  while (load_samples_.size() > 1 && load_samples_[1].at <= shown) {
+    load_samples_.pop_front();
   }
 }
 
@@ -178,14 +179,14 @@
   if (!up_) {
     return;
   }
-  fabric_.settle(now, vm_);
+  fabric_.advance_replicas_of(now, vm_);
   leave_group(now);
   up_ = false;
   paused_at_.reset();
   resident_.clear();
   highest_ = {};
   cache_.clear();
-  load_.clear();
+  load_samples_.clear();
 }
 
 void engine_standin::restart(time_point now) {
@@ -199,7 +200,7 @@
   if (!up_ || paused()) {
     return;
   }
-  fabric_.settle(now, vm_);
+  fabric_.advance_replicas_of(now, vm_);
   paused_at_ = now;
 }
 
@@ -207,7 +208,7 @@
   if (!paused()) {
     return;
   }
-  fabric_.settle(now, vm_);
+  fabric_.advance_replicas_of(now, vm_);
   for (time_point* const end : {&ready_at_, &resident_at_}) {
     if (*end > *paused_at_) {
       *end += now - *paused_at_;
@@ -217,7 +218,7 @@
 }
 
 void engine_standin::set_straggler(time_point now, double speed) {
-  fabric_.settle(now, vm_);
+  fabric_.advance_replicas_of(now, vm_);
   speed_ = speed;
 }
 
--- a/src/standin/engine_standin.h
+++ b/src/standin/engine_standin.h
@@ -106,7 +106,7 @@
   [[nodiscard]] std::variant<batch_handle, not_run> submit(time_point now,
                                                            const generation_request& request);
   // What there is to send. `whole`: nothing before all of it can be sent.
-  [[nodiscard]] stream_step take(time_point now, batch_handle handle, bool whole);
+  [[nodiscard]] stream_step take(time_point now, batch_handle handle, bool complete_only);
   // The caller is done with it or gone; cancels what still runs.
   void close(time_point now, batch_handle handle);
   // False: not known, or over.
@@ -121,13 +121,13 @@
   void resume(time_point now);
   void set_straggler(time_point now, double speed);  // 1: normal
   void set_leaving(bool leaving) { leaving_ = leaving; }
-  void set_silent(bool silent) { silent_ = silent; }  // does all, answers nothing
+  void set_silent(bool on) { unresponsive_ = on; }  // does all, answers nothing
   void set_checks_tokens(bool checks) { settings_.checks_tokens = checks; }
   [[nodiscard]] next_answers& faults() noexcept { return faults_; }
 
   [[nodiscard]] bool up() const noexcept { return up_; }
   [[nodiscard]] bool paused() const noexcept { return paused_at_.has_value(); }
-  [[nodiscard]] bool silent() const noexcept { return silent_; }
+  [[nodiscard]] bool unresponsive() const noexcept { return unresponsive_; }
   [[nodiscard]] const engine_counters& counters() const noexcept { return counters_; }
   // How often this request was taken in; with records_runs only.
   [[nodiscard]] std::uint32_t runs(const request_id& id) const;
@@ -180,7 +180,7 @@
 
   bool up_ = true;
   bool leaving_ = false;
-  bool silent_ = false;
+  bool unresponsive_ = false;
   double speed_ = 1.0;
   std::optional<time_point> paused_at_;
 
@@ -196,7 +196,7 @@
   batch_standin batch_;
   cache_standin cache_;
   std::map<batch_handle, open_stream> streams_;
-  std::deque<load_sample> load_;  // by time; the first is the newest that may be shown
+  std::deque<load_sample> load_samples_;  // by time; the first is the newest that may be shown
   std::unordered_map<request_id, std::uint32_t> runs_;
 };
 
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -26,9 +26,9 @@
 
 // One service and its instances, in the order of the inventory.
 struct service_group {
-  explicit service_group(const service_id& id) : site(id) {}
+  explicit service_group(const service_id& id) : shared(id) {}
 
-  service_site site;
+  service_site shared;
   std::vector<std::unique_ptr<service_server>> instances;
 };
 
@@ -76,9 +76,9 @@
 
   template <class Action>
   auto with_service(const service_id& service, Action&& action) {
-    service_site& site = services.at(service)->site;
-    const std::lock_guard lock(site.mutex);
-    return std::forward<Action>(action)(site.service);
+    service_site& shared = services.at(service)->shared;
+    const std::lock_guard lock(shared.mutex);
+    return std::forward<Action>(action)(shared.service);
   }
 
   void list(const vm_id& vm, vm_presence presence) {
@@ -108,11 +108,11 @@
 
 void standin_fleet::state::start_engines(const fleet_settings& settings) {
   for (vm_record& vm : assets.vms) {
-    auto site = std::make_unique<engine_site>(fabric, vm.id, settings_of(vm, settings.engine));
-    site->server = std::make_unique<engine_server>(runtime, address_of(vm.address), engine_mutex,
-                                                   site->engine);
-    vm.address.port = site->server->port();
-    engines.emplace(vm.id, std::move(site));
+    auto started = std::make_unique<engine_site>(fabric, vm.id, settings_of(vm, settings.engine));
+    started->server = std::make_unique<engine_server>(runtime, address_of(vm.address), engine_mutex,
+                                                      started->engine);
+    vm.address.port = started->server->port();
+    engines.emplace(vm.id, std::move(started));
   }
 }
 
@@ -123,7 +123,7 @@
       group = std::make_unique<service_group>(target.service);
     }
     group->instances.push_back(
-        std::make_unique<service_server>(runtime, address_of(target.address), group->site));
+        std::make_unique<service_server>(runtime, address_of(target.address), group->shared));
     target.address.port = group->instances.back()->port();
   }
 }
@@ -262,11 +262,11 @@
 
 void standin_fleet::remove_vm(const vm_id& vm) {
   state_->kill(vm);
-  state_->list(vm, vm_presence::gone);
+  state_->list(vm, vm_presence::removed);
 }
 
-void standin_fleet::set_silent(const vm_id& vm, bool silent) {
-  state_->with_engine(vm, [&](engine_standin& e, time_point) { e.set_silent(silent); });
+void standin_fleet::set_silent(const vm_id& vm, bool unresponsive) {
+  state_->with_engine(vm, [&](engine_standin& e, time_point) { e.set_silent(unresponsive); });
 }
 
 void standin_fleet::set_checks_tokens(const vm_id& vm, bool checks) {
@@ -340,8 +340,8 @@
 std::uint32_t standin_fleet::runs(const request_id& id) {
   const std::lock_guard lock(state_->engine_mutex);
   std::uint32_t sum = 0;
-  for (const auto& [vm, site] : state_->engines) {
-    sum += site->engine.runs(id);
+  for (const auto& [vm, target] : state_->engines) {
+    sum += target->engine.runs(id);
   }
   return sum;
 }
--- a/src/standin/fleet.h
+++ b/src/standin/fleet.h
@@ -52,10 +52,10 @@
   void restart_fabric_domain(const fabric_domain_id& domain);
   void pause_vm(const vm_id& vm);
   void resume_vm(const vm_id& vm);
-  void set_straggler(const vm_id& vm, double speed);  // 1: normal
-  void set_leaving(const vm_id& vm, bool leaving);    // by its report, and by the list of VMs
-  void remove_vm(const vm_id& vm);                    // killed, and gone from the list of VMs
-  void set_silent(const vm_id& vm, bool silent);      // does all, answers nothing
+  void set_straggler(const vm_id& vm, double speed);    // 1: normal
+  void set_leaving(const vm_id& vm, bool leaving);      // by its report, and by the list of VMs
+  void remove_vm(const vm_id& vm);                      // killed, and gone from the list of VMs
+  void set_silent(const vm_id& vm, bool unresponsive);  // does all, answers nothing
   void set_checks_tokens(const vm_id& vm, bool checks);
   void set_answer_faults(const vm_id& vm, const next_answers& faults);
 
--- a/src/standin/hosted_engine.cpp
+++ b/src/standin/hosted_engine.cpp
@@ -45,7 +45,7 @@
       }
       break;
   }
-  remember(now);
+  record_snapshot(now);
   return result;
 }
 
@@ -84,17 +84,17 @@
     ready_in_.push_back(record_.member_of->replica);
     const time_point at = *ready_at_;
     ready_at_.reset();
-    remember(at);
+    record_snapshot(at);
   }
   if (open_at_ && now >= *open_at_ && record_.member_of) {
     record_.member_of->state = member_state::open;
     const time_point at = *open_at_;
     open_at_.reset();
-    remember(at);
+    record_snapshot(at);
   }
 }
 
-void hosted_engine::remember(time_point now) {
+void hosted_engine::record_snapshot(time_point now) {
   past_.push_back({now, record_.member_of, record_.loaded, orders_});
 }
 
--- a/src/standin/hosted_engine.h
+++ b/src/standin/hosted_engine.h
@@ -63,7 +63,7 @@
   };
 
   order_outcome join(time_point now, const replica_order& order);
-  void remember(time_point now);
+  void record_snapshot(time_point now);
   [[nodiscard]] bool is_in(const replica_key& key) const {
     return record_.member_of && record_.member_of->replica == key;
   }
--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -17,7 +17,7 @@
 
 using nlohmann::json;
 
-constexpr duration tick = 10ms;
+constexpr duration refresh_interval = 10ms;
 constexpr duration list_delay = 400ms;  // until the list drops a dead engine
 constexpr std::uint64_t first_life = 1'700'000'000'000;
 constexpr const char* plain_name = "i-api";
@@ -70,7 +70,7 @@
     hosted_engine engine;
     bool dead = false;
     time_point drop_at{};
-    std::string listed;  // its record as last written
+    std::string listed_record;  // its record as last written
     std::unique_ptr<restartable_server> server;
   };
 
@@ -113,7 +113,7 @@
     return rows;
   }
 
-  std::string rows_of(const std::string& table) {
+  std::string rows_response(const std::string& table) {
     json rows = json::array();
     const std::lock_guard guard(mutex);
     for (const auto& [key, row] : tables[table]) {
@@ -142,7 +142,7 @@
     }
     const std::string table = query_of(request.target, "table");
     if (path == "/api/rows-get") {
-      send_slowly(writer, rows_of(table));
+      send_slowly(writer, rows_response(table));
     } else if (path == "/api/rows-feed") {
       feed(request, writer, table);
     } else if (path == "/api/rows-tx") {
@@ -163,7 +163,7 @@
         send_slowly(writer, body);
         return;
       }
-      if (down || !wait_for(writer, tick)) {
+      if (down || !wait_for(writer, refresh_interval)) {
         send_json(writer, 503, "{}");
         return;
       }
@@ -176,11 +176,12 @@
       send_json(writer, 200, body);
       return;
     }
-    constexpr std::size_t ticks_per_s = 1s / tick;
-    const std::size_t piece = std::max<std::size_t>(rate / ticks_per_s, 1);
+    constexpr std::size_t pieces_per_s = 1s / refresh_interval;
+    const std::size_t piece = std::max<std::size_t>(rate / pieces_per_s, 1);
     writer.start(200, {{"Content-Type", "application/json"}});
     for (std::size_t at = 0; at < body.size(); at += piece) {
-      if (!wait_for(writer, tick) || !writer.write(std::string_view(body).substr(at, piece))) {
+      if (!wait_for(writer, refresh_interval) ||
+          !writer.write(std::string_view(body).substr(at, piece))) {
         return;
       }
     }
@@ -189,8 +190,8 @@
 
   void write(const http_request& request, response_writer& writer) {
     const json body = json::parse(request.body, nullptr, false);
-    const std::uint64_t made = body.is_object() ? apply(body) : 0;
-    send_json(writer, made == 0 ? 412 : 200, json{{"ver", made}}.dump());
+    const std::uint64_t new_version = body.is_object() ? apply(body) : 0;
+    send_json(writer, new_version == 0 ? 412 : 200, json{{"ver", new_version}}.dump());
   }
 
   // 0: a condition does not hold.
@@ -199,9 +200,9 @@
     for (const json& c : body.value("precondition", json::array())) {
       const auto& rows = tables[c.value("table", "")];
       const auto found = rows.find(c.value("key", ""));
-      const std::uint64_t there =
+      const std::uint64_t current =
           found == rows.end() || found->second.removed ? 0 : found->second.version;
-      if (there != c.value("ver", std::uint64_t{0})) {
+      if (current != c.value("ver", std::uint64_t{0})) {
         return 0;
       }
     }
@@ -279,7 +280,7 @@
     send_json(writer, found == statuses.end() ? 400 : found->second, "{}");
   }
 
-  [[nodiscard]] bool is_whole(const engine_process& head) const {
+  [[nodiscard]] bool is_complete(const engine_process& head) const {
     if (!head.engine.is_open() || head.dead) {
       return false;
     }
@@ -342,7 +343,7 @@
       // A head without a member moves nothing, and does not say so.
       const bool stalls = !wait_while(writer, [&] {
         const std::lock_guard guard(mutex);
-        return e.engine.record().id == incarnation && !is_whole(e);
+        return e.engine.record().id == incarnation && !is_complete(e);
       });
       if (stalls || !wait_for(writer, settings.event_gap)) {
         return;
@@ -363,9 +364,10 @@
   // Its connections break and its port refuses, until it has started again.
   void end_process(restartable_server& server, engine_process* engine, const std::string& path) {
     const std::lock_guard guard(mutex);
-    const bool ending = std::any_of(process_ends.begin(), process_ends.end(),
-                                    [&](const process_end& p) { return p.server == &server; });
-    if (ending) {
+    const bool already_crashing =
+        std::any_of(process_ends.begin(), process_ends.end(),
+                    [&](const process_end& p) { return p.server == &server; });
+    if (already_crashing) {
       return;
     }
     ++ends[path];
@@ -404,12 +406,12 @@
     for (restartable_server* server : closing) {
       server->close();
     }
-    for (restartable_server* server : start_again()) {
+    for (restartable_server* server : finish_restarts()) {
       server->open();
     }
   }
 
-  std::vector<restartable_server*> start_again() {
+  std::vector<restartable_server*> finish_restarts() {
     std::vector<restartable_server*> opening;
     const time_point now = monotonic_now();
     const std::lock_guard guard(mutex);
@@ -479,17 +481,17 @@
     const std::lock_guard guard(mutex);
     for (auto& [id, e] : engines) {
       if (e->dead) {
-        if (now >= e->drop_at && !e->listed.empty()) {
-          e->listed.clear();
+        if (now >= e->drop_at && !e->listed_record.empty()) {
+          e->listed_record.clear();
           remove("servers", id);
         }
         continue;
       }
       e->engine.advance(now);
       std::string record = record_json(*e);
-      if (record != e->listed) {
+      if (record != e->listed_record) {
         put("servers", id, record);
-        e->listed = std::move(record);
+        e->listed_record = std::move(record);
       }
     }
   }
@@ -583,7 +585,7 @@
   }
   s.list_plain(first_life);
   configure();
-  s.refresher = std::make_unique<periodic>(runtime, 0, tick, [&s] {
+  s.refresher = std::make_unique<periodic>(runtime, 0, refresh_interval, [&s] {
     s.close_and_open();
     s.refresh();
   });
@@ -622,7 +624,7 @@
 std::string hosted_platform::find_member(bool head) const {
   const std::lock_guard guard(state_->mutex);
   for (const auto& [id, e] : state_->engines) {
-    if (state_->is_whole(*e)) {
+    if (state_->is_complete(*e)) {
       return head ? id : std::string(engine_of(e->engine.members().back()));
     }
   }
@@ -656,7 +658,7 @@
   const std::lock_guard guard(state_->mutex);
   std::size_t count = 0;
   for (const auto& [id, e] : state_->engines) {
-    count += state_->is_whole(*e) ? 1 : 0;
+    count += state_->is_complete(*e) ? 1 : 0;
   }
   return count;
 }
--- a/src/standin/object_standin.cpp
+++ b/src/standin/object_standin.cpp
@@ -7,28 +7,30 @@
 
 object_reply object_standin::get(time_point now, const std::string& name,
                                  const data_centre_id& from) {
-  const gate_pass pass = gate_.enter(now, store_access::read, from);
-  if (pass.verdict != gate_verdict::pass) {
-    return {status_of(pass.verdict), {}, pass.latency};
+  const gate_pass decision = fault_model_.admit(now, store_access::read, from);
+  if (decision.result != gate_verdict::pass) {
+    return {status_of(decision.result), {}, decision.latency};
   }
   const auto found = objects_.find(name);
   if (found == objects_.end()) {
-    return {store_status::missing, {}, pass.latency};
+    return {store_status::missing, {}, decision.latency};
   }
-  return {store_status::ok, found->second, pass.latency};
+  return {store_status::ok, found->second, decision.latency};
 }
 
 object_reply object_standin::put(time_point now, const std::string& name, std::string content,
                                  const data_centre_id& from) {
-  const gate_pass pass = gate_.enter(now, store_access::write, from);
-  if (pass.verdict != gate_verdict::pass) {
-    return {status_of(pass.verdict), {}, pass.latency};
+  const gate_pass decision = fault_model_.admit(now, store_access::write, from);
+  if (decision.result != gate_verdict::pass) {
+    return {status_of(decision.result), {}, decision.latency};
   }
-  if (gate_.lose_request()) {
-    return {store_status::cut, {}, pass.latency};
+  if (fault_model_.lose_request()) {
+    return {store_status::no_response, {}, decision.latency};
   }
   objects_[name] = std::move(content);
-  return {gate_.wrote() ? store_status::cut : store_status::ok, {}, pass.latency};
+  return {fault_model_.record_write() ? store_status::no_response : store_status::ok,
+          {},
+          decision.latency};
 }
 
 }  // namespace arbutus::standin
--- a/src/standin/object_standin.h
+++ b/src/standin/object_standin.h
@@ -17,19 +17,19 @@
 
 class object_standin {
  public:
-  explicit object_standin(std::uint64_t seed = 2) : gate_(seed) {}
+  explicit object_standin(std::uint64_t seed = 2) : fault_model_(seed) {}
 
   [[nodiscard]] object_reply get(time_point now, const std::string& name,
                                  const data_centre_id& from = {});
   object_reply put(time_point now, const std::string& name, std::string content,
                    const data_centre_id& from = {});
 
-  [[nodiscard]] store_faults& faults() noexcept { return gate_.faults(); }
-  [[nodiscard]] const store_counters& counters() const noexcept { return gate_.counters(); }
+  [[nodiscard]] store_faults& faults() noexcept { return fault_model_.faults(); }
+  [[nodiscard]] const store_counters& counters() const noexcept { return fault_model_.counters(); }
 
  private:
   std::map<std::string, std::string> objects_;
-  store_gate gate_;
+  store_gate fault_model_;
 };
 
 }  // namespace arbutus::standin
--- a/src/standin/platform_server.cpp
+++ b/src/standin/platform_server.cpp
@@ -23,7 +23,7 @@
     case store_status::limited:
       return 429;
     case store_status::down:
-    case store_status::cut:
+    case store_status::no_response:
       return 503;
   }
   return 500;
@@ -35,8 +35,8 @@
   if (latency > duration{} && !wait_for(writer, latency)) {
     return;
   }
-  if (status == store_status::cut) {
-    cut(writer);
+  if (status == store_status::no_response) {
+    close_without_response(writer);
   } else {
     writer.send(http_status(status), headers, body);
   }
@@ -164,7 +164,7 @@
   const auto entries = platform_.vms.read(monotonic_now());
   lock.unlock();
   if (unreachable) {
-    cut(writer);
+    close_without_response(writer);
     return;
   }
   json list = json::array();
--- a/src/standin/service_server.cpp
+++ b/src/standin/service_server.cpp
@@ -7,21 +7,21 @@
 namespace arbutus::standin {
 
 service_server::service_server(fiber_runtime& runtime, const socket_address& address,
-                               service_site& site)
-    : site_(site),
+                               service_site& shared)
+    : shared_(shared),
       server_(runtime, address, [this](const http_request& request, response_writer& writer) {
         handle(request, writer);
       }) {}
 
 void service_server::handle(const http_request& request, response_writer& writer) {
   if (request.method == "GET" && request.target == "/standin/executions") {
-    std::unique_lock lock(site_.mutex);
-    const std::string body = encode(site_.service.counters());
+    std::unique_lock lock(shared_.mutex);
+    const std::string body = encode(shared_.service.counters());
     lock.unlock();
     send_json(writer, 200, body);
   } else if (request.method == "POST" && request.target == "/faults") {
-    std::unique_lock lock(site_.mutex);
-    const auto result = set_faults(site_.service.faults(), request.body);
+    std::unique_lock lock(shared_.mutex);
+    const auto result = set_faults(shared_.service.faults(), request.body);
     lock.unlock();
     send_fault_result(writer, result);
   } else {
@@ -30,22 +30,22 @@
 }
 
 void service_server::call(const http_request& request, response_writer& writer) {
-  const service_call asked{request.method, request.target,
-                           idempotency_key{header_text(request, "idempotency-key")},
-                           request_id{header_text(request, "x-request-id")}, request.body};
-  std::unique_lock lock(site_.mutex);
-  const service_reply reply = site_.service.call(asked);
+  const service_call received{request.method, request.target,
+                              idempotency_key{header_text(request, "idempotency-key")},
+                              request_id{header_text(request, "x-request-id")}, request.body};
+  std::unique_lock lock(shared_.mutex);
+  const service_reply reply = shared_.service.call(received);
   lock.unlock();
   if (reply.late_by > duration{} && !wait_for(writer, reply.late_by)) {
     return;
   }
   if (reply.cut) {
-    cut(writer);
+    close_without_response(writer);
     return;
   }
   http_headers headers{{"content-type", "application/json"}};
-  if (!asked.id.empty()) {
-    headers.add("x-request-id", asked.id.str());
+  if (!received.id.empty()) {
+    headers.add("x-request-id", received.id.str());
   }
   writer.send(200, headers, reply.body);
 }
--- a/src/standin/service_server.h
+++ b/src/standin/service_server.h
@@ -22,7 +22,7 @@
 class service_server {
  public:
   // `site` outlives the server.
-  service_server(fiber_runtime& runtime, const socket_address& address, service_site& site);
+  service_server(fiber_runtime& runtime, const socket_address& address, service_site& shared);
 
   // When the process of the instance dies and comes back.
   void close() { server_.close(); }
@@ -34,7 +34,7 @@
   void handle(const http_request& request, response_writer& writer);
   void call(const http_request& request, response_writer& writer);
 
-  service_site& site_;
+  service_site& shared_;
   restartable_server server_;  // last: its handlers use the other
 };
 
--- a/src/standin/standin_answer.cpp
+++ b/src/standin/standin_answer.cpp
@@ -34,11 +34,11 @@
       tokens.push_back(tokens.back());
     }
   }
-  shown_ = shown_ || !tokens.empty();
+  has_sent_tokens_ = has_sent_tokens_ || !tokens.empty();
   return tokens;
 }
 
-void standin_answer::cross(standin_answer& a, standin_answer& b) {
+void standin_answer::swap_answers(standin_answer& a, standin_answer& b) {
   std::swap(a.shown_as_, b.shown_as_);
   std::swap(a.seed_, b.seed_);
   a.faults_.not_before = time_point{};
--- a/src/standin/standin_answer.h
+++ b/src/standin/standin_answer.h
@@ -49,13 +49,13 @@
   [[nodiscard]] bool complete() const noexcept { return next_ >= end_ && !faults_.truncate; }
   [[nodiscard]] bool truncated() const noexcept { return faults_.truncate && next_ >= last_; }
   // Whether a caller may have seen anything of it.
-  [[nodiscard]] bool shown() const noexcept { return shown_; }
+  [[nodiscard]] bool has_sent_tokens() const noexcept { return has_sent_tokens_; }
   [[nodiscard]] const request_id& shown_as() const noexcept { return shown_as_; }
   [[nodiscard]] time_point not_before() const noexcept { return faults_.not_before; }
   void hold_until(time_point t) { faults_.not_before = t; }
 
   // Each gets the other's answer under the other's name, from now on without delay.
-  static void cross(standin_answer& a, standin_answer& b);
+  static void swap_answers(standin_answer& a, standin_answer& b);
 
  private:
   request_id shown_as_;
@@ -67,7 +67,7 @@
   std::uint32_t last_;
   std::uint32_t end_;
   std::uint32_t duplicate_at_;
-  bool shown_ = false;
+  bool has_sent_tokens_ = false;
 };
 
 }  // namespace arbutus::standin
--- a/src/standin/standin_http.cpp
+++ b/src/standin/standin_http.cpp
@@ -11,7 +11,7 @@
 
 // The server closes the connection of an answer that was begun and not finished; to the caller it
 // is no answer.
-void cut(response_writer& writer) {
+void close_without_response(response_writer& writer) {
   writer.start(200, {});
 }
 
@@ -37,7 +37,7 @@
 
 bool wait_until(response_writer& writer, time_point until) {
   for (time_point now = monotonic_now(); now < until; now = monotonic_now()) {
-    if (writer.caller_gone() || !sleep_until(std::min(until, now + look_interval))) {
+    if (writer.caller_gone() || !sleep_until(std::min(until, now + fault_poll_interval))) {
       return false;
     }
   }
--- a/src/standin/standin_http.h
+++ b/src/standin/standin_http.h
@@ -15,10 +15,10 @@
 namespace arbutus::standin {
 
 // How long a waiting shell goes without looking whether a fault has changed.
-inline constexpr duration look_interval = 10ms;
+inline constexpr duration fault_poll_interval = 10ms;
 
 // Ends the exchange without an answer: the caller sees its connection close.
-void cut(response_writer& writer);
+void close_without_response(response_writer& writer);
 
 void send_json(response_writer& writer, int status, std::string_view body);
 // {"error":{"type":TYPE,"message":MESSAGE}}
@@ -34,7 +34,7 @@
 template <class Condition>
 bool wait_while(response_writer& writer, Condition&& holds) {
   while (holds()) {
-    if (!wait_for(writer, look_interval)) {
+    if (!wait_for(writer, fault_poll_interval)) {
       return false;
     }
   }
--- a/src/standin/store_gate.cpp
+++ b/src/standin/store_gate.cpp
@@ -7,8 +7,8 @@
 
 namespace arbutus::standin {
 
-store_status status_of(gate_verdict verdict) {
-  switch (verdict) {
+store_status status_of(gate_verdict result) {
+  switch (result) {
     case gate_verdict::pass:
       return store_status::ok;
     case gate_verdict::down:
@@ -16,7 +16,7 @@
     case gate_verdict::limited:
       return store_status::limited;
     case gate_verdict::unreachable:
-      return store_status::cut;
+      return store_status::no_response;
   }
   return store_status::down;
 }
@@ -42,7 +42,8 @@
   return true;
 }
 
-gate_verdict store_gate::verdict(time_point now, store_access access, const data_centre_id& from) {
+gate_verdict store_gate::check_access(time_point now, store_access access,
+                                      const data_centre_id& from) {
   if (faults_.cut_off.contains(from)) {
     return gate_verdict::unreachable;
   }
@@ -55,21 +56,21 @@
   return allowed ? gate_verdict::pass : gate_verdict::limited;
 }
 
-gate_pass store_gate::enter(time_point now, store_access access, const data_centre_id& from) {
-  const gate_pass pass{verdict(now, access, from), faults_.latency};
-  if (pass.verdict != gate_verdict::pass) {
+gate_pass store_gate::admit(time_point now, store_access access, const data_centre_id& from) {
+  const gate_pass decision{check_access(now, access, from), faults_.latency};
+  if (decision.result != gate_verdict::pass) {
     ++counters_.refused;
   } else if (access == store_access::read) {
     ++counters_.reads;
   }
-  return pass;
+  return decision;
 }
 
 bool store_gate::lose_request() {
   return take_one(faults_.lose_requests);
 }
 
-bool store_gate::wrote() {
+bool store_gate::record_write() {
   ++counters_.writes;
   const bool lost = take_one(faults_.lose_replies) || random_.unit() < faults_.lose_fraction;
   counters_.lost_replies += lost ? 1 : 0;
--- a/src/standin/store_gate.h
+++ b/src/standin/store_gate.h
@@ -42,13 +42,15 @@
   conflict,  // the row has another version
   down,
   limited,
-  cut,  // no answer: lost before or after the effect, or the caller's data centre is cut off
+  // The connection closes without a response: lost before or after the effect, or the caller's data
+  // centre is cut off.
+  no_response,
 };
 
-[[nodiscard]] store_status status_of(gate_verdict verdict);
+[[nodiscard]] store_status status_of(gate_verdict result);
 
 struct gate_pass {
-  gate_verdict verdict = gate_verdict::pass;
+  gate_verdict result = gate_verdict::pass;
   duration latency{};
 };
 
@@ -72,18 +74,18 @@
   [[nodiscard]] const store_counters& counters() const noexcept { return counters_; }
 
   // Whether a call of `from` is let in. Counts it.
-  [[nodiscard]] gate_pass enter(time_point now, store_access access, const data_centre_id& from);
+  [[nodiscard]] gate_pass admit(time_point now, store_access access, const data_centre_id& from);
 
   // Whether this write gets lost on its way, without effect.
   [[nodiscard]] bool lose_request();
 
   // Counts a write that took effect; whether its reply gets lost.
-  [[nodiscard]] bool wrote();
+  [[nodiscard]] bool record_write();
   void conflicted() { ++counters_.conflicts; }
 
  private:
-  [[nodiscard]] gate_verdict verdict(time_point now, store_access access,
-                                     const data_centre_id& from);
+  [[nodiscard]] gate_verdict check_access(time_point now, store_access access,
+                                          const data_centre_id& from);
 
   store_faults faults_;
   store_counters counters_;
--- a/src/standin/table_standin.cpp
+++ b/src/standin/table_standin.cpp
@@ -12,33 +12,34 @@
 
 table_reply table_standin::read(time_point now, const std::string& key,
                                 const data_centre_id& from) {
-  const gate_pass pass = gate_.enter(now, store_access::read, from);
-  if (pass.verdict != gate_verdict::pass) {
-    return {status_of(pass.verdict), {}, pass.latency};
+  const gate_pass decision = fault_model_.admit(now, store_access::read, from);
+  if (decision.result != gate_verdict::pass) {
+    return {status_of(decision.result), {}, decision.latency};
   }
   table_row found = row(key);
   const store_status status = found.version == 0 ? store_status::missing : store_status::ok;
-  return {status, std::move(found), pass.latency};
+  return {status, std::move(found), decision.latency};
 }
 
 template <class Change>
 table_reply table_standin::change(time_point now, const std::string& key, std::uint64_t expected,
                                   const data_centre_id& from, Change&& apply) {
-  const gate_pass pass = gate_.enter(now, store_access::write, from);
-  if (pass.verdict != gate_verdict::pass) {
-    return {status_of(pass.verdict), {}, pass.latency};
+  const gate_pass decision = fault_model_.admit(now, store_access::write, from);
+  if (decision.result != gate_verdict::pass) {
+    return {status_of(decision.result), {}, decision.latency};
   }
-  if (gate_.lose_request()) {
-    return {store_status::cut, {}, pass.latency};
+  if (fault_model_.lose_request()) {
+    return {store_status::no_response, {}, decision.latency};
   }
   table_row present = row(key);
   if (present.version != expected) {
-    gate_.conflicted();
-    return {store_status::conflict, std::move(present), pass.latency};
+    fault_model_.conflicted();
+    return {store_status::conflict, std::move(present), decision.latency};
   }
   std::forward<Change>(apply)();
-  const store_status status = gate_.wrote() ? store_status::cut : store_status::ok;
-  return {status, row(key), pass.latency};
+  const store_status status =
+      fault_model_.record_write() ? store_status::no_response : store_status::ok;
+  return {status, row(key), decision.latency};
 }
 
 table_reply table_standin::write(time_point now, const std::string& key, std::string value,
@@ -55,8 +56,8 @@
 
 table_standin::listing table_standin::list(time_point now, std::string_view prefix,
                                            const data_centre_id& from) {
-  const gate_pass pass = gate_.enter(now, store_access::read, from);
-  listing result{status_of(pass.verdict), {}, pass.latency};
+  const gate_pass decision = fault_model_.admit(now, store_access::read, from);
+  listing result{status_of(decision.result), {}, decision.latency};
   if (result.status != store_status::ok) {
     return result;
   }
--- a/src/standin/table_standin.h
+++ b/src/standin/table_standin.h
@@ -29,7 +29,7 @@
 
 class table_standin {
  public:
-  explicit table_standin(std::uint64_t seed = 1) : gate_(seed) {}
+  explicit table_standin(std::uint64_t seed = 1) : fault_model_(seed) {}
 
   // `from`: the caller's data centre, for partitions; may be empty.
   [[nodiscard]] table_reply read(time_point now, const std::string& key,
@@ -54,8 +54,8 @@
   [[nodiscard]] const table_copy& snapshot() const noexcept { return content_; }
   void restore(table_copy old) { content_ = std::move(old); }
 
-  [[nodiscard]] store_faults& faults() noexcept { return gate_.faults(); }
-  [[nodiscard]] const store_counters& counters() const noexcept { return gate_.counters(); }
+  [[nodiscard]] store_faults& faults() noexcept { return fault_model_.faults(); }
+  [[nodiscard]] const store_counters& counters() const noexcept { return fault_model_.counters(); }
 
  private:
   [[nodiscard]] table_row row(const std::string& key) const;
@@ -64,7 +64,7 @@
                      const data_centre_id& from, Change&& apply);
 
   table_copy content_;
-  store_gate gate_;
+  store_gate fault_model_;
 };
 
 }  // namespace arbutus::standin
--- a/src/standin/vm_list_standin.h
+++ b/src/standin/vm_list_standin.h
@@ -10,7 +10,7 @@
 
 namespace arbutus::standin {
 
-enum class vm_presence { live, leaving, gone };
+enum class vm_presence { live, leaving, removed };
 
 class vm_list_standin {
  public:
--- a/tests/shell/standin_http_test.cpp
+++ b/tests/shell/standin_http_test.cpp
@@ -61,7 +61,7 @@
   }
 
   void in_fiber(const std::function<void()>& work) { runtime.run_on(0, work); }
-  static time_point soon() { return monotonic_now() + 20s; }
+  static time_point test_deadline() { return monotonic_now() + 20s; }
 
   socket_address address(const vm_id& vm) const {
     const endpoint& e = fleet->assets().find_vm(vm)->address;
@@ -77,7 +77,7 @@
                    const std::string& body = {}, http_headers headers = {}) {
     call_result result;
     in_fiber([&] {
-      result = client.fetch(to, {method, target, std::move(headers), body, {}}, soon());
+      result = client.fetch(to, {method, target, std::move(headers), body, {}}, test_deadline());
     });
     return result;
   }
@@ -124,7 +124,7 @@
       return text.empty() || !on_token || on_token();
     };
     a.result = client.stream(
-        address(a1), request, soon(), [](int, const http_headers&) { return true; },
+        address(a1), request, test_deadline(), [](int, const http_headers&) { return true; },
         [&](std::string_view bytes) {
           buffer += bytes;
           for (auto end = buffer.find("\n\n"); end != std::string::npos;
@@ -143,7 +143,7 @@
   // Waits for a condition that another fiber brings about.
   void await(const std::function<bool()>& condition) {
     in_fiber([&] {
-      const time_point give_up = soon();
+      const time_point give_up = test_deadline();
       while (!condition() && monotonic_now() < give_up) {
         sleep_until(monotonic_now() + 1ms);
       }
--- a/tests/shell/standin_store_test.cpp
+++ b/tests/shell/standin_store_test.cpp
@@ -48,7 +48,7 @@
 TEST(standin_table, loses_the_reply_after_the_write_took_effect) {
   table_standin table;
   table.faults().lose_replies = 1;
-  EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::cut);
+  EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::no_response);
   EXPECT_EQ(table.read(start, "k").row.value, "mine");
   EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::conflict);
   EXPECT_EQ(table.counters().lost_replies, 1U);
@@ -57,7 +57,7 @@
 TEST(standin_table, loses_the_request_without_effect) {
   table_standin table;
   table.faults().lose_requests = 1;
-  EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::cut);
+  EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::no_response);
   EXPECT_EQ(table.read(start, "k").status, store_status::missing);
   EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::ok);
 }
@@ -97,7 +97,8 @@
 TEST(standin_table, cuts_off_one_data_centre_only) {
   table_standin table;
   table.faults().cut_off.emplace("hall-a");
-  EXPECT_EQ(table.write(start, "k", "", 0, data_centre_id{"hall-a"}).status, store_status::cut);
+  EXPECT_EQ(table.write(start, "k", "", 0, data_centre_id{"hall-a"}).status,
+            store_status::no_response);
   EXPECT_EQ(table.read(start, "k", data_centre_id{"hall-b"}).status, store_status::missing);
 }
 
@@ -118,7 +119,7 @@
   object_standin objects;
   EXPECT_EQ(objects.get(start, "x").status, store_status::missing);
   objects.faults().lose_replies = 1;
-  EXPECT_EQ(objects.put(start, "x", "content").status, store_status::cut);
+  EXPECT_EQ(objects.put(start, "x", "content").status, store_status::no_response);
   EXPECT_EQ(objects.get(start, "x").content, "content");
   objects.faults().down = true;
   EXPECT_EQ(objects.get(start, "x").status, store_status::down);
@@ -137,7 +138,7 @@
   const vm_id vm{"a1"};
   list.set(start, vm, vm_presence::live);
   list.set(start + 10s, vm, vm_presence::leaving);
-  list.set(start + 20s, vm, vm_presence::gone);
+  list.set(start + 20s, vm, vm_presence::removed);
   EXPECT_TRUE(list.read(start + 2s).empty());
   EXPECT_FALSE(list.read(start + 12s).at(0).leaving);
   EXPECT_TRUE(list.read(start + 13s).at(0).leaving);
