--- a/src/base/finding.cpp
+++ b/src/base/finding.cpp
@@ -1,4 +1,4 @@
-// Findings as text.
+// Formats findings as text.
 #include "base/finding.h"
 
 #include <algorithm>
--- a/src/base/finding.h
+++ b/src/base/finding.h
@@ -1,5 +1,5 @@
-// Findings: what is wrong in an input, with its place. They are collected and reported together,
-// so that one run names every mistake.
+// Findings: errors and warnings about an input, each with its location. They are collected and
+// reported together, so that one run shows every mistake.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 struct place {
   std::string file;
-  std::uint32_t line{};    // from 1; 0: the file as a whole
-  std::uint32_t column{};  // from 1; 0: the line as a whole
+  std::uint32_t line{};    // 1-based; 0: the whole file
+  std::uint32_t column{};  // 1-based; 0: the whole line
   auto operator<=>(const place&) const = default;
 };
 
@@ -22,7 +22,7 @@
   severity level = severity::error;
   place where;
   std::string message;   // what is wrong
-  std::string expected;  // what would be right; may be empty
+  std::string expected;  // what would be valid; may be empty
 };
 
 using findings = std::vector<finding>;
--- a/src/base/hash.cpp
+++ b/src/base/hash.cpp
@@ -1,4 +1,4 @@
-// Hashes, by xxHash.
+// Hash functions, implemented with xxHash (XXH3).
 #include "base/hash.h"
 
 #include <xxhash.h>
--- a/src/base/id.h
+++ b/src/base/id.h
@@ -1,4 +1,4 @@
-// Strong types for names: a VM cannot be passed where a replica is meant.
+// Strong types for identifiers: a VM id cannot be passed where a replica id is expected.
 #pragma once
 
 #include <compare>
@@ -43,9 +43,10 @@
 
 // Identifies one request from its first hop to its last.
 using request_id = name_id<struct request_tag>;
-// What the caller sends so that a repeated call is recognised.
+// Sent by the caller so that a repeated call is recognised.
 using idempotency_key = name_id<struct idempotency_key_tag>;
-// Identifies one attempt to change a row, so that a lost reply can be resolved by reading back.
+// Identifies one attempt to change a row. If the reply is lost, the proposer reads the row back and
+// looks for this id.
 using proposal_id = name_id<struct proposal_tag>;
 
 }  // namespace arbutus
--- a/src/base/outcome.h
+++ b/src/base/outcome.h
@@ -1,7 +1,7 @@
-// How a call to something outside this process can end.
+// The possible outcomes of a call to another process.
 //
-// A timeout is not a failure: the write or the request may have taken effect. `unknown` is
-// therefore a case of its own that each caller has to handle.
+// After a timeout the write or the request may still have taken effect, so that a timeout can't be
+// reported as a failure. `unknown` is therefore a separate case that each caller has to handle.
 #pragma once
 
 #include <string>
@@ -10,12 +10,12 @@
 
 namespace arbutus {
 
-// The other side answered, and did not do it.
+// The other side answered that it did not carry out the call.
 struct refused {
   std::string reason;
 };
 
-// No answer, or a broken one: it may or may not have been done.
+// No response, or a truncated one: the call may or may not have taken effect.
 struct unknown {
   std::string reason;
 };
@@ -35,7 +35,7 @@
 template <class... F>
 overloaded(F...) -> overloaded<F...>;
 
-// Calls the branch for what `result` holds; every case has to be given.
+// Calls the branch for the alternative that `result` holds; every alternative needs a branch.
 template <class Variant, class... F>
 decltype(auto) match(Variant&& result, F&&... branches) {
   return std::visit(overloaded{std::forward<F>(branches)...}, std::forward<Variant>(result));
--- a/src/base/rng.h
+++ b/src/base/rng.h
@@ -1,4 +1,5 @@
-// A small seeded generator (SplitMix64): same seed, same decisions, on every machine.
+// A seeded pseudo-random generator (SplitMix64). The same seed gives the same sequence on every
+// machine.
 #pragma once
 
 #include <cstdint>
--- a/src/base/units.h
+++ b/src/base/units.h
@@ -1,7 +1,7 @@
-// Units of time, size and money-like weights that every part shares.
+// Units of time that all parts share.
 //
-// The decision library never reads a clock. Callers pass `time_point now`, counted from any fixed
-// start that is the same for one process and never steps back.
+// The decision library never reads a clock. Callers pass `time_point now`, measured from any
+// origin that is fixed within the process; it never decreases.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 
 using duration = std::chrono::microseconds;
 
-// A tag, not a clock: it has no now(), so that no decision can read the time by itself.
+// A tag, not a clock: it has no now(), so that decision code cannot read the time itself.
 struct monotonic_clock {
   using rep = std::chrono::microseconds::rep;
   using period = std::chrono::microseconds::period;
@@ -36,7 +36,8 @@
   return duration{static_cast<duration::rep>(seconds * 1e6)};
 }
 
-// Time since the Unix epoch; only for what outlives a process (expiry of records in the table).
+// Time since the Unix epoch; only for times that outlive a process (expiry of records in the
+// table).
 struct wall_time {
   std::int64_t milliseconds{};
   auto operator<=>(const wall_time&) const = default;
--- a/src/standin/answer.h
+++ b/src/standin/answer.h
@@ -1,5 +1,6 @@
-// What a stand-in engine answers: a pure function of the model and the prompt, so that a checker
-// can compute the one right answer to each request and notice a foreign, cut or doubled one.
+// The answers of a stand-in engine: a pure function of the model and the prompt. A checker can
+// compute the only correct answer to each request and detect one that is swapped, truncated or has
+// repeated tokens.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +13,9 @@
 
 namespace arbutus::standin {
 
-// Prompt text per token, about what tokenizers make of plain text.
+// Prompt bytes per token; about the ratio of common tokenizers on plain text.
 inline constexpr std::size_t bytes_per_token = 4;
-// A block of the prefix cache; its blocks are those of hash_prefix(prompt, model).
+// Tokens per block of the prefix cache. The blocks are those of hash_prefix(prompt, model).
 inline constexpr std::size_t tokens_per_block = prefix_block_bytes / bytes_per_token;
 
 // One message of a chat request.
@@ -23,20 +24,20 @@
   std::string content;
 };
 
-// The prompt that a chat stands for: one line "role: content" for each message.
+// Converts a chat to a prompt: one line "role: content" for each message.
 [[nodiscard]] std::string chat_prompt(const std::vector<standin_message>& messages);
 
-// Fixes the whole answer.
+// Determines the complete answer.
 [[nodiscard]] std::uint64_t answer_seed(const model_id& model, std::string_view prompt);
 
-// The token at `offset` of that answer: a space and a short word.
+// The token at `offset` of the answer with this seed: a space and a short word.
 [[nodiscard]] std::string answer_token(std::uint64_t seed, std::uint32_t offset);
 
-// Exactly `max_tokens` tokens, joined.
+// The complete answer: exactly `max_tokens` tokens, concatenated.
 [[nodiscard]] std::string expected_answer(const model_id& model, std::string_view prompt,
                                           std::uint32_t max_tokens);
 
-// At least 1.
+// Number of prompt tokens; at least 1.
 [[nodiscard]] std::uint32_t count_tokens(std::string_view prompt);
 
 }  // namespace arbutus::standin
--- a/src/standin/batch_standin.cpp
+++ b/src/standin/batch_standin.cpp
@@ -1,4 +1,5 @@
-// The batch moves from finish to finish, since only there the speed of the others changes.
+// Advances the batch from one completion to the next. The speed of the remaining jobs changes only
+// at a completion, so each step runs at constant speed.
 #include "standin/batch_standin.h"
 
 #include <algorithm>
@@ -9,22 +10,24 @@
 
 namespace {
 
-// Sums of fractions of a token end a little below whole numbers; times are whole microseconds.
+// Tolerance for sums of token fractions, which end slightly below integers: times are rounded to
+// whole microseconds.
 constexpr double rounding = 1e-6;
 
 std::uint32_t whole_tokens(double produced) {
   return static_cast<std::uint32_t>(produced + rounding);
 }
 
-// Far beyond any test, and still a number of microseconds.
+// Longer than any test, and still representable in microseconds.
 constexpr double longest_seconds = 1e9;
 
-// Up, so that the job is there when this time has passed.
+// Rounds up, so that the job has reached its target when this time has passed.
 duration round_up(double seconds) {
   return duration{static_cast<duration::rep>(std::ceil(std::min(seconds, longest_seconds) * 1e6))};
 }
 
-// Down, so that no job stands still at its end while others wait; but never not at all.
+// Rounds down, so that a finished job does not hold its slot while others wait; at least 1 us, so
+// that time always advances.
 duration round_down(double seconds) {
   return std::max(duration{1}, from_seconds(std::min(seconds, longest_seconds)));
 }
--- a/src/standin/batch_standin.h
+++ b/src/standin/batch_standin.h
@@ -1,5 +1,5 @@
-// Continuous batching in a stand-in engine: up to `slots` requests run side by side, each slower
-// the fuller the batch is; the others wait by priority. Time moves only in advance().
+// Continuous batching in a stand-in engine: up to `slots` requests run concurrently, each slower
+// the fuller the batch is; the others wait in order of priority. Time advances only in advance().
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,8 @@
 struct batch_settings {
   std::uint32_t slots = 8;
   double tokens_per_second = 50;            // of a request that runs alone
-  double prefill_tokens_per_second = 5000;  // of prompt that is not cached
-  // What one full batch costs each of its requests: at 1.0 each runs at half speed.
+  double prefill_tokens_per_second = 5000;  // for prompt tokens that are not cached
+  // Relative slowdown of each request in a full batch: at 1.0 each runs at half speed.
   double slowdown_when_full = 0.5;
 };
 
@@ -25,15 +25,15 @@
 
 struct batch_job {
   std::uint32_t priority{};        // lowest number first
-  std::uint32_t prefill_tokens{};  // prompt that is not cached
+  std::uint32_t prefill_tokens{};  // prompt tokens that are not cached
   std::uint32_t tokens{};          // to generate
 };
 
 struct batch_progress {
   bool started = false;
   std::uint32_t produced{};
-  // When the number asked for is reached, if nothing changes; none while waiting for a slot or
-  // standing still.
+  // Time until the requested number of tokens is produced if nothing changes; none while the job
+  // waits for a slot or the batch is stopped.
   std::optional<duration> remaining;
 };
 
@@ -41,22 +41,22 @@
  public:
   explicit batch_standin(const batch_settings& settings) : settings_(settings) {}
 
-  // Moves everything on to `now`, at `speed` (1: normal, 0: standing still).
+  // Advances all jobs to `now` at `speed` (1: normal, 0: stopped).
   void advance(time_point now, double speed);
 
-  // advance() comes first, also for the three below.
+  // Call advance() first, also before remove(), reset() and progress().
   [[nodiscard]] batch_handle add(const batch_job& job);
   void remove(batch_handle handle);
-  // Drops every job; those to come are run by `settings`. Handles are never given twice.
+  // Drops every job; later jobs run with `settings`. Handles are never reused.
   void reset(const batch_settings& settings);
 
-  // How far a job is on its way to `desired` tokens.
+  // Progress of a job towards `desired` tokens.
   [[nodiscard]] batch_progress progress(batch_handle handle, std::uint32_t desired,
                                         double speed) const;
 
   [[nodiscard]] std::uint32_t running() const;
   [[nodiscard]] std::uint32_t queued() const;
-  // Of one request in the present batch.
+  // Speed of one request in the current batch.
   [[nodiscard]] double tokens_per_second(double speed) const;
   [[nodiscard]] const batch_settings& settings() const noexcept { return settings_; }
 
@@ -80,8 +80,8 @@
   batch_settings settings_;
   time_point at_;
   batch_handle last_handle_{};
-  // Invariant: a job that is not done stands either in `running_` or in `queue_`; one that is done
-  // in neither, until it is removed.
+  // Invariant: an unfinished job is either in `running_` or in `queue_`; a finished one is in
+  // neither and stays in `jobs_` until it is removed.
   std::unordered_map<batch_handle, job_state> jobs_;
   std::vector<batch_handle> running_;
   std::set<std::pair<std::uint32_t, batch_handle>> queue_;  // by priority, then by arrival
--- a/src/standin/cache_standin.cpp
+++ b/src/standin/cache_standin.cpp
@@ -1,4 +1,4 @@
-// Blocks in order of use, and the events about them.
+// Least-recently-used order of the blocks, and the events about them.
 #include "standin/cache_standin.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Engines keep a bounded backlog of events for those that read them late.
+// Engines keep a bounded backlog of events for late readers.
 constexpr std::size_t kept_events = 4096;
 
 constexpr std::string_view blob_mark = "arbutus-kv";
--- a/src/standin/cache_standin.h
+++ b/src/standin/cache_standin.h
@@ -1,5 +1,5 @@
-// The prefix cache of a stand-in engine: a limited number of blocks, the least recently used one
-// gives way, and every change is published late and with gaps.
+// The prefix cache of a stand-in engine: a limited number of blocks with least-recently-used
+// eviction. Every change is published as an event, with a lag and with gaps.
 #pragma once
 
 #include <cstdint>
@@ -34,20 +34,23 @@
  public:
   cache_standin(const cache_settings& settings, std::uint64_t seed);
 
-  // How many leading blocks of the chain are cached; they count as used now.
+  // Number of leading blocks of the chain that are cached. Marks them as recently used.
   [[nodiscard]] std::size_t cached(const std::vector<std::uint64_t>& chain);
 
-  // Caches the whole chain, as far as the memory reaches.
+  // Caches the chain from its start, up to the capacity of the cache.
   void store(time_point now, const std::vector<std::uint64_t>& chain);
 
-  // Opaque to its carrier. Empty if the block or one before it is not cached.
+  // Serialises the chain that ends with `block`; opaque to whoever transfers it. Empty if the block
+  // or one before it is not cached.
   [[nodiscard]] std::string export_prefix(std::uint64_t block) const;
-  // False: not a blob of export_prefix().
+  // False if `blob` was not made by export_prefix().
   bool import_prefix(time_point now, std::string_view blob);
 
-  // Published events after `since`, oldest first. Old ones are forgotten: a gap too.
+  // Published events after sequence number `since`, oldest first. The oldest events are dropped,
+  // which also shows as a gap.
   [[nodiscard]] std::vector<cache_event> events(time_point now, std::uint64_t since) const;
 
+  // Fraction of the blocks in use.
   [[nodiscard]] double used() const;
   void clear();
 
--- a/src/standin/completion_wire.cpp
+++ b/src/standin/completion_wire.cpp
@@ -1,5 +1,5 @@
-// JSON bodies and server-sent events. Frames are put together by hand: they are most of what a
-// stand-in engine does, and words of an answer need no escaping.
+// JSON bodies and server-sent events. Frames are assembled as strings without a JSON library: they
+// are most of a stand-in engine's work, and the words of an answer need no escaping.
 #include "standin/completion_wire.h"
 
 #include <nlohmann/json.hpp>
--- a/src/standin/completion_wire.h
+++ b/src/standin/completion_wire.h
@@ -1,4 +1,4 @@
-// Completion and chat requests and answers as stand-in engines put them on the wire.
+// Wire format of completion and chat requests and responses of the stand-in engines.
 #pragma once
 
 #include <cstdint>
@@ -19,23 +19,23 @@
   generation_request request;
 };
 
-// Body and headers x-request-id, x-replica, x-generation, x-priority, x-resume-offset,
-// x-deadline-ms (time left, from arrival).
+// Parses the body and the headers x-request-id, x-replica, x-generation, x-priority,
+// x-resume-offset, x-deadline-ms (time left, measured from arrival).
 [[nodiscard]] outcome<completion_call> parse_completion(completion_kind kind,
                                                         const http_request& request);
 
-// Writes the parts of one answer. `id` is the id shown.
+// Writes the parts of one response. `id` is the request id in the response.
 class completion_writer {
  public:
   completion_writer(const completion_call& call, const request_id& id);
 
   // One server-sent event per token.
   [[nodiscard]] std::string frames(std::span<const standin_token> tokens) const;
-  // What follows the last token: an event without text that carries the finish reason and, as its
-  // offset, the number of tokens of the whole answer; then the end mark.
+  // Follows the last token: an event without text that carries the finish reason and, as its
+  // offset, the number of tokens of the complete answer; then `data: [DONE]`.
   [[nodiscard]] std::string end() const;
 
-  // The whole answer as one JSON body.
+  // The complete answer as one JSON body.
   [[nodiscard]] std::string body(std::span<const standin_token> tokens) const;
 
  private:
--- a/src/standin/countdown.h
+++ b/src/standin/countdown.h
@@ -1,9 +1,9 @@
-// Faults of the next few calls count down.
+// Counters of faults that apply to a number of upcoming calls.
 #pragma once
 
 namespace arbutus::standin {
 
-// Whether this call is one of them.
+// Consumes one pending fault; false if none is left, so that this call has no such fault.
 template <class Count>
 [[nodiscard]] bool take_one(Count& count) {
   if (count == 0) {
--- a/src/standin/engine_answers.cpp
+++ b/src/standin/engine_answers.cpp
@@ -1,4 +1,4 @@
-// Completions of a stand-in engine over HTTP: one fiber for each, which wakes when its next token
+// Completions of a stand-in engine over HTTP. Each has one fiber, which wakes when its next token
 // is due.
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Frees what the request holds, also when its caller has gone.
+// Releases the slot of the request, also when its caller has disconnected.
 class request_closer {
  public:
   request_closer(std::mutex& mutex, engine_standin& engine, batch_handle handle)
@@ -41,13 +41,13 @@
   return headers;
 }
 
-// Puts the steps of one answer on the wire.
+// Writes the steps of one answer to the connection.
 class answer_sender {
  public:
   answer_sender(const completion_call& call, response_writer& writer)
       : call_(call), writer_(writer) {}
 
-  // False once nothing more can be sent.
+  // False if nothing more can be sent.
   bool send(const stream_step& step) {
     if (step.state == stream_state::open && step.tokens.empty()) {
       return true;
@@ -80,7 +80,7 @@
     return writer_.write(text) && (step.state != stream_state::finished || writer_.finish());
   }
 
-  // A cut body is half there, and then its connection closes.
+  // For a truncated answer, sends half of the body; the connection then closes.
   bool send_body(const stream_step& step) {
     const http_headers headers = answer_headers(call_, step.shown_as);
     const std::string body = wire_->body(step.tokens);
--- a/src/standin/engine_fabric.cpp
+++ b/src/standin/engine_fabric.cpp
@@ -1,4 +1,4 @@
-// Groups of engines.
+// Groups of stand-in engines that form replicas.
 #include "standin/engine_fabric.h"
 
 #include <algorithm>
--- a/src/standin/engine_fabric.h
+++ b/src/standin/engine_fabric.h
@@ -1,5 +1,5 @@
 // The stand-in engines that can form replicas with each other. A replica is as fast as its slowest
-// member, stands still while one is paused, and loses all it runs when one dies.
+// member, makes no progress while one is paused, and loses all its requests when one dies.
 #pragma once
 
 #include <map>
@@ -13,14 +13,14 @@
 
 class engine_standin;
 
-// Not locked: whoever uses a fabric from several threads holds one lock for it and all its engines.
+// Not synchronised: users on several threads hold one lock for the fabric and all its engines.
 class engine_fabric {
  public:
   explicit engine_fabric(const weight_standin& weights = weight_standin{}) : weights_(weights) {}
   engine_fabric(const engine_fabric&) = delete;
   engine_fabric& operator=(const engine_fabric&) = delete;
 
-  // Engines enter and leave by themselves; the fabric outlives them.
+  // Called by the constructor and destructor of engine_standin. The fabric outlives its engines.
   void register_engine(engine_standin& engine);
   void unregister_engine(const vm_id& vm);
 
@@ -30,13 +30,13 @@
   // Whether every member is up, holds this composition and has its weights.
   [[nodiscard]] bool is_complete(time_point now, const composition& group) const;
 
-  // Of the slowest member; 0 while one is paused.
+  // Speed of the slowest member; 0 while one is paused.
   [[nodiscard]] double speed(const composition& group) const;
 
-  // Moves the replicas of this VM on to `now`; to be called before its speed changes.
+  // Advances the replicas of this VM to `now`; to be called before its speed changes.
   void advance_replicas_of(time_point now, const vm_id& vm);
 
-  // This VM has left the group it was in: all requests of that replica are cut.
+  // This VM has left its group: ends all requests of that replica.
   void member_lost(time_point now, const vm_id& vm);
 
  private:
--- a/src/standin/engine_requests.cpp
+++ b/src/standin/engine_requests.cpp
@@ -1,4 +1,4 @@
-// Requests of one stand-in engine: taken in or refused, batched, answered.
+// Requests of one stand-in engine: admission, batching and answers.
 #include <algorithm>
 
 #include "standin/answer.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-// How long an answer that is to be crossed waits for another one to be crossed with.
+// How long an answer that is to be swapped waits for a second answer to be swapped with.
 constexpr duration cross_wait = 300ms;
 
 constexpr int conflict_status = 409;
@@ -151,7 +151,7 @@
   return step;
 }
 
-// It never had a slot: the caller may be told that it did not run.
+// The request never had a slot, so that the response may say that it did not run.
 stream_step engine_standin::expire(open_stream& stream, batch_handle handle) {
   ++counters_.not_run;
   --counters_.accepted;
@@ -163,7 +163,7 @@
   return {stream_state::expired, stream.id, {}, {}};
 }
 
-// The prompt is in the cache once its first token is there.
+// The prompt is cached once the first token of its answer is produced.
 void engine_standin::cache_prompt(time_point now, open_stream& stream) {
   if (!stream.prefix.empty()) {
     cache_.store(now, stream.prefix);
--- a/src/standin/engine_server.cpp
+++ b/src/standin/engine_server.cpp
@@ -1,4 +1,4 @@
-// The HTTP shell of a stand-in engine: its paths, and answers that wait while it stands still.
+// HTTP interface of a stand-in engine: its paths, and responses that wait while it is paused.
 #include "standin/engine_server.h"
 
 #include <algorithm>
--- a/src/standin/engine_server.h
+++ b/src/standin/engine_server.h
@@ -1,12 +1,12 @@
-// A stand-in engine behind HTTP, one port for each VM.
+// HTTP server of a stand-in engine, one port for each VM.
 //
 //   GET  /report                  encode(engine_report)
-//   POST /order                   encode(order); 200 or 409 with the report after it
+//   POST /order                   encode(order); 200 or 409, with the report after the order
 //   POST /v1/completions, /v1/chat/completions
 //   POST /cancel/REQUEST_ID
 //   GET  /cache-events?since=N    {"events":[{"seq":1,"kind":"stored","block":"hex"}]}
 //   GET  /kv/BLOCK, PUT /kv/BLOCK
-//   POST /faults, GET /counters   answered also while the engine is paused or silent
+//   POST /faults, GET /counters   answered also while the engine is paused or unresponsive
 // An error body with type "not_run" proves that the request did not run.
 #pragma once
 
@@ -26,7 +26,7 @@
   engine_server(fiber_runtime& runtime, const socket_address& address, std::mutex& mutex,
                 engine_standin& engine);
 
-  // When the process of the engine dies and comes back.
+  // Close and reopen the port when the engine's process dies and restarts.
   void close() { server_.close(); }
   void open() { server_.open(); }
 
@@ -43,7 +43,7 @@
   void cache_events(const std::string& since, response_writer& writer);
   void kv(const http_request& request, const std::string& block, response_writer& writer);
 
-  // False: the caller went while the engine stood still or kept silent.
+  // Waits while the engine is paused or unresponsive. False: the caller disconnected meanwhile.
   bool may_answer(response_writer& writer);
   bool wait_while_paused(response_writer& writer);
   void send(response_writer& writer, int status, const http_headers& headers,
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -1,4 +1,4 @@
-// Orders, roles and faults of one stand-in engine.
+// Orders, replica membership and faults of one stand-in engine.
 #include "standin/engine_standin.h"
 
 #include <algorithm>
@@ -39,7 +39,8 @@
   return found == settings_.models.end() ? settings_.usual : found->second;
 }
 
-// Each member holds its own part of the weights: a VM that takes another place loads anew.
+// Each member holds its own part of the weights, by its rank: a VM whose rank changes has to load
+// again.
 std::string engine_standin::shard_of(const order& o) const {
   const std::vector<vm_id>& members = o.target.members;
   const auto rank = std::find(members.begin(), members.end(), vm_) - members.begin();
@@ -47,7 +48,7 @@
          std::to_string(members.size());
 }
 
-// Empty: none.
+// Reason for refusing the order; empty: accepted.
 std::string engine_standin::refusal(const order& o, time_point now, time_point received_at) const {
   if (o.vm != vm_) {
     return "for another VM";
@@ -125,7 +126,7 @@
   batch_.reset(desired.batch);
 }
 
-// Requests that run at this moment are cut: only a drained engine gives up its role without harm.
+// Running requests are cut: only a drained engine can leave its replica without losing requests.
 void engine_standin::drop_role(time_point now) {
   const std::uint64_t before = counters_.cut;
   leave_group(now);
--- a/src/standin/engine_standin.h
+++ b/src/standin/engine_standin.h
@@ -1,5 +1,5 @@
-// Stand-in for the model engine of one target VM: takes orders, loads weights, batches requests,
-// and fails in the ways engines fail. A value: no socket, no clock, no lock.
+// Stand-in for the model engine of one target VM: carries out orders, loads weights, batches
+// requests, and can have the faults of real engines. Uses no socket, clock or lock.
 #pragma once
 
 #include <cstdint>
@@ -23,26 +23,26 @@
 namespace arbutus::standin {
 
 struct model_profile {
-  std::uint64_t weight_bytes{};  // that each member loads
+  std::uint64_t weight_bytes{};  // loaded by each member
   batch_settings batch;
 };
 
 struct engine_settings {
   bool checks_tokens = true;   // refuses an order with an old fencing token
-  duration form_time = 100ms;  // to join a group once the weights are there
+  duration form_time = 100ms;  // to join a group once the weights are loaded
   std::uint32_t queue_limit = 64;
-  duration report_lag{};  // of load; identity and state are never old
+  duration report_lag{};  // of the reported load; identity and state are always current
   cache_settings cache;
   model_profile usual;
-  std::map<model_id, model_profile> models;  // where they differ from `usual`
+  std::map<model_id, model_profile> models;  // those that differ from `usual`
   std::uint64_t first_incarnation = 1;
   std::uint64_t seed = 1;
-  bool records_runs = false;  // keep a count for every request id; grows without bound
+  bool records_runs = false;  // counts the runs of every request id; grows without bound
 };
 
-// Faults of the next answers; each number counts down.
+// Number of upcoming answers that get each fault; counted down with each answer.
 struct next_answers {
-  std::uint32_t crossed{};  // pairs: each gets the other's answer and request id
+  std::uint32_t crossed{};  // pairs of requests that get each other's answer and request id
   std::uint32_t late{};
   duration late_by{};
   std::uint32_t truncated{};
@@ -53,7 +53,7 @@
   std::uint64_t accepted{};
   std::uint64_t completed{};
   std::uint64_t cancelled{};  // by the caller
-  std::uint64_t cut{};        // by the loss of a member
+  std::uint64_t cut{};        // by the loss of a member, including cut_by_order
   std::uint64_t cut_by_order{};
   std::uint64_t not_run{};
   std::uint64_t orders_done{};
@@ -63,10 +63,10 @@
 struct order_reply {
   bool accepted = false;
   engine_report report;  // after the order
-  std::string reason;    // why refused
+  std::string reason;    // of a refusal
 };
 
-// Proof that a request did not run.
+// The request was refused and is guaranteed not to have run.
 struct not_run {
   int status{};
   std::string reason;
@@ -74,8 +74,8 @@
 
 enum class stream_state {
   open,
-  finished,  // all tokens were taken
-  cut,       // breaks off here
+  finished,  // all tokens have been taken
+  cut,       // truncated here
   expired,   // dropped from the queue, not run
 };
 
@@ -83,7 +83,7 @@
   stream_state state = stream_state::open;
   request_id shown_as;  // the id to answer under
   std::vector<standin_token> tokens;
-  std::optional<time_point> next_at;  // when there will be more; none: not known
+  std::optional<time_point> next_at;  // when more tokens are due; none: not known
 };
 
 class engine_standin {
@@ -97,7 +97,8 @@
 
   // ---- orders and reports ----
 
-  // `received_at`: when the order arrived; a paused engine gets to it later, perhaps too late.
+  // `received_at`: when the order arrived. A paused engine handles it later, possibly after its
+  // validity period.
   order_reply apply(time_point now, const order& o, time_point received_at);
   [[nodiscard]] engine_report report(time_point now);
 
@@ -105,23 +106,23 @@
 
   [[nodiscard]] std::variant<batch_handle, not_run> submit(time_point now,
                                                            const generation_request& request);
-  // What there is to send. `whole`: nothing before all of it can be sent.
+  // The tokens that can be sent now. `complete_only`: none until the answer is complete.
   [[nodiscard]] stream_step take(time_point now, batch_handle handle, bool complete_only);
-  // The caller is done with it or gone; cancels what still runs.
+  // The caller has read the answer or disconnected; cancels a request that still runs.
   void close(time_point now, batch_handle handle);
-  // False: not known, or over.
+  // False: the request is not known or has ended.
   bool cancel(time_point now, const request_id& id);
   [[nodiscard]] cache_standin& cache() noexcept { return cache_; }
 
   // ---- faults ----
 
-  void kill(time_point now);     // role, weights and cache are lost
+  void kill(time_point now);     // replica membership, weights and cache are lost
   void restart(time_point now);  // up again, as a new incarnation
   void pause(time_point now);
   void resume(time_point now);
   void set_straggler(time_point now, double speed);  // 1: normal
   void set_leaving(bool leaving) { leaving_ = leaving; }
-  void set_silent(bool on) { unresponsive_ = on; }  // does all, answers nothing
+  void set_silent(bool on) { unresponsive_ = on; }  // executes requests without answering
   void set_checks_tokens(bool checks) { settings_.checks_tokens = checks; }
   [[nodiscard]] next_answers& faults() noexcept { return faults_; }
 
@@ -129,7 +130,7 @@
   [[nodiscard]] bool paused() const noexcept { return paused_at_.has_value(); }
   [[nodiscard]] bool unresponsive() const noexcept { return unresponsive_; }
   [[nodiscard]] const engine_counters& counters() const noexcept { return counters_; }
-  // How often this request was taken in; with records_runs only.
+  // How often this request was accepted; needs records_runs.
   [[nodiscard]] std::uint32_t runs(const request_id& id) const;
 
   // ---- for the fabric ----
@@ -184,19 +185,19 @@
   double speed_ = 1.0;
   std::optional<time_point> paused_at_;
 
-  composition group_;  // replica empty: none
+  composition group_;  // an empty replica id: none
   model_id model_;
   std::string model_version_;
   bool draining_ = false;
   time_point ready_at_;
-  std::string resident_;  // the shard whose weights are in memory from `resident_at_` on
+  std::string resident_;  // shard whose weights are in memory from `resident_at_` on
   time_point resident_at_;
-  generation highest_;  // fencing token; forgotten when the process dies
+  generation highest_;  // highest fencing token seen; lost when the process dies
 
   batch_standin batch_;
   cache_standin cache_;
   std::map<batch_handle, open_stream> streams_;
-  std::deque<load_sample> load_samples_;  // by time; the first is the newest that may be shown
+  std::deque<load_sample> load_samples_;  // by time; the first is the newest that may be reported
   std::unordered_map<request_id, std::uint32_t> runs_;
 };
 
--- a/src/standin/fault_commands.cpp
+++ b/src/standin/fault_commands.cpp
@@ -1,4 +1,4 @@
-// Faults and counters as JSON.
+// Parses fault commands from JSON and writes counters as JSON.
 #include "standin/fault_commands.h"
 
 #include <map>
--- a/src/standin/fault_commands.h
+++ b/src/standin/fault_commands.h
@@ -1,5 +1,5 @@
-// Faults as JSON, for stand-ins that run as processes of their own. Unknown names are refused: a
-// fault that was mistyped would otherwise pass for a system that withstands it.
+// Fault commands as JSON, for stand-ins that run in separate processes. Unknown names are refused:
+// otherwise a mistyped fault would have no effect, and the system would seem to tolerate it.
 #pragma once
 
 #include <functional>
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -1,4 +1,4 @@
-// The stand-ins of an inventory, put together.
+// Creates the stand-ins of an inventory and applies faults to them.
 #include "standin/fleet.h"
 
 #include <map>
@@ -24,7 +24,7 @@
   std::unique_ptr<engine_server> server;
 };
 
-// One service and its instances, in the order of the inventory.
+// One service and its instances, ordered as in the inventory.
 struct service_group {
   explicit service_group(const service_id& id) : shared(id) {}
 
@@ -51,7 +51,7 @@
   return value;
 }
 
-// Tries them on an engine that nobody uses, so that a refused command has changed nothing.
+// Applies the command to an unused engine first, so that a refused command changes nothing.
 outcome<fault_set> check_engine_faults(std::string_view command) {
   engine_fabric fabric;
   engine_standin unused(fabric, vm_id{}, {});
@@ -97,10 +97,10 @@
   fiber_runtime& runtime;
   inventory assets;
   endpoint platform_address;
-  std::mutex engine_mutex;  // of the fabric and all engines
+  std::mutex engine_mutex;  // guards the fabric and all engines
   engine_fabric fabric;
   platform_standin platform;
-  // Servers come after what their handlers use.
+  // Servers are declared after what their handlers use, so that they are destroyed first.
   std::map<vm_id, std::unique_ptr<engine_site>> engines;
   std::map<service_id, std::unique_ptr<service_group>> services;
   std::unique_ptr<platform_server> platform_shell;
@@ -152,8 +152,9 @@
   engines.at(vm)->server->open();
 }
 
-// Over HTTP: /faults/vm/VM takes what an engine's own /faults takes, "killed" and "leaving" besides
-// with all that follows from them; /faults/service/SERVICE.
+// POST /faults/vm/VM takes the fault names of an engine's own /faults and also "killed"; here
+// "killed" closes the engine's port and "leaving" changes the list of VMs, too.
+// POST /faults/service/SERVICE takes the fault names of a service.
 void standin_fleet::state::faults(const http_request& request, response_writer& writer) {
   const auto vm = after(request.target, "/faults/vm/");
   if (vm && assets.find_vm(vm_id{*vm}) != nullptr) {
--- a/src/standin/fleet.h
+++ b/src/standin/fleet.h
@@ -1,8 +1,8 @@
 // All stand-ins of an inventory in this process: one port for each target VM and service instance,
-// one for the platform, and a function for each fault. For trials and for tests of processes.
+// one for the platform, and a function for each fault. Used by trials and process tests.
 //
-// Every function may be called from any thread or fiber. Names that the inventory does not have
-// throw std::out_of_range.
+// Every function may be called from any thread or fiber. Names that are not in the inventory throw
+// std::out_of_range.
 #pragma once
 
 #include <cstdint>
@@ -21,41 +21,41 @@
 namespace arbutus::standin {
 
 struct fleet_settings {
-  // What this process stands in for; its platform lists all VMs in any case.
+  // Which stand-ins run in this process; the platform's VM list has all VMs in any case.
   bool engines = true;
   bool services = true;
   engine_settings engine;              // checks_tokens comes from the inventory
-  double weight_bytes_per_second = 0;  // of the weight store, shared; 0: no limit
+  double weight_bytes_per_second = 0;  // of the weight store, shared by all loads; 0: no limit
   duration vm_list_lag{};
   endpoint platform{"127.0.0.1", 0};
-  store_faults table;  // latency and rate limits to start with
+  store_faults table;  // initial latency and rate limits
   store_faults objects;
 };
 
 class standin_fleet {
  public:
-  // Listens at the addresses of the inventory; port 0 takes any free one. The runtime outlives the
-  // fleet. Throws boost::system::system_error when an address cannot be listened on.
+  // Listens at the addresses of the inventory; port 0 takes any free port. The runtime outlives the
+  // fleet. Throws boost::system::system_error if an address cannot be listened on.
   standin_fleet(fiber_runtime& runtime, const inventory& assets, const fleet_settings& settings);
   ~standin_fleet();
   standin_fleet(const standin_fleet&) = delete;
   standin_fleet& operator=(const standin_fleet&) = delete;
 
-  // As given, with the ports that were chosen.
+  // As passed to the constructor, with the chosen ports.
   [[nodiscard]] const inventory& assets() const noexcept;
   [[nodiscard]] const endpoint& platform() const noexcept;
 
   // ---- target VMs ----
   void kill_vm(const vm_id& vm);     // the engine's process dies
-  void restart_vm(const vm_id& vm);  // it is up again, empty
+  void restart_vm(const vm_id& vm);  // it is up again, without replica, weights and cache
   void kill_fabric_domain(const fabric_domain_id& domain);
   void restart_fabric_domain(const fabric_domain_id& domain);
   void pause_vm(const vm_id& vm);
   void resume_vm(const vm_id& vm);
   void set_straggler(const vm_id& vm, double speed);    // 1: normal
-  void set_leaving(const vm_id& vm, bool leaving);      // by its report, and by the list of VMs
-  void remove_vm(const vm_id& vm);                      // killed, and gone from the list of VMs
-  void set_silent(const vm_id& vm, bool unresponsive);  // does all, answers nothing
+  void set_leaving(const vm_id& vm, bool leaving);      // in its report and in the VM list
+  void remove_vm(const vm_id& vm);                      // kills it and drops it from the VM list
+  void set_silent(const vm_id& vm, bool unresponsive);  // executes requests without answering
   void set_checks_tokens(const vm_id& vm, bool checks);
   void set_answer_faults(const vm_id& vm, const next_answers& faults);
 
@@ -64,20 +64,20 @@
   void lose_replies(std::uint64_t writes);  // of the table, after the write took effect
   void set_table_faults(const std::function<void(store_faults&)>& change);
   void set_object_faults(const std::function<void(store_faults&)>& change);
-  void cut_off(const data_centre_id& dc, bool cut);  // from all of the platform
+  void cut_off(const data_centre_id& dc, bool cut);  // from the whole platform
   [[nodiscard]] table_copy table_snapshot();
   void restore_table(table_copy old);
 
   // ---- services ----
   void set_service_faults(const service_id& service, const service_faults& faults);
-  // `index` counts the instances of the service in the order of the inventory.
+  // `index`: position among the service's instances in the inventory.
   void kill_service_instance(const service_id& service, std::size_t index);
   void restart_service_instance(const service_id& service, std::size_t index);
 
-  // ---- what happened ----
+  // ---- observations ----
   [[nodiscard]] engine_report report(const vm_id& vm);
   [[nodiscard]] engine_counters counters(const vm_id& vm);
-  // Times a request was taken in, over all VMs; needs engine.records_runs.
+  // How often a request was accepted, summed over all VMs; needs engine.records_runs.
   [[nodiscard]] std::uint32_t runs(const request_id& id);
   [[nodiscard]] store_counters table_counters();
   [[nodiscard]] service_counters counters(const service_id& service);
--- a/src/standin/hosted_control.cpp
+++ b/src/standin/hosted_control.cpp
@@ -1,4 +1,4 @@
-// The commands' HTTP.
+// HTTP handlers of the control commands.
 #include "standin/hosted_control.h"
 
 #include <nlohmann/json.hpp>
--- a/src/standin/hosted_control.h
+++ b/src/standin/hosted_control.h
@@ -1,15 +1,18 @@
-// Commands to the stand-in platform from outside its process: what a soak breaks, and what it then
-// counts. Beside the platform's own protocol, on a port of its own.
+// Control commands to the stand-in platform from other processes: faults to inject in a soak test,
+// and counters to check. Separate from the platform's own protocol, on its own port.
 //
-//   GET  /counts               runs by request id, ended processes by the path of the request that
-//                              ended them, requests that carried a caller's key, replicas
-//   GET  /arrivals             how long ago each request came to each target, in seconds
-//   POST /kill?head=0|1        a member (or the head) of a replica that serves dies without a word
-//   POST /store?down=0|1       the store answers 503 to everybody
-//   POST /configure?keys=0|1   the next version, with the workspace's key or without
-//   POST /grow?routes=N        the next version, with N routes beside the usual ones
-//   POST /rate?bytes=N         each answer of the store takes N bytes a second; 0: no bound
-//   POST /limit?value=TEXT     all targets name this limit in their answers; empty: none
+//   GET  /counts               runs by request id, crashed processes by the path of the request
+//                              that crashed them, requests that carried a caller's key, complete
+//                              replicas
+//   GET  /arrivals             how long ago each request arrived at each target, in seconds
+//   POST /kill?head=0|1        a member (or the head) of a serving replica dies without notice
+//   POST /restart?head=0|1     a member (or the head) of a serving replica restarts
+//   POST /foreign              writes two invalid records into the list of targets
+//   POST /store?down=0|1       the store answers 503 to every request
+//   POST /configure?keys=0|1   writes the next configuration, with or without the workspace's key
+//   POST /grow?routes=N        writes the next configuration, with N additional routes
+//   POST /rate?bytes=N         limits each response of the store to N bytes per second; 0: no limit
+//   POST /limit?value=TEXT     all targets announce this send limit in their responses; empty: none
 #pragma once
 
 #include "connection/http_server.h"
--- a/src/standin/hosted_engine.cpp
+++ b/src/standin/hosted_engine.cpp
@@ -1,4 +1,4 @@
-// The stand-in engine's orders.
+// Orders to a stand-in engine.
 #include "standin/hosted_engine.h"
 
 #include <algorithm>
@@ -57,7 +57,7 @@
     return members_ == order.members ? order_outcome::already_done : order_outcome::outdated;
   }
   newest_epoch_ = order.replica.epoch;
-  // Orders name engines, not their lives.
+  // Orders name engines, not their incarnations.
   const auto position = std::find_if(
       order.members.begin(), order.members.end(),
       [this](const target_id& member) { return engine_of(member) == engine_of(record_.id); });
--- a/src/standin/hosted_engine.h
+++ b/src/standin/hosted_engine.h
@@ -1,7 +1,8 @@
-// A stand-in engine of a platform where engines keep their own replicas: a value in virtual time.
+// A stand-in engine of a platform whose engines hold their own replica membership. It runs in
+// virtual time.
 //
-// It joins, opens, closes and leaves by order, counts the orders that it began, refuses those that
-// were decided on another count, and remembers what it said before, since its reports lag.
+// It joins, opens, closes and leaves by order. It counts the orders that it has accepted, refuses
+// orders that were decided on another count, and keeps past states because its reports lag.
 #pragma once
 
 #include <cstdint>
@@ -17,9 +18,9 @@
 namespace arbutus::standin {
 
 struct hosted_engine_settings {
-  duration rejoin_time = 200ms;  // the model of its last replica
-  duration warm_load_time = 1s;  // weights on the host
-  duration load_time = 4s;
+  duration rejoin_time = 200ms;  // if it had the same model in its last replica
+  duration warm_load_time = 1s;  // if the weights are staged on the host
+  duration load_time = 4s;       // otherwise
   duration open_time = 300ms;
   duration report_lag = 200ms;
 };
@@ -29,13 +30,13 @@
   hosted_engine(target_record record, const hosted_engine_settings& settings)
       : settings_(settings), record_(std::move(record)) {}
 
-  // Carries an order out, whenever it arrives.
+  // Carries out an order that arrives at `now`.
   order_outcome take(time_point now, const replica_order& order);
 
-  // Joins and openings that are due by `now`.
+  // Completes joins and openings that are due by `now`.
   void advance(time_point now);
 
-  // What a question at `now` is told: the state of `report_lag` ago.
+  // The report that a query at `now` gets: the state of `report_lag` ago.
   [[nodiscard]] target_report report(time_point now) const;
 
   [[nodiscard]] const target_record& record() const { return record_; }
@@ -43,15 +44,15 @@
     return record_.member_of && record_.member_of->rank == 0 &&
            record_.member_of->state == member_state::open;
   }
-  // Of the replica it is in; the first is the head.
+  // Members of its current or last replica; the first is the head.
   [[nodiscard]] const std::vector<target_id>& members() const { return members_; }
   [[nodiscard]] std::uint64_t orders() const { return orders_; }
-  // Whether it was ever ready in that replica.
+  // Whether it has ever been ready in that replica.
   [[nodiscard]] bool was_ready_in(const replica_key& key) const;
 
   void set_draining() { record_.draining = true; }
 
-  // Starts again as another incarnation: it knows nothing of before but the weights on its host.
+  // Restarts as another incarnation: everything is lost except the weights on its host.
   void start_again(const target_id& incarnation);
 
  private:
--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -1,4 +1,4 @@
-// The stand-in platform's HTTP.
+// HTTP servers of the stand-in platform: store, engines, plain service.
 #include "standin/hosted_platform.h"
 
 #include <algorithm>
@@ -18,11 +18,11 @@
 using nlohmann::json;
 
 constexpr duration refresh_interval = 10ms;
-constexpr duration list_delay = 400ms;  // until the list drops a dead engine
+constexpr duration list_delay = 400ms;  // until a dead engine is removed from the list
 constexpr std::uint64_t first_life = 1'700'000'000'000;
 constexpr const char* plain_name = "i-api";
 
-// The value of `name` in a query, not unescaped: keys here are plain.
+// The value of `name` in a query string. Not percent-decoded: keys here need no escaping.
 std::string query_of(const std::string& target, const std::string& name) {
   const auto at = target.find(name + "=");
   if (at == std::string::npos) {
@@ -39,7 +39,7 @@
           {"state", std::string(to_string(own->state))}};
 }
 
-// The mark of a incarnation, as a whole number; engines without one tell none.
+// The start stamp that is part of the incarnation's id, as an integer; ids without one add none.
 void add_life(json& document, const target_id& incarnation) {
   const std::string& text = incarnation.str();
   if (const auto at = text.find(incarnation_separator); at != std::string::npos) {
@@ -70,11 +70,11 @@
     hosted_engine engine;
     bool dead = false;
     time_point drop_at{};
-    std::string listed_record;  // its record as last written
+    std::string listed_record;  // as last written to the list; empty: not listed
     std::unique_ptr<restartable_server> server;
   };
 
-  // A process that a request has ended: its server closes, and opens again as another incarnation.
+  // A process that a request has crashed: its server closes, and reopens as another incarnation.
   struct process_end {
     restartable_server* server;
     engine_process* engine;  // null: the plain service
@@ -124,7 +124,7 @@
     return json{{"rows", rows}, {"has-more", false}, {"ver", version}}.dump();
   }
 
-  // Empty while there is nothing to tell and `until` has not come.
+  // Empty while there are no changes and `until` is in the future.
   std::string changes_or_nothing(const std::string& table, std::uint64_t after, time_point until) {
     const std::lock_guard guard(mutex);
     const json rows = changes(table, after);
@@ -194,7 +194,7 @@
     send_json(writer, new_version == 0 ? 412 : 200, json{{"ver", new_version}}.dump());
   }
 
-  // 0: a condition does not hold.
+  // Applies a transaction and returns the store's version; 0 if a precondition does not hold.
   std::uint64_t apply(const json& body) {
     const std::lock_guard guard(mutex);
     for (const json& c : body.value("precondition", json::array())) {
@@ -338,9 +338,9 @@
     const int from = static_cast<int>(header_number(request, "Last-Event-Id", 0));
     for (int i = from + 1; i <= settings.events; ++i) {
       if (life_of_engine(e) != incarnation) {
-        return;  // it has started again, and its connections are gone
+        return;  // the engine has restarted, and its connections are closed
       }
-      // A head without a member moves nothing, and does not say so.
+      // A head that has lost a member stalls without reporting it.
       const bool stalls = !wait_while(writer, [&] {
         const std::lock_guard guard(mutex);
         return e.engine.record().id == incarnation && !is_complete(e);
@@ -355,13 +355,13 @@
     writer.finish();
   }
 
-  // ---- requests that end what runs them ----
+  // ---- poison requests: they crash the target that runs them ----
 
   static bool is_poison(const http_request& request) {
     return request.target.find(poison_mark) != std::string::npos;
   }
 
-  // Its connections break and its port refuses, until it has started again.
+  // Breaks the connections and closes the port until the process has restarted.
   void end_process(restartable_server& server, engine_process* engine, const std::string& path) {
     const std::lock_guard guard(mutex);
     const bool already_crashing =
@@ -391,7 +391,8 @@
     wait_for(writer, settings.started_after);
   }
 
-  // On the refresher, outside the handlers of these servers: closing one waits for its handlers.
+  // Runs on the refresher and never in a handler of these servers, because closing a server waits
+  // for its handlers.
   void close_and_open() {
     std::vector<restartable_server*> closing;
     {
@@ -457,7 +458,7 @@
     writer.send(200, answer_headers(id), "card " + id);
   }
 
-  // ---- the list ----
+  // ---- list of targets ----
 
   std::string record_json(const engine_process& e) {
     const target_record& r = e.engine.record();
@@ -536,7 +537,7 @@
 
   fiber_runtime& runtime;
   hosted_platform_settings settings;
-  mutable std::mutex mutex;  // of all below; never held across a wait
+  mutable std::mutex mutex;  // guards all below; never held across a wait
   std::map<std::string, std::map<std::string, store_row_state>> tables;
   std::uint64_t version = 0;
   std::uint64_t config_version = 0;
@@ -550,10 +551,10 @@
   int leaked = 0;
   std::uint64_t newest_life = first_life;
   std::atomic<bool> down{false};
-  std::atomic<std::size_t> bytes_per_s{0};  // of each answer of the store; 0: no bound
+  std::atomic<std::size_t> bytes_per_s{0};  // of each response of the store; 0: no limit
   std::unique_ptr<http_server> store;
   std::unique_ptr<restartable_server> plain;
-  std::unique_ptr<periodic> refresher;  // last: uses the rest
+  std::unique_ptr<periodic> refresher;  // last: uses the other members
 };
 
 hosted_platform::hosted_platform(fiber_runtime& runtime, const hosted_platform_settings& settings)
--- a/src/standin/object_standin.cpp
+++ b/src/standin/object_standin.cpp
@@ -1,4 +1,4 @@
-// Objects by name.
+// Reads and writes of objects.
 #include "standin/object_standin.h"
 
 #include <utility>
--- a/src/standin/object_standin.h
+++ b/src/standin/object_standin.h
@@ -1,4 +1,5 @@
-// Stand-in for the platform's object store: whole objects by name, with the faults of the real one.
+// Stand-in for the platform's object store: reads and replaces objects by name, with the faults of
+// the real store.
 #pragma once
 
 #include <map>
@@ -10,7 +11,7 @@
 namespace arbutus::standin {
 
 struct object_reply {
-  store_status status = store_status::ok;  // `conflict` does not occur: a put replaces
+  store_status status = store_status::ok;  // never `conflict`: a put replaces the object
   std::string content;
   duration latency{};
 };
--- a/src/standin/platform_server.cpp
+++ b/src/standin/platform_server.cpp
@@ -1,4 +1,4 @@
-// The HTTP shell of the platform.
+// HTTP interface of the stand-in platform.
 #include "standin/platform_server.h"
 
 #include <nlohmann/json.hpp>
@@ -29,7 +29,7 @@
   return 500;
 }
 
-// Sends what a store has answered, after its latency.
+// Sends the result of a store call after the store's latency.
 void reply(response_writer& writer, store_status status, duration latency,
            const http_headers& headers, std::string_view body) {
   if (latency > duration{} && !wait_for(writer, latency)) {
@@ -42,7 +42,7 @@
   }
 }
 
-// The body of a row goes out on reads only: a writer learns the version, and reads if it cares.
+// The value of a row is sent on reads only; a writer gets the version and can read the row.
 void reply(response_writer& writer, const table_reply& r, bool with_value) {
   http_headers headers{{"content-type", "application/octet-stream"}};
   if (r.status == store_status::ok || r.status == store_status::conflict) {
--- a/src/standin/platform_server.h
+++ b/src/standin/platform_server.h
@@ -1,15 +1,16 @@
-// The platform's services behind HTTP: table, object store, list of VMs.
+// HTTP server of the platform's services: table, object store, VM list.
 //
-//   GET    /table/KEY            200 with x-row-version, or 404
-//   PUT    /table/KEY            if-match: VERSION (0: must not exist); 200, or 412 with what is
-//   there DELETE /table/KEY            if-match: VERSION; 200 or 412 GET    /table-list/PREFIX JSON
-//   array of keys GET    /objects/NAME, PUT /objects/NAME GET    /vms [{"vm":"a1","leaving":false}]
-//   POST   /faults               {"table":{..},"objects":{..},"vm_list_lag_ms":500}
-//   POST   /snapshot             keeps a copy of the table, as a backup does
-//   POST   /restore              puts that copy back
+//   GET    /table/KEY           200 with x-row-version, or 404
+//   PUT    /table/KEY           if-match: VERSION (0: must not exist); 200, or 412 with
+//   x-row-version DELETE /table/KEY           if-match: VERSION; 200 or 412 GET /table-list/PREFIX
+//   JSON array of keys GET    /objects/NAME, PUT /objects/NAME GET    /vms
+//   [{"vm":"a1","leaving":false}] POST   /faults {"table":{..},"objects":{..},"vm_list_lag_ms":500}
+//   POST   /snapshot            stores a copy of the table, as a backup does
+//   POST   /restore             restores that copy
 //   GET    /counters
-// An outage answers 503, a rate limit 429, a lost reply closes the connection. x-data-centre names
-// the caller's data centre, for partitions.
+//
+// During an outage the answer is 503, above a rate limit 429; a lost reply closes the connection.
+// x-data-centre is the caller's data centre, for network partitions.
 #pragma once
 
 #include <functional>
@@ -24,7 +25,7 @@
 
 namespace arbutus::standin {
 
-// Every member is used under `mutex` only.
+// `mutex` guards all other members.
 struct platform_standin {
   std::mutex mutex;
   table_standin table;
@@ -35,7 +36,7 @@
 
 class platform_server {
  public:
-  // `other_faults` takes POST /faults/NAME; see standin_fleet. `platform` outlives the server.
+  // `other_faults` handles POST /faults/NAME; see standin_fleet. `platform` outlives the server.
   using fault_handler = std::function<void(const http_request&, response_writer&)>;
   platform_server(fiber_runtime& runtime, const socket_address& address, platform_standin& platform,
                   fault_handler other_faults = {});
--- a/src/standin/restartable_server.cpp
+++ b/src/standin/restartable_server.cpp
@@ -1,4 +1,4 @@
-// Closing and opening on one port.
+// Closes and reopens a server on one port.
 #include "standin/restartable_server.h"
 
 #include <boost/asio/io_context.hpp>
@@ -13,9 +13,9 @@
 
 using boost::asio::ip::tcp;
 
-// A port that nobody holds may be given to any outgoing connection of this machine, and the server
-// could then not come back: seen as "address in use" on restart. So while the server is closed its
-// port is bound without listening, which refuses connections and lets a listener bind beside it.
+// An unbound port may be assigned to any outgoing connection of this machine, and the server then
+// fails to reopen with "address in use". So while the server is closed, its port is bound without
+// listening, which refuses connections and allows a listener to bind as well.
 class port_holder {
  public:
   explicit port_holder(const socket_address& address) : socket_(io_) {
@@ -37,7 +37,7 @@
   fiber_runtime& runtime;
   socket_address address;
   http_handler handler;
-  boost::fibers::mutex mutex;  // of the two below; held while fibers are waited for
+  boost::fibers::mutex mutex;  // guards the two below; held while waiting for fibers
   std::unique_ptr<http_server> server;
   std::optional<port_holder> holder;
 };
--- a/src/standin/restartable_server.h
+++ b/src/standin/restartable_server.h
@@ -1,4 +1,4 @@
-// An HTTP server whose process can seem to die and come back on the same port.
+// An HTTP server that simulates a process which dies and restarts on the same port.
 #pragma once
 
 #include <memory>
@@ -9,18 +9,18 @@
 
 class restartable_server {
  public:
-  // Listens at once. The runtime outlives it.
+  // Listens immediately. The runtime outlives the server.
   restartable_server(fiber_runtime& runtime, const socket_address& address, http_handler handler);
   ~restartable_server();
   restartable_server(const restartable_server&) = delete;
   restartable_server& operator=(const restartable_server&) = delete;
 
-  // The port refuses, and every connection breaks. Waits until the handlers have returned; not
-  // from a handler of this server.
+  // Closes every connection and refuses new ones. Waits until the handlers have returned; must not
+  // be called from a handler of this server.
   void close();
   void open();
 
-  // Chosen once.
+  // Stays the same across close() and open().
   [[nodiscard]] std::uint16_t port() const noexcept;
 
  private:
--- a/src/standin/service_server.cpp
+++ b/src/standin/service_server.cpp
@@ -1,4 +1,4 @@
-// The HTTP shell of a plain service.
+// HTTP interface of a stand-in service.
 #include "standin/service_server.h"
 
 #include "standin/fault_commands.h"
--- a/src/standin/service_server.h
+++ b/src/standin/service_server.h
@@ -1,5 +1,5 @@
-// A stand-in service behind HTTP: any method and path, `GET /standin/executions` for what it did,
-// `POST /faults`.
+// HTTP server of a stand-in service: accepts any method and path; `GET /standin/executions` returns
+// its counters, `POST /faults` sets faults.
 #pragma once
 
 #include <mutex>
@@ -10,7 +10,8 @@
 
 namespace arbutus::standin {
 
-// What all instances of one service share: a call that runs on two of them has run twice.
+// State shared by all instances of one service, so that a call which runs on two of them counts as
+// executed twice.
 struct service_site {
   explicit service_site(const service_id& id) : service(id) {}
 
@@ -18,13 +19,13 @@
   service_standin service;  // under mutex
 };
 
-// One instance.
+// One instance of a service.
 class service_server {
  public:
-  // `site` outlives the server.
+  // `shared` outlives the server.
   service_server(fiber_runtime& runtime, const socket_address& address, service_site& shared);
 
-  // When the process of the instance dies and comes back.
+  // Close and reopen the port when the instance's process dies and restarts.
   void close() { server_.close(); }
   void open() { server_.open(); }
 
--- a/src/standin/service_standin.cpp
+++ b/src/standin/service_standin.cpp
@@ -1,4 +1,4 @@
-// Calls of a plain service, recorded.
+// Executes and records the calls of a stand-in service.
 #include "standin/service_standin.h"
 
 #include <algorithm>
--- a/src/standin/service_standin.h
+++ b/src/standin/service_standin.h
@@ -1,5 +1,5 @@
-// Stand-in for a plain service, such as one that writes job cards: it does whatever it is asked,
-// and remembers what it did, so that a checker sees each call that ran twice or not at all.
+// Stand-in for a plain service, such as one that writes job cards. It executes every call and
+// records it, so that a checker can detect calls that ran twice or not at all.
 #pragma once
 
 #include <cstdint>
@@ -20,24 +20,24 @@
   std::string body;
 };
 
-// Faults of the next calls; each number counts down.
+// Number of upcoming calls that get each fault; counted down with each call.
 struct service_faults {
   std::uint32_t late{};
   duration late_by{};
-  std::uint32_t cut_before{};  // the connection breaks before the call runs
-  std::uint32_t cut_after{};   // it breaks after the call ran
+  std::uint32_t cut_before{};  // the connection closes before the call runs
+  std::uint32_t cut_after{};   // the connection closes after the call has run
 };
 
 struct service_reply {
-  bool cut = false;  // no answer
+  bool cut = false;  // the connection closes without a response
   duration late_by{};
-  std::string body;  // JSON: names the call and its body's hash
+  std::string body;  // JSON: method, path and hash of the call's body
 };
 
 struct service_counters {
   std::uint64_t executions{};
-  std::uint64_t keys{};          // different keys among them
-  std::uint32_t most_per_key{};  // above 1: a call was repeated
+  std::uint64_t keys{};          // distinct keys among the executions
+  std::uint32_t most_per_key{};  // above 1: a call ran more than once
 };
 
 class service_standin {
@@ -48,7 +48,7 @@
 
   [[nodiscard]] service_faults& faults() noexcept { return faults_; }
   [[nodiscard]] const service_counters& counters() const noexcept { return counters_; }
-  // By idempotency key, or by request id where a call had no key.
+  // `key`: the idempotency key, or the request id if the call had none.
   [[nodiscard]] std::uint32_t executions_of(std::string_view key) const;
 
   [[nodiscard]] static std::string expected_body(const service_id& service, const service_call& c);
--- a/src/standin/standin_answer.cpp
+++ b/src/standin/standin_answer.cpp
@@ -1,4 +1,4 @@
-// Tokens of one answer, in order, faults aside.
+// Produces the tokens of one answer in order, with its faults.
 #include "standin/standin_answer.h"
 
 #include <algorithm>
--- a/src/standin/standin_http.cpp
+++ b/src/standin/standin_http.cpp
@@ -1,4 +1,4 @@
-// Small answers over HTTP.
+// HTTP responses, waits and request fields for the stand-in servers.
 #include "standin/standin_http.h"
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 
 namespace arbutus::standin {
 
-// The server closes the connection of an answer that was begun and not finished; to the caller it
-// is no answer.
+// The server closes the connection of a response that is started and not finished; the caller gets
+// no valid response.
 void close_without_response(response_writer& writer) {
   writer.start(200, {});
 }
--- a/src/standin/standin_http.h
+++ b/src/standin/standin_http.h
@@ -1,4 +1,4 @@
-// What the HTTP shells of the stand-ins share.
+// Functions that the HTTP servers of the stand-ins share.
 #pragma once
 
 #include <optional>
@@ -14,10 +14,10 @@
 
 namespace arbutus::standin {
 
-// How long a waiting shell goes without looking whether a fault has changed.
+// How often a waiting server checks whether a fault has changed.
 inline constexpr duration fault_poll_interval = 10ms;
 
-// Ends the exchange without an answer: the caller sees its connection close.
+// Ends the exchange without a response: the caller sees its connection close.
 void close_without_response(response_writer& writer);
 
 void send_json(response_writer& writer, int status, std::string_view body);
@@ -26,11 +26,11 @@
                 std::string_view message);
 void send_fault_result(response_writer& writer, const outcome<fault_set>& result);
 
-// Waits; false if the caller goes first.
+// Wait; false if the caller disconnects first.
 bool wait_until(response_writer& writer, time_point until);
 bool wait_for(response_writer& writer, duration d);
 
-// Waits while `holds()`; false if the caller goes first.
+// Waits while `holds()`; false if the caller disconnects first.
 template <class Condition>
 bool wait_while(response_writer& writer, Condition&& holds) {
   while (holds()) {
@@ -42,11 +42,11 @@
 }
 
 [[nodiscard]] std::string header_text(const http_request& request, std::string_view name);
-// `fallback` if the field is missing or not a number.
+// Returns `fallback` if the field is missing or not a number.
 [[nodiscard]] std::uint64_t header_number(const http_request& request, std::string_view name,
                                           std::uint64_t fallback);
 
-// The rest of `target` behind `prefix`, if it begins so.
+// The rest of `target` after `prefix`, if it starts with it.
 [[nodiscard]] std::optional<std::string> after(std::string_view target, std::string_view prefix);
 
 }  // namespace arbutus::standin
--- a/src/standin/store_gate.cpp
+++ b/src/standin/store_gate.cpp
@@ -1,4 +1,4 @@
-// Faults of the platform's stores.
+// Fault model of the platform's stores.
 #include "standin/store_gate.h"
 
 #include <algorithm>
--- a/src/standin/store_gate.h
+++ b/src/standin/store_gate.h
@@ -1,5 +1,6 @@
-// The faults that the platform's table service and object store share: outages, slowness, rate
-// limits, replies lost after the write took effect, data centres cut off.
+// Fault model that the stand-ins of the platform's table service and object store share: outages,
+// latency, rate limits, requests lost before and replies lost after a write takes effect, and data
+// centres that cannot reach the store.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +14,20 @@
 
 struct store_faults {
   bool down = false;
-  time_point down_until;            // also down before that time
-  duration latency{};               // of every answer
-  double writes_per_second = 0;     // 0: no limit
-  double reads_per_second = 0;      // 0: no limit
-  std::uint64_t lose_requests = 0;  // of the next writes: cut before they take effect
-  std::uint64_t lose_replies = 0;   // of the next writes: cut after they took effect
-  double lose_fraction = 0;         // of all further writes: cut after they took effect
-  std::set<data_centre_id> cut_off;
+  time_point down_until;             // also down before that time
+  duration latency{};                // of every response
+  double writes_per_second = 0;      // 0: no limit
+  double reads_per_second = 0;       // 0: no limit
+  std::uint64_t lose_requests = 0;   // number of upcoming writes lost before they take effect
+  std::uint64_t lose_replies = 0;    // number of upcoming writes whose reply is lost
+  double lose_fraction = 0;          // fraction of all further writes whose reply is lost
+  std::set<data_centre_id> cut_off;  // data centres that cannot reach the store
 };
 
 struct store_counters {
   std::uint64_t reads{};
   std::uint64_t writes{};   // that took effect
-  std::uint64_t refused{};  // by outage, limit or cut
+  std::uint64_t refused{};  // by an outage, a rate limit or a partition
   std::uint64_t conflicts{};
   std::uint64_t lost_replies{};
 };
@@ -35,7 +36,7 @@
 
 enum class gate_verdict { pass, down, limited, unreachable };
 
-// How a call ends for its caller.
+// Outcome of a call as its caller sees it.
 enum class store_status {
   ok,
   missing,   // no such row or object
@@ -54,10 +55,10 @@
   duration latency{};
 };
 
-// Invariant: tokens of a bucket lie between 0 and one second's worth of its rate.
+// Token bucket. Invariant: `tokens_` is between 0 and the tokens of one second (at least 1).
 class rate_limit {
  public:
-  // Takes one token, if there is one. A rate of 0 is no limit.
+  // Takes one token; false if there is none. A rate of 0 means no limit.
   [[nodiscard]] bool take(time_point now, double per_second);
 
  private:
@@ -73,13 +74,13 @@
   [[nodiscard]] store_faults& faults() noexcept { return faults_; }
   [[nodiscard]] const store_counters& counters() const noexcept { return counters_; }
 
-  // Whether a call of `from` is let in. Counts it.
+  // Decides whether a call from data centre `from` reaches the store, and counts it.
   [[nodiscard]] gate_pass admit(time_point now, store_access access, const data_centre_id& from);
 
-  // Whether this write gets lost on its way, without effect.
+  // Whether this write is lost before it takes effect; consumes the fault.
   [[nodiscard]] bool lose_request();
 
-  // Counts a write that took effect; whether its reply gets lost.
+  // Counts a write that took effect. Returns whether its reply is lost.
   [[nodiscard]] bool record_write();
   void conflicted() { ++counters_.conflicts; }
 
--- a/src/standin/table_standin.cpp
+++ b/src/standin/table_standin.cpp
@@ -1,4 +1,4 @@
-// Rows and conditional writes.
+// Reads, conditional writes and listings of rows.
 #include "standin/table_standin.h"
 
 #include <utility>
--- a/src/standin/table_standin.h
+++ b/src/standin/table_standin.h
@@ -1,5 +1,5 @@
-// Stand-in for the platform's table service: rows with a version each, conditional writes, and the
-// faults of the real one. A value: no socket, no clock.
+// Stand-in for the platform's table service: versioned rows, conditional writes, and the faults of
+// the real service. Uses no socket and no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,11 @@
 struct table_reply {
   store_status status = store_status::ok;
   table_row row;       // as it is after the call; version 0: none
-  duration latency{};  // before the answer leaves
+  duration latency{};  // before the response is sent
 };
 
-// What a backup holds. The version counter is part of it: after an old copy is put back, versions
-// are given a second time, as a real restore may do.
+// Content of a backup. It includes the version counter: after an old copy is restored, versions are
+// assigned a second time, as a real restore may do.
 struct table_copy {
   std::map<std::string, table_row> rows;
   std::uint64_t last_version{};
@@ -31,15 +31,15 @@
  public:
   explicit table_standin(std::uint64_t seed = 1) : fault_model_(seed) {}
 
-  // `from`: the caller's data centre, for partitions; may be empty.
+  // `from`: the caller's data centre, for network partitions; may be empty.
   [[nodiscard]] table_reply read(time_point now, const std::string& key,
                                  const data_centre_id& from = {});
 
-  // `expected`: the version of the row; 0: it must not exist.
+  // `expected`: the current version of the row; 0: it must not exist.
   table_reply write(time_point now, const std::string& key, std::string value,
                     std::uint64_t expected, const data_centre_id& from = {});
 
-  // Removes a row. A row of the same name that comes later has a higher version.
+  // Removes a row. A row that is created later under the same key has a higher version.
   table_reply erase(time_point now, const std::string& key, std::uint64_t expected,
                     const data_centre_id& from = {});
 
--- a/src/standin/vm_list_standin.cpp
+++ b/src/standin/vm_list_standin.cpp
@@ -1,4 +1,4 @@
-// The lagging list of VMs.
+// The VM list and its lag.
 #include "standin/vm_list_standin.h"
 
 namespace arbutus::standin {
--- a/src/standin/vm_list_standin.h
+++ b/src/standin/vm_list_standin.h
@@ -1,4 +1,4 @@
-// Stand-in for the platform's list of VMs, which shows every change only after a lag.
+// Stand-in for the platform's VM list, which shows every change only after a lag.
 #pragma once
 
 #include <map>
@@ -16,10 +16,10 @@
  public:
   void set_lag(duration lag) { lag_ = lag; }
 
-  // Times of one VM's changes rise.
+  // Changes of one VM must be added in order of time.
   void set(time_point now, const vm_id& vm, vm_presence presence);
 
-  // As the list stood `lag` ago.
+  // The list as it was one lag ago.
   [[nodiscard]] std::vector<vm_list_entry> read(time_point now) const;
 
  private:
--- a/src/standin/weight_standin.h
+++ b/src/standin/weight_standin.h
@@ -15,8 +15,8 @@
 
   void set_rate(double bytes_per_second) { bytes_per_second_ = bytes_per_second; }
 
-  // How long a load that starts now takes. Loads are served one after the other, which gives the
-  // last of a group the same time as equal sharing would.
+  // Duration of a load that starts now. Loads are served one after the other; the last of a group
+  // then finishes at the same time as with equal sharing.
   [[nodiscard]] duration load_time(time_point now, std::uint64_t bytes) {
     if (bytes_per_second_ <= 0) {
       return duration{};
--- a/tests/shell/standin_engine_test.cpp
+++ b/tests/shell/standin_engine_test.cpp
@@ -1,4 +1,4 @@
-// One stand-in engine and groups of them, in virtual time.
+// Tests of stand-in engines, single and in groups, in virtual time.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -44,7 +44,7 @@
     return e.apply(now, make_order(kind, e, gen), now).accepted;
   }
 
-  // Three VMs, formed and ready.
+  // Forms the replica of all engines and waits until it is ready.
   void form_group(generation gen = {7, 0, 0}) {
     for (const auto& e : engines) {
       ASSERT_TRUE(apply(*e, order_kind::form, gen));
@@ -178,9 +178,8 @@
   EXPECT_TRUE(head().take(now, later, false).tokens.empty());
 }
 
-// Symptom: callers of a replica see their streams break.
-// Sequence: requests run on the head, another member's process dies.
-// Cause: a replica is lost with any one of its members.
+// A replica fails with any one of its members: when another member's process dies, the requests on
+// the head are cut and new ones are refused.
 TEST_F(standin_engine, loses_all_it_runs_with_one_member) {
   add_group();
   const batch_handle running = submit(make_request("a", 100));
@@ -227,9 +226,8 @@
   EXPECT_EQ(head().take(now, h, false).tokens.size(), 2U);
 }
 
-// Symptom: a VM that was given to another replica goes back to the old one.
-// Sequence: an order is delayed, a newer one is carried out, then the old one arrives.
-// Cause: the network or a paused sender keeps an order that is no longer true.
+// Guards against a VM that returns to its former replica: the network or a paused sender delays an
+// order, which arrives after a newer one has been carried out. The fencing token rejects it.
 TEST_F(standin_engine, refuses_an_old_token_unless_it_does_not_check) {
   add_group();
   EXPECT_FALSE(apply(head(), order_kind::form, {6, 9, 3}));
@@ -258,9 +256,9 @@
   EXPECT_EQ(head().counters().orders_refused, 2U);
 }
 
-// Symptom: an engine obeys an order whose sender gave up on it long ago.
-// Sequence: the order arrives at a paused engine, which resumes after the order's validity.
-// Cause: a paused process does not know that it was paused.
+// Guards against an engine that carries out an order after its sender has given up on it: the order
+// arrives while the engine is paused, and the engine, which does not notice its pause, handles it
+// after the validity period.
 TEST_F(standin_engine, refuses_an_order_it_comes_to_too_late) {
   add_group();
   const order o = make_order(order_kind::release, head(), {8, 0, 0});
@@ -304,9 +302,8 @@
   EXPECT_EQ(head().counters().cut_by_order, 1U);
 }
 
-// Symptom: a request ends, or shows another's tokens, when a connection from before is closed.
-// Sequence: a request is cut by a new generation, a new one begins, the old connection is closed.
-// Cause: handles that start anew with each batch.
+// Guards against handles that restart with each batch: a request is cut by a new generation, a new
+// request starts, and closing the old connection would end it or expose its tokens.
 TEST_F(standin_engine, gives_no_handle_twice) {
   add_group();
   const batch_handle old = submit(make_request("a", 100));
@@ -357,9 +354,8 @@
   EXPECT_EQ(head().report(now).running, 2U);
 }
 
-// Symptom: a caller gets a whole, well-formed answer to somebody else's request.
-// Sequence: two requests run side by side, each connection gets the other's answer.
-// Cause: an engine mixes up the requests of its batch.
+// Simulates an engine that mixes up the requests of its batch: two run concurrently, and each
+// caller gets the complete, well-formed answer of the other.
 TEST_F(standin_engine, crosses_two_answers_under_their_own_ids) {
   add_group();
   head().faults().crossed = 1;
@@ -405,7 +401,7 @@
   EXPECT_EQ(head().take(now, submit(r), true).next_at, now + 3s);
   now += 3s;
   const batch_handle again = submit(r);
-  // Only what was cached by the first answer counts; nobody has looked at it yet.
+  // The prompt is cached only when the first answer's tokens are taken, which has not happened yet.
   EXPECT_EQ(head().take(now, again, true).next_at, now + 3s);
   head().close(now, again);
   EXPECT_EQ(head().take(now, 1, true).state, stream_state::finished);
--- a/tests/shell/standin_http_test.cpp
+++ b/tests/shell/standin_http_test.cpp
@@ -1,4 +1,4 @@
-// The stand-ins as the system sees them: over HTTP on loopback, all of one inventory.
+// Tests of the stand-ins of one inventory over HTTP on loopback, as the system uses them.
 #include <gtest/gtest.h>
 
 #include <boost/fiber/future.hpp>
@@ -107,7 +107,7 @@
             {}};
   }
 
-  // In a fiber. `on_token` after each event with text; false gives up.
+  // Call in a fiber. `on_token` is called after each event with text; false aborts the stream.
   answer stream(const http_request& request, const std::function<bool()>& on_token = {}) {
     answer a;
     std::string buffer;
@@ -140,7 +140,7 @@
     return a;
   }
 
-  // Waits for a condition that another fiber brings about.
+  // Waits for a condition that another fiber establishes.
   void await(const std::function<bool()>& condition) {
     in_fiber([&] {
       const time_point give_up = test_deadline();
@@ -193,9 +193,8 @@
   EXPECT_EQ(fleet->runs(request_id{"q1"}), 0U);
 }
 
-// Symptom: streams break in the middle and new connections are refused.
-// Sequence: a stream runs, the engine's process dies and comes back.
-// Cause: loss of a member; afterwards the VM has a new incarnation and no role.
+// The engine's process dies during a stream and restarts: the stream breaks and connections are
+// refused; after the restart the VM has a new incarnation and belongs to no replica.
 TEST_F(standin_http, breaks_streams_when_killed_and_comes_back_empty) {
   form();
   const auto port = address(a1).port;
@@ -241,9 +240,9 @@
   EXPECT_EQ(fleet->counters(a1).cut, 1U);
 }
 
-// Symptom: slots stay taken by requests that nobody waits for.
-// Sequence: a caller closes its connection in the middle of a stream.
-// Cause: callers give up, and nodes cancel the loser of two hedged requests.
+// Guards against slots that stay occupied by abandoned requests: a caller closes its connection in
+// the middle of a stream, because it gives up or because a node cancels the slower of two hedged
+// requests.
 TEST_F(standin_http, cancels_when_the_caller_goes) {
   form();
   in_fiber([&] {
@@ -265,7 +264,7 @@
     EXPECT_EQ(a.result.outcome, call_outcome::unknown);
     EXPECT_EQ(a.text, expected_answer(dispatch, "q1", 20));
   });
-  // What is not freed now would never end.
+  // At speed 0 a request that still held its slot would never end.
   fleet->set_straggler(a1, 0.0);
   await([&] { return fleet->report(a1).running == 0; });
 }
@@ -358,7 +357,7 @@
 TEST_F(standin_http, refuses_faults_it_does_not_know) {
   EXPECT_EQ(call(platform(), "POST", "/faults", R"({"table":{"dwon":true}})").response.status, 400);
   EXPECT_EQ(call(address(a1), "POST", "/faults", R"({"silnet":true})").response.status, 400);
-  // A command with one unknown name changes nothing at all.
+  // A command with one unknown name changes nothing.
   EXPECT_EQ(call(platform(), "POST", "/faults/vm/a2", R"({"killed":true,"zzz":1})").response.status,
             400);
   EXPECT_TRUE(call(address(a2), "GET", "/report").ok());
@@ -379,9 +378,6 @@
             R"([{"leaving":false,"vm":"a1"},{"leaving":true,"vm":"a2"}])");
 }
 
-// Symptom: one job card is written twice, on two instances.
-// Sequence: the first instance writes it and dies before it answers; the caller tries the second.
-// Cause: no answer is taken for not done.
 TEST_F(standin_http, lists_vms_whose_engines_are_elsewhere) {
   fleet_settings settings = make_settings();
   settings.engines = false;
@@ -393,6 +389,9 @@
             R"([{"leaving":true,"vm":"a1"},{"leaving":false,"vm":"a2"}])");
 }
 
+// The stand-in has to show a job card that is written twice: the first instance writes it and its
+// connection breaks before the response, and the caller, which takes the missing response for a
+// failure, retries on the second instance.
 TEST_F(standin_http, records_calls_over_all_instances_of_a_service) {
   service_faults faults;
   faults.cut_after = 1;
--- a/tests/shell/standin_store_test.cpp
+++ b/tests/shell/standin_store_test.cpp
@@ -1,4 +1,4 @@
-// Stand-ins of the platform: what they do, and that each of their faults can be seen.
+// Tests of the platform's stand-ins: their behaviour, and that each of their faults is observable.
 #include <gtest/gtest.h>
 
 #include "standin/object_standin.h"
@@ -42,9 +42,8 @@
   EXPECT_EQ(table.list(start, "c").keys, std::vector<std::string>{});
 }
 
-// Symptom: a writer gets no answer, tries again and loses against itself.
-// Sequence: the write takes effect, then its reply is lost.
-// Cause: the connection breaks between the effect and the answer.
+// The connection breaks after the write took effect and before the reply: the writer gets no
+// response, and its retry conflicts with its own write.
 TEST(standin_table, loses_the_reply_after_the_write_took_effect) {
   table_standin table;
   table.faults().lose_replies = 1;
@@ -102,9 +101,8 @@
   EXPECT_EQ(table.read(start, "k", data_centre_id{"hall-b"}).status, store_status::missing);
 }
 
-// Symptom: two different contents were written under one version.
-// Sequence: a backup is taken, a row is written, the backup is put back, the row is written anew.
-// Cause: the table counts versions within what was restored.
+// The table restores its version counter with the rows: a backup is taken, a row is written, the
+// backup is restored and the row is written again. Both contents then have the same version.
 TEST(standin_table, gives_versions_again_after_an_old_copy_was_restored) {
   table_standin table;
   table.write(start, "k", "one", 0);
