--- a/src/standin/platform_server.h
+++ b/src/standin/platform_server.h
@@ -1,10 +1,13 @@
 // HTTP server of the platform's services: table, object store, VM list.
 //
 //   GET    /table/KEY           200 with x-row-version, or 404
-//   PUT    /table/KEY           if-match: VERSION (0: must not exist); 200, or 412 with
-//   x-row-version DELETE /table/KEY           if-match: VERSION; 200 or 412 GET /table-list/PREFIX
-//   JSON array of keys GET    /objects/NAME, PUT /objects/NAME GET    /vms
-//   [{"vm":"a1","leaving":false}] POST   /faults {"table":{..},"objects":{..},"vm_list_lag_ms":500}
+//   PUT    /table/KEY           if-match: VERSION (0: must not exist); 200, or 412, both with
+//                               x-row-version
+//   DELETE /table/KEY           if-match: VERSION; 200 or 412
+//   GET    /table-list/PREFIX   JSON array of keys
+//   GET    /objects/NAME, PUT /objects/NAME
+//   GET    /vms                 [{"vm":"a1","leaving":false}]
+//   POST   /faults              {"table":{..},"objects":{..},"vm_list_lag_ms":500}
 //   POST   /snapshot            stores a copy of the table, as a backup does
 //   POST   /restore             restores that copy
 //   GET    /counters
