--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -43,7 +43,7 @@
   settings.seed = seed;
   settings.first_incarnation = static_cast<std::uint64_t>(wall_now().milliseconds);
   for (const model_rule& rule : desired.models) {
-    model_profile profile = settings.usual;
+    model_profile profile = settings.default_profile;
     profile.batch.slots = rule.slots;
     settings.models.emplace(rule.id, profile);
   }
--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -98,8 +98,8 @@
                       {"night-desk", "key-night", 1.0}};
   shape.classes = {{"interactive", 0, 20s, 5s}};
   standin::engine_settings& engine = shape.standins.engine;
-  engine.usual.batch.tokens_per_second = 400;
-  engine.usual.batch.prefill_tokens_per_second = 20'000;
+  engine.default_profile.batch.tokens_per_second = 400;
+  engine.default_profile.batch.prefill_tokens_per_second = 20'000;
   engine.form_time = 150ms;
   engine.report_lag = 100ms;
   shape.standins.vm_list_lag = 500ms;
--- a/src/load/checker.cpp
+++ b/src/load/checker.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <numeric>
 
-#include "standin/answer.h"
+#include "standin/expected_answer.h"
 #include "standin/service_standin.h"
 
 namespace arbutus {
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -87,7 +87,7 @@
     engine.form_time = 150ms;
     engine.report_lag = 100ms;
     engine.records_runs = true;
-    standin::batch_settings& batch = engine.usual.batch;
+    standin::batch_settings& batch = engine.default_profile.batch;
     table.read("tokens_per_second", batch.tokens_per_second, presence::optional, positive);
     table.read("prefill_tokens_per_second", batch.prefill_tokens_per_second, presence::optional,
                positive);
--- a/src/load/faults.cpp
+++ b/src/load/faults.cpp
@@ -153,7 +153,7 @@
     standins.set_service_faults(service_id{fleet_service}, faults);
     return;
   }
-  standin::next_answers faults;
+  standin::pending_answer_faults faults;
   faults.crossed = fault.kind == fault_kind::crossed ? fault.count : 0;
   faults.late = fault.kind == fault_kind::late ? fault.count : 0;
   faults.late_by = fault.latency;
--- a/src/load/schedule.cpp
+++ b/src/load/schedule.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 
 #include "base/rng.h"
-#include "standin/answer.h"
+#include "standin/expected_answer.h"
 
 namespace arbutus {
 
--- a/src/load/variant_run.cpp
+++ b/src/load/variant_run.cpp
@@ -137,7 +137,7 @@
 
 // What a node prevents is let through here, to see that the checker notices it.
 void variant_run::set_safeguard_off() {
-  standin::next_answers faults;
+  standin::pending_answer_faults faults;
   faults.crossed = how_.check_self == self_check::crossed ? many_faults : 0;
   faults.duplicated = how_.check_self == self_check::duplicated ? many_faults : 0;
   for (const vm_id& vm : target_vms_) {
--- a/src/request/answer.cpp
+++ b/src/request/answer.cpp
@@ -1,5 +1,5 @@
 // Checks the tokens of streamed responses.
-#include "request/answer.h"
+#include "request/expected_answer.h"
 
 namespace arbutus {
 
--- a/src/standin/batch_standin.cpp
+++ b/src/standin/batch_standin.cpp
@@ -1,4 +1,5 @@
-// The batch moves from finish to finish, since only there the speed of the others changes.
+// Advances the batch from one completion to the next. The speed of the remaining jobs changes only
+// at a completion, so each step runs at constant speed.
 #include "standin/batch_standin.h"
 
 #include <algorithm>
@@ -9,24 +10,26 @@
 
 namespace {
 
-// Sums of fractions of a token end a little below whole numbers; times are whole microseconds.
+// Tolerance for sums of token fractions, which end slightly below integers: times are rounded to
+// whole microseconds.
 constexpr double rounding = 1e-6;
 
 std::uint32_t whole_tokens(double produced) {
   return static_cast<std::uint32_t>(produced + rounding);
 }
 
-// Far beyond any test, and still a number of microseconds.
-constexpr double longest_seconds = 1e9;
+// Longer than any test, and still representable in microseconds.
+constexpr double max_seconds = 1e9;
 
-// Up, so that the job is there when this time has passed.
+// Rounds up, so that the job has reached its target when this time has passed.
 duration round_up(double seconds) {
-  return duration{static_cast<duration::rep>(std::ceil(std::min(seconds, longest_seconds) * 1e6))};
+  return duration{static_cast<duration::rep>(std::ceil(std::min(seconds, max_seconds) * 1e6))};
 }
 
-// Down, so that no job stands still at its end while others wait; but never not at all.
+// Rounds down, so that a finished job does not hold its slot while others wait; at least 1 us, so
+// that time always advances.
 duration round_down(double seconds) {
-  return std::max(duration{1}, from_seconds(std::min(seconds, longest_seconds)));
+  return std::max(duration{1}, from_seconds(std::min(seconds, max_seconds)));
 }
 
 }  // namespace
@@ -49,12 +52,12 @@
 }
 
 double batch_standin::seconds_to_next_finish(double speed) const {
-  double least = std::numeric_limits<double>::infinity();
+  double min_seconds = std::numeric_limits<double>::infinity();
   for (const batch_handle handle : running_) {
     const job_state& job = jobs_.at(handle);
-    least = std::min(least, seconds_until(job, job.job.tokens, speed));
+    min_seconds = std::min(min_seconds, seconds_until(job, job.job.tokens, speed));
   }
-  return least;
+  return min_seconds;
 }
 
 void batch_standin::progress_by(double seconds, double speed) {
@@ -68,14 +71,14 @@
   }
 }
 
-bool batch_standin::has_made(const job_state& job, std::uint32_t desired) {
+bool batch_standin::has_produced(const job_state& job, std::uint32_t desired) {
   return job.prefill_left <= 0 && whole_tokens(job.produced) >= desired;
 }
 
-void batch_standin::finish_done() {
+void batch_standin::remove_finished() {
   std::erase_if(running_, [this](batch_handle handle) {
     const job_state& job = jobs_.at(handle);
-    return has_made(job, job.job.tokens);
+    return has_produced(job, job.job.tokens);
   });
 }
 
@@ -94,7 +97,7 @@
     const duration step = std::min(next, duration{now - at_});
     progress_by(to_seconds(step), speed);
     at_ += step;
-    finish_done();
+    remove_finished();
     fill_slots();
   }
   at_ = std::max(at_, now);
@@ -134,7 +137,7 @@
   }
   const job_state& job = found->second;
   batch_progress result{job.started, whole_tokens(job.produced), std::nullopt};
-  if (job.started && has_made(job, desired)) {
+  if (job.started && has_produced(job, desired)) {
     result.remaining = duration{};
   } else if (job.started && speed > 0) {
     result.remaining = round_up(seconds_until(job, desired, speed));
--- a/src/standin/cache_standin.cpp
+++ b/src/standin/cache_standin.cpp
@@ -1,4 +1,4 @@
-// Blocks in order of use, and the events about them.
+// Least-recently-used order of the blocks, and the events about them.
 #include "standin/cache_standin.h"
 
 #include <algorithm>
@@ -9,10 +9,10 @@
 
 namespace {
 
-// Engines keep a bounded backlog of events for those that read them late.
-constexpr std::size_t kept_events = 4096;
+// Engines keep a bounded backlog of events for late readers.
+constexpr std::size_t max_kept_events = 4096;
 
-constexpr std::string_view blob_mark = "arbutus-kv";
+constexpr std::string_view blob_magic = "arbutus-kv";
 constexpr std::size_t hex_digits = 16;
 
 }  // namespace
@@ -27,34 +27,34 @@
     if (found == entries_.end()) {
       break;
     }
-    by_use_.splice(by_use_.begin(), by_use_, found->second.use);
+    lru_.splice(lru_.begin(), lru_, found->second.use);
     ++count;
   }
   return count;
 }
 
 void cache_standin::store(time_point now, const std::vector<std::uint64_t>& chain) {
-  std::uint64_t before = 0;
+  std::uint64_t previous = 0;
   const std::size_t fitting = std::min(chain.size(), settings_.blocks);
   for (std::size_t i = 0; i < fitting; ++i) {
-    put(now, chain[i], before);
-    before = chain[i];
+    put(now, chain[i], previous);
+    previous = chain[i];
   }
 }
 
-void cache_standin::put(time_point now, std::uint64_t block, std::uint64_t before) {
+void cache_standin::put(time_point now, std::uint64_t block, std::uint64_t previous) {
   const auto found = entries_.find(block);
   if (found != entries_.end()) {
-    by_use_.splice(by_use_.begin(), by_use_, found->second.use);
+    lru_.splice(lru_.begin(), lru_, found->second.use);
     return;
   }
   if (entries_.size() >= settings_.blocks) {
-    publish(now, cache_change::removed, by_use_.back());
-    entries_.erase(by_use_.back());
-    by_use_.pop_back();
+    publish(now, cache_change::removed, lru_.back());
+    entries_.erase(lru_.back());
+    lru_.pop_back();
   }
-  by_use_.push_front(block);
-  entries_[block] = {before, by_use_.begin()};
+  lru_.push_front(block);
+  entries_[block] = {previous, lru_.begin()};
   publish(now, cache_change::stored, block);
 }
 
@@ -64,7 +64,7 @@
     return;
   }
   events_.push_back({last_sequence_, change, block, now});
-  if (events_.size() > kept_events) {
+  if (events_.size() > max_kept_events) {
     events_.pop_front();
   }
 }
@@ -77,9 +77,9 @@
       return {};
     }
     chain.push_back(next);
-    next = found->second.before;
+    next = found->second.previous;
   }
-  std::string blob(blob_mark);
+  std::string blob(blob_magic);
   for (auto i = chain.rbegin(); i != chain.rend(); ++i) {
     char text[hex_digits + 1];
     std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(*i));
@@ -89,10 +89,10 @@
 }
 
 bool cache_standin::import_prefix(time_point now, std::string_view blob) {
-  if (!blob.starts_with(blob_mark)) {
+  if (!blob.starts_with(blob_magic)) {
     return false;
   }
-  blob.remove_prefix(blob_mark.size());
+  blob.remove_prefix(blob_magic.size());
   std::vector<std::uint64_t> chain;
   for (; blob.size() >= hex_digits; blob.remove_prefix(hex_digits)) {
     std::uint64_t block = 0;
@@ -126,7 +126,7 @@
 
 void cache_standin::clear() {
   entries_.clear();
-  by_use_.clear();
+  lru_.clear();
 }
 
 }  // namespace arbutus::standin
--- a/src/standin/completion_wire.cpp
+++ b/src/standin/completion_wire.cpp
@@ -1,10 +1,10 @@
-// JSON bodies and server-sent events. Frames are put together by hand: they are most of what a
-// stand-in engine does, and words of an answer need no escaping.
+// JSON bodies and server-sent events. Frames are assembled as strings without a JSON library: they
+// are most of a stand-in engine's work, and the words of an answer need no escaping.
 #include "standin/completion_wire.h"
 
 #include <nlohmann/json.hpp>
 
-#include "standin/answer.h"
+#include "standin/expected_answer.h"
 #include "standin/standin_http.h"
 
 namespace arbutus::standin {
@@ -13,7 +13,7 @@
 
 using json = nlohmann::json;
 
-constexpr std::uint32_t usual_max_tokens = 16;
+constexpr std::uint32_t default_max_tokens = 16;
 
 std::string prompt_of(completion_kind kind, const json& body) {
   if (kind == completion_kind::text) {
@@ -26,7 +26,7 @@
   return chat_prompt(messages);
 }
 
-generation_request headers_of(const http_request& request) {
+generation_request parse_request_headers(const http_request& request) {
   generation_request r;
   r.id = request_id{header_text(request, "x-request-id")};
   r.replica = replica_id{header_text(request, "x-replica")};
@@ -51,10 +51,10 @@
     completion_call call;
     call.kind = kind;
     call.stream = body.value("stream", false);
-    call.request = headers_of(request);
+    call.request = parse_request_headers(request);
     call.request.model = model_id{body.at("model").get<std::string>()};
     call.request.prompt = prompt_of(kind, body);
-    call.request.max_tokens = body.value("max_tokens", usual_max_tokens);
+    call.request.max_tokens = body.value("max_tokens", default_max_tokens);
     return call;
   } catch (const std::exception& e) {
     return refused{e.what()};
--- a/src/standin/engine_answers.cpp
+++ b/src/standin/engine_completions.cpp
@@ -1,4 +1,4 @@
-// Completions of a stand-in engine over HTTP: one fiber for each, which wakes when its next token
+// Completions of a stand-in engine over HTTP. Each has one fiber, which wakes when its next token
 // is due.
 #include <algorithm>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Frees what the request holds, also when its caller has gone.
+// Releases the slot of the request, also when its caller has disconnected.
 class request_closer {
  public:
   request_closer(std::mutex& mutex, engine_standin& engine, batch_handle handle)
@@ -41,36 +41,36 @@
   return headers;
 }
 
-// Puts the steps of one answer on the wire.
+// Writes the steps of one answer to the connection.
 class answer_sender {
  public:
   answer_sender(const completion_call& call, response_writer& writer)
       : call_(call), writer_(writer) {}
 
-  // False once nothing more can be sent.
+  // False if nothing more can be sent.
   bool send(const stream_step& step) {
     if (step.state == stream_state::open && step.tokens.empty()) {
       return true;
     }
     if (step.tokens.empty() && step.state == stream_state::cut) {
-      break_off();
+      close_if_not_started();
       return false;
     }
     if (!wire_) {
-      wire_.emplace(call_, step.shown_as);
+      wire_.emplace(call_, step.response_id);
     }
     return call_.stream ? send_frames(step) : send_body(step);
   }
 
  private:
-  void break_off() {
+  void close_if_not_started() {
     if (!writer_.started()) {
-      cut(writer_);
+      close_without_response(writer_);
     }
   }
 
   bool send_frames(const stream_step& step) {
-    if (!writer_.started() && !writer_.start(200, answer_headers(call_, step.shown_as))) {
+    if (!writer_.started() && !writer_.start(200, answer_headers(call_, step.response_id))) {
       return false;
     }
     std::string text = wire_->frames(step.tokens);
@@ -80,9 +80,9 @@
     return writer_.write(text) && (step.state != stream_state::finished || writer_.finish());
   }
 
-  // A cut body is half there, and then its connection closes.
+  // For a truncated answer, sends half of the body; the connection then closes.
   bool send_body(const stream_step& step) {
-    const http_headers headers = answer_headers(call_, step.shown_as);
+    const http_headers headers = answer_headers(call_, step.response_id);
     const std::string body = wire_->body(step.tokens);
     if (step.state == stream_state::finished) {
       return writer_.send(200, headers, body);
@@ -121,7 +121,7 @@
   request_closer closer(mutex_, engine_, handle);
   answer_sender sender(call, writer);
   writer.on_caller_gone([&closer] { closer.close(); });
-  while (may_answer(writer)) {
+  while (wait_until_responsive(writer)) {
     std::unique_lock lock(mutex_);
     const stream_step step = engine_.take(monotonic_now(), handle, !call.stream);
     lock.unlock();
@@ -132,8 +132,8 @@
     if (!sender.send(step) || step.state != stream_state::open) {
       return;
     }
-    const time_point look_at = monotonic_now() + look_interval;
-    if (!wait_until(writer, std::min(step.next_at.value_or(look_at), look_at))) {
+    const time_point poll_at = monotonic_now() + fault_poll_interval;
+    if (!wait_until(writer, std::min(step.next_at.value_or(poll_at), poll_at))) {
       return;
     }
   }
--- a/src/standin/engine_requests.cpp
+++ b/src/standin/engine_requests.cpp
@@ -1,28 +1,28 @@
-// Requests of one stand-in engine: taken in or refused, batched, answered.
+// Requests of one stand-in engine: admission, batching and answers.
 #include <algorithm>
 
-#include "standin/answer.h"
 #include "standin/countdown.h"
 #include "standin/engine_standin.h"
+#include "standin/expected_answer.h"
 
 namespace arbutus::standin {
 
 namespace {
 
-// How long an answer that is to be crossed waits for another one to be crossed with.
-constexpr duration cross_wait = 300ms;
+// How long an answer that is to be swapped waits for a second answer to be swapped with.
+constexpr duration swap_wait = 300ms;
 
 constexpr int conflict_status = 409;
 constexpr int unavailable_status = 503;
 
-stream_state state_after(time_point now, const standin_answer& answer, bool all_made) {
+stream_state state_after(time_point now, const standin_answer& answer, bool all_produced) {
   if (now < answer.not_before()) {
     return stream_state::open;
   }
   if (answer.truncated()) {
     return stream_state::cut;
   }
-  return all_made && answer.complete() ? stream_state::finished : stream_state::open;
+  return all_produced && answer.complete() ? stream_state::finished : stream_state::open;
 }
 
 }  // namespace
@@ -53,7 +53,7 @@
   if (r.replica.empty() && r.model != model_) {
     return not_run{conflict_status, "another model"};
   }
-  if (!fabric_.whole(now, group_)) {
+  if (!fabric_.is_complete(now, group_)) {
     return not_run{unavailable_status, "a member is missing"};
   }
   if (batch_.queued() >= settings_.queue_limit) {
@@ -87,37 +87,38 @@
   job.tokens = stream.answer.total();
   const batch_handle handle = batch_.add(job);
   streams_.emplace(handle, std::move(stream));
-  cross_if_asked(now, handle);
-  note_load(now);
+  swap_if_requested(now, handle);
+  record_load(now);
   return handle;
 }
 
 answer_faults engine_standin::next_faults(time_point now) {
   answer_faults faults;
-  if (take_one(faults_.late)) {
+  if (decrement_if_positive(faults_.late)) {
     faults.not_before = now + faults_.late_by;
   }
-  faults.truncate = take_one(faults_.truncated);
-  faults.duplicate = take_one(faults_.duplicated);
+  faults.truncate = decrement_if_positive(faults_.truncated);
+  faults.duplicate = decrement_if_positive(faults_.duplicated);
   return faults;
 }
 
-void engine_standin::cross_if_asked(time_point now, batch_handle handle) {
+void engine_standin::swap_if_requested(time_point now, batch_handle handle) {
   if (faults_.crossed == 0) {
     return;
   }
   open_stream& own = streams_.at(handle);
   for (auto& [other_handle, other] : streams_) {
-    if (other_handle != handle && !other.answer.shown() && !other.cut && !other.finished) {
-      standin_answer::cross(own.answer, other.answer);
+    if (other_handle != handle && !other.answer.has_sent_tokens() && !other.cut &&
+        !other.finished) {
+      standin_answer::swap_answers(own.answer, other.answer);
       --faults_.crossed;
       return;
     }
   }
-  own.answer.hold_until(now + cross_wait);
+  own.answer.hold_until(now + swap_wait);
 }
 
-stream_step engine_standin::take(time_point now, batch_handle handle, bool whole) {
+stream_step engine_standin::take(time_point now, batch_handle handle, bool complete_only) {
   advance(now);
   const auto found = streams_.find(handle);
   if (found == streams_.end() || found->second.cut) {
@@ -133,24 +134,24 @@
   if (made.produced > 0) {
     cache_prompt(now, stream);
   }
-  const bool all_made = made.remaining == duration{};
-  stream_step step{stream_state::open, answer.shown_as(), {}, {}};
-  if (all_made || !whole) {
+  const bool all_produced = made.remaining == duration{};
+  stream_step step{stream_state::open, answer.response_id(), {}, {}};
+  if (all_produced || !complete_only) {
     step.tokens = answer.take(now, made.produced);
-    step.state = state_after(now, answer, all_made);
+    step.state = state_after(now, answer, all_produced);
   }
   if (step.state == stream_state::finished) {
     ++counters_.completed;
     stream.finished = true;
   }
-  const std::uint32_t desired = whole ? answer.total() : made.produced + 1;
+  const std::uint32_t desired = complete_only ? answer.total() : made.produced + 1;
   if (const auto left = batch_.progress(handle, desired, speed).remaining) {
     step.next_at = std::max(now + *left, answer.not_before());
   }
   return step;
 }
 
-// It never had a slot: the caller may be told that it did not run.
+// The request never had a slot, so that the response may say that it did not run.
 stream_step engine_standin::expire(open_stream& stream, batch_handle handle) {
   ++counters_.not_run;
   --counters_.accepted;
@@ -162,7 +163,7 @@
   return {stream_state::expired, stream.id, {}, {}};
 }
 
-// The prompt is in the cache once its first token is there.
+// The prompt is cached once the first token of its answer is produced.
 void engine_standin::cache_prompt(time_point now, open_stream& stream) {
   if (!stream.prefix.empty()) {
     cache_.store(now, stream.prefix);
@@ -181,7 +182,7 @@
   }
   batch_.remove(handle);
   streams_.erase(found);
-  note_load(now);
+  record_load(now);
 }
 
 bool engine_standin::cancel(time_point now, const request_id& id) {
@@ -191,7 +192,7 @@
       ++counters_.cancelled;
       stream.cut = true;
       batch_.remove(handle);
-      note_load(now);
+      record_load(now);
       return true;
     }
   }
@@ -206,7 +207,7 @@
     }
   }
   batch_.reset(batch_.settings());
-  note_load(now);
+  record_load(now);
 }
 
 }  // namespace arbutus::standin
--- a/src/standin/engine_server.cpp
+++ b/src/standin/engine_server.cpp
@@ -1,4 +1,4 @@
-// The HTTP shell of a stand-in engine: its paths, and answers that wait while it stands still.
+// HTTP interface of a stand-in engine: its paths, and responses that wait while it is paused.
 #include "standin/engine_server.h"
 
 #include <algorithm>
@@ -41,7 +41,7 @@
       }) {}
 
 void engine_server::handle(const http_request& request, response_writer& writer) {
-  if (handle_always(request, writer)) {
+  if (handle_control_request(request, writer)) {
     return;
   }
   const time_point received_at = monotonic_now();
@@ -52,7 +52,7 @@
   if (path == "/report") {
     report(writer);
   } else if (path == "/order") {
-    order_from(request, received_at, writer);
+    handle_order(request, received_at, writer);
   } else if (path == "/v1/completions") {
     complete(completion_kind::text, request, writer);
   } else if (path == "/v1/chat/completions") {
@@ -68,7 +68,7 @@
   }
 }
 
-bool engine_server::handle_always(const http_request& request, response_writer& writer) {
+bool engine_server::handle_control_request(const http_request& request, response_writer& writer) {
   if (request.target == "/faults") {
     std::unique_lock lock(mutex_);
     const auto result = set_faults(engine_, monotonic_now(), request.body);
@@ -93,16 +93,16 @@
   });
 }
 
-bool engine_server::may_answer(response_writer& writer) {
+bool engine_server::wait_until_responsive(response_writer& writer) {
   return wait_while(writer, [this] {
     const std::lock_guard lock(mutex_);
-    return engine_.paused() || engine_.silent();
+    return engine_.paused() || engine_.unresponsive();
   });
 }
 
 void engine_server::send(response_writer& writer, int status, const http_headers& headers,
                          std::string_view body) {
-  if (may_answer(writer)) {
+  if (wait_until_responsive(writer)) {
     writer.send(status, headers, body);
   }
 }
@@ -119,8 +119,8 @@
   send(writer, 200, json_content, body);
 }
 
-void engine_server::order_from(const http_request& request, time_point received_at,
-                               response_writer& writer) {
+void engine_server::handle_order(const http_request& request, time_point received_at,
+                                 response_writer& writer) {
   const outcome<order> decoded = decode_order(request.body);
   if (!is_ok(decoded)) {
     send_error(writer, 400, "invalid", "malformed order");
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -1,4 +1,4 @@
-// Orders, roles and faults of one stand-in engine.
+// Orders, replica membership and faults of one stand-in engine.
 #include "standin/engine_standin.h"
 
 #include <algorithm>
@@ -11,13 +11,13 @@
       vm_(vm),
       settings_(settings),
       incarnation_(settings.first_incarnation),
-      batch_(settings.usual.batch),
+      batch_(settings.default_profile.batch),
       cache_(settings.cache, settings.seed) {
-  fabric_.enter(*this);
+  fabric_.register_engine(*this);
 }
 
 engine_standin::~engine_standin() {
-  fabric_.leave(vm_);
+  fabric_.unregister_engine(vm_);
 }
 
 engine_state engine_standin::state(time_point now) const {
@@ -36,18 +36,19 @@
 
 const model_profile& engine_standin::profile(const model_id& model) const {
   const auto found = settings_.models.find(model);
-  return found == settings_.models.end() ? settings_.usual : found->second;
+  return found == settings_.models.end() ? settings_.default_profile : found->second;
 }
 
-// Each member holds its own part of the weights: a VM that takes another place loads anew.
-std::string engine_standin::shard_of(const order& o) const {
+// Each member holds its own part of the weights, by its rank: a VM whose rank changes has to load
+// again.
+std::string engine_standin::shard_name(const order& o) const {
   const std::vector<vm_id>& members = o.target.members;
   const auto rank = std::find(members.begin(), members.end(), vm_) - members.begin();
   return o.model.str() + '/' + o.model_version + '/' + std::to_string(rank) + '/' +
          std::to_string(members.size());
 }
 
-// Empty: none.
+// Reason for refusing the order; empty: accepted.
 std::string engine_standin::refusal(const order& o, time_point now, time_point received_at) const {
   if (o.vm != vm_) {
     return "for another VM";
@@ -58,7 +59,7 @@
   if (o.expected_incarnation != 0 && o.expected_incarnation != incarnation_) {
     return "for another incarnation";
   }
-  if (settings_.checks_tokens && o.target.gen < highest_) {
+  if (settings_.checks_tokens && o.target.gen < highest_generation_) {
     return "old fencing token";
   }
   const bool holds = group_.replica == o.target.replica;
@@ -87,7 +88,7 @@
     return {false, report(now), reason};
   }
   ++counters_.orders_done;
-  highest_ = std::max(highest_, o.target.gen);
+  highest_generation_ = std::max(highest_generation_, o.target.gen);
   switch (o.kind) {
     case order_kind::form:
       form(now, o);
@@ -97,8 +98,8 @@
       break;
     case order_kind::release:
       if (group_.replica == o.target.replica) {
-        drop_role(now);
-        resident_.clear();
+        leave_group_by_order(now);
+        loaded_shard_.clear();
       }
       break;
   }
@@ -111,22 +112,22 @@
   if (repeated) {
     return;
   }
-  drop_role(now);
+  leave_group_by_order(now);
   const model_profile& desired = profile(o.model);
-  const std::string shard = shard_of(o);
-  if (resident_ != shard) {
-    resident_ = shard;
-    resident_at_ = now + fabric_.weights().load_time(now, desired.weight_bytes);
+  const std::string shard = shard_name(o);
+  if (loaded_shard_ != shard) {
+    loaded_shard_ = shard;
+    loaded_at_ = now + fabric_.weights().load_time(now, desired.weight_bytes);
   }
-  ready_at_ = std::max(now, resident_at_) + settings_.form_time;
+  ready_at_ = std::max(now, loaded_at_) + settings_.form_time;
   group_ = o.target;
   model_ = o.model;
   model_version_ = o.model_version;
   batch_.reset(desired.batch);
 }
 
-// Requests that run at this moment are cut: only a drained engine gives up its role without harm.
-void engine_standin::drop_role(time_point now) {
+// Running requests are cut: only a drained engine can leave its replica without losing requests.
+void engine_standin::leave_group_by_order(time_point now) {
   const std::uint64_t before = counters_.cut;
   leave_group(now);
   counters_.cut_by_order += counters_.cut - before;
@@ -134,7 +135,7 @@
 
 void engine_standin::leave_group(time_point now) {
   cut_requests(now);
-  fabric_.member_lost(now, vm_);
+  fabric_.on_member_left(now, vm_);
   group_ = {};
   model_ = {};
   model_version_.clear();
@@ -143,8 +144,8 @@
 
 engine_report engine_standin::report(time_point now) {
   advance(now);
-  note_load(now);
-  const load_sample& load = load_.front();
+  record_load(now);
+  const load_sample& load = load_samples_.front();
   engine_report r;
   r.vm = vm_;
   r.incarnation = incarnation_;
@@ -161,16 +162,17 @@
   return r;
 }
 
-void engine_standin::note_load(time_point now) {
+void engine_standin::record_load(time_point now) {
   const load_sample s{now, batch_.running(), batch_.queued(), cache_.used()};
-  const bool unchanged = !load_.empty() && load_.back().running == s.running &&
-                         load_.back().queued == s.queued && load_.back().kv_used == s.kv_used;
+  const bool unchanged = !load_samples_.empty() && load_samples_.back().running == s.running &&
+                         load_samples_.back().queued == s.queued &&
+                         load_samples_.back().kv_used == s.kv_used;
   if (!unchanged) {
-    load_.push_back(s);
+    load_samples_.push_back(s);
   }
   const time_point shown = now - settings_.report_lag;
-  while (load_.size() > 1 && load_[1].at <= shown) {
-    load_.pop_front();
+  while (load_samples_.size() > 1 && load_samples_[1].at <= shown) {
+    load_samples_.pop_front();
   }
 }
 
@@ -178,14 +180,14 @@
   if (!up_) {
     return;
   }
-  fabric_.settle(now, vm_);
+  fabric_.advance_replicas_of(now, vm_);
   leave_group(now);
   up_ = false;
   paused_at_.reset();
-  resident_.clear();
-  highest_ = {};
+  loaded_shard_.clear();
+  highest_generation_ = {};
   cache_.clear();
-  load_.clear();
+  load_samples_.clear();
 }
 
 void engine_standin::restart(time_point now) {
@@ -199,7 +201,7 @@
   if (!up_ || paused()) {
     return;
   }
-  fabric_.settle(now, vm_);
+  fabric_.advance_replicas_of(now, vm_);
   paused_at_ = now;
 }
 
@@ -207,8 +209,8 @@
   if (!paused()) {
     return;
   }
-  fabric_.settle(now, vm_);
-  for (time_point* const end : {&ready_at_, &resident_at_}) {
+  fabric_.advance_replicas_of(now, vm_);
+  for (time_point* const end : {&ready_at_, &loaded_at_}) {
     if (*end > *paused_at_) {
       *end += now - *paused_at_;
     }
@@ -217,7 +219,7 @@
 }
 
 void engine_standin::set_straggler(time_point now, double speed) {
-  fabric_.settle(now, vm_);
+  fabric_.advance_replicas_of(now, vm_);
   speed_ = speed;
 }
 
--- a/src/standin/answer.cpp
+++ b/src/standin/expected_answer.cpp
@@ -1,5 +1,5 @@
-// Answers out of hashes.
-#include "standin/answer.h"
+// Generates the expected answers from hashes.
+#include "standin/expected_answer.h"
 
 #include <algorithm>
 #include <array>
@@ -14,7 +14,7 @@
 constexpr std::array<std::string_view, 16> syllables = {"ba", "den", "fo", "gil", "ha", "jor",
                                                         "ka", "lem", "mi", "nor", "po", "ras",
                                                         "se", "tul", "vo", "zin"};
-constexpr std::uint64_t least_syllables = 2;
+constexpr std::uint64_t min_syllables = 2;
 
 }  // namespace
 
@@ -31,12 +31,12 @@
 }
 
 std::string answer_token(std::uint64_t seed, std::uint32_t offset) {
-  // The offset goes through the generator before it meets the seed: seeds one step apart would
-  // otherwise give the same words one position apart.
+  // The offset is hashed before it is combined with the seed. Otherwise seeds that differ by one
+  // would give the same words shifted by one position.
   rng words(seed ^ rng(offset)());
   std::uint64_t bits = words();
   std::string token = " ";
-  const std::uint64_t count = least_syllables + bits % 2;
+  const std::uint64_t count = min_syllables + bits % 2;
   for (std::uint64_t i = 0; i < count; ++i) {
     bits >>= 4U;
     token += syllables[bits % syllables.size()];
--- a/src/standin/fault_commands.cpp
+++ b/src/standin/fault_commands.cpp
@@ -1,4 +1,4 @@
-// Faults and counters as JSON.
+// Parses fault commands from JSON and writes counters as JSON.
 #include "standin/fault_commands.h"
 
 #include <map>
@@ -17,15 +17,15 @@
 }
 
 template <class T>
-auto store_in(T& member) {
+auto assign_to(T& member) {
   return [&member](const json& value) { member = value.get<T>(); };
 }
 
-auto store_milliseconds_in(duration& member) {
+auto assign_milliseconds_to(duration& member) {
   return [&member](const json& value) { member = milliseconds(value); };
 }
 
-outcome<fault_set> apply(const setters& known, std::string_view text) {
+outcome<faults_applied> apply(const setters& known, std::string_view text) {
   try {
     const json command = json::parse(text);
     for (const auto& [name, value] : command.items()) {
@@ -36,7 +36,7 @@
     for (const auto& [name, value] : command.items()) {
       known.at(name)(value);
     }
-    return fault_set{};
+    return faults_applied{};
   } catch (const std::exception& e) {
     return refused{e.what()};
   }
@@ -52,40 +52,40 @@
 
 }  // namespace
 
-outcome<fault_set> set_faults(store_faults& faults, time_point now, std::string_view text) {
-  return apply({{"down", store_in(faults.down)},
+outcome<faults_applied> set_faults(store_faults& faults, time_point now, std::string_view text) {
+  return apply({{"down", assign_to(faults.down)},
                 {"down_ms", [&](const json& v) { faults.down_until = now + milliseconds(v); }},
-                {"latency_ms", store_milliseconds_in(faults.latency)},
-                {"writes_per_second", store_in(faults.writes_per_second)},
-                {"reads_per_second", store_in(faults.reads_per_second)},
-                {"lose_requests", store_in(faults.lose_requests)},
-                {"lose_replies", store_in(faults.lose_replies)},
-                {"lose_fraction", store_in(faults.lose_fraction)},
+                {"latency_ms", assign_milliseconds_to(faults.latency)},
+                {"writes_per_second", assign_to(faults.writes_per_second)},
+                {"reads_per_second", assign_to(faults.reads_per_second)},
+                {"lose_requests", assign_to(faults.lose_requests)},
+                {"lose_replies", assign_to(faults.lose_replies)},
+                {"lose_fraction", assign_to(faults.lose_fraction)},
                 {"cut_off", [&](const json& v) { faults.cut_off = data_centres(v); }}},
                text);
 }
 
-outcome<fault_set> set_faults(engine_standin& engine, time_point now, std::string_view text) {
-  next_answers& answers = engine.faults();
+outcome<faults_applied> set_faults(engine_standin& engine, time_point now, std::string_view text) {
+  pending_answer_faults& answers = engine.faults();
   const auto pause = [&](const json& v) { v.get<bool>() ? engine.pause(now) : engine.resume(now); };
   return apply({{"paused", pause},
                 {"speed", [&](const json& v) { engine.set_straggler(now, v.get<double>()); }},
                 {"leaving", [&](const json& v) { engine.set_leaving(v.get<bool>()); }},
-                {"silent", [&](const json& v) { engine.set_silent(v.get<bool>()); }},
+                {"silent", [&](const json& v) { engine.set_unresponsive(v.get<bool>()); }},
                 {"checks_tokens", [&](const json& v) { engine.set_checks_tokens(v.get<bool>()); }},
-                {"crossed", store_in(answers.crossed)},
-                {"late", store_in(answers.late)},
-                {"late_ms", store_milliseconds_in(answers.late_by)},
-                {"truncated", store_in(answers.truncated)},
-                {"duplicated", store_in(answers.duplicated)}},
+                {"crossed", assign_to(answers.crossed)},
+                {"late", assign_to(answers.late)},
+                {"late_ms", assign_milliseconds_to(answers.late_by)},
+                {"truncated", assign_to(answers.truncated)},
+                {"duplicated", assign_to(answers.duplicated)}},
                text);
 }
 
-outcome<fault_set> set_faults(service_faults& faults, std::string_view text) {
-  return apply({{"late", store_in(faults.late)},
-                {"late_ms", store_milliseconds_in(faults.late_by)},
-                {"cut_before", store_in(faults.cut_before)},
-                {"cut_after", store_in(faults.cut_after)}},
+outcome<faults_applied> set_faults(service_faults& faults, std::string_view text) {
+  return apply({{"late", assign_to(faults.late)},
+                {"late_ms", assign_milliseconds_to(faults.late_by)},
+                {"cut_before", assign_to(faults.cut_before)},
+                {"cut_after", assign_to(faults.cut_after)}},
                text);
 }
 
@@ -107,7 +107,7 @@
 }
 
 std::string encode(const service_counters& c) {
-  return json{{"executions", c.executions}, {"keys", c.keys}, {"most_per_key", c.most_per_key}}
+  return json{{"executions", c.executions}, {"keys", c.keys}, {"most_per_key", c.max_per_key}}
       .dump();
 }
 
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -1,4 +1,4 @@
-// The stand-ins of an inventory, put together.
+// Creates the stand-ins of an inventory and applies faults to them.
 #include "standin/fleet.h"
 
 #include <map>
@@ -16,19 +16,19 @@
 
 namespace {
 
-struct engine_site {
-  engine_site(engine_fabric& fabric, const vm_id& vm, const engine_settings& settings)
+struct engine_instance {
+  engine_instance(engine_fabric& fabric, const vm_id& vm, const engine_settings& settings)
       : engine(fabric, vm, settings) {}
 
   engine_standin engine;  // under the fleet's engine mutex
   std::unique_ptr<engine_server> server;
 };
 
-// One service and its instances, in the order of the inventory.
+// One service and its instances, ordered as in the inventory.
 struct service_group {
-  explicit service_group(const service_id& id) : site(id) {}
+  explicit service_group(const service_id& id) : shared(id) {}
 
-  service_site site;
+  shared_service shared;
   std::vector<std::unique_ptr<service_server>> instances;
 };
 
@@ -42,7 +42,7 @@
   return settings;
 }
 
-std::optional<bool> take_flag(nlohmann::json& command, const char* name) {
+std::optional<bool> extract_flag(nlohmann::json& command, const char* name) {
   if (!command.is_object() || !command.contains(name) || !command[name].is_boolean()) {
     return std::nullopt;
   }
@@ -51,8 +51,8 @@
   return value;
 }
 
-// Tries them on an engine that nobody uses, so that a refused command has changed nothing.
-outcome<fault_set> check_engine_faults(std::string_view command) {
+// Applies the command to an unused engine first, so that a refused command changes nothing.
+outcome<faults_applied> validate_engine_faults(std::string_view command) {
   engine_fabric fabric;
   engine_standin unused(fabric, vm_id{}, {});
   return set_faults(unused, monotonic_now(), command);
@@ -76,9 +76,9 @@
 
   template <class Action>
   auto with_service(const service_id& service, Action&& action) {
-    service_site& site = services.at(service)->site;
-    const std::lock_guard lock(site.mutex);
-    return std::forward<Action>(action)(site.service);
+    shared_service& shared = services.at(service)->shared;
+    const std::lock_guard lock(shared.mutex);
+    return std::forward<Action>(action)(shared.service);
   }
 
   void list(const vm_id& vm, vm_presence presence) {
@@ -97,22 +97,23 @@
   fiber_runtime& runtime;
   inventory assets;
   endpoint platform_address;
-  std::mutex engine_mutex;  // of the fabric and all engines
+  std::mutex engine_mutex;  // guards the fabric and all engines
   engine_fabric fabric;
   platform_standin platform;
-  // Servers come after what their handlers use.
-  std::map<vm_id, std::unique_ptr<engine_site>> engines;
+  // Servers are declared after what their handlers use, so that they are destroyed first.
+  std::map<vm_id, std::unique_ptr<engine_instance>> engines;
   std::map<service_id, std::unique_ptr<service_group>> services;
-  std::unique_ptr<platform_server> platform_shell;
+  std::unique_ptr<platform_server> platform_http;
 };
 
 void standin_fleet::state::start_engines(const fleet_settings& settings) {
   for (vm_record& vm : assets.vms) {
-    auto site = std::make_unique<engine_site>(fabric, vm.id, settings_of(vm, settings.engine));
-    site->server = std::make_unique<engine_server>(runtime, address_of(vm.address), engine_mutex,
-                                                   site->engine);
-    vm.address.port = site->server->port();
-    engines.emplace(vm.id, std::move(site));
+    auto started =
+        std::make_unique<engine_instance>(fabric, vm.id, settings_of(vm, settings.engine));
+    started->server = std::make_unique<engine_server>(runtime, address_of(vm.address), engine_mutex,
+                                                      started->engine);
+    vm.address.port = started->server->port();
+    engines.emplace(vm.id, std::move(started));
   }
 }
 
@@ -123,7 +124,7 @@
       group = std::make_unique<service_group>(target.service);
     }
     group->instances.push_back(
-        std::make_unique<service_server>(runtime, address_of(target.address), group->site));
+        std::make_unique<service_server>(runtime, address_of(target.address), group->shared));
     target.address.port = group->instances.back()->port();
   }
 }
@@ -135,10 +136,10 @@
   for (const vm_record& vm : assets.vms) {
     platform.vms.set(monotonic_now() - settings.vm_list_lag, vm.id, vm_presence::live);
   }
-  platform_shell = std::make_unique<platform_server>(
+  platform_http = std::make_unique<platform_server>(
       runtime, address_of(platform_address), platform,
       [this](const http_request& request, response_writer& writer) { faults(request, writer); });
-  platform_address.port = platform_shell->port();
+  platform_address.port = platform_http->port();
 }
 
 void standin_fleet::state::kill(const vm_id& vm) {
@@ -152,8 +153,9 @@
   engines.at(vm)->server->open();
 }
 
-// Over HTTP: /faults/vm/VM takes what an engine's own /faults takes, "killed" and "leaving" besides
-// with all that follows from them; /faults/service/SERVICE.
+// POST /faults/vm/VM takes the fault names of an engine's own /faults and also "killed"; here
+// "killed" closes the engine's port and "leaving" changes the list of VMs, too.
+// POST /faults/service/SERVICE takes the fault names of a service.
 void standin_fleet::state::faults(const http_request& request, response_writer& writer) {
   const auto vm = after(request.target, "/faults/vm/");
   if (vm && assets.find_vm(vm_id{*vm}) != nullptr) {
@@ -174,13 +176,13 @@
 void standin_fleet::state::vm_faults(const vm_id& vm, const http_request& request,
                                      response_writer& writer) {
   auto command = nlohmann::json::parse(request.body, nullptr, false);
-  const auto killed = take_flag(command, "killed");
+  const auto killed = extract_flag(command, "killed");
   const auto engine_command = command.dump();
-  if (const auto valid = check_engine_faults(engine_command); !is_ok(valid)) {
+  if (const auto valid = validate_engine_faults(engine_command); !is_ok(valid)) {
     send_fault_result(writer, valid);
     return;
   }
-  if (const auto leaving = take_flag(command, "leaving")) {
+  if (const auto leaving = extract_flag(command, "leaving")) {
     list(vm, *leaving ? vm_presence::leaving : vm_presence::live);
   }
   if (!engines.contains(vm)) {
@@ -262,18 +264,18 @@
 
 void standin_fleet::remove_vm(const vm_id& vm) {
   state_->kill(vm);
-  state_->list(vm, vm_presence::gone);
+  state_->list(vm, vm_presence::removed);
 }
 
-void standin_fleet::set_silent(const vm_id& vm, bool silent) {
-  state_->with_engine(vm, [&](engine_standin& e, time_point) { e.set_silent(silent); });
+void standin_fleet::set_unresponsive(const vm_id& vm, bool unresponsive) {
+  state_->with_engine(vm, [&](engine_standin& e, time_point) { e.set_unresponsive(unresponsive); });
 }
 
 void standin_fleet::set_checks_tokens(const vm_id& vm, bool checks) {
   state_->with_engine(vm, [&](engine_standin& e, time_point) { e.set_checks_tokens(checks); });
 }
 
-void standin_fleet::set_answer_faults(const vm_id& vm, const next_answers& faults) {
+void standin_fleet::set_answer_faults(const vm_id& vm, const pending_answer_faults& faults) {
   state_->with_engine(vm, [&](engine_standin& e, time_point) { e.faults() = faults; });
 }
 
@@ -340,8 +342,8 @@
 std::uint32_t standin_fleet::runs(const request_id& id) {
   const std::lock_guard lock(state_->engine_mutex);
   std::uint32_t sum = 0;
-  for (const auto& [vm, site] : state_->engines) {
-    sum += site->engine.runs(id);
+  for (const auto& [vm, target] : state_->engines) {
+    sum += target->engine.runs(id);
   }
   return sum;
 }
--- a/src/standin/hosted_engine.cpp
+++ b/src/standin/hosted_engine.cpp
@@ -1,4 +1,4 @@
-// The stand-in engine's orders.
+// Orders to a stand-in engine.
 #include "standin/hosted_engine.h"
 
 #include <algorithm>
@@ -45,19 +45,19 @@
       }
       break;
   }
-  remember(now);
+  record_snapshot(now);
   return result;
 }
 
 order_outcome hosted_engine::join(time_point now, const replica_order& order) {
-  if (order.replica.epoch < newest_epoch_) {
+  if (order.replica.epoch < highest_epoch_) {
     return order_outcome::outdated;
   }
   if (is_in(order.replica)) {
     return members_ == order.members ? order_outcome::already_done : order_outcome::outdated;
   }
-  newest_epoch_ = order.replica.epoch;
-  // Orders name engines, not their lives.
+  highest_epoch_ = order.replica.epoch;
+  // Orders name engines, not their incarnations.
   const auto position = std::find_if(
       order.members.begin(), order.members.end(),
       [this](const target_id& member) { return engine_of(member) == engine_of(record_.id); });
@@ -81,27 +81,27 @@
   if (ready_at_ && now >= *ready_at_ && record_.member_of) {
     record_.member_of->state = member_state::ready;
     record_.loaded = last_model_;
-    ready_in_.push_back(record_.member_of->replica);
+    ready_replicas_.push_back(record_.member_of->replica);
     const time_point at = *ready_at_;
     ready_at_.reset();
-    remember(at);
+    record_snapshot(at);
   }
   if (open_at_ && now >= *open_at_ && record_.member_of) {
     record_.member_of->state = member_state::open;
     const time_point at = *open_at_;
     open_at_.reset();
-    remember(at);
+    record_snapshot(at);
   }
 }
 
-void hosted_engine::remember(time_point now) {
-  past_.push_back({now, record_.member_of, record_.loaded, orders_});
+void hosted_engine::record_snapshot(time_point now) {
+  history_.push_back({now, record_.member_of, record_.loaded, orders_});
 }
 
 target_report hosted_engine::report(time_point now) const {
   target_report result;
   result.incarnation = record_.id;
-  for (const snapshot& s : past_) {
+  for (const snapshot& s : history_) {
     if (s.at > now - settings_.report_lag) {
       break;
     }
@@ -122,7 +122,7 @@
 }
 
 bool hosted_engine::was_ready_in(const replica_key& key) const {
-  return std::find(ready_in_.begin(), ready_in_.end(), key) != ready_in_.end();
+  return std::find(ready_replicas_.begin(), ready_replicas_.end(), key) != ready_replicas_.end();
 }
 
 }  // namespace arbutus::standin
--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -1,4 +1,4 @@
-// The stand-in platform's HTTP.
+// HTTP servers of the stand-in platform: store, engines, plain service.
 #include "standin/hosted_platform.h"
 
 #include <algorithm>
@@ -17,13 +17,13 @@
 
 using nlohmann::json;
 
-constexpr duration tick = 10ms;
-constexpr duration list_delay = 400ms;  // until the list drops a dead engine
-constexpr std::uint64_t first_life = 1'700'000'000'000;
-constexpr const char* plain_name = "i-api";
+constexpr duration refresh_interval = 10ms;
+constexpr duration unlist_delay = 400ms;  // until a dead engine is removed from the list
+constexpr std::uint64_t first_start_stamp = 1'700'000'000'000;
+constexpr const char* plain_instance_id = "i-api";
 
-// The value of `name` in a query, not unescaped: keys here are plain.
-std::string query_of(const std::string& target, const std::string& name) {
+// The value of `name` in a query string. Not percent-decoded: keys here need no escaping.
+std::string query_parameter(const std::string& target, const std::string& name) {
   const auto at = target.find(name + "=");
   if (at == std::string::npos) {
     return {};
@@ -39,8 +39,8 @@
           {"state", std::string(to_string(own->state))}};
 }
 
-// The mark of a incarnation, as a whole number; engines without one tell none.
-void add_life(json& document, const target_id& incarnation) {
+// The start stamp that is part of the incarnation's id, as an integer; ids without one add none.
+void add_start_stamp(json& document, const target_id& incarnation) {
   const std::string& text = incarnation.str();
   if (const auto at = text.find(incarnation_separator); at != std::string::npos) {
     document["born"] = std::stoull(text.substr(at + 1));
@@ -57,7 +57,7 @@
   }
 }
 
-struct store_row_state {
+struct stored_row {
   std::string value;
   std::uint64_t version{};
   bool removed = false;
@@ -69,13 +69,13 @@
   struct engine_process {
     hosted_engine engine;
     bool dead = false;
-    time_point drop_at{};
-    std::string listed;  // its record as last written
+    time_point unlist_at{};
+    std::string listed_record;  // as last written to the list; empty: not listed
     std::unique_ptr<restartable_server> server;
   };
 
-  // A process that a request has ended: its server closes, and opens again as another incarnation.
-  struct process_end {
+  // A process that a request has crashed: its server closes, and reopens as another incarnation.
+  struct process_crash {
     restartable_server* server;
     engine_process* engine;  // null: the plain service
     bool closed = false;
@@ -93,7 +93,7 @@
     tables[table][key] = {{}, ++version, true};
   }
 
-  json row_json(const std::string& table, const std::string& key, const store_row_state& row) {
+  json row_json(const std::string& table, const std::string& key, const stored_row& row) {
     json entry = {{"table", table}, {"part", ""}, {"key", key}, {"ver", row.version}};
     if (row.removed) {
       entry["removed"] = true;
@@ -113,7 +113,7 @@
     return rows;
   }
 
-  std::string rows_of(const std::string& table) {
+  std::string rows_response(const std::string& table) {
     json rows = json::array();
     const std::lock_guard guard(mutex);
     for (const auto& [key, row] : tables[table]) {
@@ -124,8 +124,8 @@
     return json{{"rows", rows}, {"has-more", false}, {"ver", version}}.dump();
   }
 
-  // Empty while there is nothing to tell and `until` has not come.
-  std::string changes_or_nothing(const std::string& table, std::uint64_t after, time_point until) {
+  // Empty while there are no changes and `until` is in the future.
+  std::string changes_if_ready(const std::string& table, std::uint64_t after, time_point until) {
     const std::lock_guard guard(mutex);
     const json rows = changes(table, after);
     if (rows.empty() && monotonic_now() < until) {
@@ -140,9 +140,9 @@
       send_json(writer, 503, "{}");
       return;
     }
-    const std::string table = query_of(request.target, "table");
+    const std::string table = query_parameter(request.target, "table");
     if (path == "/api/rows-get") {
-      send_slowly(writer, rows_of(table));
+      send_at_rate(writer, rows_response(table));
     } else if (path == "/api/rows-feed") {
       feed(request, writer, table);
     } else if (path == "/api/rows-tx") {
@@ -153,34 +153,35 @@
   }
 
   void feed(const http_request& request, response_writer& writer, const std::string& table) {
-    const std::uint64_t after = std::stoull("0" + query_of(request.target, "after"));
+    const std::uint64_t after = std::stoull("0" + query_parameter(request.target, "after"));
     const auto wait =
-        std::chrono::milliseconds(std::stoull("0" + query_of(request.target, "wait-ms")));
+        std::chrono::milliseconds(std::stoull("0" + query_parameter(request.target, "wait-ms")));
     const time_point until = monotonic_now() + wait;
     for (;;) {
-      const std::string body = changes_or_nothing(table, after, until);
+      const std::string body = changes_if_ready(table, after, until);
       if (!body.empty()) {
-        send_slowly(writer, body);
+        send_at_rate(writer, body);
         return;
       }
-      if (down || !wait_for(writer, tick)) {
+      if (down || !wait_for(writer, refresh_interval)) {
         send_json(writer, 503, "{}");
         return;
       }
     }
   }
 
-  void send_slowly(response_writer& writer, const std::string& body) {
+  void send_at_rate(response_writer& writer, const std::string& body) {
     const std::size_t rate = bytes_per_s;
     if (rate == 0) {
       send_json(writer, 200, body);
       return;
     }
-    constexpr std::size_t ticks_per_s = 1s / tick;
-    const std::size_t piece = std::max<std::size_t>(rate / ticks_per_s, 1);
+    constexpr std::size_t pieces_per_s = 1s / refresh_interval;
+    const std::size_t piece = std::max<std::size_t>(rate / pieces_per_s, 1);
     writer.start(200, {{"Content-Type", "application/json"}});
     for (std::size_t at = 0; at < body.size(); at += piece) {
-      if (!wait_for(writer, tick) || !writer.write(std::string_view(body).substr(at, piece))) {
+      if (!wait_for(writer, refresh_interval) ||
+          !writer.write(std::string_view(body).substr(at, piece))) {
         return;
       }
     }
@@ -189,19 +190,19 @@
 
   void write(const http_request& request, response_writer& writer) {
     const json body = json::parse(request.body, nullptr, false);
-    const std::uint64_t made = body.is_object() ? apply(body) : 0;
-    send_json(writer, made == 0 ? 412 : 200, json{{"ver", made}}.dump());
+    const std::uint64_t new_version = body.is_object() ? apply(body) : 0;
+    send_json(writer, new_version == 0 ? 412 : 200, json{{"ver", new_version}}.dump());
   }
 
-  // 0: a condition does not hold.
+  // Applies a transaction and returns the store's version; 0 if a precondition does not hold.
   std::uint64_t apply(const json& body) {
     const std::lock_guard guard(mutex);
     for (const json& c : body.value("precondition", json::array())) {
       const auto& rows = tables[c.value("table", "")];
       const auto found = rows.find(c.value("key", ""));
-      const std::uint64_t there =
+      const std::uint64_t current =
           found == rows.end() || found->second.removed ? 0 : found->second.version;
-      if (there != c.value("ver", std::uint64_t{0})) {
+      if (current != c.value("ver", std::uint64_t{0})) {
         return 0;
       }
     }
@@ -237,7 +238,7 @@
     const target_report report = e.engine.report(monotonic_now());
     json document = {{"sequence", report.orders}, {"busy", false}, {"pace", 1.0}};
     add_state(document, report.member_of, report.loaded);
-    add_life(document, report.incarnation);
+    add_start_stamp(document, report.incarnation);
     return document.dump();
   }
 
@@ -246,7 +247,7 @@
     return e.engine.take(monotonic_now(), o);
   }
 
-  target_id life_of_engine(const engine_process& e) {
+  target_id incarnation_of_process(const engine_process& e) {
     const std::lock_guard guard(mutex);
     return e.engine.record().id;
   }
@@ -279,7 +280,7 @@
     send_json(writer, found == statuses.end() ? 400 : found->second, "{}");
   }
 
-  [[nodiscard]] bool is_whole(const engine_process& head) const {
+  [[nodiscard]] bool is_complete(const engine_process& head) const {
     if (!head.engine.is_open() || head.dead) {
       return false;
     }
@@ -292,13 +293,13 @@
                        });
   }
 
-  void note_run(const http_request& request) {
+  void count_run(const http_request& request) {
     const std::lock_guard guard(mutex);
     ++runs[header_text(request, "X-Request-Id")];
     leaked += request.headers.find("Authorization") || !request.headers.find("X-Tenant") ? 1 : 0;
   }
 
-  void note_arrival(const std::string& at) {
+  void record_arrival(const std::string& at) {
     const std::lock_guard guard(mutex);
     arrivals[at].push_back(monotonic_now());
   }
@@ -312,23 +313,23 @@
     return headers;
   }
 
-  void note_engine(const engine_process& e, const std::string& request) {
+  void record_engine_of_run(const engine_process& e, const std::string& request) {
     const std::lock_guard guard(mutex);
     engine_of_run[request] = std::string(engine_of(e.engine.record().id));
   }
 
   void run(engine_process& e, const http_request& request, response_writer& writer) {
     const std::string id = header_text(request, "X-Request-Id");
-    note_arrival(std::string(engine_of(e.engine.record().id)));
+    record_arrival(std::string(engine_of(e.engine.record().id)));
     if (!is_open(e)) {
       writer.send(503, {{"X-Not-Executed", "1"}, {"X-Request-Id", id}}, "");
       return;
     }
-    note_run(request);
-    note_engine(e, id);
-    const target_id incarnation = life_of_engine(e);
+    count_run(request);
+    record_engine_of_run(e, id);
+    const target_id incarnation = incarnation_of_process(e);
     if (is_poison(request)) {
-      begin_to_end(e, request, writer);
+      run_poison_request(e, request, writer);
       return;
     }
     http_headers headers = answer_headers(id);
@@ -336,13 +337,13 @@
     writer.start(200, headers);
     const int from = static_cast<int>(header_number(request, "Last-Event-Id", 0));
     for (int i = from + 1; i <= settings.events; ++i) {
-      if (life_of_engine(e) != incarnation) {
-        return;  // it has started again, and its connections are gone
+      if (incarnation_of_process(e) != incarnation) {
+        return;  // the engine has restarted, and its connections are closed
       }
-      // A head without a member moves nothing, and does not say so.
+      // A head that has lost a member stalls without reporting it.
       const bool stalls = !wait_while(writer, [&] {
         const std::lock_guard guard(mutex);
-        return e.engine.record().id == incarnation && !is_whole(e);
+        return e.engine.record().id == incarnation && !is_complete(e);
       });
       if (stalls || !wait_for(writer, settings.event_gap)) {
         return;
@@ -354,47 +355,49 @@
     writer.finish();
   }
 
-  // ---- requests that end what runs them ----
+  // ---- poison requests: they crash the target that runs them ----
 
   static bool is_poison(const http_request& request) {
-    return request.target.find(poison_mark) != std::string::npos;
+    return request.target.find(poison_path_marker) != std::string::npos;
   }
 
-  // Its connections break and its port refuses, until it has started again.
-  void end_process(restartable_server& server, engine_process* engine, const std::string& path) {
+  // Breaks the connections and closes the port until the process has restarted.
+  void crash_process(restartable_server& server, engine_process* engine, const std::string& path) {
     const std::lock_guard guard(mutex);
-    const bool ending = std::any_of(process_ends.begin(), process_ends.end(),
-                                    [&](const process_end& p) { return p.server == &server; });
-    if (ending) {
+    const bool already_crashing =
+        std::any_of(process_crashes.begin(), process_crashes.end(),
+                    [&](const process_crash& p) { return p.server == &server; });
+    if (already_crashing) {
       return;
     }
     ++ends[path];
     const time_point now = monotonic_now();
     if (engine != nullptr) {
       engine->dead = true;
-      engine->drop_at = now + list_delay;
+      engine->unlist_at = now + unlist_delay;
     }
-    process_ends.push_back({&server, engine, false, now + settings.started_after});
+    process_crashes.push_back({&server, engine, false, now + settings.restart_delay});
   }
 
-  void begin_to_end(engine_process& e, const http_request& request, response_writer& writer) {
+  void run_poison_request(engine_process& e, const http_request& request, response_writer& writer) {
     const std::string id = header_text(request, "X-Request-Id");
     writer.start(200, {{"X-Request-Id", id},
                        {"X-Response-Seal", "seal." + id},
                        {"Content-Type", "text/event-stream"}});
-    if (!wait_for(writer, settings.ends_after)) {
+    if (!wait_for(writer, settings.crash_delay)) {
       return;
     }
-    end_process(*e.server, &e, request.target);
-    wait_for(writer, settings.started_after);
+    crash_process(*e.server, &e, request.target);
+    wait_for(writer, settings.restart_delay);
   }
 
-  // On the refresher, outside the handlers of these servers: closing one waits for its handlers.
-  void close_and_open() {
+  // Runs on the refresher and never in a handler of these servers, because closing a server waits
+  // for its handlers.
+  void restart_crashed_processes() {
     std::vector<restartable_server*> closing;
     {
       const std::lock_guard guard(mutex);
-      for (process_end& p : process_ends) {
+      for (process_crash& p : process_crashes) {
         if (!p.closed) {
           p.closed = true;
           closing.push_back(p.server);
@@ -404,25 +407,25 @@
     for (restartable_server* server : closing) {
       server->close();
     }
-    for (restartable_server* server : start_again()) {
+    for (restartable_server* server : finish_restarts()) {
       server->open();
     }
   }
 
-  std::vector<restartable_server*> start_again() {
+  std::vector<restartable_server*> finish_restarts() {
     std::vector<restartable_server*> opening;
     const time_point now = monotonic_now();
     const std::lock_guard guard(mutex);
-    std::erase_if(process_ends, [&](const process_end& p) {
+    std::erase_if(process_crashes, [&](const process_crash& p) {
       if (!p.closed || now < p.starts_at) {
         return false;
       }
       if (p.engine != nullptr) {
         hosted_engine& engine = p.engine->engine;
-        engine.start_again(incarnation_of(engine_of(engine.record().id), ++newest_life));
+        engine.start_again(incarnation_of(engine_of(engine.record().id), ++last_start_stamp));
         p.engine->dead = false;
       } else {
-        list_plain(++newest_life);
+        list_plain_service(++last_start_stamp);
       }
       opening.push_back(p.server);
       return true;
@@ -432,30 +435,30 @@
 
   // ---- plain service ----
 
-  void list_plain(std::uint64_t incarnation) {
+  void list_plain_service(std::uint64_t incarnation) {
     const json record = {{"service", "api"},
                          {"address", settings.ip + ":" + std::to_string(plain->port())},
                          {"zone", settings.data_centres.front()},
                          {"slots", 6},
                          {"born", incarnation},
                          {"state", "ready"}};
-    put("servers", plain_name, record.dump());
+    put("servers", plain_instance_id, record.dump());
   }
 
   void serve_plain(const http_request& request, response_writer& writer) {
     const std::string id = header_text(request, "X-Request-Id");
-    note_arrival(plain_name);
-    note_run(request);
+    record_arrival(plain_instance_id);
+    count_run(request);
     if (is_poison(request)) {
-      wait_for(writer, settings.ends_after);
-      end_process(*plain, nullptr, request.target);
-      wait_for(writer, settings.started_after);
+      wait_for(writer, settings.crash_delay);
+      crash_process(*plain, nullptr, request.target);
+      wait_for(writer, settings.restart_delay);
       return;
     }
     writer.send(200, answer_headers(id), "card " + id);
   }
 
-  // ---- the list ----
+  // ---- list of targets ----
 
   std::string record_json(const engine_process& e) {
     const target_record& r = e.engine.record();
@@ -470,7 +473,7 @@
       document["staged"].push_back(m.str());
     }
     add_state(document, r.member_of, r.loaded);
-    add_life(document, r.id);
+    add_start_stamp(document, r.id);
     return document.dump();
   }
 
@@ -479,22 +482,22 @@
     const std::lock_guard guard(mutex);
     for (auto& [id, e] : engines) {
       if (e->dead) {
-        if (now >= e->drop_at && !e->listed.empty()) {
-          e->listed.clear();
+        if (now >= e->unlist_at && !e->listed_record.empty()) {
+          e->listed_record.clear();
           remove("servers", id);
         }
         continue;
       }
       e->engine.advance(now);
       std::string record = record_json(*e);
-      if (record != e->listed) {
+      if (record != e->listed_record) {
         put("servers", id, record);
-        e->listed = std::move(record);
+        e->listed_record = std::move(record);
       }
     }
   }
 
-  std::string configuration(bool keys, std::size_t more_routes) {
+  std::string configuration(bool keys, std::size_t extra_routes) {
     ++config_version;
     json route = {
         {"name", "summary"},         {"hostname", hosted_host}, {"prefix", "/llm/"},
@@ -516,7 +519,7 @@
                    {"far_x", 2.5},
                    {"models", json::array({model})}};
     json routes = json::array({route, once});
-    for (std::size_t i = 0; i < more_routes; ++i) {
+    for (std::size_t i = 0; i < extra_routes; ++i) {
       once["name"] = "extra-" + std::to_string(i);
       once["prefix"] = extra_route(i);
       routes.push_back(once);
@@ -534,8 +537,8 @@
 
   fiber_runtime& runtime;
   hosted_platform_settings settings;
-  mutable std::mutex mutex;  // of all below; never held across a wait
-  std::map<std::string, std::map<std::string, store_row_state>> tables;
+  mutable std::mutex mutex;  // guards all below; never held across a wait
+  std::map<std::string, std::map<std::string, stored_row>> tables;
   std::uint64_t version = 0;
   std::uint64_t config_version = 0;
   std::map<std::string, std::unique_ptr<engine_process>> engines;
@@ -544,14 +547,14 @@
   std::map<std::string, int> ends;                          // by path
   std::map<std::string, std::vector<time_point>> arrivals;  // by target
   std::string send_limit;
-  std::vector<process_end> process_ends;
+  std::vector<process_crash> process_crashes;
   int leaked = 0;
-  std::uint64_t newest_life = first_life;
+  std::uint64_t last_start_stamp = first_start_stamp;
   std::atomic<bool> down{false};
-  std::atomic<std::size_t> bytes_per_s{0};  // of each answer of the store; 0: no bound
+  std::atomic<std::size_t> bytes_per_s{0};  // of each response of the store; 0: no limit
   std::unique_ptr<http_server> store;
   std::unique_ptr<restartable_server> plain;
-  std::unique_ptr<periodic> refresher;  // last: uses the rest
+  std::unique_ptr<periodic> refresher;  // last: uses the other members
 };
 
 hosted_platform::hosted_platform(fiber_runtime& runtime, const hosted_platform_settings& settings)
@@ -566,7 +569,7 @@
   for (const std::string& data_centre : settings.data_centres) {
     for (std::size_t i = 0; i < settings.engines_each; ++i) {
       target_record record;
-      record.id = incarnation_of("i-" + data_centre + "-" + std::to_string(i), first_life);
+      record.id = incarnation_of("i-" + data_centre + "-" + std::to_string(i), first_start_stamp);
       record.service = service_id{"llm"};
       record.data_centre = data_centre_id{data_centre};
       record.domain = fabric_domain_id{data_centre + "-d0"};
@@ -581,10 +584,10 @@
       s.engines.emplace(std::string(engine_of(record.id)), std::move(process));
     }
   }
-  s.list_plain(first_life);
+  s.list_plain_service(first_start_stamp);
   configure();
-  s.refresher = std::make_unique<periodic>(runtime, 0, tick, [&s] {
-    s.close_and_open();
+  s.refresher = std::make_unique<periodic>(runtime, 0, refresh_interval, [&s] {
+    s.restart_crashed_processes();
     s.refresh();
   });
 }
@@ -602,9 +605,9 @@
   return state_->store->port();
 }
 
-void hosted_platform::configure(bool keys, std::size_t more_routes) {
+void hosted_platform::configure(bool keys, std::size_t extra_routes) {
   const std::lock_guard guard(state_->mutex);
-  state_->put("op", "config", state_->configuration(keys, more_routes));
+  state_->put("op", "config", state_->configuration(keys, extra_routes));
 }
 
 std::string hosted_platform::extra_route(std::size_t index) {
@@ -622,7 +625,7 @@
 std::string hosted_platform::find_member(bool head) const {
   const std::lock_guard guard(state_->mutex);
   for (const auto& [id, e] : state_->engines) {
-    if (state_->is_whole(*e)) {
+    if (state_->is_complete(*e)) {
       return head ? id : std::string(engine_of(e->engine.members().back()));
     }
   }
@@ -635,7 +638,7 @@
     const std::lock_guard guard(state_->mutex);
     state::engine_process& e = *state_->engines.at(id);
     e.dead = true;
-    e.drop_at = monotonic_now() + list_delay;
+    e.unlist_at = monotonic_now() + unlist_delay;
     server = e.server.get();
   }
   server->close();
@@ -644,7 +647,7 @@
 void hosted_platform::restart_engine(const std::string& id) {
   const std::lock_guard guard(state_->mutex);
   hosted_engine& engine = state_->engines.at(id)->engine;
-  engine.start_again(incarnation_of(id, ++state_->newest_life));
+  engine.start_again(incarnation_of(id, ++state_->last_start_stamp));
 }
 
 void hosted_platform::write_entry(const std::string& key, const std::string& value) {
@@ -656,7 +659,7 @@
   const std::lock_guard guard(state_->mutex);
   std::size_t count = 0;
   for (const auto& [id, e] : state_->engines) {
-    count += state_->is_whole(*e) ? 1 : 0;
+    count += state_->is_complete(*e) ? 1 : 0;
   }
   return count;
 }
--- a/src/standin/platform_server.cpp
+++ b/src/standin/platform_server.cpp
@@ -1,4 +1,4 @@
-// The HTTP shell of the platform.
+// HTTP interface of the stand-in platform.
 #include "standin/platform_server.h"
 
 #include <nlohmann/json.hpp>
@@ -23,26 +23,26 @@
     case store_status::limited:
       return 429;
     case store_status::down:
-    case store_status::cut:
+    case store_status::no_response:
       return 503;
   }
   return 500;
 }
 
-// Sends what a store has answered, after its latency.
+// Sends the result of a store call after the store's latency.
 void reply(response_writer& writer, store_status status, duration latency,
            const http_headers& headers, std::string_view body) {
   if (latency > duration{} && !wait_for(writer, latency)) {
     return;
   }
-  if (status == store_status::cut) {
-    cut(writer);
+  if (status == store_status::no_response) {
+    close_without_response(writer);
   } else {
     writer.send(http_status(status), headers, body);
   }
 }
 
-// The body of a row goes out on reads only: a writer learns the version, and reads if it cares.
+// The value of a row is sent on reads only; a writer gets the version and can read the row.
 void reply(response_writer& writer, const table_reply& r, bool with_value) {
   http_headers headers{{"content-type", "application/octet-stream"}};
   if (r.status == store_status::ok || r.status == store_status::conflict) {
@@ -56,13 +56,13 @@
   return data_centre_id{header_text(request, "x-data-centre")};
 }
 
-outcome<fault_set> set_platform_faults(platform_standin& platform, time_point now,
-                                       std::string_view text) {
+outcome<faults_applied> set_platform_faults(platform_standin& platform, time_point now,
+                                            std::string_view text) {
   const json command = json::parse(text, nullptr, false);
   if (!command.is_object()) {
     return refused{"not a JSON object"};
   }
-  outcome<fault_set> result = fault_set{};
+  outcome<faults_applied> result = faults_applied{};
   for (const auto& [name, value] : command.items()) {
     if (name == "table") {
       result = set_faults(platform.table.faults(), now, value.dump());
@@ -102,7 +102,7 @@
   } else if (request.target == "/faults") {
     faults(request, writer);
   } else if (request.target == "/snapshot" || request.target == "/restore") {
-    back_up(request.target == "/restore", writer);
+    snapshot_or_restore(request.target == "/restore", writer);
   } else if (request.target == "/counters") {
     counters(writer);
   } else if (request.target.starts_with("/faults/") && other_faults_) {
@@ -164,7 +164,7 @@
   const auto entries = platform_.vms.read(monotonic_now());
   lock.unlock();
   if (unreachable) {
-    cut(writer);
+    close_without_response(writer);
     return;
   }
   json list = json::array();
@@ -181,7 +181,7 @@
   send_fault_result(writer, result);
 }
 
-void platform_server::back_up(bool restore, response_writer& writer) {
+void platform_server::snapshot_or_restore(bool restore, response_writer& writer) {
   std::unique_lock lock(platform_.mutex);
   if (restore) {
     platform_.table.restore(platform_.backup);
--- a/src/standin/service_server.h
+++ b/src/standin/service_server.h
@@ -1,5 +1,5 @@
-// A stand-in service behind HTTP: any method and path, `GET /standin/executions` for what it did,
-// `POST /faults`.
+// HTTP server of a stand-in service: accepts any method and path; `GET /standin/executions` returns
+// its counters, `POST /faults` sets faults.
 #pragma once
 
 #include <mutex>
@@ -10,21 +10,22 @@
 
 namespace arbutus::standin {
 
-// What all instances of one service share: a call that runs on two of them has run twice.
-struct service_site {
-  explicit service_site(const service_id& id) : service(id) {}
+// State shared by all instances of one service, so that a call which runs on two of them counts as
+// executed twice.
+struct shared_service {
+  explicit shared_service(const service_id& id) : service(id) {}
 
   std::mutex mutex;
   service_standin service;  // under mutex
 };
 
-// One instance.
+// One instance of a service.
 class service_server {
  public:
-  // `site` outlives the server.
-  service_server(fiber_runtime& runtime, const socket_address& address, service_site& site);
+  // `shared` outlives the server.
+  service_server(fiber_runtime& runtime, const socket_address& address, shared_service& shared);
 
-  // When the process of the instance dies and comes back.
+  // Close and reopen the port when the instance's process dies and restarts.
   void close() { server_.close(); }
   void open() { server_.open(); }
 
@@ -34,7 +35,7 @@
   void handle(const http_request& request, response_writer& writer);
   void call(const http_request& request, response_writer& writer);
 
-  service_site& site_;
+  shared_service& shared_;
   restartable_server server_;  // last: its handlers use the other
 };
 
--- a/src/standin/service_standin.cpp
+++ b/src/standin/service_standin.cpp
@@ -1,4 +1,4 @@
-// Calls of a plain service, recorded.
+// Executes and records the calls of a stand-in service.
 #include "standin/service_standin.h"
 
 #include <algorithm>
@@ -19,13 +19,13 @@
 
 service_reply service_standin::call(const service_call& c) {
   service_reply reply;
-  reply.cut = take_one(faults_.cut_before);
+  reply.cut = decrement_if_positive(faults_.cut_before);
   if (reply.cut) {
     return reply;
   }
   record(c);
-  reply.cut = take_one(faults_.cut_after);
-  if (take_one(faults_.late)) {
+  reply.cut = decrement_if_positive(faults_.cut_after);
+  if (decrement_if_positive(faults_.late)) {
     reply.late_by = faults_.late_by;
   }
   reply.body = expected_body(service_, c);
@@ -40,7 +40,7 @@
   }
   const std::uint32_t count = ++executions_[key];
   counters_.keys = executions_.size();
-  counters_.most_per_key = std::max(counters_.most_per_key, count);
+  counters_.max_per_key = std::max(counters_.max_per_key, count);
 }
 
 std::uint32_t service_standin::executions_of(std::string_view key) const {
--- a/src/standin/standin_answer.cpp
+++ b/src/standin/standin_answer.cpp
@@ -1,15 +1,15 @@
-// Tokens of one answer, in order, faults aside.
+// Produces the tokens of one answer in order, with its faults.
 #include "standin/standin_answer.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "standin/answer.h"
+#include "standin/expected_answer.h"
 
 namespace arbutus::standin {
 
 standin_answer::standin_answer(const generation_request& request, const answer_faults& faults)
-    : shown_as_(request.id),
+    : response_id_(request.id),
       seed_(answer_seed(request.model, request.prompt)),
       faults_(faults),
       first_(std::min(request.resume_offset, request.max_tokens)),
@@ -34,12 +34,12 @@
       tokens.push_back(tokens.back());
     }
   }
-  shown_ = shown_ || !tokens.empty();
+  has_sent_tokens_ = has_sent_tokens_ || !tokens.empty();
   return tokens;
 }
 
-void standin_answer::cross(standin_answer& a, standin_answer& b) {
-  std::swap(a.shown_as_, b.shown_as_);
+void standin_answer::swap_answers(standin_answer& a, standin_answer& b) {
+  std::swap(a.response_id_, b.response_id_);
   std::swap(a.seed_, b.seed_);
   a.faults_.not_before = time_point{};
   b.faults_.not_before = time_point{};
--- a/src/standin/standin_http.cpp
+++ b/src/standin/standin_http.cpp
@@ -1,4 +1,4 @@
-// Small answers over HTTP.
+// HTTP responses, waits and request fields for the stand-in servers.
 #include "standin/standin_http.h"
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 
 namespace arbutus::standin {
 
-// The server closes the connection of an answer that was begun and not finished; to the caller it
-// is no answer.
-void cut(response_writer& writer) {
+// The server closes the connection of a response that is started and not finished; the caller gets
+// no valid response.
+void close_without_response(response_writer& writer) {
   writer.start(200, {});
 }
 
@@ -25,7 +25,7 @@
   send_json(writer, status, body.dump());
 }
 
-void send_fault_result(response_writer& writer, const outcome<fault_set>& result) {
+void send_fault_result(response_writer& writer, const outcome<faults_applied>& result) {
   if (is_ok(result)) {
     send_json(writer, 200, "{}");
   } else if (const auto* no = std::get_if<refused>(&result)) {
@@ -37,7 +37,7 @@
 
 bool wait_until(response_writer& writer, time_point until) {
   for (time_point now = monotonic_now(); now < until; now = monotonic_now()) {
-    if (writer.caller_gone() || !sleep_until(std::min(until, now + look_interval))) {
+    if (writer.caller_gone() || !sleep_until(std::min(until, now + fault_poll_interval))) {
       return false;
     }
   }
--- a/src/standin/store_gate.cpp
+++ b/src/standin/store_fault_model.cpp
@@ -1,5 +1,5 @@
-// Faults of the platform's stores.
-#include "standin/store_gate.h"
+// Fault model of the platform's stores.
+#include "standin/store_fault_model.h"
 
 #include <algorithm>
 
@@ -7,16 +7,16 @@
 
 namespace arbutus::standin {
 
-store_status status_of(gate_verdict verdict) {
-  switch (verdict) {
-    case gate_verdict::pass:
+store_status status_of(access_result result) {
+  switch (result) {
+    case access_result::pass:
       return store_status::ok;
-    case gate_verdict::down:
+    case access_result::down:
       return store_status::down;
-    case gate_verdict::limited:
+    case access_result::limited:
       return store_status::limited;
-    case gate_verdict::unreachable:
-      return store_status::cut;
+    case access_result::unreachable:
+      return store_status::no_response;
   }
   return store_status::down;
 }
@@ -42,36 +42,39 @@
   return true;
 }
 
-gate_verdict store_gate::verdict(time_point now, store_access access, const data_centre_id& from) {
+access_result store_fault_model::check_access(time_point now, store_access access,
+                                              const data_centre_id& from) {
   if (faults_.cut_off.contains(from)) {
-    return gate_verdict::unreachable;
+    return access_result::unreachable;
   }
   if (faults_.down || now < faults_.down_until) {
-    return gate_verdict::down;
+    return access_result::down;
   }
   const bool allowed = access == store_access::read
                            ? read_limit_.take(now, faults_.reads_per_second)
                            : write_limit_.take(now, faults_.writes_per_second);
-  return allowed ? gate_verdict::pass : gate_verdict::limited;
+  return allowed ? access_result::pass : access_result::limited;
 }
 
-gate_pass store_gate::enter(time_point now, store_access access, const data_centre_id& from) {
-  const gate_pass pass{verdict(now, access, from), faults_.latency};
-  if (pass.verdict != gate_verdict::pass) {
+access_decision store_fault_model::admit(time_point now, store_access access,
+                                         const data_centre_id& from) {
+  const access_decision decision{check_access(now, access, from), faults_.latency};
+  if (decision.result != access_result::pass) {
     ++counters_.refused;
   } else if (access == store_access::read) {
     ++counters_.reads;
   }
-  return pass;
+  return decision;
 }
 
-bool store_gate::lose_request() {
-  return take_one(faults_.lose_requests);
+bool store_fault_model::should_lose_request() {
+  return decrement_if_positive(faults_.lose_requests);
 }
 
-bool store_gate::wrote() {
+bool store_fault_model::record_write() {
   ++counters_.writes;
-  const bool lost = take_one(faults_.lose_replies) || random_.unit() < faults_.lose_fraction;
+  const bool lost =
+      decrement_if_positive(faults_.lose_replies) || random_.unit() < faults_.lose_fraction;
   counters_.lost_replies += lost ? 1 : 0;
   return lost;
 }
--- a/tests/shell/load_checker_test.cpp
+++ b/tests/shell/load_checker_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "load/checker.h"
-#include "standin/answer.h"
+#include "standin/expected_answer.h"
 #include "standin/service_standin.h"
 
 namespace arbutus {
--- a/tests/shell/standin_engine_test.cpp
+++ b/tests/shell/standin_engine_test.cpp
@@ -1,10 +1,10 @@
-// One stand-in engine and groups of them, in virtual time.
+// Tests of stand-in engines, single and in groups, in virtual time.
 #include <gtest/gtest.h>
 
 #include <memory>
 
-#include "standin/answer.h"
 #include "standin/engine_standin.h"
+#include "standin/expected_answer.h"
 
 namespace arbutus::standin {
 namespace {
@@ -15,11 +15,11 @@
 engine_settings quick_settings() {
   engine_settings s;
   s.form_time = 1s;
-  s.usual.weight_bytes = 1000;
-  s.usual.batch.slots = 2;
-  s.usual.batch.tokens_per_second = 10;
-  s.usual.batch.prefill_tokens_per_second = 1e9;
-  s.usual.batch.slowdown_when_full = 0;
+  s.default_profile.weight_bytes = 1000;
+  s.default_profile.batch.slots = 2;
+  s.default_profile.batch.tokens_per_second = 10;
+  s.default_profile.batch.prefill_tokens_per_second = 1e9;
+  s.default_profile.batch.slowdown_when_full = 0;
   s.records_runs = true;
   return s;
 }
@@ -44,7 +44,7 @@
     return e.apply(now, make_order(kind, e, gen), now).accepted;
   }
 
-  // Three VMs, formed and ready.
+  // Forms the replica of all engines and waits until it is ready.
   void form_group(generation gen = {7, 0, 0}) {
     for (const auto& e : engines) {
       ASSERT_TRUE(apply(*e, order_kind::form, gen));
@@ -74,7 +74,7 @@
     const auto* handle = std::get_if<batch_handle>(&submitted);
     return handle == nullptr ? 0 : *handle;
   }
-  int refused_with(engine_standin& e, const generation_request& r) {
+  int refusal_status(engine_standin& e, const generation_request& r) {
     const auto submitted = e.submit(now, r);
     const auto* refusal = std::get_if<not_run>(&submitted);
     return refusal == nullptr ? 0 : refusal->status;
@@ -107,10 +107,10 @@
   now += 2s;
   EXPECT_EQ(first.report(now).state, engine_state::ready);
   EXPECT_EQ(second.report(now).state, engine_state::loading);
-  EXPECT_EQ(refused_with(first, make_request("q")), 503);
+  EXPECT_EQ(refusal_status(first, make_request("q")), 503);
   now += 1s;
   EXPECT_EQ(second.report(now).state, engine_state::ready);
-  EXPECT_EQ(refused_with(first, make_request("q")), 0);
+  EXPECT_EQ(refusal_status(first, make_request("q")), 0);
 }
 
 TEST_F(standin_engine, answers_as_expected_token_by_token) {
@@ -131,7 +131,7 @@
   EXPECT_EQ(head().counters().completed, 1U);
 }
 
-TEST_F(standin_engine, resumes_behind_the_tokens_the_caller_has) {
+TEST_F(standin_engine, resumes_after_the_tokens_the_caller_has) {
   add_group();
   generation_request r = make_request("q", 10);
   r.resume_offset = 7;
@@ -145,7 +145,7 @@
 
 TEST_F(standin_engine, runs_by_priority_and_slows_with_the_batch) {
   engine_settings settings = quick_settings();
-  settings.usual.batch.slowdown_when_full = 1.0;
+  settings.default_profile.batch.slowdown_when_full = 1.0;
   add_group(settings);
   const batch_handle a = submit(make_request("a", 10));
   const batch_handle b = submit(make_request("b", 10));
@@ -165,7 +165,7 @@
   EXPECT_EQ(head().report(now).queued, 0U);
 }
 
-TEST_F(standin_engine, queues_the_less_urgent_behind_the_urgent) {
+TEST_F(standin_engine, queues_by_priority) {
   add_group();
   submit(make_request("a", 10));
   submit(make_request("b", 20));
@@ -178,10 +178,9 @@
   EXPECT_TRUE(head().take(now, later, false).tokens.empty());
 }
 
-// Symptom: callers of a replica see their streams break.
-// Sequence: requests run on the head, another member's process dies.
-// Cause: a replica is lost with any one of its members.
-TEST_F(standin_engine, loses_all_it_runs_with_one_member) {
+// A replica fails with any one of its members: when another member's process dies, the requests on
+// the head are cut and new ones are refused.
+TEST_F(standin_engine, cuts_all_requests_when_a_member_dies) {
   add_group();
   const batch_handle running = submit(make_request("a", 100));
   submit(make_request("b", 100));
@@ -190,7 +189,7 @@
   engines[2]->kill(now);
   EXPECT_EQ(head().take(now, running, false).state, stream_state::cut);
   EXPECT_EQ(head().take(now, queued, false).state, stream_state::cut);
-  EXPECT_EQ(refused_with(head(), make_request("d")), 503);
+  EXPECT_EQ(refusal_status(head(), make_request("d")), 503);
   EXPECT_EQ(head().counters().cut, 3U);
   EXPECT_EQ(head().runs(request_id{"d"}), 0U);
 }
@@ -200,13 +199,13 @@
   engines[2]->restart(now);
   EXPECT_EQ(engines[2]->report(now).incarnation, 2U);
   EXPECT_EQ(engines[2]->report(now).state, engine_state::idle);
-  EXPECT_EQ(refused_with(head(), make_request("a")), 503);
+  EXPECT_EQ(refusal_status(head(), make_request("a")), 503);
   apply(*engines[2], order_kind::form, {7, 0, 0});
   now += 2s;
-  EXPECT_EQ(refused_with(head(), make_request("b")), 0);
+  EXPECT_EQ(refusal_status(head(), make_request("b")), 0);
 }
 
-TEST_F(standin_engine, stands_still_while_a_member_is_paused) {
+TEST_F(standin_engine, makes_no_progress_while_a_member_is_paused) {
   add_group();
   const batch_handle h = submit(make_request("a", 100));
   now += 1s;
@@ -227,10 +226,9 @@
   EXPECT_EQ(head().take(now, h, false).tokens.size(), 2U);
 }
 
-// Symptom: a VM that was given to another replica goes back to the old one.
-// Sequence: an order is delayed, a newer one is carried out, then the old one arrives.
-// Cause: the network or a paused sender keeps an order that is no longer true.
-TEST_F(standin_engine, refuses_an_old_token_unless_it_does_not_check) {
+// Guards against a VM that returns to its former replica: the network or a paused sender delays an
+// order, which arrives after a newer one has been carried out. The fencing token rejects it.
+TEST_F(standin_engine, refuses_an_old_fencing_token_if_checks_are_on) {
   add_group();
   EXPECT_FALSE(apply(head(), order_kind::form, {6, 9, 3}));
   EXPECT_FALSE(apply(head(), order_kind::release, {6, 0, 0}));
@@ -240,7 +238,7 @@
   EXPECT_EQ(head().report(now).gen, (generation{6, 9, 3}));
 }
 
-TEST_F(standin_engine, refuses_one_token_for_two_compositions) {
+TEST_F(standin_engine, refuses_a_fencing_token_used_for_another_composition) {
   add_group();
   order other = make_order(order_kind::form, head(), {7, 0, 0});
   other.target.replica = replica_id{"r2"};
@@ -258,10 +256,10 @@
   EXPECT_EQ(head().counters().orders_refused, 2U);
 }
 
-// Symptom: an engine obeys an order whose sender gave up on it long ago.
-// Sequence: the order arrives at a paused engine, which resumes after the order's validity.
-// Cause: a paused process does not know that it was paused.
-TEST_F(standin_engine, refuses_an_order_it_comes_to_too_late) {
+// Guards against an engine that carries out an order after its sender has given up on it: the order
+// arrives while the engine is paused, and the engine, which does not notice its pause, handles it
+// after the validity period.
+TEST_F(standin_engine, refuses_an_order_past_its_validity) {
   add_group();
   const order o = make_order(order_kind::release, head(), {8, 0, 0});
   EXPECT_FALSE(head().apply(now + 3s, o, now).accepted);
@@ -276,12 +274,12 @@
   EXPECT_EQ(head().counters().cut, 0U);
 }
 
-TEST_F(standin_engine, loads_nothing_anew_for_a_new_generation_in_the_same_place) {
+TEST_F(standin_engine, keeps_its_weights_in_a_new_generation_with_the_same_shard) {
   add_group();
   const std::uint64_t before = fabric.weights().loaded_bytes();
   form_group({8, 0, 0});
   EXPECT_EQ(fabric.weights().loaded_bytes(), before);
-  EXPECT_EQ(refused_with(head(), make_request("a")), 0);
+  EXPECT_EQ(refusal_status(head(), make_request("a")), 0);
 }
 
 TEST_F(standin_engine, drains_without_cutting) {
@@ -289,7 +287,7 @@
   const generation_request r = make_request("a", 10);
   const batch_handle h = submit(r);
   EXPECT_TRUE(apply(head(), order_kind::drain, {7, 0, 0}));
-  EXPECT_EQ(refused_with(head(), make_request("b")), 409);
+  EXPECT_EQ(refusal_status(head(), make_request("b")), 409);
   now += 1s;
   EXPECT_EQ(text_of(head().take(now, h, true)), expected(r));
   EXPECT_TRUE(apply(head(), order_kind::release, {7, 0, 0}));
@@ -297,17 +295,16 @@
   EXPECT_EQ(head().counters().cut_by_order, 0U);
 }
 
-TEST_F(standin_engine, counts_what_a_release_cuts) {
+TEST_F(standin_engine, counts_requests_cut_by_a_release) {
   add_group();
   submit(make_request("a", 10));
   apply(head(), order_kind::release, {7, 0, 0});
   EXPECT_EQ(head().counters().cut_by_order, 1U);
 }
 
-// Symptom: a request ends, or shows another's tokens, when a connection from before is closed.
-// Sequence: a request is cut by a new generation, a new one begins, the old connection is closed.
-// Cause: handles that start anew with each batch.
-TEST_F(standin_engine, gives_no_handle_twice) {
+// Guards against handles that restart with each batch: a request is cut by a new generation, a new
+// request starts, and closing the old connection would end it or expose its tokens.
+TEST_F(standin_engine, never_reuses_a_handle) {
   add_group();
   const batch_handle old = submit(make_request("a", 100));
   form_group({8, 0, 0});
@@ -318,22 +315,22 @@
   EXPECT_EQ(head().take(now, fresh, true).state, stream_state::finished);
 }
 
-TEST_F(standin_engine, does_not_run_what_was_meant_for_another_composition) {
+TEST_F(standin_engine, refuses_requests_for_another_composition) {
   add_group();
   generation_request r = make_request("a");
   r.replica = replica_id{"r2"};
-  EXPECT_EQ(refused_with(head(), r), 409);
+  EXPECT_EQ(refusal_status(head(), r), 409);
   r.replica = r1;
   r.gen = to_string(generation{6, 0, 0});
-  EXPECT_EQ(refused_with(head(), r), 409);
+  EXPECT_EQ(refusal_status(head(), r), 409);
   r.gen = to_string(generation{7, 0, 0});
-  EXPECT_EQ(refused_with(*engines[1], r), 409);
+  EXPECT_EQ(refusal_status(*engines[1], r), 409);
   EXPECT_EQ(head().runs(r.id), 0U);
-  EXPECT_EQ(refused_with(head(), r), 0);
+  EXPECT_EQ(refusal_status(head(), r), 0);
   EXPECT_EQ(head().runs(r.id), 1U);
 }
 
-TEST_F(standin_engine, drops_what_expired_in_the_queue_as_not_run) {
+TEST_F(standin_engine, drops_expired_queued_requests_as_not_run) {
   add_group();
   submit(make_request("a", 100));
   submit(make_request("b", 100));
@@ -357,10 +354,9 @@
   EXPECT_EQ(head().report(now).running, 2U);
 }
 
-// Symptom: a caller gets a whole, well-formed answer to somebody else's request.
-// Sequence: two requests run side by side, each connection gets the other's answer.
-// Cause: an engine mixes up the requests of its batch.
-TEST_F(standin_engine, crosses_two_answers_under_their_own_ids) {
+// Simulates an engine that mixes up the requests of its batch: two run concurrently, and each
+// caller gets the complete, well-formed answer of the other.
+TEST_F(standin_engine, swaps_two_answers_with_their_ids) {
   add_group();
   head().faults().crossed = 1;
   const generation_request a = make_request("a");
@@ -369,14 +365,14 @@
   const batch_handle second = submit(b);
   now += 1s;
   const stream_step step = head().take(now, first, true);
-  EXPECT_EQ(step.shown_as, b.id);
+  EXPECT_EQ(step.response_id, b.id);
   EXPECT_EQ(text_of(step), expected(b));
-  EXPECT_EQ(head().take(now, second, true).shown_as, a.id);
+  EXPECT_EQ(head().take(now, second, true).response_id, a.id);
   const batch_handle third = submit(make_request("c"));
-  EXPECT_EQ(head().take(now, third, true).shown_as, request_id{"c"});
+  EXPECT_EQ(head().take(now, third, true).response_id, request_id{"c"});
 }
 
-TEST_F(standin_engine, truncates_doubles_and_delays_answers) {
+TEST_F(standin_engine, truncates_duplicates_and_delays_answers) {
   add_group();
   head().faults().truncated = 1;
   const batch_handle half = submit(make_request("a", 10));
@@ -398,21 +394,21 @@
 
 TEST_F(standin_engine, skips_the_prefill_of_cached_blocks) {
   engine_settings settings = quick_settings();
-  settings.usual.batch.prefill_tokens_per_second = 64;
+  settings.default_profile.batch.prefill_tokens_per_second = 64;
   add_group(settings);
   generation_request r = make_request("a", 10);
   r.prompt = std::string(2 * prefix_block_bytes, 'x');
   EXPECT_EQ(head().take(now, submit(r), true).next_at, now + 3s);
   now += 3s;
   const batch_handle again = submit(r);
-  // Only what was cached by the first answer counts; nobody has looked at it yet.
+  // The prompt is cached only when the first answer's tokens are taken, which has not happened yet.
   EXPECT_EQ(head().take(now, again, true).next_at, now + 3s);
   head().close(now, again);
   EXPECT_EQ(head().take(now, 1, true).state, stream_state::finished);
   EXPECT_EQ(head().take(now, submit(r), true).next_at, now + 1s);
 }
 
-TEST_F(standin_engine, reports_load_late_but_identity_at_once) {
+TEST_F(standin_engine, reports_load_late_but_identity_immediately) {
   engine_settings settings = quick_settings();
   settings.report_lag = 2s;
   add_group(settings);
@@ -425,7 +421,7 @@
   EXPECT_TRUE(head().report(now + 2s).leaving);
 }
 
-TEST(standin_cache, evicts_the_least_recently_used_and_tells_late_with_gaps) {
+TEST(standin_cache, evicts_the_least_recently_used_and_publishes_late_with_gaps) {
   cache_standin cache({2, 1s, 0.0}, 1);
   const time_point now{10s};
   cache.store(now, {1});
--- a/tests/shell/standin_http_test.cpp
+++ b/tests/shell/standin_http_test.cpp
@@ -1,4 +1,4 @@
-// The stand-ins as the system sees them: over HTTP on loopback, all of one inventory.
+// Tests of the stand-ins of one inventory over HTTP on loopback, as the system uses them.
 #include <gtest/gtest.h>
 
 #include <boost/fiber/future.hpp>
@@ -7,7 +7,7 @@
 #include "connection/clock.h"
 #include "connection/http_client.h"
 #include "process/engine_wire.h"
-#include "standin/answer.h"
+#include "standin/expected_answer.h"
 #include "standin/fleet.h"
 
 namespace arbutus::standin {
@@ -41,7 +41,7 @@
 fleet_settings make_settings() {
   fleet_settings s;
   s.engine.form_time = 0s;
-  s.engine.usual.batch.tokens_per_second = 2000;
+  s.engine.default_profile.batch.tokens_per_second = 2000;
   s.engine.records_runs = true;
   return s;
 }
@@ -61,7 +61,7 @@
   }
 
   void in_fiber(const std::function<void()>& work) { runtime.run_on(0, work); }
-  static time_point soon() { return monotonic_now() + 20s; }
+  static time_point test_deadline() { return monotonic_now() + 20s; }
 
   socket_address address(const vm_id& vm) const {
     const endpoint& e = fleet->assets().find_vm(vm)->address;
@@ -77,7 +77,7 @@
                    const std::string& body = {}, http_headers headers = {}) {
     call_result result;
     in_fiber([&] {
-      result = client.fetch(to, {method, target, std::move(headers), body, {}}, soon());
+      result = client.fetch(to, {method, target, std::move(headers), body, {}}, test_deadline());
     });
     return result;
   }
@@ -107,7 +107,7 @@
             {}};
   }
 
-  // In a fiber. `on_token` after each event with text; false gives up.
+  // Call in a fiber. `on_token` is called after each event with text; false aborts the stream.
   answer stream(const http_request& request, const std::function<bool()>& on_token = {}) {
     answer a;
     std::string buffer;
@@ -124,7 +124,7 @@
       return text.empty() || !on_token || on_token();
     };
     a.result = client.stream(
-        address(a1), request, soon(), [](int, const http_headers&) { return true; },
+        address(a1), request, test_deadline(), [](int, const http_headers&) { return true; },
         [&](std::string_view bytes) {
           buffer += bytes;
           for (auto end = buffer.find("\n\n"); end != std::string::npos;
@@ -140,10 +140,10 @@
     return a;
   }
 
-  // Waits for a condition that another fiber brings about.
+  // Waits for a condition that another fiber establishes.
   void await(const std::function<bool()>& condition) {
     in_fiber([&] {
-      const time_point give_up = soon();
+      const time_point give_up = test_deadline();
       while (!condition() && monotonic_now() < give_up) {
         sleep_until(monotonic_now() + 1ms);
       }
@@ -169,7 +169,7 @@
   EXPECT_EQ(fleet->counters(a1).completed, 1U);
 }
 
-TEST_F(standin_http, answers_chats_whole) {
+TEST_F(standin_http, answers_chats_completely) {
   form();
   const json body = {{"model", dispatch.str()},
                      {"messages", {{{"role", "user"}, {"content", "drain \"blocked\""}}}},
@@ -182,7 +182,7 @@
   EXPECT_EQ(got["usage"]["completion_tokens"], 5);
 }
 
-TEST_F(standin_http, proves_what_it_did_not_run) {
+TEST_F(standin_http, marks_refused_requests_as_not_run) {
   form();
   http_request request = completion("q1", 5, false);
   request.headers.set("x-generation", to_string({6, 0, 0}));
@@ -193,10 +193,9 @@
   EXPECT_EQ(fleet->runs(request_id{"q1"}), 0U);
 }
 
-// Symptom: streams break in the middle and new connections are refused.
-// Sequence: a stream runs, the engine's process dies and comes back.
-// Cause: loss of a member; afterwards the VM has a new incarnation and no role.
-TEST_F(standin_http, breaks_streams_when_killed_and_comes_back_empty) {
+// The engine's process dies during a stream and restarts: the stream breaks and connections are
+// refused; after the restart the VM has a new incarnation and belongs to no replica.
+TEST_F(standin_http, breaks_streams_when_killed_and_restarts_unloaded) {
   form();
   const auto port = address(a1).port;
   boost::fibers::promise<answer> streamed;
@@ -241,10 +240,10 @@
   EXPECT_EQ(fleet->counters(a1).cut, 1U);
 }
 
-// Symptom: slots stay taken by requests that nobody waits for.
-// Sequence: a caller closes its connection in the middle of a stream.
-// Cause: callers give up, and nodes cancel the loser of two hedged requests.
-TEST_F(standin_http, cancels_when_the_caller_goes) {
+// Guards against slots that stay occupied by abandoned requests: a caller closes its connection in
+// the middle of a stream, because it gives up or because a node cancels the slower of two hedged
+// requests.
+TEST_F(standin_http, cancels_when_the_caller_disconnects) {
   form();
   in_fiber([&] {
     const answer a = stream(completion("q1", 1000000, true), [] { return false; });
@@ -254,9 +253,9 @@
   EXPECT_EQ(fleet->report(a1).running, 0U);
 }
 
-TEST_F(standin_http, frees_the_slot_of_an_answer_it_breaks_off) {
+TEST_F(standin_http, frees_the_slot_of_a_truncated_answer) {
   form();
-  next_answers faults;
+  pending_answer_faults faults;
   faults.truncated = 1;
   fleet->set_answer_faults(a1, faults);
   fleet->set_straggler(a1, 0.1);
@@ -265,7 +264,7 @@
     EXPECT_EQ(a.result.outcome, call_outcome::unknown);
     EXPECT_EQ(a.text, expected_answer(dispatch, "q1", 20));
   });
-  // What is not freed now would never end.
+  // At speed 0 a request that still held its slot would never end.
   fleet->set_straggler(a1, 0.0);
   await([&] { return fleet->report(a1).running == 0; });
 }
@@ -279,16 +278,16 @@
   EXPECT_EQ(call(platform(), "GET", "/vms").response.body, R"([{"leaving":false,"vm":"a1"}])");
 }
 
-TEST_F(standin_http, keeps_silent_but_does_what_it_is_told) {
+TEST_F(standin_http, executes_requests_while_unresponsive) {
   form();
-  fleet->set_silent(a1, true);
+  fleet->set_unresponsive(a1, true);
   in_fiber([&] {
     const auto result =
         client.fetch(address(a1), completion("q1", 5, false), monotonic_now() + 100ms);
     EXPECT_EQ(result.failure, call_failure::deadline);
   });
   EXPECT_EQ(fleet->runs(request_id{"q1"}), 1U);
-  fleet->set_silent(a1, false);
+  fleet->set_unresponsive(a1, false);
   EXPECT_TRUE(call(address(a1), "GET", "/report").ok());
 }
 
@@ -308,7 +307,7 @@
       200);
 }
 
-TEST_F(standin_http, keeps_rows_by_conditional_writes) {
+TEST_F(standin_http, writes_rows_conditionally) {
   const auto put = [&](const char* version, const std::string& value) {
     return call(platform(), "PUT", "/table/dc/hall-a", value, {{"if-match", version}});
   };
@@ -344,7 +343,7 @@
   EXPECT_TRUE(call(platform(), "GET", "/vms", {}, {{"x-data-centre", "hall-b"}}).ok());
 }
 
-TEST_F(standin_http, puts_an_old_copy_of_the_table_back) {
+TEST_F(standin_http, restores_an_old_copy_of_the_table) {
   const auto put = [&](const char* version, const char* value) {
     return call(platform(), "PUT", "/table/k", value, {{"if-match", version}}).response.status;
   };
@@ -355,10 +354,10 @@
   EXPECT_EQ(call(platform(), "GET", "/table/k").response.body, "old");
 }
 
-TEST_F(standin_http, refuses_faults_it_does_not_know) {
+TEST_F(standin_http, refuses_unknown_faults) {
   EXPECT_EQ(call(platform(), "POST", "/faults", R"({"table":{"dwon":true}})").response.status, 400);
   EXPECT_EQ(call(address(a1), "POST", "/faults", R"({"silnet":true})").response.status, 400);
-  // A command with one unknown name changes nothing at all.
+  // A command with one unknown name changes nothing.
   EXPECT_EQ(call(platform(), "POST", "/faults/vm/a2", R"({"killed":true,"zzz":1})").response.status,
             400);
   EXPECT_TRUE(call(address(a2), "GET", "/report").ok());
@@ -379,9 +378,6 @@
             R"([{"leaving":false,"vm":"a1"},{"leaving":true,"vm":"a2"}])");
 }
 
-// Symptom: one job card is written twice, on two instances.
-// Sequence: the first instance writes it and dies before it answers; the caller tries the second.
-// Cause: no answer is taken for not done.
 TEST_F(standin_http, lists_vms_whose_engines_are_elsewhere) {
   fleet_settings settings = make_settings();
   settings.engines = false;
@@ -393,6 +389,9 @@
             R"([{"leaving":true,"vm":"a1"},{"leaving":false,"vm":"a2"}])");
 }
 
+// The stand-in has to show a job card that is written twice: the first instance writes it and its
+// connection breaks before the response, and the caller, which takes the missing response for a
+// failure, retries on the second instance.
 TEST_F(standin_http, records_calls_over_all_instances_of_a_service) {
   service_faults faults;
   faults.cut_after = 1;
--- a/tests/shell/standin_store_test.cpp
+++ b/tests/shell/standin_store_test.cpp
@@ -1,4 +1,4 @@
-// Stand-ins of the platform: what they do, and that each of their faults can be seen.
+// Tests of the platform's stand-ins: their behaviour, and that each of their faults is observable.
 #include <gtest/gtest.h>
 
 #include "standin/object_standin.h"
@@ -24,7 +24,7 @@
   EXPECT_EQ(table.read(start, "dc/a").row.value, "two");
 }
 
-TEST(standin_table, erased_row_comes_back_with_a_higher_version) {
+TEST(standin_table, erased_row_is_recreated_with_a_higher_version) {
   table_standin table;
   const auto first = table.write(start, "k", "one", 0).row.version;
   EXPECT_EQ(table.erase(start, "k", first + 1).status, store_status::conflict);
@@ -42,13 +42,12 @@
   EXPECT_EQ(table.list(start, "c").keys, std::vector<std::string>{});
 }
 
-// Symptom: a writer gets no answer, tries again and loses against itself.
-// Sequence: the write takes effect, then its reply is lost.
-// Cause: the connection breaks between the effect and the answer.
+// The connection breaks after the write took effect and before the reply: the writer gets no
+// response, and its retry conflicts with its own write.
 TEST(standin_table, loses_the_reply_after_the_write_took_effect) {
   table_standin table;
   table.faults().lose_replies = 1;
-  EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::cut);
+  EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::no_response);
   EXPECT_EQ(table.read(start, "k").row.value, "mine");
   EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::conflict);
   EXPECT_EQ(table.counters().lost_replies, 1U);
@@ -57,12 +56,12 @@
 TEST(standin_table, loses_the_request_without_effect) {
   table_standin table;
   table.faults().lose_requests = 1;
-  EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::cut);
+  EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::no_response);
   EXPECT_EQ(table.read(start, "k").status, store_status::missing);
   EXPECT_EQ(table.write(start, "k", "mine", 0).status, store_status::ok);
 }
 
-TEST(standin_table, loses_about_the_fraction_of_replies_asked_for) {
+TEST(standin_table, loses_about_the_configured_fraction_of_replies) {
   table_standin table;
   table.faults().lose_fraction = 0.25;
   for (int i = 0; i < 1000; ++i) {
@@ -97,14 +96,14 @@
 TEST(standin_table, cuts_off_one_data_centre_only) {
   table_standin table;
   table.faults().cut_off.emplace("hall-a");
-  EXPECT_EQ(table.write(start, "k", "", 0, data_centre_id{"hall-a"}).status, store_status::cut);
+  EXPECT_EQ(table.write(start, "k", "", 0, data_centre_id{"hall-a"}).status,
+            store_status::no_response);
   EXPECT_EQ(table.read(start, "k", data_centre_id{"hall-b"}).status, store_status::missing);
 }
 
-// Symptom: two different contents were written under one version.
-// Sequence: a backup is taken, a row is written, the backup is put back, the row is written anew.
-// Cause: the table counts versions within what was restored.
-TEST(standin_table, gives_versions_again_after_an_old_copy_was_restored) {
+// The table restores its version counter with the rows: a backup is taken, a row is written, the
+// backup is restored and the row is written again. Both contents then have the same version.
+TEST(standin_table, reuses_versions_after_an_old_copy_was_restored) {
   table_standin table;
   table.write(start, "k", "one", 0);
   const table_copy backup = table.snapshot();
@@ -118,7 +117,7 @@
   object_standin objects;
   EXPECT_EQ(objects.get(start, "x").status, store_status::missing);
   objects.faults().lose_replies = 1;
-  EXPECT_EQ(objects.put(start, "x", "content").status, store_status::cut);
+  EXPECT_EQ(objects.put(start, "x", "content").status, store_status::no_response);
   EXPECT_EQ(objects.get(start, "x").content, "content");
   objects.faults().down = true;
   EXPECT_EQ(objects.get(start, "x").status, store_status::down);
@@ -137,7 +136,7 @@
   const vm_id vm{"a1"};
   list.set(start, vm, vm_presence::live);
   list.set(start + 10s, vm, vm_presence::leaving);
-  list.set(start + 20s, vm, vm_presence::gone);
+  list.set(start + 20s, vm, vm_presence::removed);
   EXPECT_TRUE(list.read(start + 2s).empty());
   EXPECT_FALSE(list.read(start + 12s).at(0).leaving);
   EXPECT_TRUE(list.read(start + 13s).at(0).leaving);
