--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,10 +1,10 @@
 // Embeds the coordination of three nodes in one process, in virtual time.
 //
-// A coordinator is fed with (now, input) and returns effects. Here a map plays the platform's
-// table, small structs play the engines, and an event queue plays clock and network. A program of
-// your own carries the same effects out over its sockets. The story: two replicas of two VMs form;
-// then the table goes away and a member dies; the replica comes back with the standby reserved for
-// it.
+// A coordinator gets inputs with the current time and returns effects. In this example a map
+// simulates the platform's table, small structs simulate the engines, and an event queue simulates
+// the clock and the network; a real program executes the same effects over its sockets. Two
+// replicas of two VMs form. Then the table becomes unavailable and a member dies, and the replica
+// serves again with the standby reserved for it.
 #include <algorithm>
 #include <cstdlib>
 #include <functional>
@@ -23,9 +23,9 @@
 namespace arbutus::example {
 
 const data_centre_id here{"hall-a"};
-constexpr duration delay = 2ms;      // between any two
+constexpr duration delay = 2ms;      // of each message
 constexpr duration timeout = 500ms;  // of every call
-constexpr duration load_time = 3s;   // of weights into an engine
+constexpr duration load_time = 3s;   // to load the weights into an engine
 
 struct engine {
   engine_report report;
@@ -77,7 +77,7 @@
     }
   }
 
-  // Runs events and ticks until the condition holds; false when `limit` has passed.
+  // Runs events and ticks until the condition holds; returns false if `limit` passes first.
   bool run_until(const std::function<bool()>& condition, duration limit) {
     const time_point end = now_ + limit;
     while (!condition()) {
@@ -91,15 +91,15 @@
 
   // Replicas that every node may route to now.
   std::size_t serving() const {
-    std::size_t least = engines_.size();
+    std::size_t min_count = engines_.size();
     for (const auto& [id, node] : nodes_) {
       std::size_t count = 0;
       for (const replica_route& route : node->routes(now_).replicas) {
         count += may_use(now_, route) ? 1 : 0;
       }
-      least = std::min(least, count);
+      min_count = std::min(min_count, count);
     }
-    return least;
+    return min_count;
   }
 
   const replica_plan& first_replica() const {
@@ -115,7 +115,7 @@
     for (const auto& [id, node] : nodes_) {
       next = std::min(next, node->next_tick());
     }
-    now_ = std::max(now_ + duration{1}, next);  // time never stands still
+    now_ = std::max(now_ + duration{1}, next);  // time always advances
     while (!events_.empty() && events_.begin()->first <= now_) {
       const auto run = std::move(events_.extract(events_.begin()).mapped());
       run();
@@ -132,7 +132,8 @@
   }
   void feed(const node_id& to, const input& in) { carry_out(to, nodes_.at(to)->on(now_, in)); }
 
-  // A call: `work` runs over there if it is up, else `lost` comes back after the timeout.
+  // A remote call: if the other side is up, `work` runs there and its result is returned, else
+  // `lost` is returned after the timeout.
   void call(const node_id& from, bool up, std::function<input()> work, input lost) {
     if (!up) {
       later(timeout, [=, this] { feed(from, lost); });
@@ -200,7 +201,7 @@
         probe_result{p.vm, sent, unknown{"timeout"}});
   }
   void carry_out(const node_id& from, const order& o) {
-    // A real sender connects first, and asks again directly before the bytes go.
+    // A real sender first connects, and checks this again immediately before sending.
     if (!nodes_.at(from)->may_send(now_, o)) {
       later(duration{0}, [=, this] { feed(from, order_result{o, refused{"out of date"}}); });
       return;
@@ -227,7 +228,7 @@
     return e.report;
   }
 
-  // Refuses an old fencing token; a repeated order changes nothing.
+  // Refuses an old fencing token. A repeated order changes nothing.
   outcome<engine_report> obey(const order& o) {
     engine& e = engines_.at(o.vm);
     if (o.target.gen < e.report.gen) {
--- a/fuzz/apply_config_delta.cpp
+++ b/fuzz/apply_config_delta.cpp
@@ -1,4 +1,4 @@
-// Fuzz entry: changes of the configuration that a hub passes on, against a base of a few routes.
+// Fuzz entry: configuration deltas that a hub forwards, against a base of a few routes.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -11,7 +11,7 @@
   const std::string_view bytes = arbutus::fuzz::as_text(data, size);
   const std::string base = R"({"version":1,"routes":[{"name":"a"},{"name":"b"}]})";
   (void)arbutus::apply_config_delta(base, bytes);
-  // Any text can be told as a change of any other.
+  // A delta exists between any two texts.
   const std::string delta = arbutus::make_config_delta(base, bytes);
   const auto back = arbutus::apply_config_delta(base, delta);
   arbutus::fuzz::require(back && *back == bytes);
--- a/fuzz/decode_assignment.cpp
+++ b/fuzz/decode_assignment.cpp
@@ -1,4 +1,4 @@
-// Fuzz entry: the assignment row. What decodes must survive storing again.
+// Fuzz entry: the assignment row. A decoded value must be unchanged after encoding and decoding.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
--- a/fuzz/decode_content.cpp
+++ b/fuzz/decode_content.cpp
@@ -1,4 +1,5 @@
-// Fuzz entry: stored content and head. What decodes must survive storing again.
+// Fuzz entry: stored configuration content and head. Decoded content must be unchanged after
+// encoding and decoding.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
--- a/fuzz/decode_gossip.cpp
+++ b/fuzz/decode_gossip.cpp
@@ -1,4 +1,4 @@
-// Fuzz entry: messages from other nodes. What decodes must be encoded again without a fault.
+// Fuzz entry: gossip messages from other nodes. An encoded message must decode again.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
--- a/fuzz/decode_report.cpp
+++ b/fuzz/decode_report.cpp
@@ -1,4 +1,4 @@
-// Fuzz entry: reports and orders as targets and nodes send them.
+// Fuzz entry: reports that targets send, and orders that nodes send.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
--- a/fuzz/import_inventory.cpp
+++ b/fuzz/import_inventory.cpp
@@ -1,4 +1,5 @@
-// Fuzz entry: inventory from CSV. What has no errors must survive storing.
+// Fuzz entry: inventory from CSV. An inventory without errors must be unchanged after encoding and
+// decoding.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
--- a/fuzz/import_rules.cpp
+++ b/fuzz/import_rules.cpp
@@ -1,4 +1,4 @@
-// Fuzz entry: rules from TOML. What has no errors must survive storing.
+// Fuzz entry: rules from TOML. Rules without errors must be unchanged after encoding and decoding.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
--- a/fuzz/read_service_map.cpp
+++ b/fuzz/read_service_map.cpp
@@ -1,4 +1,4 @@
-// Fuzz entry: the operators' configuration as the platform's store holds it.
+// Fuzz entry: the operators' configuration as stored in the platform's store.
 #include <cstddef>
 #include <cstdint>
 #include <string>
--- a/fuzz/read_target_record.cpp
+++ b/fuzz/read_target_record.cpp
@@ -1,4 +1,4 @@
-// Fuzz entry: records and reports of targets, whoever wrote them.
+// Fuzz entry: records and reports of targets, which any process may have written.
 #include <cstddef>
 #include <cstdint>
 #include <string>
--- a/src/cli/apply.cpp
+++ b/src/cli/apply.cpp
@@ -1,5 +1,5 @@
-// `apply`: proposes a configuration through a node. A lost reply is resolved by asking again with
-// the same proposal id, which the nodes never apply twice.
+// The `apply` subcommand: proposes a configuration through a node. After a lost reply it sends the
+// request again with the same proposal id, which the nodes never apply twice.
 #include <iostream>
 #include <nlohmann/json.hpp>
 #include <random>
@@ -75,7 +75,7 @@
       base = *known;
     }
     if (options_.dry_run) {
-      out_ << "the texts are good; they would be proposed on version " << base << '\n';
+      out_ << "the configuration is valid; it would be proposed on version " << base << '\n';
       return to_status(exit_code::ok);
     }
     return propose(base);
@@ -95,7 +95,8 @@
     return newest;
   }
 
-  // Every try carries the same proposal id, so asking another node after a lost reply is safe.
+  // Every attempt carries the same proposal id, so retrying at another node after a lost reply is
+  // safe.
   int propose(std::uint64_t base) {
     const std::string body = json{
         {"base_version", base},
@@ -123,11 +124,14 @@
         return fail(exit_code::unreachable, "no node could be reached; nothing was changed");
       }
     }
-    return fail(exit_code::unknown, "not settled in time. Resolve it with --proposal " + proposal_ +
-                                        " --base " + std::to_string(base));
+    return fail(exit_code::unknown,
+                "no reply in time; the change may have been accepted. Find out "
+                "with --proposal " +
+                    proposal_ + " --base " + std::to_string(base));
   }
 
-  // Empty: not settled, ask again.
+  // Returns the exit status, or nothing if the outcome is still unknown and the request has to be
+  // sent again.
   std::optional<int> judge(const http_response& response) {
     const json body = json::parse(response.body, nullptr, false);
     switch (response.status) {
@@ -152,7 +156,7 @@
     out_ << "accepted as version " << number_in(body, "version")
          << (body.value("in_force_here", false) ? ", in force on the node that took it\n"
                                                 : ", not yet in force on the node that took it\n");
-    // Beside the result: a repeated proposal has the same result, but nothing to show.
+    // To standard error: a repeated proposal prints the same result but has no changes to list.
     for (const json& line : body.value("changed", json::array())) {
       std::cerr << "  " << line.get<std::string>() << '\n';
     }
--- a/src/cli/bench.cpp
+++ b/src/cli/bench.cpp
@@ -1,6 +1,6 @@
-// The bench subcommand: runs the decisions over fixed seeds in virtual time and prints a signature
-// of what they decided. It is equal on every run, so that a change that is meant to change no
-// decision is shown to change none; the processor times beside it are not.
+// The `bench` subcommand: runs the decision code over fixed seeds in virtual time and prints a
+// signature of its decisions. The signature is the same on every run, so it shows whether a change
+// of the code changed any decision; the processor times printed beside it vary.
 #include <array>
 #include <bit>
 #include <ctime>
@@ -28,7 +28,7 @@
   return stable_hash(std::to_string(more), signature);
 }
 
-// ---- parts: each returns its signature, and prints its figures ----
+// ---- parts: each prints its figures and returns its signature ----
 
 std::uint64_t bench_requests(std::ostream& figures, std::uint64_t seed) {
   return print_policy_bench(figures, seed);
@@ -78,7 +78,7 @@
   return control_signature(nodes, targets, seed);
 }
 
-// ---- the long tables of --full: figures of this machine, without a signature ----
+// ---- the long tables of --full: measurements on this machine, not part of the signature ----
 
 void print_connections(std::ostream& out, const bench_options& options) {
   print(out, bench_connections(options.length));
@@ -127,7 +127,7 @@
   return signature;
 }
 
-// The number of tables printed.
+// Returns the number of tables printed.
 std::size_t print_tables(const bench_options& options, std::ostream& out) {
   std::size_t printed = 0;
   for (const bench_table& table : tables) {
@@ -156,7 +156,8 @@
     out << "bench: no part has \"" << options.filter << "\" in its name\n";
     return to_status(exit_code::failure);
   }
-  // Of some parts alone it is another number, and must not pass for the whole one.
+  // The signature of a selection of parts differs from that of all parts and is labelled
+  // differently, so that the two are not confused.
   if (run == parts.size()) {
     out << "Bench: " << signature << '\n';
   } else if (run > 0) {
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -1,5 +1,5 @@
-// The check subcommand: reads configurations and node settings as the other commands would, and
-// names every mistake in one run. It asks nobody and changes nothing.
+// The `check` subcommand: reads configurations and node settings as the other commands would, and
+// reports every error in one run. It makes no network calls and changes nothing.
 #include <algorithm>
 #include <filesystem>
 #include <optional>
@@ -40,8 +40,8 @@
     }
   }
 
-  // Settings that were read without errors must tell the same of their node as the inventory, when
-  // just one configuration is given.
+  // If exactly one configuration is given, checks that valid node settings agree with its
+  // inventory.
   void compare() {
     if (directories_ != 1 || !assets_) {
       return;
@@ -114,7 +114,7 @@
   }
 
   findings problems_;
-  std::optional<inventory> assets_;  // of the configuration, when it is sound
+  std::optional<inventory> assets_;  // of the last configuration without errors
   std::vector<named_settings> settings_;
   std::size_t directories_ = 0;
   std::size_t files_ = 0;
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -1,4 +1,4 @@
-// The subcommands of the program: what each takes, and what its exit status means.
+// The subcommands of the program: their options and the meaning of the exit status.
 #pragma once
 
 #include <chrono>
@@ -18,9 +18,9 @@
   failure = 1,       // the command ran and did not succeed
   usage = 2,         // the command line is wrong; nothing was done
   input_errors = 3,  // the input has errors; nothing was done
-  conflict = 4,      // somebody else changed the configuration meanwhile; nothing was done
-  unreachable = 5,   // proven not done: the other side could not be reached
-  unknown = 6,       // may have been done: no answer, and reading back did not settle it
+  conflict = 4,      // another change of the configuration came first; nothing was done
+  unreachable = 5,   // certainly not done: no node could be reached
+  unknown = 6,       // may have been done: no reply, and retries did not show the outcome
 };
 
 constexpr int to_status(exit_code code) {
@@ -36,20 +36,20 @@
   std::string settings_file;
 };
 
-// A node on a platform that keeps configuration and targets.
+// A node on a platform that stores the configuration and runs the targets.
 struct hosted_options {
   std::string settings_file;
 };
 
-// Stands in for such a platform, with some engines and a plain service, on loopback.
+// A stand-in for such a platform, with some engines and a plain service, on loopback.
 struct platform_options {
   std::vector<std::string> data_centres;
-  std::uint32_t engines_each = 9;
+  std::uint32_t engines_each = 9;  // engines in each data centre
   std::uint16_t store_port = 0;    // 0: any
-  std::uint16_t control_port = 0;  // 0: no commands from outside
+  std::uint16_t control_port = 0;  // for commands that inject faults; 0: none
 };
 
-// Tells what became of a request, from the log lines of all nodes.
+// Shows the timeline of one request, from the log lines of all nodes.
 struct explain_options {
   std::string request;             // its id
   std::vector<std::string> files;  // empty: standard input
@@ -62,51 +62,51 @@
 
 struct apply_options {
   std::string directory;
-  std::vector<endpoint> nodes;  // asked one after the other until one answers
-  std::string key;              // the operators'
-  std::uint64_t base = 0;       // version the change was made on; 0: the one in force now
-  std::string proposal;         // of an earlier try whose outcome is unknown; empty: a new one
+  std::vector<endpoint> nodes;  // tried one after the other until one replies
+  std::string key;              // the operators' key
+  std::uint64_t base = 0;       // version the change was made on; 0: the newest one
+  std::string proposal;         // id of an earlier attempt with unknown outcome; empty: a new id
   bool dry_run = false;
   duration timeout = 30s;
 };
 
 struct status_options {
-  std::vector<endpoint> nodes;  // callers' endpoints
-  std::string key;              // the operators'
+  std::vector<endpoint> nodes;  // their endpoints for callers
+  std::string key;              // the operators' key
   bool json = false;
   duration timeout = 2s;
 };
 
 struct bench_options {
   std::string filter;    // part of a benchmark's name; empty: all
-  bool full = false;     // print the long tables, too
-  duration length = 1s;  // of each measurement of the connections, in the long tables
+  bool full = false;     // also print the long tables
+  duration length = 1s;  // of each connection measurement in the long tables
   std::uint64_t seed = 1;
 };
 
 struct load_options {
   std::string experiment_file;
-  std::string out_directory;          // for the results as files; empty: none are written
-  std::vector<std::string> variants;  // of the experiment, by name; empty: all
-  std::uint64_t seed = 0;             // 0: as the experiment says
+  std::string out_directory;          // for the result files; empty: none are written
+  std::vector<std::string> variants;  // names of the variants to run; empty: all
+  std::uint64_t seed = 0;             // 0: the seed of the experiment file
   bool json = false;
 };
 
 struct trial_options {
-  bool keep_up = false;  // stay for own calls until interrupted
+  bool keep_up = false;  // keep the nodes running after the trial until interrupted
 };
 
-// Stand-ins for what the platform and the targets give, at the endpoints of a configuration.
+// Stand-ins for the platform and the targets, at the endpoints of a configuration.
 struct standin_options {
   std::string directory;
-  std::string settings_file;  // of any node: names the platform's endpoints
+  std::string settings_file;  // of any node; gives the platform's endpoints
   bool platform = true;
   bool engines = true;
   bool services = true;
   std::uint64_t seed = 1;
 };
 
-// Each returns the exit status. Results go to `out`, failures to standard error.
+// Each returns the exit status. Results are printed to `out`, failures to standard error.
 int run_check(const check_options& options, std::ostream& out);
 int run_node(const node_options& options, std::ostream& out);
 int run_hosted(const hosted_options& options, std::ostream& out);
--- a/src/cli/explain.cpp
+++ b/src/cli/explain.cpp
@@ -1,4 +1,4 @@
-// `explain`: the story of one request, from the log lines of all nodes.
+// The `explain` subcommand: the timeline of one request, from the log lines of all nodes.
 #include <fstream>
 #include <iostream>
 
@@ -22,12 +22,12 @@
     unreadable += reader.read(file, options.request);
   }
   if (unreadable > 0) {
-    std::cerr << "explain: " << unreadable << " lines are not of a node and were left out\n";
+    std::cerr << "explain: skipped " << unreadable << " lines that no node wrote\n";
   }
   const auto story = reader.tell(options.request);
   if (!story) {
-    std::cerr << "explain: no line names request " << options.request
-              << "; with log level \"info\" those that went well have none\n";
+    std::cerr << "explain: no log line for request " << options.request
+              << "; at log level \"info\" successful requests are not logged\n";
     return to_status(exit_code::failure);
   }
   out << to_text(*story);
--- a/src/cli/hosted.cpp
+++ b/src/cli/hosted.cpp
@@ -1,4 +1,5 @@
-// `hosted`: runs one node on a platform that keeps configuration and targets, until SIGTERM.
+// The `hosted` subcommand: runs one node on a platform that stores the configuration and runs the
+// targets, until SIGTERM.
 #include <boost/system/system_error.hpp>
 #include <iostream>
 
@@ -30,18 +31,20 @@
   return result.settings;
 }
 
-// What may change while a node runs. Everything else needs a restart, which is said.
+// Applies the log level of the changed settings file. All other settings need a restart; a changed
+// store or caller address is logged as a warning.
 void reload(hosted_settings& current, const std::string& file) {
   const auto changed = read_hosted_settings(file);
   if (!changed) {
-    log_line(log_level::error, "settings", "kept: the changed file has mistakes", {{"file", file}});
+    log_line(log_level::error, "settings", "not reloaded: the changed file has errors",
+             {{"file", file}});
     return;
   }
   set_log_level(changed->log.level);
   const bool same =
       changed->store == current.store && changed->listen.callers == current.listen.callers;
   log_line(same ? log_level::info : log_level::warning, "settings",
-           same ? "reloaded" : "reloaded; other addresses are used after a restart",
+           same ? "reloaded" : "reloaded; changed addresses take effect after a restart",
            {{"file", file}});
   current.log = changed->log;
 }
--- a/src/cli/load.cpp
+++ b/src/cli/load.cpp
@@ -1,4 +1,4 @@
-// The load subcommand: runs an experiment, shows how it goes and leaves the results in files.
+// The `load` subcommand: runs an experiment, shows its progress and writes the results to files.
 #include <unistd.h>
 
 #include <filesystem>
@@ -36,7 +36,7 @@
   }
 }
 
-// One line that is written over, on a terminal only.
+// A progress line that overwrites itself; shown on a terminal only.
 class progress_line {
  public:
   explicit progress_line(bool shown) : shown_(shown) {}
@@ -92,10 +92,10 @@
     loaded.value.seed = options.seed;
   }
   const progress_line line(::isatty(STDERR_FILENO) != 0);
-  load_run_options how;
-  how.only = options.variants;
-  how.on_progress = [&line](const load_progress& p) { line.show(p); };
-  const experiment_report report = run_experiment(loaded.value, how);
+  load_run_options run_options;
+  run_options.only = options.variants;
+  run_options.on_progress = [&line](const load_progress& p) { line.show(p); };
+  const experiment_report report = run_experiment(loaded.value, run_options);
   if (!options.out_directory.empty()) {
     write_results(options.out_directory, report);
   }
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,5 @@
-// Entry of the program: picks the subcommand and turns what escapes it into an exit status.
+// Entry point of the program: runs the subcommand and turns uncaught exceptions into an exit
+// status.
 #include <exception>
 #include <iostream>
 #include <string>
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -1,4 +1,4 @@
-// `node`: runs one node until SIGTERM, then ends it gracefully.
+// The `node` subcommand: runs one node until SIGTERM, then stops it gracefully.
 #include "node/node.h"
 
 #include <algorithm>
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -1,4 +1,4 @@
-// The command line by Boost.Program_options: one entry of `specs` for each subcommand.
+// Parses the command line with Boost.Program_options; `specs` has one entry for each subcommand.
 #include "cli/options.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 using strings = std::vector<std::string>;
 
-// A value that the library accepts but the command does not.
+// Thrown for a value that Boost accepts but the command does not.
 struct usage_error : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -45,9 +45,9 @@
 }
 
 double positive(const po::variables_map& values, const char* option) {
-  constexpr double most = 1e6;
+  constexpr double max_value = 1e6;
   const double value = values[option].as<double>();
-  if (!std::isfinite(value) || value <= 0 || value > most) {
+  if (!std::isfinite(value) || value <= 0 || value > max_value) {
     throw usage_error("--" + std::string(option) + ": expected a number above 0, at most 1000000");
   }
   return value;
@@ -57,7 +57,7 @@
   return from_seconds(positive(values, option));
 }
 
-// The library would read "-1" into an unsigned type as a huge number, so these are signed and
+// Boost would parse "-1" for an unsigned type as a huge number, so the options are signed and
 // checked here.
 std::uint64_t whole_of(const po::variables_map& values, const char* option) {
   const auto value = values[option].as<std::int64_t>();
@@ -103,7 +103,7 @@
       "engines", count_value(9)->value_name("N"), "engines of each data centre")(
       "store-port", count_value(0)->value_name("PORT"), "of the store; 0: any")(
       "control-port", count_value(0)->value_name("PORT"),
-      "of commands that break things, for tests; 0: none");
+      "of commands that inject faults, for tests; 0: none");
 }
 
 command make_platform(const po::variables_map& values) {
@@ -144,7 +144,7 @@
   add.add_options()("files", po::value<strings>()->value_name("FILE"),
                     "log files; without one, standard input")(
       "window", po::value<int>()->default_value(2)->value_name("SECONDS"),
-      "length of a line's time, in seconds");
+      "time that one output line covers");
 }
 
 command make_outcomes(const po::variables_map& values) {
@@ -166,7 +166,8 @@
   return check_options{values["path"].as<strings>(), values["strict"].as<bool>()};
 }
 
-// The operators' key; a variable of the environment keeps it out of the list of processes.
+// The operators' key. It may come from an environment variable, since arguments are visible in the
+// list of processes.
 std::string operator_key(const po::variables_map& values) {
   if (values.count("key") != 0) {
     return values["key"].as<std::string>();
@@ -283,7 +284,7 @@
   std::string_view name;
   std::string_view summary;
   std::string_view arguments;   // as shown after the name
-  std::string_view positional;  // option that takes the arguments without a name
+  std::string_view positional;  // name of the option that takes the positional arguments
   int positional_count;         // -1: any number
   void (*add)(po::options_description&);
   command (*make)(const po::variables_map&);
@@ -293,38 +294,39 @@
 constexpr std::array<command_spec, 12> specs = {{
     {"node", "Run a node in front of the targets, until SIGTERM.", "FILE", "settings", 1, add_node,
      make_node, "  arbutusworks node examples/small/nodes/lab-a-node-1.toml\n"},
-    {"hosted", "Run a node on a platform that keeps configuration and targets, until SIGTERM.",
+    {"hosted", "Run a node on a platform that stores configuration and targets, until SIGTERM.",
      "FILE", "settings", 1, add_node, make_hosted,
      "  arbutusworks hosted /etc/arbutusworks/node.toml\n"},
-    {"platform", "Stand in for a platform that keeps configuration and targets, until interrupted.",
-     "NAME...", "data-centre", -1, add_platform, make_platform,
+    {"platform",
+     "Stand in for a platform that stores configuration and targets, until interrupted.", "NAME...",
+     "data-centre", -1, add_platform, make_platform,
      "  arbutusworks platform lab-a lab-b --store-port 23900\n"},
-    {"explain", "Tell what became of a request, from the log lines of all nodes.", "ID [FILE...]",
+    {"explain", "Show the timeline of a request, from the log lines of all nodes.", "ID [FILE...]",
      "words", -1, add_explain, make_explain,
      "  arbutusworks explain 4f1d22a07c9be853 /var/log/arbutusworks/*.log\n"
      "  zcat old/*.gz | arbutusworks explain 4f1d22a07c9be853\n"},
-    {"outcomes", "Show what became of requests over time, from the log lines of all nodes.",
-     "[FILE...]", "files", -1, add_outcomes, make_outcomes,
+    {"outcomes", "Show how requests ended over time, from the log lines of all nodes.", "[FILE...]",
+     "files", -1, add_outcomes, make_outcomes,
      "  arbutusworks outcomes /var/log/arbutusworks/*.log\n"
      "  arbutusworks outcomes --window 10 < evening.log\n"},
-    {"check", "Check configurations and node settings; name every mistake with its place.",
+    {"check", "Check configurations and node settings; report every error with its location.",
      "DIR|FILE...", "path", -1, add_check, make_check,
      "  arbutusworks check examples/odtok\n"
      "  arbutusworks check examples/odtok examples/odtok/nodes/*.toml\n"},
-    {"apply", "Propose a configuration; when another came first, show what changed.",
+    {"apply", "Propose a configuration; if another change came first, show what it changed.",
      "DIR --node IP:PORT...", "directory", 1, add_apply, make_apply,
      "  arbutusworks apply examples/small --node 127.0.0.1:23400 --key example-operator\n"},
     {"status", "Show what nodes know: configuration, replicas, targets.", "IP:PORT...", "node", -1,
      add_status, make_status,
      "  arbutusworks status 127.0.0.1:23400 127.0.0.1:23402 --key example-operator\n"},
-    {"bench", "Measure the decisions, without a network; prints a signature of them.", "", "", 0,
+    {"bench", "Benchmark the decisions, without a network; prints a signature of them.", "", "", 0,
      add_bench, make_bench, "  arbutusworks bench\n  arbutusworks bench --filter planner --full\n"},
-    {"load", "Run an experiment: calls and faults, latencies and broken promises.", "FILE",
+    {"load", "Run an experiment: calls and faults, latencies and violated guarantees.", "FILE",
      "experiment", 1, add_load, make_load,
      "  arbutusworks load experiments/overload.toml\n"
      "  arbutusworks load experiments/overload.toml --variant double --out build/experiments\n"},
-    {"trial", "Run nodes, platform and targets in this process and show the main job.", "", "", 0,
-     add_trial, make_trial, "  arbutusworks trial\n  arbutusworks trial --keep-up\n"},
+    {"trial", "Run nodes, platform and targets in this process and test the main functions.", "",
+     "", 0, add_trial, make_trial, "  arbutusworks trial\n  arbutusworks trial --keep-up\n"},
     {"standin", "Stand in for the platform and the targets of a configuration.",
      "DIR --settings FILE", "directory", 1, add_standin, make_standin,
      "  arbutusworks standin examples/small --settings "
@@ -388,7 +390,8 @@
 
 // ---- parsing ----
 
-// Without guessing: a prefix that is taken for an option today may mean another one tomorrow.
+// Abbreviated options are rejected: a prefix that is unique now may become ambiguous or match
+// another option later.
 constexpr int option_style =
     po::command_line_style::default_style & ~po::command_line_style::allow_guessing;
 
--- a/src/cli/outcomes.cpp
+++ b/src/cli/outcomes.cpp
@@ -1,4 +1,4 @@
-// `outcomes`: what became of requests over time, from the log lines of all nodes.
+// The `outcomes` subcommand: how requests ended over time, from the log lines of all nodes.
 #include <fstream>
 #include <iostream>
 
@@ -22,10 +22,10 @@
     unreadable += outcomes.read(file);
   }
   if (unreadable > 0) {
-    std::cerr << "outcomes: " << unreadable << " lines are not of a node and were left out\n";
+    std::cerr << "outcomes: skipped " << unreadable << " lines that no node wrote\n";
   }
   if (outcomes.empty()) {
-    std::cerr << "outcomes: no line of a node was found\n";
+    std::cerr << "outcomes: no log line of a node was found\n";
     return to_status(exit_code::failure);
   }
   out << outcomes.to_text();
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -1,4 +1,5 @@
-// `platform`: the stand-in of a platform that keeps configuration and targets.
+// The `platform` subcommand: a stand-in for a platform that stores the configuration and runs the
+// targets.
 #include <boost/system/system_error.hpp>
 #include <iostream>
 #include <optional>
--- a/src/cli/session.cpp
+++ b/src/cli/session.cpp
@@ -1,4 +1,4 @@
-// Calls of commands.
+// HTTP calls of the subcommands to nodes.
 #include "cli/session.h"
 
 #include "connection/clock.h"
--- a/src/cli/session.h
+++ b/src/cli/session.h
@@ -1,4 +1,4 @@
-// A short conversation of a command with nodes: calls over HTTP from a runtime of its own.
+// Makes HTTP calls to nodes for a subcommand, on a runtime of its own.
 #pragma once
 
 #include <optional>
@@ -16,7 +16,7 @@
   session(const session&) = delete;
   session& operator=(const session&) = delete;
 
-  // With the operators' key, unless it is empty.
+  // Sends `key` as the operators' key unless it is empty.
   call_result call(const endpoint& node, const std::string& method, const std::string& target,
                    const std::string& key, const std::string& body, duration timeout);
 
--- a/src/cli/signals.cpp
+++ b/src/cli/signals.cpp
@@ -1,4 +1,4 @@
-// Signals that end a command.
+// Waits for the signals that end a command or make it reload its settings.
 #include "cli/signals.h"
 
 #include <csignal>
--- a/src/cli/signals.h
+++ b/src/cli/signals.h
@@ -1,17 +1,18 @@
-// Waiting for the signals that end a command.
+// Waits for the signals that end a command or make it reload its settings.
 #pragma once
 
 namespace arbutus {
 
-// To be called before any thread starts, so that none of them takes the signals.
+// Blocks SIGINT and SIGTERM. Must be called before any thread starts, so that no thread receives
+// them.
 void block_end_signals();
 
-// Waits for SIGINT or SIGTERM and returns which came.
+// Waits for SIGINT or SIGTERM and returns the signal received.
 int wait_for_end_signal();
 
 enum class signal_kind { end, reload };
 
-// The same with SIGHUP, for a command that reads its settings again.
+// The same, also for SIGHUP, for a command that reloads its settings.
 void block_signals();
 [[nodiscard]] signal_kind wait_for_signal();
 
--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -1,5 +1,5 @@
-// `standin`: the platform and the targets of a configuration as a process of its own, for trials
-// and for tests of processes.
+// The `standin` subcommand: stand-ins for the platform and the targets of a configuration in a
+// process of their own, for trials and for process tests.
 #include <boost/system/system_error.hpp>
 #include <iostream>
 
@@ -30,14 +30,15 @@
   if (platform.objects != platform.table || platform.vms != platform.table) {
     problems.push_back({severity::error,
                         {settings_file, 0, 0},
-                        "the stand-in gives table, objects and vms at one endpoint",
+                        "the stand-in serves table, objects and vms at one endpoint",
                         "the same endpoint three times in [platform]"});
   }
   return platform.table;
 }
 
-// Slots come from the rules; weights and speeds are the stand-in's own. Incarnations count from the
-// time of start: after a restart of this process no engine passes for the one it was before.
+// Slots come from the rules; weights and speeds are the stand-in's defaults. Incarnations count up
+// from the start time, so that after a restart of this process no engine is mistaken for its
+// previous incarnation.
 engine_settings engines_for(const rules& desired, std::uint64_t seed) {
   engine_settings settings;
   settings.seed = seed;
--- a/src/cli/status.cpp
+++ b/src/cli/status.cpp
@@ -1,4 +1,4 @@
-// `status`: what nodes know, at a glance or as JSON.
+// The `status` subcommand: prints the state known to each node, as text or as JSON.
 #include <algorithm>
 #include <iomanip>
 #include <iostream>
--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -1,4 +1,5 @@
-// The trial's story: a fleet comes up, requests are answered, things fail, promises are counted.
+// The `trial` subcommand: starts a fleet, sends requests, injects failures, and counts violated
+// guarantees.
 #include <algorithm>
 #include <cmath>
 #include <functional>
@@ -22,14 +23,14 @@
 constexpr std::size_t callers_per_workspace = 8;
 const service_id crew_service{"crew-api"};
 
-// A narrator that remembers whether all went well.
+// Prints the steps of the trial with their times and records whether any failed.
 class story {
  public:
   void tell(const std::string& text) {
     std::cout << std::fixed << std::setprecision(2) << std::setw(6)
               << to_seconds(monotonic_now() - begun_) << " s  " << text << std::endl;
   }
-  // Waits until `holds`; tells how long it took.
+  // Waits until `holds` returns true and prints how long it took; fails after `step_timeout`.
   bool wait(const std::string& what, const std::function<bool()>& holds) {
     const time_point from = monotonic_now();
     while (!holds()) {
@@ -77,8 +78,8 @@
   std::cout << "\nworkspace            whole  first token ms (p50 p95 p99)   whole answer ms (p50 "
                "p95 p99)\n";
   for (const auto& [name, r] : load.results()) {
-    std::cout << std::left << std::setw(18) << name << std::right << std::setw(8) << r.counts.whole
-              << std::setprecision(1);
+    std::cout << std::left << std::setw(18) << name << std::right << std::setw(8)
+              << r.counts.complete << std::setprecision(1);
     for (const double p : {0.5, 0.95, 0.99}) {
       std::cout << std::setw(10) << percentile(r.first_token_ms, p);
     }
@@ -106,7 +107,7 @@
   return shape;
 }
 
-// The same job card, sent through two nodes at once and once more later.
+// Sends the same job card three times at once, through two nodes.
 void send_job_card(fleet& f, story& s) {
   const std::string key = "card-4711";
   std::atomic<int> answered{0};
@@ -132,13 +133,13 @@
           f.standins().executions_of(crew_service, key) == 1 && answered == 3);
 }
 
-void kill_member(fleet& f, story& s, std::size_t centre, const std::string& how) {
+void kill_member(fleet& f, story& s, std::size_t centre, const std::string& suffix) {
   const fleet::member lost = f.find_member(centre);
   if (lost.vm.empty()) {
     s.fail("no serving replica to take a member from");
     return;
   }
-  s.tell("killing " + lost.vm.str() + ", a member of " + lost.replica.str() + how);
+  s.tell("killing " + lost.vm.str() + ", a member of " + lost.replica.str() + suffix);
   f.standins().kill_vm(lost.vm);
   s.wait("not routed to", [&] { return !f.is_routed_to(lost.node, lost.replica); });
   const bool repaired = s.wait("repaired and serving again",
@@ -204,11 +205,11 @@
   tell_story(f, load, s);
   const trial_counts counts = load.sum();
   print_results(load);
-  std::cout << "answers whole and their own " << counts.whole << ", refused and not run "
-            << counts.not_run << ", may have run " << counts.unknown << ", silent " << counts.silent
-            << ", wrong " << counts.wrong << "\n\n";
+  std::cout << "answers whole and their own " << counts.complete << ", refused and not run "
+            << counts.not_run << ", may have run " << counts.unknown << ", silent "
+            << counts.no_response << ", wrong " << counts.wrong << "\n\n";
   s.check("no answer was crossed, cut or doubled", counts.wrong == 0);
-  s.check("every request got an answer", counts.silent == 0);
+  s.check("every request got an answer", counts.no_response == 0);
   std::cout << (s.failed() ? "\nThe trial FAILED.\n" : "\nEvery promise held.\n");
   if (options.keep_up && !s.failed()) {
     stay_up(f);
--- a/src/cli/trial_load.cpp
+++ b/src/cli/trial_load.cpp
@@ -1,4 +1,4 @@
-// Callers of the trial.
+// The callers of the trial.
 #include "cli/trial_load.h"
 
 #include <thread>
@@ -26,7 +26,7 @@
   workspace_result& result = results_[workspace];
   result.first_token_ms.push_back(first_ms);
   result.total_ms.push_back(total_ms);
-  ++result.counts.whole;
+  ++result.counts.complete;
 }
 
 void trial_load::count(const std::string& workspace, std::uint64_t trial_counts::*field) {
@@ -38,7 +38,7 @@
                            bool stream) {
   const fleet_workspace& who = fleet_.workspaces()[workspace];
   planned_call call;
-  call.kind = stream ? call_kind::streamed : call_kind::whole;
+  call.kind = stream ? call_kind::streamed : call_kind::buffered;
   call.workspace = static_cast<std::uint32_t>(workspace);
   call.prompt = prompt_of(workspace, serial);
   call.answer_tokens = answer_tokens;
@@ -48,7 +48,7 @@
                 fleet_.shape().model, {}, call, begun + call_timeout);
   promise_checker checker(fleet_.shape().model, service_id{fleet_service}, {});
   switch (checker.check_answer(call, answer.raw)) {
-    case call_end::whole: {
+    case call_end::complete: {
       const time_point first = stream ? answer.first_token : answer.ended;
       record(who.name, to_milliseconds(first - begun), to_milliseconds(answer.ended - begun));
       return;
@@ -62,10 +62,10 @@
     case call_end::unknown:
       count(who.name, &trial_counts::unknown);
       return;
-    // In the trial no node goes away without notice: a node that cannot be reached is a fault too.
+    // No node of the trial is killed, so one that cannot be reached is a fault, too.
     case call_end::unreached:
-    case call_end::silent:
-      count(who.name, &trial_counts::silent);
+    case call_end::no_response:
+      count(who.name, &trial_counts::no_response);
       return;
   }
 }
@@ -109,11 +109,11 @@
 trial_counts trial_load::sum() const {
   trial_counts total;
   for (const auto& [name, result] : results()) {
-    total.whole += result.counts.whole;
+    total.complete += result.counts.complete;
     total.wrong += result.counts.wrong;
     total.not_run += result.counts.not_run;
     total.unknown += result.counts.unknown;
-    total.silent += result.counts.silent;
+    total.no_response += result.counts.no_response;
   }
   return total;
 }
--- a/src/cli/trial_load.h
+++ b/src/cli/trial_load.h
@@ -1,5 +1,5 @@
-// Callers of the trial: they know the one right answer to each of their requests, and count every
-// answer that is not it.
+// The callers of the trial. They know the one correct answer to each of their requests and count
+// every other result.
 #pragma once
 
 #include <atomic>
@@ -14,11 +14,11 @@
 namespace arbutus {
 
 struct trial_counts {
-  std::uint64_t whole{};    // complete and its own
-  std::uint64_t wrong{};    // an answer that is not its own, or a cut one called whole
-  std::uint64_t not_run{};  // refused, told so
-  std::uint64_t unknown{};  // told that it may have run
-  std::uint64_t silent{};   // connection ended without an answer
+  std::uint64_t complete{};  // complete and correct
+  std::uint64_t wrong{};     // the answer to another request, or a truncated one sent as complete
+  std::uint64_t not_run{};   // refused as not run
+  std::uint64_t unknown{};   // reported that it may have run
+  std::uint64_t no_response{};  // connection ended without an answer
 };
 
 struct workspace_result {
@@ -31,17 +31,18 @@
  public:
   explicit trial_load(fleet& f) : fleet_(f) {}
 
-  // Callers of every workspace on every node, one request after the other, until stop().
+  // Starts callers of every workspace at every node; each sends one request after the other until
+  // stop().
   void start(std::size_t callers_per_workspace);
   void stop();  // waits for the requests in flight
 
-  // One request through `node`; counts it.
+  // Sends one request through `node` and counts its outcome.
   void call_once(std::size_t node, std::size_t workspace, std::uint64_t serial, bool stream);
 
   [[nodiscard]] std::map<std::string, workspace_result> results() const;
   [[nodiscard]] trial_counts sum() const;
 
-  // Nodes that are stopping take no new callers from here, as a balancer would see to.
+  // Sends no more requests to this node, as a load balancer would for a node that stops.
   void leave_out(std::size_t node) { left_out_ = node; }
 
  private:
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -1,4 +1,4 @@
-// One call over HTTP.
+// Makes one call over HTTP and reads its answer.
 #include "load/caller.h"
 
 #include <algorithm>
@@ -60,7 +60,7 @@
   return request;
 }
 
-// Takes one answer apart as it arrives.
+// Parses one answer as it arrives.
 class answer_reader {
  public:
   explicit answer_reader(const planned_call& call) : call_(call) {}
@@ -94,7 +94,7 @@
     } else if (call_.kind == call_kind::booking) {
       raw.called_whole = result.ok();
       raw.text = std::move(body_);
-    } else if (call_.kind == call_kind::whole && result.ok()) {
+    } else if (call_.kind == call_kind::buffered && result.ok()) {
       const json body = json::parse(body_, nullptr, false);
       raw.called_whole = body.is_object() && body.contains("choices");
       raw.text = raw.called_whole ? text_of(body) : std::string();
--- a/src/load/caller.h
+++ b/src/load/caller.h
@@ -1,4 +1,4 @@
-// One call as a caller makes it: sends the request, takes the answer apart, keeps the times.
+// One call as a caller makes it: sends the request, parses the answer and records the times.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 
 struct timed_answer {
   raw_answer raw;
-  time_point first_token = time_point::min();  // of a stream; min: none came
+  time_point first_token = time_point::min();  // of a stream; min: none arrived
   time_point ended;
   std::uint32_t tokens{};  // frames with text
 };
@@ -20,11 +20,11 @@
 struct call_address {
   socket_address target;
   std::string key;            // of the workspace
-  std::string request_class;  // empty: none is named
-  std::string request_id;     // sent to stand-ins, which need one; nodes make their own
+  std::string request_class;  // empty: not sent
+  std::string request_id;     // for stand-ins, which need one; nodes assign their own
 };
 
-// Runs in a fiber of the client's runtime.
+// Must run in a fiber of the client's runtime.
 [[nodiscard]] timed_answer make_call(http_client& client, const call_address& to,
                                      const model_id& model, const std::string& booking_path,
                                      const planned_call& call, time_point deadline);
--- a/src/load/checker.cpp
+++ b/src/load/checker.cpp
@@ -1,4 +1,4 @@
-// The checker of promises.
+// Checks the answers and executions of a load run against the guarantees.
 #include "load/checker.h"
 
 #include <algorithm>
@@ -13,14 +13,15 @@
 
 constexpr std::size_t most_samples = 8;
 
-// What is wrong with an answer, for people.
+// Describes how a wrong answer differs from the expected one.
 std::string difference(const std::string& expected, const std::string& got) {
   if (expected.starts_with(got)) {
-    return "cut after " + std::to_string(got.size()) + " of " + std::to_string(expected.size()) +
-           " bytes, and called whole";
+    return "truncated after " + std::to_string(got.size()) + " of " +
+           std::to_string(expected.size()) + " bytes, but sent as complete";
   }
   const auto at = std::mismatch(expected.begin(), expected.end(), got.begin(), got.end()).first;
-  return "another text from byte " + std::to_string(at - expected.begin()) + " on";
+  return "differs from the expected text from byte " + std::to_string(at - expected.begin()) +
+         " on";
 }
 
 }  // namespace
@@ -44,13 +45,13 @@
 
 call_end promise_checker::end_of(const raw_answer& answer) {
   if (answer.called_whole) {
-    return call_end::whole;
+    return call_end::complete;
   }
   if (!answer.reached) {
     return call_end::unreached;
   }
   if (answer.status == 0) {
-    return call_end::silent;
+    return call_end::no_response;
   }
   const bool refused = answer.status != 200 && answer.error_type == "not_run";
   return refused ? call_end::not_run : call_end::unknown;
@@ -58,23 +59,23 @@
 
 call_end promise_checker::check_answer(const planned_call& call, const raw_answer& answer) {
   call_end end = end_of(answer);
-  if (end == call_end::whole) {
+  if (end == call_end::complete) {
     const std::string right = expected(call);
     if (answer.text != right) {
       end = call_end::wrong;
-      broken(promise::own_answer,
-             "request " + answer.id.str() + ": " + difference(right, answer.text));
+      report_violation(promise::own_answer,
+                       "request " + answer.id.str() + ": " + difference(right, answer.text));
     }
   }
-  if (end == call_end::silent) {
-    broken(promise::answered, "a call of workspace " + std::to_string(call.workspace) + " at " +
-                                  std::to_string(to_seconds(call.at)) +
-                                  " s ended without any answer");
+  if (end == call_end::no_response) {
+    report_violation(promise::answered, "a call of workspace " + std::to_string(call.workspace) +
+                                            " at " + std::to_string(to_seconds(call.at)) +
+                                            " s ended without any answer");
   }
   if (call.kind == call_kind::booking) {
     booking_seen& seen = bookings_[call.prompt];
     const bool did_not_run = end == call_end::not_run || end == call_end::unreached;
-    ++(end == call_end::whole ? seen.done : did_not_run ? seen.not_run : seen.other);
+    ++(end == call_end::complete ? seen.done : did_not_run ? seen.not_run : seen.other);
   } else if (end == call_end::not_run && !answer.id.empty()) {
     not_run_.push_back(answer.id);
   }
@@ -83,8 +84,8 @@
 
 void promise_checker::check_not_run(const request_id& id, std::uint32_t runs) {
   if (runs > 0) {
-    broken(promise::not_run, "request " + id.str() + " was called not run and was taken in " +
-                                 std::to_string(runs) + " times");
+    report_violation(promise::not_run, "request " + id.str() + " was reported as not run but ran " +
+                                           std::to_string(runs) + " times");
   }
 }
 
@@ -92,15 +93,15 @@
                                     std::uint32_t executions) {
   const std::string ran = key + " ran " + std::to_string(executions) + " times";
   if (executions > 1) {
-    broken(promise::at_most_once, ran);
+    report_violation(promise::at_most_once, ran);
   } else if (seen.done > 0 && executions == 0) {
-    broken(promise::at_most_once, ran + ", and was called done");
+    report_violation(promise::at_most_once, ran + ", but was reported as done");
   } else if (seen.done == 0 && seen.other == 0 && executions > 0) {
-    broken(promise::not_run, ran + ", and every caller was told that it did not");
+    report_violation(promise::not_run, ran + ", but every caller was told that it did not run");
   }
 }
 
-void promise_checker::broken(promise which, std::string what) {
+void promise_checker::report_violation(promise which, std::string what) {
   ++counts_[static_cast<std::size_t>(which)];
   if (samples_.size() < most_samples) {
     samples_.push_back(std::string(promise_names[static_cast<std::size_t>(which)]) + ": " +
--- a/src/load/checker.h
+++ b/src/load/checker.h
@@ -1,5 +1,5 @@
-// Holds every answer against what was promised. Knows the one right answer to each call, and what
-// the stand-ins say they ran.
+// Checks every answer of a load run against the guarantees of the system. It knows the one correct
+// answer to each call, and compares reported outcomes with what the stand-ins executed.
 #pragma once
 
 #include <array>
@@ -14,25 +14,25 @@
 namespace arbutus {
 
 enum class promise {
-  own_answer,    // what is called whole is the caller's own answer, exactly
-  not_run,       // what is called not run was not run
-  at_most_once,  // a booking key runs once at most, and once when any call said it was done
-  answered,      // every call gets an answer, if only that there is none
-  clean_stop,    // a planned stop cuts off nothing
+  own_answer,    // an answer marked complete is exactly the answer to the caller's request
+  not_run,       // a call reported as not run was not run
+  at_most_once,  // a booking key runs at most once, and exactly once if any call reported it done
+  answered,      // every call that was sent gets a response, if only an error
+  clean_stop,    // a planned stop interrupts no request
 };
 
 inline constexpr std::array<std::string_view, 5> promise_names = {
     "own whole answer", "not run means not run", "at most once", "every call answered",
     "planned stop cuts nothing"};
 
-// How a call ended, as its caller was told.
+// How a call ended, as its caller sees it.
 enum class call_end {
-  whole,      // and right
-  wrong,      // called whole, and not the right answer
-  not_run,    // told so
-  unreached,  // no byte could be sent
-  unknown,    // told that it may have run, or cut off in a way that shows
-  silent,     // no status at all
+  complete,     // complete and correct
+  wrong,        // marked complete, but not the correct answer
+  not_run,      // reported as not run
+  unreached,    // nothing could be sent
+  unknown,      // reported that it may have run, or visibly truncated
+  no_response,  // no status received
 };
 
 inline constexpr std::array<std::string_view, 6> call_end_names = {
@@ -40,22 +40,22 @@
 
 struct raw_answer {
   bool reached = true;        // whether any byte of the call may have been sent
-  int status = 0;             // 0: none came
-  bool called_whole = false;  // an end mark, or a whole body
+  int status = 0;             // 0: none received
+  bool called_whole = false;  // the stream's end mark or the complete body was received
   std::string text;           // of the answer
   std::string error_type;     // of an error body or frame: "not_run", "unknown", ...
   std::string error_code;     // of an error body or frame: "too_late", "no_replica", ...
-  request_id id;              // as the node named it
+  request_id id;              // as assigned by the node
 };
 
 class promise_checker {
  public:
   promise_checker(const model_id& model, const service_id& service, std::string booking_path);
 
-  // Records what the call shows. From one thread.
+  // Classifies the answer and records violations. Not thread-safe.
   call_end check_answer(const planned_call& call, const raw_answer& answer);
 
-  // After the run: what the stand-ins count.
+  // After the run: compares the reported outcomes with the executions counted by the stand-ins.
   template <class RunsOf, class ExecutionsOf>
   void check_executions(RunsOf runs_of, ExecutionsOf executions_of) {
     for (const request_id& id : not_run_) {
@@ -66,22 +66,22 @@
     }
   }
 
-  void broken(promise which, std::string what);
+  void report_violation(promise which, std::string what);
 
   [[nodiscard]] std::uint64_t count(promise which) const {
     return counts_[static_cast<std::size_t>(which)];
   }
   [[nodiscard]] std::uint64_t violations() const;
-  // The first few, for people.
+  // Descriptions of the first few violations.
   [[nodiscard]] const std::vector<std::string>& samples() const { return samples_; }
-  // Calls told "not run" whose id could be looked up afterwards.
+  // Calls reported as not run whose id is known, so that the stand-ins can be asked about them.
   [[nodiscard]] std::uint64_t not_run_checked() const { return not_run_.size(); }
   [[nodiscard]] std::uint64_t bookings_checked() const { return bookings_.size(); }
 
   [[nodiscard]] static std::string booking_body(const std::string& key);
 
  private:
-  // What the callers of one idempotency key were told.
+  // The outcomes reported to the callers of one idempotency key.
   struct booking_seen {
     std::uint32_t done{};
     std::uint32_t not_run{};
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -1,4 +1,4 @@
-// Experiments from TOML.
+// Reads experiments from TOML.
 #include "load/experiment.h"
 
 #include <algorithm>
@@ -39,7 +39,7 @@
     read_workload();
     read_classes();
     read_workspaces();
-    read_workspace_name(root_, "apart", result_.apart);
+    read_workspace_name(root_, "apart", result_.excluded_workspace);
     read_faults();
     read_variants();
     root_.finish();
--- a/src/load/faults.cpp
+++ b/src/load/faults.cpp
@@ -1,4 +1,4 @@
-// The timeline of faults.
+// Injects the faults of an experiment.
 #include "load/faults.h"
 
 #include <algorithm>
@@ -96,7 +96,7 @@
 void fault_player::begin_on_member(const timed_fault& fault, duration elapsed) {
   const vm_id vm = fleet_.find_member(fault.data_centre).vm;
   if (vm.empty()) {
-    mark(elapsed, "no serving replica to take a member of");
+    mark(elapsed, "no serving replica to inject the fault into");
     return;
   }
   standin_fleet& standins = fleet_.standins();
@@ -163,7 +163,8 @@
   }
 }
 
-// The balancer takes the node out within its lag, which the node waits out.
+// The callers stop using the node after half of the balancer's lag, as a load balancer would; the
+// node keeps accepting calls until the lag has passed.
 void fault_player::begin_stop(const timed_fault& fault, duration elapsed) {
   auto stop = std::make_unique<planned_stop>();
   stop->node = (fault.data_centre + 1) * fleet_.shape().nodes_per_data_centre - 1;
--- a/src/load/faults.h
+++ b/src/load/faults.h
@@ -1,4 +1,4 @@
-// Plays the timeline of faults of an experiment on a fleet.
+// Injects the faults of an experiment into a fleet, according to their timeline.
 #pragma once
 
 #include <functional>
@@ -15,20 +15,21 @@
 
 class fault_player {
  public:
-  // `leave_out(node)`: callers stop calling that node, as the platform's balancer would have it.
+  // `leave_out(node)` makes the callers stop using that node, as the platform's load balancer
+  // would.
   fault_player(fleet& f, std::vector<timed_fault> faults,
                std::function<void(std::size_t)> leave_out);
   ~fault_player();  // waits for planned stops
   fault_player(const fault_player&) = delete;
   fault_player& operator=(const fault_player&) = delete;
 
-  // Plays all that is due, and undoes what has lasted long enough.
+  // Injects the faults that are due and undoes those whose duration has passed.
   void play(duration elapsed);
-  // Undoes what still lasts, and waits for planned stops.
+  // Undoes all remaining faults and waits for planned stops.
   void finish(duration elapsed);
 
   [[nodiscard]] const std::vector<fault_mark>& marks() const { return marks_; }
-  // Planned stops that cut something off.
+  // Planned stops that interrupted requests.
   [[nodiscard]] std::size_t unclean_stops() const { return unclean_stops_; }
 
  private:
@@ -55,7 +56,7 @@
                   std::function<void()> run);
 
   fleet& fleet_;
-  std::vector<timed_fault> faults_;  // by time; those before next_ were played
+  std::vector<timed_fault> faults_;  // by time; those before next_ were injected
   std::size_t next_ = 0;
   std::function<void(std::size_t)> leave_out_;
   std::vector<undo> undos_;
--- a/src/load/fleet.cpp
+++ b/src/load/fleet.cpp
@@ -1,4 +1,4 @@
-// A fleet inside this process.
+// A fleet of nodes and stand-ins inside this process.
 #include "load/fleet.h"
 
 #include <algorithm>
@@ -177,11 +177,11 @@
 std::size_t fleet::serving_replicas() const {
   std::size_t sum = 0;
   for (std::size_t first = 0; first < nodes_.size(); first += shape_.nodes_per_data_centre) {
-    std::size_t least = nodes_[first]->routable_replicas();
+    std::size_t min_count = nodes_[first]->routable_replicas();
     for (std::size_t i = 1; i < shape_.nodes_per_data_centre; ++i) {
-      least = std::min(least, nodes_[first + i]->routable_replicas());
+      min_count = std::min(min_count, nodes_[first + i]->routable_replicas());
     }
-    sum += least;
+    sum += min_count;
   }
   return sum;
 }
--- a/src/load/fleet.h
+++ b/src/load/fleet.h
@@ -1,5 +1,5 @@
-// A fleet inside this process, for `trial` and `load`: stand-ins of the platform, of target VMs and
-// of a plain service, and nodes in several data centres, all on loopback with free ports.
+// A fleet inside this process, for `trial` and `load`: nodes in several data centres and stand-ins
+// for the platform, for target VMs and for a plain service, all on free loopback ports.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,14 @@
 
 namespace arbutus {
 
-// One who calls, with a key that opens nothing outside this process.
+// A calling workspace. Its key is valid in this process only.
 struct fleet_workspace {
   std::string name;
   std::string key;
   double share = 1.0;
 };
 
-// What the fleet consists of. Every data centre is alike.
+// What the fleet consists of. All data centres are alike.
 struct fleet_shape {
   std::size_t data_centres = 3;
   std::size_t nodes_per_data_centre = 2;
@@ -52,8 +52,8 @@
   fleet(const fleet&) = delete;
   fleet& operator=(const fleet&) = delete;
 
-  // Proposes the rules with this share for the first workspace through the first node, as `apply`
-  // does. Returns the version, or 0 if it was not accepted.
+  // Proposes rules with this share for the first workspace through the first node, as the `apply`
+  // subcommand does. Returns the version, or 0 if it was not accepted.
   std::uint64_t apply(double first_share);
 
   [[nodiscard]] const fleet_shape& shape() const { return shape_; }
@@ -65,24 +65,24 @@
   [[nodiscard]] http_client& client() { return *client_; }
   [[nodiscard]] const std::vector<fleet_workspace>& workspaces() const { return shape_.workspaces; }
   [[nodiscard]] std::size_t wanted_replicas() const;
-  // Over all data centres, as the node that knows fewest of its own sees it.
+  // Sum over all data centres; in each, the lowest count that one of its nodes can route to.
   [[nodiscard]] std::size_t serving_replicas() const;
   [[nodiscard]] bool all_in_force(std::uint64_t version) const;
-  // A member of a replica that serves now, and the replica.
+  // A member of a replica that is serving, and the replica.
   struct member {
     vm_id vm;
     replica_id replica;
     std::size_t node = 0;  // a node of its data centre
   };
-  // The last member of the last serving replica there; `vm` is empty when none serves.
+  // The last member of the last serving replica of the data centre; `vm` is empty if none serves.
   [[nodiscard]] member find_member(std::size_t data_centre);
-  // Where the serving replicas answer: the address of each one's first member, and that VM.
+  // The first member of a serving replica, which answers its requests.
   struct replica_head {
     vm_id vm;
     socket_address address;
   };
   [[nodiscard]] std::vector<replica_head> heads() const;
-  // Whether the node routes to the replica, and none of its members is `without`.
+  // Whether the node routes to the replica and `without` is not one of its members.
   [[nodiscard]] bool serves_without(std::size_t node, const replica_id& replica,
                                     const vm_id& without);
   [[nodiscard]] bool is_routed_to(std::size_t node, const replica_id& replica);
@@ -94,7 +94,7 @@
   void start_nodes();
 
   fleet_shape shape_;
-  // In order of construction: the runtime outlives all that runs on it.
+  // The order matters: the runtime must outlive everything that runs on it.
   fiber_runtime runtime_;
   std::unique_ptr<standin_fleet> standins_;
   std::unique_ptr<http_client> client_;
--- a/src/load/latency.cpp
+++ b/src/load/latency.cpp
@@ -1,4 +1,4 @@
-// Latencies as histograms.
+// Latency histograms.
 #include "load/latency.h"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 
 namespace {
 
-// From a token's gap on loopback to a caller's timeout; a bin is 0.8% wide, so that an added
-// tenth of a millisecond in a few milliseconds still shows.
+// The range covers the gap between two tokens on loopback as well as a caller's timeout. A bin is
+// 0.8% wide, so that an increase by a tenth of a millisecond is visible in a few milliseconds.
 constexpr double least_ms = 0.01;
 constexpr double most_ms = 120'000;
 constexpr unsigned bin_count = 2048;
--- a/src/load/latency.h
+++ b/src/load/latency.h
@@ -1,4 +1,4 @@
-// Latencies as histograms (Boost.Histogram): fixed memory however long a run is, and merged by
+// Latency histograms (Boost.Histogram): they use a fixed amount of memory and can be merged by
 // addition.
 #pragma once
 
@@ -23,7 +23,8 @@
   [[nodiscard]] double quantile(double p) const;
   [[nodiscard]] double mean() const;
 
-  // Upper edge in milliseconds and fraction at or below it, for each bin that holds any.
+  // For each non-empty bin: its upper edge in milliseconds, and the fraction of all latencies at or
+  // below it.
   struct point {
     double milliseconds{};
     double fraction{};
--- a/src/load/report.h
+++ b/src/load/report.h
@@ -1,4 +1,4 @@
-// A report of an experiment, three ways.
+// The report of an experiment as text, JSON and HTML.
 #pragma once
 
 #include <ostream>
@@ -11,10 +11,10 @@
 // Tables for a terminal.
 void print_report(std::ostream& out, const experiment_report& report);
 
-// For programs.
+// JSON for programs.
 [[nodiscard]] std::string json_report(const experiment_report& report);
 
-// One page that needs nothing else.
+// One self-contained page.
 [[nodiscard]] std::string html_report(const experiment_report& report);
 
 }  // namespace arbutus
--- a/src/load/report_html.cpp
+++ b/src/load/report_html.cpp
@@ -1,4 +1,4 @@
-// The report as a page: tables, latency distributions, and what happened second by second.
+// The report as an HTML page: tables, latency distributions, and outcomes by second.
 #include <iomanip>
 #include <sstream>
 
@@ -52,16 +52,16 @@
 
 chart timeline_chart(const variant_result& v) {
   chart c{v.name + ": ends by second", "s", "calls", false, {}, {}};
-  chart_line whole{"whole", {}};
+  chart_line complete{"whole", {}};
   chart_line refused{"refused", {}};
   chart_line failed{"unknown or wrong", {}};
   for (std::size_t i = 0; i < v.timeline.size(); ++i) {
     const auto x = static_cast<double>(i);
-    whole.points.emplace_back(x, v.timeline[i].whole);
+    complete.points.emplace_back(x, v.timeline[i].complete);
     refused.points.emplace_back(x, v.timeline[i].refused);
     failed.points.emplace_back(x, v.timeline[i].failed);
   }
-  c.lines = {whole, refused, failed};
+  c.lines = {complete, refused, failed};
   for (const fault_mark& mark : v.marks) {
     c.marks.push_back({mark.at_seconds, mark.text});
   }
@@ -71,9 +71,9 @@
 void row(std::ostream& out, const std::string& workspace, const std::string& request_class,
          const load_cell& cell) {
   out << "<tr><td>" << html_escape(workspace) << "</td><td>" << html_escape(request_class)
-      << "</td><td>" << cell.calls() << "</td><td>" << cell.of(call_end::whole) << "</td><td>"
+      << "</td><td>" << cell.calls() << "</td><td>" << cell.of(call_end::complete) << "</td><td>"
       << cell.useful << "</td><td>" << cell.of(call_end::not_run) + cell.of(call_end::unreached)
-      << "</td><td>" << cell.of(call_end::unknown) + cell.of(call_end::silent) << "</td><td>"
+      << "</td><td>" << cell.of(call_end::unknown) + cell.of(call_end::no_response) << "</td><td>"
       << cell.of(call_end::wrong) << "</td>";
   for (const latency_histogram* h : {&cell.first_token, &cell.total, &cell.per_token}) {
     for (const double p : {0.5, 0.95, 0.99}) {
@@ -92,8 +92,8 @@
     row(out, name.first, name.second, cell);
   }
   row(out, "all", "", v.sum());
-  if (!v.apart.empty()) {
-    row(out, "not " + v.apart, "", v.sum_without(v.apart));
+  if (!v.excluded_workspace.empty()) {
+    row(out, "not " + v.excluded_workspace, "", v.sum_without(v.excluded_workspace));
   }
   out << "</table>\n";
 }
--- a/src/load/report_json.cpp
+++ b/src/load/report_json.cpp
@@ -35,13 +35,13 @@
   for (const auto& [name, cell] : v.cells) {
     cells.push_back(cell_of(name.first, name.second, cell));
   }
-  json broken;
+  json violations;
   for (std::size_t i = 0; i < promise_names.size(); ++i) {
-    broken[std::string(promise_names[i])] = v.broken[i];
+    violations[std::string(promise_names[i])] = v.violation_counts[i];
   }
   json timeline = json::array();
   for (const load_second& s : v.timeline) {
-    timeline.push_back({{"whole", s.whole}, {"refused", s.refused}, {"failed", s.failed}});
+    timeline.push_back({{"whole", s.complete}, {"refused", s.refused}, {"failed", s.failed}});
   }
   json marks = json::array();
   for (const fault_mark& mark : v.marks) {
@@ -53,11 +53,11 @@
           {"passed", v.passed()},
           {"safeguard_off", v.expects_broken.has_value()},
           {"all", cell_of("", "", v.sum())},
-          {"all_but_apart", cell_of("", "", v.sum_without(v.apart))},
+          {"all_but_apart", cell_of("", "", v.sum_without(v.excluded_workspace))},
           {"cells", cells},
           {"late_start", quantiles_of(v.late_start)},
           {"not_whole", v.reasons},
-          {"broken", broken},
+          {"broken", violations},
           {"samples", v.samples},
           {"problems", v.problems},
           {"not_run_checked", v.not_run_checked},
--- a/src/load/report_text.cpp
+++ b/src/load/report_text.cpp
@@ -24,12 +24,12 @@
 void print_cell(std::ostream& out, const std::string& workspace, const std::string& request_class,
                 const load_cell& cell, double seconds) {
   out << "  " << std::left << std::setw(16) << workspace << std::setw(13) << request_class
-      << std::right << std::setw(8) << cell.calls() << std::setw(8) << cell.of(call_end::whole)
+      << std::right << std::setw(8) << cell.calls() << std::setw(8) << cell.of(call_end::complete)
       << std::setw(8) << cell.useful << std::setw(8)
       << cell.of(call_end::not_run) + cell.of(call_end::unreached) << std::setw(8)
-      << cell.of(call_end::unknown) + cell.of(call_end::silent) << std::setw(7)
+      << cell.of(call_end::unknown) + cell.of(call_end::no_response) << std::setw(7)
       << cell.of(call_end::wrong) << std::setprecision(1) << std::setw(10)
-      << static_cast<double>(cell.of(call_end::whole)) / std::max(seconds, 1e-9)
+      << static_cast<double>(cell.of(call_end::complete)) / std::max(seconds, 1e-9)
       << std::setprecision(2);
   print_quantiles(out, cell.first_token);
   print_quantiles(out, cell.total);
@@ -38,9 +38,9 @@
 }
 
 void print_promises(std::ostream& out, const variant_result& v) {
-  for (std::size_t i = 0; i < v.broken.size(); ++i) {
-    if (v.broken[i] > 0) {
-      out << "  BROKEN " << v.broken[i] << " times: " << promise_names[i] << '\n';
+  for (std::size_t i = 0; i < v.violation_counts.size(); ++i) {
+    if (v.violation_counts[i] > 0) {
+      out << "  BROKEN " << v.violation_counts[i] << " times: " << promise_names[i] << '\n';
     }
   }
   for (const std::string& sample : v.samples) {
@@ -75,8 +75,9 @@
   if (v.cells.size() > 1) {
     print_cell(out, "all", "", v.sum(), v.measured_seconds);
   }
-  if (!v.apart.empty()) {
-    print_cell(out, "not " + v.apart, "", v.sum_without(v.apart), v.measured_seconds);
+  if (!v.excluded_workspace.empty()) {
+    print_cell(out, "not " + v.excluded_workspace, "", v.sum_without(v.excluded_workspace),
+               v.measured_seconds);
   }
   for (const auto& [reason, count] : v.reasons) {
     out << "  not whole: " << count << " x " << reason << '\n';
--- a/src/load/results.cpp
+++ b/src/load/results.cpp
@@ -1,4 +1,4 @@
-// Results of a load run.
+// Adds up the results of a load run.
 #include "load/results.h"
 
 #include <algorithm>
@@ -23,7 +23,7 @@
 void load_cell::add(const call_timing& timing, call_end end) {
   ++ends[static_cast<std::size_t>(end)];
   useful += timing.useful ? 1U : 0U;
-  if (end != call_end::whole) {
+  if (end != call_end::complete) {
     return;
   }
   total.add(timing.total);
@@ -57,7 +57,7 @@
   }
   load_second& now = timeline[second];
   const bool refused = end == call_end::not_run || end == call_end::unreached;
-  ++(end == call_end::whole ? now.whole : refused ? now.refused : now.failed);
+  ++(end == call_end::complete ? now.complete : refused ? now.refused : now.failed);
   if (timing.measured) {
     cells[cell].add(timing, end);
     late_start.add(timing.late_start);
@@ -65,8 +65,8 @@
 }
 
 void variant_result::add(const promise_checker& checker) {
-  for (std::size_t i = 0; i < broken.size(); ++i) {
-    broken[i] += checker.count(static_cast<promise>(i));
+  for (std::size_t i = 0; i < violation_counts.size(); ++i) {
+    violation_counts[i] += checker.count(static_cast<promise>(i));
   }
   append(samples, checker.samples());
   not_run_checked += checker.not_run_checked();
@@ -85,15 +85,15 @@
   }
   timeline.resize(std::max(timeline.size(), other.timeline.size()));
   for (std::size_t i = 0; i < other.timeline.size(); ++i) {
-    timeline[i].whole += other.timeline[i].whole;
+    timeline[i].complete += other.timeline[i].complete;
     timeline[i].refused += other.timeline[i].refused;
     timeline[i].failed += other.timeline[i].failed;
   }
   if (!other.marks.empty()) {
     marks = other.marks;
   }
-  for (std::size_t i = 0; i < broken.size(); ++i) {
-    broken[i] += other.broken[i];
+  for (std::size_t i = 0; i < violation_counts.size(); ++i) {
+    violation_counts[i] += other.violation_counts[i];
   }
   append(samples, other.samples);
   append(problems, other.problems);
@@ -121,7 +121,7 @@
 }
 
 std::uint64_t variant_result::violations() const {
-  return std::accumulate(broken.begin(), broken.end(), std::uint64_t{0});
+  return std::accumulate(violation_counts.begin(), violation_counts.end(), std::uint64_t{0});
 }
 
 bool variant_result::passed() const {
@@ -131,7 +131,7 @@
   if (!expects_broken) {
     return violations() == 0;
   }
-  const std::uint64_t expected = broken[static_cast<std::size_t>(*expects_broken)];
+  const std::uint64_t expected = violation_counts[static_cast<std::size_t>(*expects_broken)];
   return expected > 0 && expected == violations();
 }
 
--- a/src/load/results.h
+++ b/src/load/results.h
@@ -1,5 +1,5 @@
-// What one variant showed: latencies and ends per workspace and class, a timeline, the faults that
-// were played, and the promises that were broken. Rounds of a variant are added up.
+// The results of one variant: latencies and outcomes per workspace and class, a timeline, the
+// injected faults, and the violated guarantees. The rounds of a variant are added up.
 #pragma once
 
 #include <array>
@@ -17,11 +17,11 @@
 
 struct call_timing {
   bool measured = false;   // arrived after the warm-up
-  bool useful = false;     // whole, and within the class's limits
-  duration late_start{};   // behind the intended arrival, on the caller's side
-  duration first_token{};  // from the intended arrival; 0: none
-  duration total{};        // likewise
-  duration per_token{};    // mean gap after the first token; 0: not known
+  bool useful = false;     // complete, and within the limits of its class
+  duration late_start{};   // delay of the caller itself after the intended arrival
+  duration first_token{};  // since the intended arrival; 0: no token
+  duration total{};        // since the intended arrival
+  duration per_token{};    // mean gap after the first token; 0: unknown
   duration ended_at{};     // since the start of the run
 };
 
@@ -39,9 +39,9 @@
 };
 
 struct load_second {
-  std::uint32_t whole{};
+  std::uint32_t complete{};
   std::uint32_t refused{};  // not run or unreached
-  std::uint32_t failed{};   // unknown, wrong or silent
+  std::uint32_t failed{};   // unknown, wrong or no response
 };
 
 struct fault_mark {
@@ -54,21 +54,21 @@
 
 struct variant_result {
   std::string name;
-  std::string apart;  // workspace that the sum of all others is shown without; empty: none
+  std::string excluded_workspace;  // the report also has a sum without it; empty: none
   std::uint32_t rounds{};
   double measured_seconds{};
   std::map<cell_name, load_cell> cells;
   latency_histogram late_start;
-  std::map<std::string, std::uint64_t> reasons;  // of calls that were not whole, by error code
+  std::map<std::string, std::uint64_t> reasons;  // why calls were not complete, by error code
   std::vector<load_second> timeline;             // of all rounds, by second of the run
   std::vector<fault_mark> marks;                 // of the last round
-  std::array<std::uint64_t, promise_names.size()> broken{};
+  std::array<std::uint64_t, promise_names.size()> violation_counts{};
   std::vector<std::string> samples;
   std::uint64_t not_run_checked{};
   std::uint64_t bookings_checked{};
-  // A safeguard was off on purpose: this promise has to be seen broken, and no other.
+  // Set if a safeguard was disabled: exactly this guarantee has to be violated.
   std::optional<promise> expects_broken;
-  std::vector<std::string> problems;  // the run itself did not work
+  std::vector<std::string> problems;  // failures of the run itself
 
   void add(const cell_name& cell, const call_timing& timing, call_end end);
   void add(const promise_checker& checker);
@@ -78,7 +78,7 @@
   // Of all workspaces but this one.
   [[nodiscard]] load_cell sum_without(const std::string& workspace) const;
   [[nodiscard]] std::uint64_t violations() const;
-  // Whether promises held, or broke where they had to.
+  // Whether all guarantees held; if one was expected to be violated, whether just that one was.
   [[nodiscard]] bool passed() const;
 };
 
--- a/src/load/run.cpp
+++ b/src/load/run.cpp
@@ -1,4 +1,4 @@
-// Experiments, run.
+// Runs experiments.
 #include "load/run.h"
 
 #include <algorithm>
@@ -18,16 +18,18 @@
 
 }  // namespace
 
-// Round by round, so that a machine that is busy for a while is so for all variants alike.
-experiment_report run_experiment(const experiment& what, const load_run_options& options) {
-  experiment_report report{what.name, what.description, what.seed, {}};
-  for (std::uint32_t round = 0; round < what.rounds; ++round) {
+// Runs round by round, so that a temporary load of the machine affects all variants alike.
+experiment_report run_experiment(const experiment& experiment_spec,
+                                 const load_run_options& options) {
+  experiment_report report{
+      experiment_spec.name, experiment_spec.description, experiment_spec.seed, {}};
+  for (std::uint32_t round = 0; round < experiment_spec.rounds; ++round) {
     std::size_t index = 0;
-    for (const variant& v : what.variants) {
+    for (const variant& v : experiment_spec.variants) {
       if (!is_chosen(options, v.name)) {
         continue;
       }
-      variant_run run(what, v, round);
+      variant_run run(experiment_spec, v, round);
       variant_result result = run.run(options.on_progress);
       if (round == 0) {
         report.variants.push_back(std::move(result));
--- a/src/load/run.h
+++ b/src/load/run.h
@@ -10,7 +10,7 @@
 
 namespace arbutus {
 
-// What can be told while a variant runs.
+// Progress of a running variant.
 struct load_progress {
   std::string variant;
   std::uint32_t round{};
@@ -23,11 +23,11 @@
 };
 
 struct load_run_options {
-  std::vector<std::string> only;                          // names of variants; empty: all
+  std::vector<std::string> only;                          // variants to run, by name; empty: all
   std::function<void(const load_progress&)> on_progress;  // may be empty
 };
 
-[[nodiscard]] experiment_report run_experiment(const experiment& what,
+[[nodiscard]] experiment_report run_experiment(const experiment& experiment_spec,
                                                const load_run_options& options);
 
 }  // namespace arbutus
--- a/src/load/schedule.cpp
+++ b/src/load/schedule.cpp
@@ -1,4 +1,4 @@
-// Poisson arrivals of a mix of calls.
+// Plans Poisson arrivals of a mix of calls.
 #include "load/schedule.h"
 
 #include <algorithm>
@@ -11,10 +11,9 @@
 
 namespace {
 
-// A repeated booking comes this long after the first at most: some meet it while it still runs.
+// Maximum delay of a repeated booking: short enough that some arrive while the first still runs.
 constexpr duration longest_repeat_gap = 400ms;
-// A closed workload takes its calls from so many; it starts again at the first when they are used
-// up.
+// Number of calls planned for a closed workload, whose callers cycle through them.
 constexpr std::size_t closed_calls = 4096;
 
 double exponential(rng& random, double rate) {
@@ -34,8 +33,8 @@
 
 class planner {
  public:
-  planner(const workload& work, const variant& how, std::uint64_t seed)
-      : work_(work), how_(how), random_(seed) {
+  planner(const workload& work, const variant& variant_spec, std::uint64_t seed)
+      : work_(work), variant_(variant_spec), random_(seed) {
     for (const load_workspace& w : work.workspaces) {
       weights_.push_back(weight_of(w));
     }
@@ -45,22 +44,22 @@
   }
 
   std::vector<planned_call> plan() {
-    double all = 0;
-    double usual = 0;
+    double adjusted = 0;
+    double nominal = 0;
     for (std::size_t i = 0; i < weights_.size(); ++i) {
-      all += weights_[i];
-      usual += work_.workspaces[i].weight;
+      adjusted += weights_[i];
+      nominal += work_.workspaces[i].weight;
     }
-    const double change = how_.rate_factor * all / usual;
+    const double scale = variant_.rate_factor * adjusted / nominal;
     if (work_.arrivals == arrival_kind::closed) {
       for (std::size_t i = 0; i < closed_calls; ++i) {
         calls_.push_back(model_call({}));
       }
       return std::move(calls_);
     }
-    arrive(work_.rate * change, [this](duration at) { calls_.push_back(model_call(at)); });
+    arrive(work_.rate * scale, [this](duration at) { calls_.push_back(model_call(at)); });
     if (has_bookings()) {
-      arrive(work_.bookings_per_second * change, [this](duration at) { add_booking(at); });
+      arrive(work_.bookings_per_second * scale, [this](duration at) { add_booking(at); });
     }
     std::stable_sort(calls_.begin(), calls_.end(),
                      [](const planned_call& a, const planned_call& b) { return a.at < b.at; });
@@ -70,20 +69,20 @@
  private:
   [[nodiscard]] double weight_of(const load_workspace& w) const {
     const std::string& name = w.caller.name;
-    const bool left_out = (!how_.only_workspace.empty() && name != how_.only_workspace) ||
-                          name == how_.without_workspace;
+    const bool left_out = (!variant_.only_workspace.empty() && name != variant_.only_workspace) ||
+                          name == variant_.without_workspace;
     if (left_out) {
       return 0;
     }
-    return name == how_.workspace ? w.weight * how_.workspace_factor : w.weight;
+    return name == variant_.workspace ? w.weight * variant_.workspace_factor : w.weight;
   }
 
-  // Stand-ins called directly for their answers are not the service; a safeguard of bookings is
-  // tried on the service itself.
+  // Variants that call engine stand-ins directly have no bookings, since those go to the service;
+  // the checker test for repeated bookings calls the service itself.
   [[nodiscard]] bool has_bookings() const {
     const bool through_nodes =
-        how_.target == call_target::nodes && how_.check_self == self_check::none;
-    return through_nodes || how_.check_self == self_check::repeated;
+        variant_.target == call_target::nodes && variant_.check_self == self_check::none;
+    return through_nodes || variant_.check_self == self_check::repeated;
   }
 
   template <class Add>
@@ -117,14 +116,14 @@
     call.at = at;
     call.workspace = pick(weights_);
     call.request_class = pick(class_weights_);
-    call.kind = random_.unit() < work_.streamed ? call_kind::streamed : call_kind::whole;
+    call.kind = random_.unit() < work_.streamed ? call_kind::streamed : call_kind::buffered;
     call.answer_tokens = work_.answer_tokens;
     const std::uint64_t session = random_.below(work_.sessions);
     call.prompt = prompt_of(call.workspace, session);
     return call;
   }
 
-  // The serial number makes every prompt, and so every right answer, different.
+  // The serial number makes every prompt, and therefore every correct answer, different.
   std::string prompt_of(std::uint32_t workspace, std::uint64_t session) {
     rng of_session(workspace * 1000 + session + 1);
     const std::size_t bytes = std::size_t{work_.prompt_tokens} * standin::bytes_per_token;
@@ -150,7 +149,7 @@
   }
 
   const workload& work_;
-  const variant& how_;
+  const variant& variant_;
   rng random_;
   std::vector<double> weights_;
   std::vector<double> class_weights_;
@@ -160,8 +159,9 @@
 
 }  // namespace
 
-std::vector<planned_call> plan_calls(const workload& work, const variant& how, std::uint64_t seed) {
-  return planner(work, how, seed).plan();
+std::vector<planned_call> plan_calls(const workload& work, const variant& variant_spec,
+                                     std::uint64_t seed) {
+  return planner(work, variant_spec, seed).plan();
 }
 
 }  // namespace arbutus
--- a/src/load/svg.cpp
+++ b/src/load/svg.cpp
@@ -1,4 +1,4 @@
-// Line charts as SVG.
+// Renders line charts as SVG.
 #include "load/svg.h"
 
 #include <algorithm>
@@ -26,22 +26,24 @@
                                                       "#7f7f7f", "#bcbd22"};
 
 struct range {
-  double least = std::numeric_limits<double>::max();
-  double most = std::numeric_limits<double>::lowest();
-
-  void take(double value) {
-    least = std::min(least, value);
-    most = std::max(most, value);
-  }
-  void widen() {
-    if (least > most) {
-      least = 0;
-      most = 1;
-    } else if (least == most) {
-      most = least + 1;
+  double lowest_value = std::numeric_limits<double>::max();
+  double highest_value = std::numeric_limits<double>::lowest();
+
+  void include(double value) {
+    lowest_value = std::min(lowest_value, value);
+    highest_value = std::max(highest_value, value);
+  }
+  void ensure_nonempty() {
+    if (lowest_value > highest_value) {
+      lowest_value = 0;
+      highest_value = 1;
+    } else if (lowest_value == highest_value) {
+      highest_value = lowest_value + 1;
     }
   }
-  [[nodiscard]] double position(double value) const { return (value - least) / (most - least); }
+  [[nodiscard]] double position(double value) const {
+    return (value - lowest_value) / (highest_value - lowest_value);
+  }
 };
 
 class drawing {
@@ -51,14 +53,14 @@
     for (const chart_line& line : c.lines) {
       for (const auto& [x, y] : line.points) {
         if (is_shown(x)) {
-          x_.take(scaled(x));
-          y_.take(y);
+          x_.include(scaled(x));
+          y_.include(y);
         }
       }
     }
-    y_.take(0);
-    x_.widen();
-    y_.widen();
+    y_.include(0);
+    x_.ensure_nonempty();
+    y_.ensure_nonempty();
   }
 
   std::string draw() {
@@ -106,17 +108,17 @@
 
   void draw_x_axis() {
     if (chart_.log_x) {
-      for (double decade = std::floor(x_.least); decade <= x_.most; ++decade) {
+      for (double decade = std::floor(x_.lowest_value); decade <= x_.highest_value; ++decade) {
         for (const double factor : {1.0, 2.0, 5.0}) {
           const double x = std::pow(10.0, decade) * factor;
-          if (scaled(x) >= x_.least && scaled(x) <= x_.most) {
+          if (scaled(x) >= x_.lowest_value && scaled(x) <= x_.highest_value) {
             tick_x(x);
           }
         }
       }
     } else {
       for (int i = 0; i <= linear_steps; ++i) {
-        tick_x(x_.least + (x_.most - x_.least) * i / linear_steps);
+        tick_x(x_.lowest_value + (x_.highest_value - x_.lowest_value) * i / linear_steps);
       }
     }
     text((left + width - right) / 2, height - 8, chart_.x_label);
@@ -124,7 +126,7 @@
 
   void draw_y_axis() {
     for (int i = 0; i <= linear_steps; ++i) {
-      const double y = y_.least + (y_.most - y_.least) * i / linear_steps;
+      const double y = y_.lowest_value + (y_.highest_value - y_.lowest_value) * i / linear_steps;
       line(left, at_y(y), width - right, at_y(y), "#ddd");
       text(8, at_y(y) + 4, number(y));
     }
@@ -141,10 +143,10 @@
     }
   }
 
-  void draw_line(const chart_line& one, std::size_t index) {
+  void draw_line(const chart_line& series, std::size_t index) {
     const std::string_view colour = colours[index % colours.size()];
     out_ << "<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"" << colour << "\" points=\"";
-    for (const auto& [x, y] : one.points) {
+    for (const auto& [x, y] : series.points) {
       if (is_shown(x)) {
         out_ << at_x(x) << ',' << at_y(y) << ' ';
       }
@@ -152,7 +154,7 @@
     out_ << "\"/>\n";
     const double y = top + line_height * static_cast<double>(index);
     line(width - right + 8, y, width - right + 26, y, colour, "stroke-width=\"3\"");
-    text(width - right + 30, y + 4, one.name);
+    text(width - right + 30, y + 4, series.name);
   }
 
   const chart& chart_;
--- a/src/load/svg.h
+++ b/src/load/svg.h
@@ -1,4 +1,4 @@
-// Line charts as SVG text, for the report's page.
+// Line charts as SVG text, for the HTML report.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 struct chart_line {
   std::string name;
-  std::vector<std::pair<double, double>> points;  // by rising x
+  std::vector<std::pair<double, double>> points;  // in ascending order of x
 };
 
 struct chart_mark {
@@ -21,14 +21,14 @@
   std::string title;
   std::string x_label;
   std::string y_label;
-  bool log_x = false;  // points with x <= 0 are left out then
+  bool log_x = false;  // logarithmic; points with x <= 0 are omitted
   std::vector<chart_line> lines;
-  std::vector<chart_mark> marks;  // vertical
+  std::vector<chart_mark> marks;  // vertical lines
 };
 
 [[nodiscard]] std::string svg_of(const chart& c);
 
-// Text for HTML and SVG, with what has a meaning there replaced.
+// Escapes the special characters of HTML and SVG.
 [[nodiscard]] std::string html_escape(const std::string& text);
 
 }  // namespace arbutus
--- a/src/load/variant_run.cpp
+++ b/src/load/variant_run.cpp
@@ -1,4 +1,4 @@
-// One round of one variant.
+// Runs one round of one variant.
 #include "load/variant_run.h"
 
 #include <algorithm>
@@ -15,8 +15,8 @@
 constexpr std::size_t caller_workers = 2;
 constexpr duration ready_timeout = 30s;
 constexpr std::chrono::milliseconds poll_interval{5};
-// How long after its own timeout a call may still hang before the run gives up on it.
-constexpr duration grace = 5s;
+// How long after its own timeout a call may still be running before the run stops waiting for it.
+constexpr duration hung_call_grace = 5s;
 constexpr std::size_t idle_connections = 512;
 constexpr std::uint32_t many_faults = 1'000'000;
 
@@ -41,23 +41,24 @@
   return std::nullopt;
 }
 
-bool is_direct(const variant& how) {
-  return how.target != call_target::nodes || how.check_self != self_check::none;
+bool is_direct(const variant& variant_spec) {
+  return variant_spec.target != call_target::nodes || variant_spec.check_self != self_check::none;
 }
 
 }  // namespace
 
-variant_run::variant_run(const experiment& what, const variant& how, std::uint32_t round)
-    : what_(what),
-      how_(how),
+variant_run::variant_run(const experiment& experiment_spec, const variant& variant_spec,
+                         std::uint32_t round)
+    : experiment_(experiment_spec),
+      variant_(variant_spec),
       round_(round),
-      plan_(plan_calls(what.work, how, what.seed + round)),
+      plan_(plan_calls(experiment_spec.work, variant_spec, experiment_spec.seed + round)),
       callers_(caller_workers),
-      checker_(what.model, service_id{fleet_service}, booking_path) {
-  result_.name = how.name;
-  result_.apart = what.apart;
+      checker_(experiment_spec.model, service_id{fleet_service}, booking_path) {
+  result_.name = variant_spec.name;
+  result_.excluded_workspace = experiment_spec.excluded_workspace;
   result_.rounds = 1;
-  result_.expects_broken = expected_break(how.check_self);
+  result_.expects_broken = expected_break(variant_spec.check_self);
   for (std::size_t i = 0; i < caller_workers; ++i) {
     shards_.push_back(std::make_unique<shard>());
   }
@@ -89,12 +90,12 @@
 }
 
 bool variant_run::bring_up() {
-  if (!what_.nodes.empty()) {
+  if (!experiment_.nodes.empty()) {
     return true;
   }
-  fleet_shape shape = what_.shape;
-  if (how_.node_workers != 0) {
-    shape.node_workers = how_.node_workers;
+  fleet_shape shape = experiment_.shape;
+  if (variant_.node_workers != 0) {
+    shape.node_workers = variant_.node_workers;
   }
   const double first_share = shape.workspaces.front().share;
   fleet_ = std::make_unique<fleet>(std::move(shape));
@@ -117,10 +118,10 @@
 
 void variant_run::find_targets() {
   if (!fleet_) {
-    for (const endpoint& e : what_.nodes) {
+    for (const endpoint& e : experiment_.nodes) {
       targets_.push_back({e.host, e.port});
     }
-  } else if (is_direct(how_)) {
+  } else if (is_direct(variant_)) {
     for (const fleet::replica_head& head : fleet_->heads()) {
       targets_.push_back(head.address);
       target_vms_.push_back(head.vm);
@@ -135,19 +136,20 @@
   }
 }
 
-// What a node prevents is let through here, to see that the checker notices it.
+// Makes the stand-ins swap or duplicate answers, which a node would prevent, to verify that the
+// checker detects it.
 void variant_run::set_safeguard_off() {
   standin::next_answers faults;
-  faults.crossed = how_.check_self == self_check::crossed ? many_faults : 0;
-  faults.duplicated = how_.check_self == self_check::duplicated ? many_faults : 0;
+  faults.crossed = variant_.check_self == self_check::crossed ? many_faults : 0;
+  faults.duplicated = variant_.check_self == self_check::duplicated ? many_faults : 0;
   for (const vm_id& vm : target_vms_) {
     fleet_->standins().set_answer_faults(vm, faults);
   }
 }
 
 void variant_run::start_callers() {
-  const bool closed = what_.work.arrivals == arrival_kind::closed;
-  const std::size_t generators = closed ? what_.work.callers : caller_workers;
+  const bool closed = experiment_.work.arrivals == arrival_kind::closed;
+  const std::size_t generators = closed ? experiment_.work.callers : caller_workers;
   generators_ = generators;
   start_ = monotonic_now();
   for (std::size_t i = 0; i < generators; ++i) {
@@ -163,7 +165,7 @@
   }
 }
 
-// Open loop: every call begins at its time, whether earlier ones have ended or not.
+// Open loop: every call starts at its time, whether earlier ones have ended or not.
 void variant_run::arrive(std::size_t worker) {
   for (std::size_t i = worker; i < plan_.size(); i += caller_workers) {
     const planned_call& planned = plan_[i];
@@ -177,8 +179,8 @@
 }
 
 void variant_run::call_in_turn(std::size_t worker, std::size_t first) {
-  const time_point end = start_ + what_.work.warm_up + what_.work.length;
-  for (std::size_t i = first;; i += what_.work.callers) {
+  const time_point end = start_ + experiment_.work.warm_up + experiment_.work.length;
+  for (std::size_t i = first;; i += experiment_.work.callers) {
     const time_point now = monotonic_now();
     if (now >= end) {
       return;
@@ -204,11 +206,11 @@
 }
 
 std::size_t variant_run::pick_target() {
-  if (how_.target == call_target::direct_least) {
+  if (variant_.target == call_target::direct_least) {
     return least_reported();
   }
-  if (how_.target == call_target::direct_random) {
-    return rng(what_.seed + turn_++).below(targets_.size());
+  if (variant_.target == call_target::direct_random) {
+    return rng(experiment_.seed + turn_++).below(targets_.size());
   }
   std::size_t chosen = turn_++ % targets_.size();
   for (std::size_t i = 0; i < targets_.size() && *left_out_[chosen]; ++i) {
@@ -219,11 +221,11 @@
 
 call_address variant_run::address_for(const planned_call& planned) {
   call_address to;
-  to.key = what_.work.workspaces[planned.workspace].caller.key;
-  to.request_class = what_.work.classes[planned.request_class].rule.name;
+  to.key = experiment_.work.workspaces[planned.workspace].caller.key;
+  to.request_class = experiment_.work.classes[planned.request_class].rule.name;
   const std::size_t target = pick_target();
   to.target = targets_[target];
-  if (is_direct(how_)) {
+  if (is_direct(variant_)) {
     to.request_id = "direct-" + std::to_string(serial_++);
     if (planned.kind == call_kind::booking) {
       const endpoint& e = fleet_->standins().assets().services.front().address;
@@ -235,17 +237,17 @@
 
 void variant_run::call(std::size_t worker, const planned_call& planned, time_point intended) {
   const time_point begun = monotonic_now();
-  const timed_answer answer = make_call(*client_, address_for(planned), what_.model, booking_path,
-                                        planned, begun + what_.work.timeout);
+  const timed_answer answer = make_call(*client_, address_for(planned), experiment_.model,
+                                        booking_path, planned, begun + experiment_.work.timeout);
   record(worker, planned, intended, begun, answer);
   ++ended_;
 }
 
 void variant_run::record(std::size_t worker, const planned_call& planned, time_point intended,
                          time_point begun, const timed_answer& answer) {
-  const class_rule& limits = what_.work.classes[planned.request_class].rule;
+  const class_rule& limits = experiment_.work.classes[planned.request_class].rule;
   call_timing timing;
-  timing.measured = intended >= start_ + what_.work.warm_up;
+  timing.measured = intended >= start_ + experiment_.work.warm_up;
   timing.late_start = begun - intended;
   timing.total = answer.ended - intended;
   timing.ended_at = answer.ended - start_;
@@ -256,18 +258,19 @@
     timing.per_token = (answer.ended - answer.first_token) / (answer.tokens - 1);
   }
   const std::string request_class = planned.kind == call_kind::booking ? "booking" : limits.name;
-  const cell_name cell{what_.work.workspaces[planned.workspace].caller.name, request_class};
+  const cell_name cell{experiment_.work.workspaces[planned.workspace].caller.name, request_class};
   const call_end end = check(planned, answer.raw);
   const bool in_time = timing.total <= limits.deadline && timing.first_token <= limits.first_token;
-  timing.useful = end == call_end::whole && in_time;
-  not_whole_ += end == call_end::whole ? 0U : 1U;
+  timing.useful = end == call_end::complete && in_time;
+  not_whole_ += end == call_end::complete ? 0U : 1U;
   shard& own = *shards_[worker];
   const std::lock_guard guard(own.lock);
   own.result.add(cell, timing, end);
-  if (timing.measured && end != call_end::whole) {
+  if (timing.measured && end != call_end::complete) {
     const std::string& code = answer.raw.error_code;
-    const std::string told(call_end_names[static_cast<std::size_t>(end)]);
-    ++own.result.reasons[cell.second + ", " + told + ", " + (code.empty() ? "no code" : code)];
+    const std::string outcome_name(call_end_names[static_cast<std::size_t>(end)]);
+    ++own.result
+          .reasons[cell.second + ", " + outcome_name + ", " + (code.empty() ? "no code" : code)];
   }
 }
 
@@ -278,12 +281,12 @@
 
 void variant_run::wait_and_play(const std::function<void(const load_progress&)>& on_progress) {
   std::unique_ptr<fault_player> faults;
-  if (fleet_ && how_.with_faults) {
+  if (fleet_ && variant_.with_faults) {
     faults = std::make_unique<fault_player>(
-        *fleet_, what_.faults, [this](std::size_t node) { *left_out_.at(node) = true; });
+        *fleet_, experiment_.faults, [this](std::size_t node) { *left_out_.at(node) = true; });
   }
-  const duration planned = what_.work.warm_up + what_.work.length;
-  const time_point latest = start_ + planned + what_.work.timeout + grace;
+  const duration planned = experiment_.work.warm_up + experiment_.work.length;
+  const time_point latest = start_ + planned + experiment_.work.timeout + hung_call_grace;
   while (generators_ > 0 || ended_ < begun_) {
     const time_point now = monotonic_now();
     if (faults) {
@@ -291,17 +294,19 @@
     }
     report_progress(on_progress, now - start_);
     if (now > latest) {
-      result_.problems.push_back(std::to_string(begun_ - ended_) + " calls never ended");
+      result_.problems.push_back(std::to_string(begun_ - ended_) +
+                                 " calls did not end within their timeout");
       break;
     }
     std::this_thread::sleep_for(poll_interval);
   }
-  result_.measured_seconds = to_seconds(what_.work.length);
+  result_.measured_seconds = to_seconds(experiment_.work.length);
   if (faults) {
     faults->finish(monotonic_now() - start_);
     result_.marks = faults->marks();
     for (std::size_t i = 0; i < faults->unclean_stops(); ++i) {
-      checker_.broken(promise::clean_stop, "a node was stopped and cut off requests");
+      checker_.report_violation(promise::clean_stop,
+                                "a planned stop of a node interrupted requests");
     }
   }
 }
@@ -312,10 +317,10 @@
     return;
   }
   load_progress progress;
-  progress.variant = how_.name;
+  progress.variant = variant_.name;
   progress.round = round_ + 1;
   progress.elapsed_seconds = to_seconds(elapsed);
-  progress.planned_seconds = to_seconds(what_.work.warm_up + what_.work.length);
+  progress.planned_seconds = to_seconds(experiment_.work.warm_up + experiment_.work.length);
   progress.begun = begun_;
   progress.ended = ended_;
   progress.not_whole = not_whole_;
--- a/src/load/variant_run.h
+++ b/src/load/variant_run.h
@@ -1,5 +1,5 @@
-// One round of one variant: brings a fleet up, makes the planned calls at their times, plays the
-// faults, and checks.
+// Runs one round of one variant: starts a fleet, makes the planned calls at their times, injects
+// the faults, and checks the guarantees.
 #pragma once
 
 #include <atomic>
@@ -16,16 +16,16 @@
 
 class variant_run {
  public:
-  variant_run(const experiment& what, const variant& how, std::uint32_t round);
+  variant_run(const experiment& experiment_spec, const variant& variant_spec, std::uint32_t round);
   ~variant_run();
   variant_run(const variant_run&) = delete;
   variant_run& operator=(const variant_run&) = delete;
 
-  // Once.
+  // May be called only once.
   variant_result run(const std::function<void(const load_progress&)>& on_progress);
 
  private:
-  // What one worker's callers recorded; merged after the run.
+  // The results of the callers of one worker; merged after the run.
   struct shard {
     std::mutex lock;  // guards result
     variant_result result;
@@ -49,11 +49,11 @@
   void check_executions();
   void set_safeguard_off();
 
-  const experiment& what_;
-  const variant& how_;
+  const experiment& experiment_;
+  const variant& variant_;
   std::uint32_t round_;
   std::vector<planned_call> plan_;
-  std::unique_ptr<fleet> fleet_;  // null with existing nodes
+  std::unique_ptr<fleet> fleet_;  // null if existing nodes are called
   fiber_runtime callers_;
   std::unique_ptr<http_client> client_;
   std::vector<std::unique_ptr<shard>> shards_;
@@ -65,12 +65,12 @@
   variant_result result_;
 
   time_point start_;
-  std::atomic<std::uint64_t> turn_{0};    // of the targets
-  std::atomic<std::uint64_t> serial_{0};  // of the request ids made here
+  std::atomic<std::uint64_t> turn_{0};    // counter for round robin over the targets
+  std::atomic<std::uint64_t> serial_{0};  // of the request ids assigned here
   std::atomic<std::uint64_t> begun_{0};
   std::atomic<std::uint64_t> ended_{0};
   std::atomic<std::uint64_t> not_whole_{0};
-  std::atomic<std::size_t> generators_{0};  // fibers that still begin calls
+  std::atomic<std::size_t> generators_{0};  // fibers that still start calls
 };
 
 }  // namespace arbutus
--- a/tests/shell/cli_options_test.cpp
+++ b/tests/shell/cli_options_test.cpp
@@ -1,4 +1,4 @@
-// The command line: what is parsed, and what is refused with which help.
+// The command line: parsed options, and the messages for invalid ones.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
--- a/tests/shell/load_checker_test.cpp
+++ b/tests/shell/load_checker_test.cpp
@@ -1,4 +1,4 @@
-// The checker of promises: each kind of broken promise is noticed, and nothing else is.
+// The guarantee checker detects each kind of violation, and reports no others.
 #include <gtest/gtest.h>
 
 #include "load/checker.h"
@@ -26,7 +26,7 @@
   return call;
 }
 
-raw_answer whole(const std::string& text) {
+raw_answer complete_answer(const std::string& text) {
   raw_answer answer;
   answer.status = 200;
   answer.called_whole = true;
@@ -43,7 +43,7 @@
 }
 
 raw_answer booked(const std::string& key) {
-  return whole(standin::service_standin::expected_body(
+  return complete_answer(standin::service_standin::expected_body(
       service, {"POST", path, idempotency_key{key}, {}, promise_checker::booking_body(key)}));
 }
 
@@ -57,21 +57,21 @@
 };
 
 TEST_F(load_checker, right_answers_break_nothing) {
-  EXPECT_EQ(checker.check_answer(model_call("a"), whole(expected_answer(model, "a", 10))),
-            call_end::whole);
-  EXPECT_EQ(checker.check_answer(booking("k"), booked("k")), call_end::whole);
+  EXPECT_EQ(checker.check_answer(model_call("a"), complete_answer(expected_answer(model, "a", 10))),
+            call_end::complete);
+  EXPECT_EQ(checker.check_answer(booking("k"), booked("k")), call_end::complete);
   executions(0, 1);
   EXPECT_EQ(checker.violations(), 0U);
 }
 
-// Symptom: a caller reads an answer that is foreign, cut, or has a token twice.
-// Sequence: the answer is called whole, by its end mark or as a whole body.
-// Cause: a lost safeguard between the target and the caller.
+// Guards against answers of other requests, truncated answers and repeated tokens that reach a
+// caller as complete, because a safeguard between target and caller is missing.
 TEST_F(load_checker, a_foreign_a_cut_and_a_doubled_answer_are_wrong) {
   const std::string right = expected_answer(model, "a", 10);
   for (const std::string& text : {expected_answer(model, "b", 10), expected_answer(model, "a", 9),
                                   expected_answer(model, "a", 11), right + right, std::string()}) {
-    EXPECT_EQ(checker.check_answer(model_call("a"), whole(text)), call_end::wrong) << text;
+    EXPECT_EQ(checker.check_answer(model_call("a"), complete_answer(text)), call_end::wrong)
+        << text;
   }
   EXPECT_EQ(checker.check_answer(booking("k"), booked("other")), call_end::wrong);
   EXPECT_EQ(checker.count(promise::own_answer), 6U);
@@ -79,15 +79,14 @@
 }
 
 TEST_F(load_checker, a_cut_stream_that_shows_is_no_broken_promise) {
-  raw_answer cut = whole(expected_answer(model, "a", 5));
+  raw_answer cut = complete_answer(expected_answer(model, "a", 5));
   cut.called_whole = false;
   EXPECT_EQ(checker.check_answer(model_call("a"), cut), call_end::unknown);
   EXPECT_EQ(checker.violations(), 0U);
 }
 
-// Symptom: a caller repeats a refused request and it has run twice.
-// Sequence: the target takes the request in; the caller is told "not run".
-// Cause: an outcome that is unknown is taken for proof.
+// Guards against a request that runs twice: the target accepts it, the node reports an unknown
+// outcome as "not run", and the caller repeats it.
 TEST_F(load_checker, a_refused_request_that_ran_is_noticed) {
   EXPECT_EQ(checker.check_answer(model_call("a"), refused("r1")), call_end::not_run);
   executions(0, 0);
@@ -96,11 +95,10 @@
   EXPECT_EQ(checker.count(promise::not_run), 1U);
 }
 
-// Symptom: two crews drive to one drain.
-// Sequence: a booking runs, its answer is lost, it is sent again and runs again.
-// Cause: no record of the key.
+// Guards against a booking that runs twice: its answer is lost, it is sent again, and there is no
+// record of its idempotency key.
 TEST_F(load_checker, bookings_that_ran_twice_or_never_are_noticed) {
-  EXPECT_EQ(checker.check_answer(booking("k"), booked("k")), call_end::whole);
+  EXPECT_EQ(checker.check_answer(booking("k"), booked("k")), call_end::complete);
   executions(0, 1);
   EXPECT_EQ(checker.violations(), 0U);
   executions(0, 2);
@@ -121,7 +119,7 @@
   EXPECT_EQ(checker.check_answer(model_call("a"), none), call_end::unreached);
   EXPECT_EQ(checker.violations(), 0U);
   none.reached = true;
-  EXPECT_EQ(checker.check_answer(model_call("a"), none), call_end::silent);
+  EXPECT_EQ(checker.check_answer(model_call("a"), none), call_end::no_response);
   EXPECT_EQ(checker.count(promise::answered), 1U);
 }
 
--- a/tests/shell/load_experiment_test.cpp
+++ b/tests/shell/load_experiment_test.cpp
@@ -1,4 +1,4 @@
-// Experiment files, the calls planned from them, and a short run of one.
+// Experiment files, the calls planned from them, and a short run of an experiment.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -94,8 +94,8 @@
   EXPECT_THAT(text, HasSubstr("taken by another variant"));
 }
 
-// Faults and direct calls need stand-ins of this process: without them a run would seem to
-// withstand faults that never happened.
+// Faults and direct calls need stand-ins in this process. Without this check a run would appear to
+// withstand faults that were never injected.
 TEST(load_experiment, faults_on_existing_nodes_are_refused) {
   const std::string text = problems_of(
       "name = \"x\"\n[fleet]\nexisting_nodes = [\"10.0.0.1:80\"]\n[workload]\n"
@@ -158,9 +158,8 @@
   }
 }
 
-// Symptom: a report says that all promises held while callers read foreign answers.
-// Sequence: a safeguard is off; calls go on; the checker compares the wrong thing.
-// Cause: a checker that was never seen to fail.
+// Guards against a checker that compares the wrong things and reports that all guarantees hold
+// while callers receive wrong answers: with a safeguard disabled it has to report violations.
 TEST(load_run, a_node_keeps_the_promises_and_targets_without_one_are_caught) {
   const experiment e = loaded(small_fleet +
                               "[[variant]]\nname = \"node\"\n"
@@ -171,10 +170,11 @@
   const variant_result& node = report.variants[0];
   EXPECT_TRUE(node.passed());
   EXPECT_EQ(node.violations(), 0U);
-  EXPECT_GT(node.sum().of(call_end::whole), 10U);
+  EXPECT_GT(node.sum().of(call_end::complete), 10U);
   EXPECT_GT(node.bookings_checked, 0U);
-  EXPECT_GT(report.variants[1].broken[static_cast<std::size_t>(promise::own_answer)], 0U);
-  EXPECT_GT(report.variants[2].broken[static_cast<std::size_t>(promise::at_most_once)], 0U);
+  EXPECT_GT(report.variants[1].violation_counts[static_cast<std::size_t>(promise::own_answer)], 0U);
+  EXPECT_GT(report.variants[2].violation_counts[static_cast<std::size_t>(promise::at_most_once)],
+            0U);
   EXPECT_TRUE(report.passed());
   EXPECT_THAT(json_report(report), HasSubstr("\"bookings_checked\""));
   const std::string page = html_report(report);
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs every fuzz entry for a short, bounded time over the committed corpus and what it finds on the
-# way. Usage: tools/fuzz.sh [SECONDS] [ENTRY...]; 20 seconds each by default. Stops at the first
-# fault and leaves its input in build/fuzz/found/.
+# Runs every fuzz entry for a limited time over the committed corpus and the inputs it finds itself.
+# Usage: tools/fuzz.sh [SECONDS] [ENTRY...]; 20 seconds each by default. Stops at the first failure
+# and leaves its input in build/fuzz/found/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/tools/install.sh
+++ b/tools/install.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs everything the build, the tests and the model checks need, from Debian's packages.
-# Quiet and quick when all is there: used by `make run`, `make check` and `.ci/run`.
+# Installs the Debian packages that the build, the tests and the model checks need. Used by
+# `make run`, `make check` and `.ci/run`; prints nothing if all are installed.
 set -euo pipefail
 
 packages=(
--- a/tools/matrix.py
+++ b/tools/matrix.py
@@ -1,14 +1,15 @@
 #!/usr/bin/env python3
-"""Plays days of deployments with several builds of this repository, side by side.
+"""Runs simulated deployments with several builds of this repository, side by side.
 
     tools/matrix.py --bench PROGRAM --way before=DIR --way after=DIR --site FILE... [--day NAME...]
                     [--seeds 1,2,3] [--at-once 5] [--charge] [--why TEXT]
 
-Each way is a checkout with its build. For each deployment and day it prints the mean worth of each
-way over the seeds, the spread between them, and the difference to the first way. What every play
-leaves in the journal of its checkout stays there, to be committed. Runs of one day and seed differ
-between plays of the same code, so a difference is worth believing only when it is larger than the
-spread of several. Without --charge no processor time is charged, and busy machines disturb less.
+Each --way is a checkout with its build, each --site a deployment, each --day a simulation. For each
+deployment and simulation it prints the mean score of each build over the seeds, the standard
+deviation, and the difference to the first build. Every run adds entries to the journal of its
+checkout; they stay there, to be committed. Runs of one simulation and seed differ between runs of
+the same code, so a difference is significant only if it is larger than the deviation of several
+runs. Without --charge no processor time is charged, so a busy machine distorts the results less.
 """
 import argparse
 import concurrent.futures
@@ -18,11 +19,11 @@
 import subprocess
 import sys
 
-TROUBLED_DAYS = ["trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3"]
+DEFAULT_DAYS = ["trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3"]
 
 
-def play(bench, directory, site, day, seed, charge, why):
-    """Worth of one day, and whether a rule broke; None where the day could not be played."""
+def run_simulation(bench, directory, site, day, seed, charge, why):
+    """Score and served fraction of one simulation and the violated rules; None if it failed."""
     command = [bench, "run", site, day, "--jobs", "1", "--why", why]
     if seed is not None:
         command += ["--seed", str(seed)]
@@ -52,7 +53,7 @@
     args = parser.parse_args()
     ways = dict(way.split("=", 1) for way in args.way)
     seeds = [int(s) for s in args.seeds.split(",")] if args.seeds else [None]
-    days = args.day or TROUBLED_DAYS
+    days = args.day or DEFAULT_DAYS
     cells = {}
     with concurrent.futures.ThreadPoolExecutor(args.at_once) as pool:
         for site in args.site:
@@ -60,7 +61,7 @@
                 for seed in seeds:
                     for way, directory in ways.items():
                         cells.setdefault((site, day, way), []).append(
-                            pool.submit(play, args.bench, directory, site, day, seed, args.charge,
+                            pool.submit(run_simulation, args.bench, directory, site, day, seed, args.charge,
                                         f"{args.why}: {way}"))
     first = next(iter(ways))
     for site in args.site:
@@ -70,21 +71,21 @@
             line = f"  {os.path.basename(day):28}"
             for way in ways:
                 results = [f.result() for f in cells[(site, day, way)]]
-                worths = [r[0] for r in results if r is not None]
+                scores = [r[0] for r in results if r is not None]
                 broken = [b for r in results if r is not None for b in r[2]]
-                sums[way] += worths
-                if not worths:
+                sums[way] += scores
+                if not scores:
                     line += f"  {way}: not played"
                     continue
-                spread = statistics.stdev(worths) if len(worths) > 1 else 0
+                spread = statistics.stdev(scores) if len(scores) > 1 else 0
                 served = statistics.mean(r[1] for r in results if r is not None)
-                line += (f"  {way} {statistics.mean(worths):6.3f} +-{spread:.3f} served {served:.3f}"
-                         f" n={len(worths)}{' BROKEN ' + ','.join(broken) if broken else ''}")
+                line += (f"  {way} {statistics.mean(scores):6.3f} +-{spread:.3f} served {served:.3f}"
+                         f" n={len(scores)}{' BROKEN ' + ','.join(broken) if broken else ''}")
             print(line)
-        for way, worths in sums.items():
-            if worths and sums[first]:
-                change = statistics.mean(worths) - statistics.mean(sums[first])
-                print(f"  mean {way:12} {statistics.mean(worths):6.3f}  {change:+.3f}  n={len(worths)}")
+        for way, scores in sums.items():
+            if scores and sums[first]:
+                change = statistics.mean(scores) - statistics.mean(sums[first])
+                print(f"  mean {way:12} {statistics.mean(scores):6.3f}  {change:+.3f}  n={len(scores)}")
 
 
 if __name__ == "__main__":
