--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -167,7 +167,7 @@
     return;
   }
   load.start(callers_per_workspace);
-  s.tell("callers of three workspaces ask all nodes, streamed and not");
+  s.tell("callers of three workspaces send requests to all nodes, streamed and buffered");
   send_job_card(f, s);
   kill_member(f, s, 0, "");
   const std::uint64_t second = f.apply(2.0);
@@ -205,10 +205,10 @@
   tell_story(f, load, s);
   const trial_counts counts = load.sum();
   print_results(load);
-  std::cout << "answers whole and their own " << counts.complete << ", refused and not run "
+  std::cout << "complete and correct answers " << counts.complete << ", refused and not run "
             << counts.not_run << ", may have run " << counts.unknown << ", silent "
             << counts.no_response << ", wrong " << counts.wrong << "\n\n";
-  s.check("no answer was crossed, cut or doubled", counts.wrong == 0);
+  s.check("no answer was swapped, truncated or duplicated", counts.wrong == 0);
   s.check("every request got an answer", counts.no_response == 0);
   std::cout << (s.failed() ? "\nThe trial FAILED.\n" : "\nEvery promise held.\n");
   if (options.keep_up && !s.failed()) {
--- a/src/load/report_text.cpp
+++ b/src/load/report_text.cpp
@@ -54,8 +54,9 @@
         << v.bookings_checked << " booking keys looked up at the targets\n";
   }
   if (v.expects_broken) {
-    out << (v.passed() ? "  (a safeguard was off: the checker noticed)\n"
-                       : "  FAILED: a safeguard was off and the checker did not see just that\n");
+    out << (v.passed()
+                ? "  (a safeguard was off: the checker noticed)\n"
+                : "  FAILED: a safeguard was off and the checker did not report just that\n");
   }
 }
 
--- a/tests/process/bench_test.py
+++ b/tests/process/bench_test.py
@@ -1,4 +1,4 @@
-"""The bench: one signature for one behaviour, whichever process computes it."""
+"""The `bench` subcommand: the same decisions give the same signature in every process."""
 
 import os
 import subprocess
@@ -12,7 +12,7 @@
 
 
 def signatures(lines):
-    """The numbers without the processor times, which differ."""
+    """Name and number of each line, without the processor time, which varies."""
     return [line.split()[:2] for line in lines]
 
 
@@ -27,21 +27,21 @@
         self.assertRegex(self.lines[-1], r"^Bench: \d+$")
 
     def test_two_processes_print_the_same_signature(self):
-        # Symptom: a change that changes no decision changes the signature, or two machines differ.
-        # Cause: a decision depends on an address, the clock or the order of a hash table.
+        # Guards against signatures that differ between runs or machines for the same decisions,
+        # because a decision depends on an address, the clock or the order of a hash table.
         status, again = bench()
         self.assertEqual(status, 0)
         self.assertEqual(signatures(self.lines), signatures(again))
 
     def test_each_part_depends_on_the_seed(self):
-        # Symptom: a part's number stays whatever is decided. Cause: nothing decided goes into it.
+        # Guards against a part whose signature does not include any decision.
         status, other = bench("--seed", "2")
         self.assertEqual(status, 0)
         for one, two in zip(signatures(self.lines), signatures(other), strict=True):
             self.assertEqual(one[0], two[0])
             self.assertNotEqual(one[1], two[1], one[0])
 
-    def test_some_parts_alone_do_not_pass_for_the_whole(self):
+    def test_some_parts_give_a_partial_signature(self):
         status, lines = bench("--filter", "planner")
         self.assertEqual(status, 0)
         self.assertRegex(lines[-1], r"^Partial: \d+$")
--- a/tests/process/configuration_test.py
+++ b/tests/process/configuration_test.py
@@ -1,23 +1,23 @@
-"""A configuration is proposed through real nodes, and is in force everywhere soon, whatever fails."""
+"""A configuration proposed through real nodes is soon in force on all nodes, despite failures."""
 
 import time
 import unittest
 
 from driver import OPERATOR_KEY, ProcessTest, authorization, call, in_parallel, wait_until
 
-# What the measure asks for, from the acceptance to the last node.
+# Limit from the acceptance until the last node has the configuration in force.
 IN_FORCE_SECONDS = 3.0
 EXIT_OK = 0
 EXIT_CONFLICT = 4
 
 
 class Applied(ProcessTest):
-    """The tests share one fleet: versions go on rising from test to test."""
+    """The tests share one fleet, so the version increases from test to test."""
 
     def setUp(self):
-        self.addCleanup(self.fleet.heal)
+        self.addCleanup(self.fleet.clear_faults)
         self.version = self.newest()
-        self.share = 10.0 + self.version  # other rules than in force
+        self.share = 10.0 + self.version  # differs from the rules in force
 
     def newest(self):
         return max(n.config_version() for n in self.fleet.nodes)
@@ -33,7 +33,7 @@
         return all(n.config_version() >= version for n in nodes)
 
     def assert_applied(self, result, what):
-        """Within the measure, counted from the end of the command."""
+        """Checks that the change is in force in time, counted from the end of the command."""
         self.assertEqual(result.returncode, EXIT_OK, result)
         self.assertIn(f"version {self.version + 1}", result.stdout)
         _, seconds = wait_until(lambda: self.in_force(self.version + 1), "in force on all nodes")
@@ -45,29 +45,27 @@
         self.assert_applied(self.apply(), "table well")
 
     def test_reply_of_the_table_lost(self):
-        # Symptom: an operator is told that a change failed, applies it again, and it is there twice;
-        #   or nodes never hear of a change that is in the table.
-        # Sequence: the head is written, the reply does not arrive.
-        # Cause: no reply says nothing about the write.
+        # Guards against a change that is reported as failed and applied twice, or that is in the
+        # table but never reaches the nodes: the head is written, but the reply is lost.
         self.fleet.table_fault(lose_replies=1)
         self.assert_applied(self.apply(), "reply lost")
 
     def test_request_to_the_table_lost(self):
-        # The same silence, but the write took no effect: it has to be done again.
+        # There is no reply either, but the write did not happen and has to be repeated.
         self.fleet.table_fault(lose_requests=1)
         self.assert_applied(self.apply(), "request lost")
 
     def test_table_slow(self):
-        # Symptom: nodes run on different configurations for long.
-        # Sequence: table and object store answer each call after 400 ms.
-        # Cause: nodes that look one after the other, or only at the table, add up its delays.
+        # Guards against nodes that run on different configurations for a long time: table and object
+        # store answer each call after 400 ms, and the delays add up if the nodes read one after the
+        # other or only from the table.
         self.fleet.platform_fault(latency_ms=400)
         self.assert_applied(self.apply(), "table and objects take 400 ms")
 
     def test_same_proposal_again(self):
-        # Symptom: a change is applied a second time, over what another operator did since.
-        # Sequence: a proposal is accepted, its command is started again with the same id.
-        # Cause: the table cannot tell a repeat from a new change; the head's list of proposals can.
+        # Guards against a change that is applied twice and overwrites later changes: the command is
+        # repeated with the same proposal id. Only the head's list of proposal ids shows that it is a
+        # repetition.
         first = self.apply("--proposal", f"again-{self.version}", "--base", self.version)
         self.assert_applied(first, "first of two")
         again = self.apply("--proposal", f"again-{self.version}", "--base", self.version)
@@ -76,9 +74,8 @@
         self.assertEqual(self.fleet.head().json["version"], self.version + 1)
 
     def test_two_operators_race(self):
-        # Symptom: a change that was reported as accepted is gone.
-        # Sequence: two operators edit the same version and apply at the same time.
-        # Cause: the later write replaces the earlier one instead of building on it.
+        # Guards against the loss of an accepted change: two operators edit the same version and
+        # apply at the same time, and the later write replaces the earlier one.
         mine = self.directory("mine", deadline_ms=21000)
         theirs = self.directory("theirs", deadline_ms=22000)
         nodes = self.fleet.nodes
@@ -94,7 +91,7 @@
         self.assertEqual(self.fleet.head().json["version"], self.version + 1)
 
     def test_stale_base(self):
-        # The same without a race: the base is older than what is in force.
+        # The same without a race: the base is older than the version in force.
         self.assert_applied(self.apply(), "before the stale change")
         stale = self.directory("stale", deadline_ms=23000)
         result = self.fleet.apply(stale, "--base", self.version)
@@ -103,9 +100,9 @@
         self.assertEqual(self.fleet.head().json["version"], self.version + 1)
 
     def test_table_restored_from_an_old_copy(self):
-        # Symptom: nodes fall back to an old configuration; callers with new keys are turned away.
-        # Sequence: the table is copied, a change is accepted, the copy is put back.
-        # Cause: nodes that follow the table follow it back as well.
+        # Guards against nodes that revert to an old configuration and reject callers with new keys:
+        # the table is copied, a change is accepted, the copy is restored, and the nodes follow the
+        # table back.
         call(self.fleet.platform_port, "POST", "/snapshot")
         self.assert_applied(self.apply(), "before the restore")
         wanted = self.version + 1
@@ -120,38 +117,37 @@
         _, seconds = wait_until(healed, "the head is healed", timeout=20)
         self.measured("restored table, until the head is healed", seconds)
 
-    def test_new_node_while_the_platform_is_away(self):
-        # Symptom: a replaced VM serves nobody until the platform is back.
-        # Sequence: table and object store are down, a node's VM is replaced; it remembers nothing.
-        # Cause: a node that knows only the platform has nothing to begin with.
+    def test_new_node_while_the_platform_is_unavailable(self):
+        # Guards against a replaced node that cannot serve while table and object store are down,
+        # because it has no stored state and can get the configuration only from the platform.
         node = self.fleet.nodes[1]
         self.fleet.platform_fault(down=True)
         node.kill()
         begun = time.monotonic()
         node.start()
         wait_until(lambda: node.config_version() == self.version, "the new node has it")
-        self.measured("new node, platform away, from its start to the configuration",
+        self.measured("new node, platform unavailable, from its start to the configuration",
                       time.monotonic() - begun)
         wait_until(node.is_ready, "the new node is ready")
-        seconds = self.fleet.wait_whole([node])
+        seconds = self.fleet.wait_all_serving([node])
         self.measured("and until it routes to all replicas", seconds)
 
-    def test_proposal_while_the_platform_is_away(self):
-        # Refused as not done, and it was not.
+    def test_proposal_while_the_platform_is_unavailable(self):
+        # The proposal is refused as not done, and it was not done.
         self.fleet.platform_fault(down=True)
         result = self.apply("--timeout", "1.5")
         self.assertNotEqual(result.returncode, EXIT_OK)
-        self.fleet.heal()
+        self.fleet.clear_faults()
         self.assertEqual(self.fleet.head().json["version"], self.version)
 
-    def test_bad_configuration_is_refused_whole(self):
+    def test_bad_configuration_is_refused_completely(self):
         directory = self.directory("bad")
         rules = directory / "rules.toml"
         rules.write_text(rules.read_text().replace("slots = 8", "slots = 0\nslotz = 1"))
         result = self.fleet.apply(directory)
         self.assertEqual(result.returncode, 3, result)
         self.assertIn("slotz", result.stderr)
-        # And by the node, for those who do not use the command.
+        # The node also refuses it, for clients that do not use the command.
         body = {"base_version": self.version, "proposal": "bad",
                 "inventory": self.fleet.inventory_text(), "rules": rules.read_text()}
         reply = call(self.fleet.nodes[0].port, "POST", "/admin/configuration", body,
--- a/tests/process/driver.py
+++ b/tests/process/driver.py
@@ -1,8 +1,8 @@
-"""Starts the stand-in and nodes as real processes on loopback, and drives them from outside.
+"""Starts the stand-in and nodes as real processes on loopback and controls them.
 
-Only the standard library. Every wait is for a condition and has a deadline; a test never sleeps for
-a fixed time in the hope that something has happened by then. Only processes that were started here
-are ended, each by its own pid.
+Uses the standard library only. Every wait is for a condition and has a deadline; a test never sleeps
+for a fixed time and assumes that something has happened by then. Only processes started here are
+ended, each by its own pid.
 """
 
 import atexit
@@ -34,10 +34,10 @@
 DATA_CENTRES = ("lab-a", "lab-b", "lab-c")
 NODES_PER_DATA_CENTRE = 2
 POLL_SECONDS = 0.02
-# What the states of an engine's report are called on the wire.
+# The value of the state "ready" in an engine's report.
 ENGINE_READY = 2
 
-# Below the range from which the kernel takes ports for outgoing connections.
+# Below the kernel's range of ephemeral ports for outgoing connections.
 PORT_RANGE = (10000, 32000)
 
 
@@ -57,8 +57,8 @@
         time.sleep(poll)
 
 
-def watch(seconds, look, poll=POLL_SECONDS):
-    """Calls `look` again and again for `seconds`: for what must not happen meanwhile."""
+def check_repeatedly(seconds, look, poll=POLL_SECONDS):
+    """Calls `look` repeatedly for `seconds`, to check that something does not happen."""
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         look()
@@ -66,7 +66,7 @@
 
 
 def free_ports(count):
-    """A row of ports on which nobody listens."""
+    """Consecutive ports on which nothing listens."""
     for _ in range(200):
         first = random.randrange(PORT_RANGE[0], PORT_RANGE[1] - count)
         with contextlib.ExitStack() as sockets:
@@ -85,7 +85,7 @@
 
 
 class Reply:
-    """A whole answer to one HTTP request."""
+    """A complete response to one HTTP request."""
 
     def __init__(self, status, headers, body):
         self.status = status
@@ -106,7 +106,7 @@
 
 
 def call(port, method, path, body=None, headers=None, timeout=30.0):
-    """One request on a connection of its own. Raises OSError or HTTPException without an answer."""
+    """One request on its own connection. Raises OSError or HTTPException if there is no response."""
     connection = http.client.HTTPConnection(LOOPBACK, port, timeout=timeout)
     try:
         if isinstance(body, (dict, list)):
@@ -119,9 +119,9 @@
 
 
 def send_raw(port, data, timeout=10.0, end=False):
-    """Sends bytes as they are; all that comes back until the other side closes."""
+    """Sends the bytes unchanged and returns everything received until the other side closes."""
     with socket.create_connection((LOOPBACK, port), timeout=timeout) as connection:
-        with contextlib.suppress(OSError):  # the answer may come, and the end, before all is sent
+        with contextlib.suppress(OSError):  # the other side may answer and close before all is sent
             connection.sendall(data)
             if end:
                 connection.shutdown(socket.SHUT_WR)
@@ -133,7 +133,7 @@
 
 
 def parse_raw(received):
-    """The first answer in what send_raw() returned."""
+    """The first response in the result of send_raw()."""
     head, _, body = received.partition(b"\r\n\r\n")
     lines = head.decode().split("\r\n")
     headers = [line.split(": ", 1) for line in lines[1:]]
@@ -159,7 +159,7 @@
 
 
 def text_of(reply):
-    """The text of an answer to a completion or a chat, whole or streamed."""
+    """The text of an answer to a completion or a chat, buffered or streamed."""
     if reply.headers.get("content-type", "").startswith("text/event-stream"):
         return streamed_text(reply.body)
     choice = reply.json["choices"][0]
@@ -167,7 +167,7 @@
 
 
 def streamed_text(body):
-    """Joins the tokens of a stream; fails if one is missing, doubled, or the end is not there."""
+    """Joins the tokens of a stream; fails if one is missing or repeated or the end is missing."""
     text, offset, finished = "", 0, False
     events = body.decode().split("\n\n")
     if events[-2:] != ["data: [DONE]", ""]:
@@ -189,7 +189,7 @@
 
 
 class Process:
-    """A process of the binary, with its log in a file."""
+    """A process of the binary that logs to a file."""
 
     def __init__(self, name, arguments, directory):
         self.name = name
@@ -249,7 +249,7 @@
         return f"{LOOPBACK}:{self.port}"
 
     def status(self, timeout=5.0):
-        """What /admin/status says, or None while the node does not answer."""
+        """The response of /admin/status, or None if the node does not answer."""
         try:
             reply = call(self.port, "GET", "/admin/status", headers=authorization(OPERATOR_KEY),
                          timeout=timeout)
@@ -283,7 +283,7 @@
 
 
 class Fleet:
-    """A stand-in for the platform and all targets, and six nodes in three data centres."""
+    """A stand-in for the platform and all targets, and nodes in several data centres."""
 
     def __init__(self, vms_per_data_centre=5, standbys=0, spares=1, checks_tokens=True,
                  replicas_per_data_centre=2, workers=1, balancer_lag_ms=100, body_bytes=65536):
@@ -405,14 +405,14 @@
 """
 
     def configuration_copy(self, name, **rules):
-        """A second configuration directory, with other rules."""
+        """A second configuration directory, with different rules."""
         directory = self.directory / name
         directory.mkdir(exist_ok=True)
         (directory / "inventory.csv").write_text(self.inventory_text())
         (directory / "rules.toml").write_text(self.rules_text(**rules))
         return directory
 
-    # ---- life ----
+    # ---- start and end ----
 
     def start(self):
         self.standin.start()
@@ -423,7 +423,7 @@
         result = self.apply(self.configuration)
         if result.returncode != 0:
             raise AssertionError(f"the first apply ended with {result}")
-        self.wait_whole(timeout=30.0)
+        self.wait_all_serving(timeout=30.0)
         return self
 
     def _platform_answers(self):
@@ -448,8 +448,8 @@
             if process.log_file.exists():
                 print(f"---- {process.name}\n{process.log(lines)}", file=sys.stderr)
 
-    def wait_whole(self, nodes=None, timeout=20.0):
-        """Until each node routes to all replicas of its data centre; seconds."""
+    def wait_all_serving(self, nodes=None, timeout=20.0):
+        """Waits until each node routes to all replicas of its data centre; returns the seconds."""
         wanted = self.replicas_per_data_centre
         nodes = self.nodes if nodes is None else nodes
         return wait_until(lambda: all(len(n.serving()) >= wanted for n in nodes),
@@ -486,8 +486,8 @@
     def platform_fault(self, **command):
         self.fault(table=command, objects=command)
 
-    def heal(self):
-        """Ends the faults of table and object store."""
+    def clear_faults(self):
+        """Ends the injected faults of the table and the object store."""
         self.platform_fault(down=False, latency_ms=0, lose_requests=0, lose_replies=0,
                             lose_fraction=0, cut_off=[])
 
@@ -499,14 +499,14 @@
             return None
 
     def executions(self):
-        """What the service did: `executions`, `keys`, `most_per_key`."""
+        """Counters of the service: `executions`, `keys`, `most_per_key`."""
         return call(self.service_ports[DATA_CENTRES[0]], "GET", "/standin/executions").json
 
     def head(self):
         """The row of the configuration's head in the table."""
         return call(self.platform_port, "GET", "/table/config/head")
 
-    def ask_engine(self, body, data_centre=DATA_CENTRES[0]):
+    def call_engine(self, body, data_centre=DATA_CENTRES[0]):
         """The answer of a stand-in engine, called directly."""
         status = self.nodes_of(data_centre)[0].status()
         replica = next(r for r in status["replicas"] if r["serving"])
@@ -520,12 +520,12 @@
         raise AssertionError(f"no member of {replica['replica']} answers: {reply}")
 
 
-class OwnershipWatch:
-    """Polls the engines and nodes of a data centre, from a thread of its own, for VMs in two replicas.
+class OwnershipMonitor:
+    """Polls the engines and nodes of a data centre, in its own thread, for VMs in two replicas.
 
-    An engine reports the one replica it is in. Two owners show as a VM that changes its replica
-    within one generation, that goes back to an older row's replica, or that two replicas of one
-    node's status name.
+    An engine reports only one replica. A VM with two owners is one that changes its replica within
+    one generation, that returns to a replica of an older generation, or that is in two replicas of
+    one node's status.
     """
 
     def __init__(self, fleet, data_centre):
@@ -535,7 +535,7 @@
         self.findings = []
         self.polls = 0
         self.owners = {}  # (vm, generation) -> replica
-        self.newest = {}  # vm -> generation it reported last, as numbers
+        self.newest = {}  # vm -> generation in its last report, as numbers
         self._ended = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
@@ -549,31 +549,31 @@
 
     def _run(self):
         while not self._ended.is_set():
-            self._look()
+            self._poll()
             self.polls += 1
             time.sleep(0.05)
 
-    def _look(self):
+    def _poll(self):
         for vm in self.vms:
             report = self.fleet.report(vm)
             if report and report["rep"]:
-                self._look_back(vm, report)
+                self._check_generation(vm, report)
                 owner = self.owners.setdefault((vm, report["gen"]), report["rep"])
                 if owner != report["rep"]:
                     self.findings.append(f"{vm}: {owner} and {report['rep']} at {report['gen']}")
         for node in self.nodes:
             status = node.status(timeout=1.0) if node.is_running() else None
             if status:
-                self._look_at(node, status)
+                self._check_status(node, status)
 
-    def _look_back(self, vm, report):
+    def _check_generation(self, vm, report):
         generation = (report["inc"], *map(int, report["gen"].split(".")))
         before = self.newest.get(vm, generation)
         if generation < before:
             self.findings.append(f"{vm}: went back from {before} to {generation}")
         self.newest[vm] = generation
 
-    def _look_at(self, node, status):
+    def _check_status(self, node, status):
         owners = {}
         for replica in status["replicas"]:
             for vm in [*replica["members"], *replica["standbys"]]:
@@ -584,24 +584,24 @@
 
 
 class Load:
-    """Asks for completions through some nodes without pause, from threads of its own."""
+    """Requests completions from some nodes continuously, in its own threads."""
 
     def __init__(self, nodes, callers_per_node=2, tokens=8, stream=True):
         self.bodies = [completion_body(f"load {i}", tokens, stream) for i in range(4)]
         self.expected = {}  # prompt -> text
-        self.whole = 0
-        self.wrong = []  # answers that are not the one right answer
+        self.complete_count = 0
+        self.wrong = []  # answers that differ from the expected one
         self.refused = []  # (node, type, code)
-        self.unanswered = []  # (node, what happened)
+        self.unanswered = []  # (node, error)
         self._lock = threading.Lock()
         self._ended = threading.Event()
         self._threads = [threading.Thread(target=self._run, args=(node,), daemon=True)
                          for node in nodes for _ in range(callers_per_node)]
 
-    def learn(self, fleet):
-        """Asks an engine for the right answers. Before anything fails."""
+    def learn_answers(self, fleet):
+        """Gets the expected answers from an engine. Must be called before any fault."""
         for body in self.bodies:
-            self.expected[body["prompt"]] = text_of(fleet.ask_engine({**body, "stream": False}))
+            self.expected[body["prompt"]] = text_of(fleet.call_engine({**body, "stream": False}))
         return self
 
     def __enter__(self):
@@ -623,41 +623,41 @@
             body = self.bodies[turn % len(self.bodies)]
             turn += 1
             try:
-                self._judge(node, body, complete(node.port, body, timeout=30.0))
+                self._check(node, body, complete(node.port, body, timeout=30.0))
             except (OSError, http.client.HTTPException) as error:
-                if node.is_running():  # a killed node answers nobody
-                    self._note(self.unanswered, (node.name, repr(error)))
+                if node.is_running():  # a killed node does not answer
+                    self._record(self.unanswered, (node.name, repr(error)))
                 return
 
-    def _judge(self, node, body, reply):
+    def _check(self, node, body, reply):
         if reply.status != 200:
-            self._note(self.refused, (node.name, reply.error["type"], reply.error["code"]))
+            self._record(self.refused, (node.name, reply.error["type"], reply.error["code"]))
             time.sleep(POLL_SECONDS)
             return
         try:
             text = text_of(reply)
         except AssertionError as error:
-            self._note(self.wrong, (node.name, str(error)))
+            self._record(self.wrong, (node.name, str(error)))
             return
         if text != self.expected[body["prompt"]]:
-            self._note(self.wrong, (node.name, body["prompt"], text))
+            self._record(self.wrong, (node.name, body["prompt"], text))
         with self._lock:
-            self.whole += 1
+            self.complete_count += 1
 
-    def _note(self, into, what):
+    def _record(self, into, what):
         with self._lock:
             into.append(what)
 
     def __repr__(self):
-        return (f"{self.whole} whole, {len(self.wrong)} wrong {self.wrong[:3]}, "
+        return (f"{self.complete_count} complete, {len(self.wrong)} wrong {self.wrong[:3]}, "
                 f"{len(self.refused)} refused {self.refused[:3]}, "
                 f"{len(self.unanswered)} unanswered {self.unanswered[:3]}")
 
 
 class ProcessTest(unittest.TestCase):
-    """A test on a fleet that is started once for all classes of a file with the same options.
+    """A test on a fleet, which is started once for all classes of a file with the same options.
 
-    Prints the logs of all processes on failure.
+    Prints the logs of all processes if the test fails.
     """
 
     fleet_options = {}
@@ -691,18 +691,18 @@
         return result
 
     def measured(self, what, seconds):
-        """Tells a figure, for the record of the run."""
+        """Prints a measurement for the log of the run."""
         print(f"measured: {what}: {seconds:.2f} s", flush=True)
 
 
 def in_parallel(jobs):
-    """Runs the functions at once; their results, or the exceptions they ended with, in order."""
+    """Runs the functions simultaneously; returns their results or exceptions in order."""
     results = [None] * len(jobs)
 
     def run(index, job):
         try:
             results[index] = job()
-        except Exception as error:  # handed to the test, which judges it
+        except Exception as error:  # returned to the test, which checks it
             results[index] = error
 
     threads = [threading.Thread(target=run, args=pair, daemon=True) for pair in enumerate(jobs)]
--- a/tests/process/hosted_test.py
+++ b/tests/process/hosted_test.py
@@ -1,4 +1,4 @@
-"""Six hosted nodes as real processes before a stand-in of the platform."""
+"""Six hosted nodes as real processes with a stand-in for the platform."""
 
 import contextlib
 import http.client
@@ -35,7 +35,7 @@
 """
 
 
-def whole_stream(request_id):
+def expected_stream(request_id):
     return "".join(f"id: {i}\ndata: {request_id}\n\n" for i in range(1, EVENTS + 1)).encode()
 
 
@@ -80,16 +80,16 @@
         return reply is not None and reply.status == 200
 
     def test_six_nodes_serve_and_go_on_without_one(self):
-        # Symptom: callers of the other nodes notice that a node was killed. Sequence: six nodes form
-        # replicas and serve; the one that keeps the largest data centre is killed. Cause: nobody takes
-        # its duties, or the others wait for it.
+        # Guards against a killed node that affects callers of the other nodes: the controller of the
+        # largest data centre is killed, and no node takes over its responsibilities, or the others
+        # wait for it.
         for node in range(len(DATA_CENTRES)):
             wait_until(lambda n=node: self.serves(n), f"node {node} serves", timeout=30)
             self.assertEqual(call(self.ready[node], "GET", "/x").status, 200)
         streams = in_parallel([lambda i=i: self.ask(i % 6, "/llm/x", f"s{i}") for i in range(24)])
         for i, reply in enumerate(streams):
             self.assertEqual(reply.status, 200)
-            self.assertEqual(reply.body, whole_stream(f"s{i}"))
+            self.assertEqual(reply.body, expected_stream(f"s{i}"))
         card = self.ask(5, "/card/1", "c1")
         self.assertEqual((card.status, card.body), (200, b"card c1"))
         self.assertIn(b"arbutusworks_ready 1", call(self.metrics[0], "GET", "/metrics").body)
--- a/tests/process/idle_cost.py
+++ b/tests/process/idle_cost.py
@@ -1,8 +1,8 @@
-"""What a node costs at rest: processor time, resident memory, and bytes of probes and links.
+"""Measures an idle node: processor time, resident memory, and the traffic of probes and links.
 
-No test: run it by hand, with ARBUTUSWORKS naming the binary. Nodes and the stand-in run as real
-processes on loopback, nobody calls. Bytes and segments are the kernel's own count for each
-connection (`ss -ti`): payload, to which each segment adds at least 40 bytes of headers.
+Not a test: run it by hand, with ARBUTUSWORKS set to the path of the binary. Nodes and the stand-in
+run as real processes on loopback, without callers. Bytes and segments are counted by the kernel for
+each connection (`ss -ti`): payload, to which each segment adds at least 40 bytes of headers.
 """
 
 import argparse
@@ -15,7 +15,7 @@
 
 import driver
 
-# IPv4 and TCP without options.
+# IPv4 and TCP headers without options.
 HEADER_BYTES = 40
 
 
@@ -31,7 +31,7 @@
 
 
 class Traffic(collections.namedtuple("Traffic", "sent received segments_out segments_in")):
-    """Counted on one end of one connection since it was opened."""
+    """Traffic counted at one end of a connection since it was opened."""
 
     def __sub__(self, other):
         return Traffic(*(a - b for a, b in zip(self, other, strict=True)))
@@ -41,7 +41,7 @@
 
 
 def connections():
-    """(local port, remote port) -> Traffic, of all TCP connections on loopback."""
+    """Maps (local port, remote port) to Traffic, for all established TCP connections."""
     text = subprocess.run(["ss", "-tinH", "state", "established"], capture_output=True, text=True,
                           check=True).stdout
     found = {}
@@ -57,11 +57,11 @@
     return found
 
 
-def grown(before, after, is_wanted):
-    """Sum over the connections wanted, and their number."""
+def grown(before, after, is_selected):
+    """The traffic between two counts, summed over the selected connections, and their number."""
     total, count = Traffic(0, 0, 0, 0), 0
     for ports, traffic in after.items():
-        if is_wanted(*ports):
+        if is_selected(*ports):
             total += traffic - before.get(ports, Traffic(0, 0, 0, 0))
             count += 1
     return total, count
@@ -98,22 +98,23 @@
     print(f"{len(nodes)} nodes, {len(fleet.vm_ports)} targets, {took:.1f} s at rest")
     print(f"core: median {statistics.median(cores):.2f}%, most {max(cores):.2f}%")
     print(f"resident: median {statistics.median(memory):.1f} MiB, most {max(memory):.1f} MiB")
-    whole = 0.0
-    for name, wanted in (("targets", set(fleet.vm_ports.values())),
-                         ("platform", {fleet.platform_port}),
-                         ("links", {n.link_port for n in nodes})):
-        total, count = grown(net, net_after, lambda _, remote, w=wanted: remote in w)
+    total_bytes = 0.0
+    for name, remote_ports in (("targets", set(fleet.vm_ports.values())),
+                               ("platform", {fleet.platform_port}),
+                               ("links", {n.link_port for n in nodes})):
+        total, count = grown(net, net_after, lambda _, remote, p=remote_ports: remote in p)
         if name == "links":
-            # What one node sends another receives: each is on the wire of both.
+            # All traffic on links is sent by one node and received by another, so the bytes sent are
+            # counted for both directions.
             total = Traffic(total.sent, total.sent, *2 * [total.segments_out + total.segments_in])
-        whole += print_traffic(name, total, count, took * len(nodes))
-    print(f"together {whole:.0f} bytes with headers, the mean of all nodes")
+        total_bytes += print_traffic(name, total, count, took * len(nodes))
+    print(f"together {total_bytes:.0f} bytes with headers, the mean of all nodes")
 
 
 def main():
     options = arguments()
     fleet = start_fleet(options)
-    time.sleep(5.0)  # not a test: the first seconds carry what is said once only
+    time.sleep(5.0)  # skips the messages that are sent only once after the start
     measure(fleet, options.seconds)
     fleet.close()
 
--- a/tests/process/idle_test.py
+++ b/tests/process/idle_test.py
@@ -1,4 +1,4 @@
-"""What a node costs while nobody calls: a node must not spin."""
+"""The cost of an idle node: it must not busy-wait."""
 
 import time
 import unittest
@@ -6,15 +6,15 @@
 from driver import ProcessTest, wait_until
 
 SECONDS = 10.0
-# Half of what control may cost at the size planned for is 2.2% of a core, 64 MB and 3.5 KB/s; this
-# fleet is small, so a node has to stay well below.
+# Half of the budget for control at the planned fleet size is 2.2% of a core, 64 MB and 3.5 KB/s.
+# This fleet is small, so the limit for the processor is lower.
 CPU_PERCENT = 1.0
 RESIDENT_BYTES = 64e6
 LINK_BYTES_PER_SECOND = 3500.0
 
 
 class Idle(ProcessTest):
-    fleet_options = {"workers": 0}  # a thread for each core, as by default
+    fleet_options = {"workers": 0}  # a thread for each core, which is the default
 
     def sample(self):
         return [(n.cpu_seconds(), n.gauge("arbutusworks_link_bytes_in")
--- a/tests/process/keyed_test.py
+++ b/tests/process/keyed_test.py
@@ -1,5 +1,5 @@
-"""Calls that may not be repeated, through real nodes: a job card runs at most once, whatever fails,
-and a caller who is told that it was not run can rely on it."""
+"""Calls that must not be repeated, through real nodes: a job card runs at most once despite
+failures, and a caller that gets "not run" can rely on it."""
 
 import itertools
 import time
@@ -7,7 +7,7 @@
 
 from driver import ProcessTest, authorization, call, in_parallel, wait_until
 
-# How long a caller waits at most before it is told that the table is away.
+# Limit for the refusal of a call while the table is unavailable.
 REFUSED_WITHIN_SECONDS = 3.0
 TAKEOVER_SECONDS = 5.0
 
@@ -20,7 +20,7 @@
         self.before = self.fleet.executions()
 
     def restore(self):
-        self.fleet.heal()
+        self.fleet.clear_faults()
         self.service_fault(late=0, cut_before=0, cut_after=0)
         for node in self.fleet.nodes:
             if not node.is_running():
@@ -39,15 +39,15 @@
         return call(node.port, "POST", "/notes/cards", body, headers, timeout=30)
 
     def executed(self):
-        """Executions since the test began."""
+        """Executions since the start of the test."""
         return self.fleet.executions()["executions"] - self.before["executions"]
 
     def assert_none_twice(self):
         counters = self.fleet.executions()
         self.assertLessEqual(counters["most_per_key"], 1, counters)
 
-    def assert_honest(self, replies, executed):
-        """What callers of one card were told agrees with how often it ran."""
+    def assert_consistent(self, replies, executed):
+        """Checks that the replies to the callers of one card agree with how often it ran."""
         answered = [r for r in replies if r.status == 200]
         self.assertLessEqual(executed, 1)
         if answered:
@@ -61,7 +61,7 @@
                             for node in self.fleet.nodes])
 
     def settle(self, nodes, key, seconds=20.0):
-        """Repeats the call as a caller would, until it is not in progress any more."""
+        """Repeats the call, as a caller would, until it is no longer in progress."""
         turn = itertools.cycle(nodes)
 
         def look():
@@ -70,14 +70,13 @@
         return wait_until(look, f"{key} is settled", timeout=seconds, poll=0.2)[0]
 
     def test_same_card_through_all_nodes_at_once(self):
-        # Symptom: two crews at one drain.
-        # Sequence: a tablet sends its card again while the first is on its way; the balancer hands
-        #   the repeats to other nodes.
-        # Cause: nodes that do not know of each other's calls.
+        # Guards against a card that runs twice: it is sent again while the first call is in
+        # progress, the balancer routes the repetitions to other nodes, and those do not know of the
+        # first call.
         for _ in range(4):
             key, before = self.new_key(), self.executed()
             replies = self.send_everywhere(key)
-            self.assert_honest(replies, self.executed() - before)
+            self.assert_consistent(replies, self.executed() - before)
             self.assertTrue(any(r.status == 200 for r in replies), replies)
             again = self.send_card(self.fleet.nodes[5], key)
             self.assertEqual(again.status, 200)
@@ -86,13 +85,13 @@
         self.assert_none_twice()
 
     def test_replies_of_the_table_lost(self):
-        # Symptom: a card runs twice, or its caller is told "not run" and finds it done.
-        # Sequence: the record of the call is written, but the table's replies get lost.
-        # Cause: a lost reply is taken for a write that did not happen.
+        # Guards against a card that runs twice, or that ran although its caller got "not run": the
+        # record of the call is written, the table's reply is lost, and the node treats the write as
+        # failed.
         self.fleet.table_fault(lose_fraction=0.4)
         for _ in range(4):
             key, before = self.new_key(), self.executed()
-            self.assert_honest(self.send_everywhere(key), self.executed() - before)
+            self.assert_consistent(self.send_everywhere(key), self.executed() - before)
             self.assertLessEqual(self.executed() - before, 1)
         self.assert_none_twice()
 
@@ -100,14 +99,13 @@
         for _ in range(3):
             key, before = self.new_key(), self.executed()
             self.fleet.table_fault(lose_requests=2, lose_replies=2)
-            self.assert_honest(self.send_everywhere(key), self.executed() - before)
+            self.assert_consistent(self.send_everywhere(key), self.executed() - before)
         self.assert_none_twice()
 
     def test_node_killed_while_the_card_runs(self):
-        # Symptom: the repeat of a card runs it again.
-        # Sequence: the service has the card, its node dies before the answer is recorded, the
-        #   tablet repeats the card through another node.
-        # Cause: only the dead node knew that the call was sent.
+        # Guards against a repeated card that runs again: the service has received it, the node dies
+        # before it records the answer, and the caller repeats the card through another node. Only
+        # the dead node knew that the call was sent.
         node, key = self.fleet.nodes[0], self.new_key()
         self.service_fault(late=1, late_ms=4000)
         killed = in_parallel([lambda: self.send_card(node, key, deadline_ms=3000),
@@ -122,8 +120,8 @@
         self.assertEqual(self.executed(), 1)
 
     def test_node_killed_with_cards_at_every_step(self):
-        # Symptom, sequence, cause: as above, with the death of the node at any step of a card:
-        #   before the reservation, between it and the mark, between that and the send.
+        # The same failure, with the node killed at different steps of a card: before the reservation
+        # of the key, between it and the mark "sent", and between that and the call.
         node, others = self.fleet.nodes[0], self.fleet.nodes[1:]
         self.fleet.table_fault(latency_ms=250)
         keys = [self.new_key() for _ in range(12)]
@@ -138,7 +136,7 @@
             node.kill()
 
         first = in_parallel([kill, *(lambda i=i, k=k: send(i, k) for i, k in enumerate(keys))])[1:]
-        self.fleet.heal()
+        self.fleet.clear_faults()
         settled = in_parallel([lambda k=k: self.settle(others, k) for k in keys])
         done = [r for r in settled if getattr(r, "status", 0) == 200]
         unknown = [r for r in settled if getattr(r, "status", 0) == 502]
@@ -150,35 +148,34 @@
         self.assertLessEqual(self.executed(), len(keys))
         self.assert_none_twice()
 
-    def test_table_away(self):
-        # Symptom: a tablet hangs, its user presses again and again.
-        # Sequence: the table goes down, a card is sent.
-        # Cause: without the record the card may not be sent, and nobody says so.
+    def test_table_unavailable(self):
+        # Guards against a caller that waits for a long time and repeats its call: while the table is
+        # down the call cannot be recorded and must not be sent, so it has to be refused.
         self.fleet.table_fault(down=True)
         begun = time.monotonic()
         reply = self.send_card(self.fleet.nodes[0], self.new_key())
         seconds = time.monotonic() - begun
-        self.measured("table away, until the card is refused", seconds)
+        self.measured("table unavailable, until the card is refused", seconds)
         self.assertEqual((reply.status, reply.error["type"]), (503, "not_run"))
         self.assertIn("retry-after", reply.headers)
         self.assertLess(seconds, REFUSED_WITHIN_SECONDS)
         self.assertEqual(self.executed(), 0)
         reading = call(self.fleet.nodes[0].port, "GET", "/notes/1", headers=authorization())
-        self.assertEqual(reading.status, 200, "what may be repeated needs no table")
+        self.assertEqual(reading.status, 200, "a repeatable call does not need the table")
 
-    def test_table_away_then_back(self):
-        # A refusal is final for that call, and the card can be sent again later.
+    def test_table_unavailable_then_back(self):
+        # A refused call does not run later; the card can be sent again when the table is back.
         key = self.new_key()
         self.fleet.table_fault(down=True)
         self.assertEqual(self.send_card(self.fleet.nodes[0], key).error["type"], "not_run")
-        self.fleet.heal()
+        self.fleet.clear_faults()
         self.assertEqual(self.settle(self.fleet.nodes[1:], key).status, 200)
         self.assertEqual(self.executed(), 1)
 
     def test_connection_to_the_service_breaks(self):
-        # Symptom: a card was done, its caller is told "not run" and sends another one.
-        # Sequence: the service takes the card and its connection breaks before the answer.
-        # Cause: a connection that breaks says nothing about what was done.
+        # Guards against a card that ran although its caller got "not run" and sends another one: the
+        # connection breaks after the service has received the card. A broken connection does not
+        # show whether the call ran.
         for fault, executed in (("cut_after", 1), ("cut_before", 0)):
             with self.subTest(fault=fault):
                 key, before = self.new_key(), self.executed()
--- a/tests/process/repair_test.py
+++ b/tests/process/repair_test.py
@@ -1,31 +1,32 @@
-"""Members and nodes die, pause and come back, with and without the table: replicas serve again from
-their own standbys, and no VM is ever in two."""
+"""Members and nodes die, pause and return, with and without the table: replicas serve again with
+their own standbys, and no VM is ever in two replicas."""
 
 import signal
 import time
 import unittest
 
-from driver import DATA_CENTRES, Load, OwnershipWatch, ProcessTest, call, wait_until, watch
+from driver import (DATA_CENTRES, Load, OwnershipMonitor, ProcessTest, call, check_repeatedly,
+                    wait_until)
 
 DATA_CENTRE = DATA_CENTRES[0]
 PAUSE_SECONDS = 20
 
 
 class RepairTest(ProcessTest):
-    """Fixture: two replicas of two VMs in each data centre, each with a standby, and a VM to spare."""
+    """Fixture: two replicas of two VMs in each data centre, each with a standby, and a spare VM."""
 
     fleet_options = {"vms_per_data_centre": 7, "standbys": 1, "spares": 1}
 
     def setUp(self):
-        # The first by id can act without the table when it is alone, the second cannot.
+        # Without the table, the first node by id can act alone; the second cannot.
         self.first, self.second = self.fleet.nodes_of(DATA_CENTRE)
         self.vms = [vm for vm in self.fleet.vm_ports if vm.startswith(DATA_CENTRE)]
         self.killed = []
         self.addCleanup(self.restore)
-        wait_until(self.settled, "the data centre is whole and agreed on", timeout=30)
+        wait_until(self.settled, "the data centre is complete and both nodes agree", timeout=30)
 
     def restore(self):
-        self.fleet.heal()
+        self.fleet.clear_faults()
         for node in (self.first, self.second):
             if node.is_running():
                 node.send(signal.SIGCONT)
@@ -36,20 +37,20 @@
         wait_until(self.settled, "all is well again after the test", timeout=30)
 
     def settled(self):
-        """Both nodes know the same whole assignment, each replica with its standby."""
+        """Both nodes have the same complete assignment, each replica with its standby."""
         views = [n.status() for n in (self.first, self.second)]
         if not all(views) or not all(v["table_reachable"] for v in views):
             return False
-        whole = all(r["serving"] and len(r["standbys"]) == 1
-                    for view in views for r in view["replicas"])
-        return whole and len(views[0]["replicas"]) == 2 and self.agreed(*views)
+        complete = all(r["serving"] and len(r["standbys"]) == 1
+                       for view in views for r in view["replicas"])
+        return complete and len(views[0]["replicas"]) == 2 and self.agreed(*views)
 
     @staticmethod
     def agreed(one, other):
-        def told(view):
+        def summary(view):
             return [(r["replica"], r["generation"], r["members"], r["serving"])
                     for r in view["replicas"]]
-        return told(one) == told(other)
+        return summary(one) == summary(other)
 
     def kill_vm(self, vm):
         self.killed.append(vm)
@@ -59,7 +60,7 @@
         self.fleet.table_fault(down=True)
         wait_until(lambda: not any(n.status()["table_reachable"]
                                    for n in (self.first, self.second) if n.is_running()),
-                   "the nodes notice that the table is away")
+                   "the nodes notice that the table is unavailable")
 
     @staticmethod
     def sees_dead(node, other):
@@ -79,22 +80,22 @@
                                 what, timeout)
         self.measured(what, seconds)
 
-    def assert_all_whole(self, load):
+    def assert_all_complete(self, load):
         print(f"measured: load: {load}", flush=True)
         self.assertFalse(load.wrong, load)
         self.assertFalse(load.unanswered, load)
         self.assertFalse([r for r in load.refused if r[1] != "not_run"], load)
-        self.assertGreater(load.whole, 10, load)
+        self.assertGreater(load.complete_count, 10, load)
 
     def row(self):
         return call(self.fleet.platform_port, "GET", f"/table/assignment/{DATA_CENTRE}")
 
     def repair_without_the_table(self, position):
-        load = Load([self.first, self.second]).learn(self.fleet)
+        load = Load([self.first, self.second]).learn_answers(self.fleet)
         before = self.first.status()["replicas"][0]
         name, victim = before["replica"], before["members"][position]
         row_version = self.row().headers["x-row-version"]
-        with OwnershipWatch(self.fleet, DATA_CENTRE) as owners, load:
+        with OwnershipMonitor(self.fleet, DATA_CENTRE) as owners, load:
             self.table_down()
             self.kill_vm(victim)
             self.wait_repaired([self.first, self.second], name, victim,
@@ -105,7 +106,7 @@
             self.assertIn(before["standbys"][0], after["members"], "its own standby steps in")
             self.assertNotEqual(after["generation"], before["generation"])
             self.assertEqual(self.row().status, 503, "all of this without the table")
-            self.fleet.heal()
+            self.fleet.clear_faults()
 
             _, seconds = wait_until(lambda: self.row().headers["x-row-version"] != row_version,
                                     "the row takes up the repair")
@@ -114,27 +115,26 @@
             self.assertEqual(self.first.replica(name)["members"], after["members"])
         self.assertEqual(owners.findings, [])
         self.assertGreater(owners.polls, 3)
-        self.assert_all_whole(load)
+        self.assert_all_complete(load)
 
 
 class Repair(RepairTest):
     def test_member_lost_without_the_table(self):
-        # Symptom: a replica stays dark for as long as the table is away.
-        # Sequence: the table goes down, then a member of a replica dies.
-        # Cause: which VM takes its place has to be agreed, and the table is where that is done.
+        # Guards against a replica that does not serve while the table is unavailable: a member dies,
+        # and the nodes can agree on the VM that replaces it only through the table.
         self.repair_without_the_table(position=1)
 
     def test_head_lost_without_the_table(self):
-        # The same for the member that answers requests: its streams break off and go on elsewhere.
+        # The same for the member that answers requests: its streams break and continue elsewhere.
         self.repair_without_the_table(position=0)
 
     def test_second_node_killed_without_the_table(self):
-        # Symptom: one lost node keeps replicas dark.
-        # Sequence: the table is away, the second node and a member die together.
-        # Cause: the first node waits for the word of a node that is gone.
+        # Guards against a replica that does not serve because a node is lost: the table is
+        # unavailable, the second node and a member die together, and the first node waits for the
+        # dead node.
         replica = self.second.status()["replicas"][1]
         name, victim = replica["replica"], replica["members"][1]
-        with OwnershipWatch(self.fleet, DATA_CENTRE) as owners:
+        with OwnershipMonitor(self.fleet, DATA_CENTRE) as owners:
             self.table_down()
             self.second.kill()
             self.kill_vm(victim)
@@ -143,46 +143,45 @@
         self.assertEqual(owners.findings, [])
 
     def test_first_node_killed_without_the_table(self):
-        # Symptom: two nodes repair the same replica differently.
-        # Sequence: the table is away, the first node and a member die together.
-        # Cause: the second node cannot tell a dead first node from one it is cut off from. So it
-        #   must not repair, but it goes on with the other replica, and repairs with the table.
-        load = Load([self.second]).learn(self.fleet)
+        # Guards against two nodes that repair the same replica differently: the table is
+        # unavailable, the first node and a member die together, and the second node cannot tell a
+        # dead first node from an unreachable one. So it must not repair without the table, but it
+        # has to keep serving with the other replica.
+        load = Load([self.second]).learn_answers(self.fleet)
         replica = self.first.status()["replicas"][0]
         name, victim = replica["replica"], replica["members"][1]
-        with OwnershipWatch(self.fleet, DATA_CENTRE) as owners, load:
+        with OwnershipMonitor(self.fleet, DATA_CENTRE) as owners, load:
             self.table_down()
             self.first.kill()
             wait_until(lambda: self.sees_dead(self.second, self.first), "the node is seen as dead")
             self.kill_vm(victim)
             wait_until(lambda: self.condition(self.second, victim) == "lost", "the VM is lost")
-            watch(1.5, lambda: self.assertEqual(len(self.second.serving()), 1), poll=0.1)
-            self.fleet.heal()
+            check_repeatedly(1.5, lambda: self.assertEqual(len(self.second.serving()), 1), poll=0.1)
+            self.fleet.clear_faults()
             self.wait_repaired([self.second], name, victim,
                                "table back with one node, until the replica serves again")
         self.assertEqual(owners.findings, [])
-        self.assert_all_whole(load)
+        self.assert_all_complete(load)
 
 
 class TokensIgnored(RepairTest):
-    """The same where engines obey whoever orders them: only the senders keep order."""
+    """The same with engines that ignore fencing tokens, so only the nodes prevent conflicts."""
 
     fleet_options = {**RepairTest.fleet_options, "checks_tokens": False}
 
     def test_member_lost_without_the_table(self):
-        # As above; besides, nothing but the nodes' own care stands between a VM and a stale order.
+        # As above, but the engines do not reject stale orders.
         self.repair_without_the_table(position=1)
 
     def test_paused_node_sends_no_stale_orders(self):
-        # Symptom: a replica that was repaired falls apart again, minutes later.
-        # Sequence: a member dies, the node that would repair it is paused; the other node repairs
-        #   it. The paused node wakes up and orders what it had decided before.
-        # Cause: a paused process does not know that it was paused, and engines that do not check
-        #   tokens obey.
-        load = Load([self.second]).learn(self.fleet)
+        # Guards against a repaired replica that is broken again by a paused node: a member dies, the
+        # node that would repair the replica is paused, and the other node repairs it. The paused
+        # node continues and sends its old orders, since a process cannot notice its own pause, and
+        # engines that do not check tokens accept them.
+        load = Load([self.second]).learn_answers(self.fleet)
         replica = self.first.status()["replicas"][0]
         name, victim = replica["replica"], replica["members"][1]
-        with OwnershipWatch(self.fleet, DATA_CENTRE) as owners, load:
+        with OwnershipMonitor(self.fleet, DATA_CENTRE) as owners, load:
             self.kill_vm(victim)
             self.first.send(signal.SIGSTOP)
             paused_at = time.monotonic()
@@ -194,12 +193,12 @@
             before = self.compositions()
             orders = self.orders_done()
             self.first.send(signal.SIGCONT)
-            watch(3.0, lambda: self.assertEqual(self.compositions(), before), poll=0.05)
+            check_repeatedly(3.0, lambda: self.assertEqual(self.compositions(), before), poll=0.05)
             self.assertEqual(self.orders_done(), orders, "orders after the pause")
             wait_until(lambda: self.agreed(self.first.status(), self.second.status()),
                        "the woken node has caught up")
         self.assertEqual(owners.findings, [])
-        self.assert_all_whole(load)
+        self.assert_all_complete(load)
 
     def compositions(self):
         return {vm: (report["rep"], report["gen"]) for vm in self.vms
--- a/tests/process/soak.py
+++ b/tests/process/soak.py
@@ -1,26 +1,27 @@
-"""A randomized soak of real processes: six hosted nodes before the stand-in platform, under faults.
+"""A randomized soak test of real processes: six hosted nodes and a stand-in platform, with faults.
 
     python3 tests/process/soak.py --seeds 1-50 --seconds 15 --at-once 3
 
-Faults come from outside the processes: signals (kill, stop and continue, terminate, start again),
-a loopback proxy between each node and the store and before each node's callers (delay, silence one
-way or both, reset, refuse), engines that die without a word, a store that is away, keys that are
-withdrawn. They come in series and overlap, drawn from the seed. Callers keep using their connections.
-
-Promises, checked by what callers and targets see:
-  whole     a success carries the request's own whole answer and the target's signature
-  once      what may not be repeated runs at most once
-  not run   503, 429, 408 and 421 were not run, and never are
-  keys      nothing runs that was sent later than the bound after its key was withdrawn
+Faults are injected from outside the processes: signals (kill, stop and continue, terminate,
+restart), a loopback proxy between each node and the store and one in front of each node's caller
+port (delay, loss of data in one or both directions, reset, refusal), engines that die without
+notice, an unavailable store, withdrawn keys. They come in series, overlap, and depend on the seed.
+Callers reuse their connections.
+
+Guarantees, checked against what callers and targets observe:
+  whole     a successful answer is the request's own complete answer, with the target's signature
+  once      a call that must not be repeated runs at most once
+  not run   a request answered with 503, 429, 408 or 421 was not run and never will be
+  keys      no request runs that was sent later than the time limit after its key was withdrawn
   private   no caller's key reaches a target
-  alive     no node ends by itself; one told to stop ends with status 0 within its grace
+  alive     no node ends on its own; a stopped node ends with status 0 within its grace period
   back      every node serves soon after the last fault
-  contained a request that ends its targets, and has ended three, reaches no more than three times
-            any target once all is calm
-  accused   no other request is refused for that
-  limited   once all is calm, a target that names a limit is sent no more than one and a half times
-            that and five requests in four seconds, by all nodes together
-  newest    every node soon serves by a configuration that takes the store seconds to answer
+  contained a poison request, which has ended three targets, reaches targets at most three more times
+            once the faults are over
+  accused   no other request is refused as a poison request
+  limited   once the faults are over, all nodes together send a target with a rate limit at most one
+            and a half times that rate plus five requests in four seconds
+  newest    every node soon uses a new configuration whose transfer takes the store seconds
 """
 
 import argparse
@@ -42,40 +43,41 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from driver import BINARY, LOOPBACK, call, free_ports, wait_until
-from hosted_test import DATA_CENTRES, EVENTS, HOST, KEY, settings_text, whole_stream
+from hosted_test import DATA_CENTRES, EVENTS, HOST, KEY, settings_text, expected_stream
 
 GRACE_SECONDS = 5  # as in settings_text
 KEY_BOUND_SECONDS = 5.0  # the nodes' own default
-# Engines start again and foreign entries come from this seed on: the ones before keep their series.
-FIRST_SEED_OF_LIVES = 200
-# Requests that end their targets come from this seed on, and proper ones differ from each other.
+# Seeds from here on also restart engines and add unreadable target entries. Lower seeds keep their
+# sequence of faults.
+FIRST_SEED_OF_RESTARTS = 200
+# Seeds from here on also send poison requests, and all other requests differ from each other.
 FIRST_SEED_OF_POISON = 400
-# Targets that name a limit, and configurations of thousands of routes, come from this seed on.
+# Seeds from here on also use targets with a rate limit and configurations with thousands of routes.
 FIRST_SEED_OF_LIMITS = 600
 LIMIT = 2.0
 LIMIT_WINDOW_SECONDS = 4.0
-# From when all nodes have been told, to the end of the check.
+# Time for all nodes to learn the limit; only later arrivals are checked.
 LIMIT_LEARNT_SECONDS = 4.0
 LIMIT_SECONDS = 12.0
 STORE_BYTES_PER_SECOND = 300_000
 MANY_ROUTES = 1500
 POISON_PATHS = ("/llm/poison-a", "/llm/poison-b", "/card/poison-c")
-ENDS_OF_BOUND = 3
-VISITS_OF_BOUND = 3
-CALM_SECONDS = 4
+ENDS_BEFORE_QUARANTINE = 3
+MAX_VISITS_IN_QUARANTINE = 3
+SETTLE_SECONDS = 4
 POISON_REASON = b"ended the targets"
-BACK_SECONDS = 15
+RECOVERY_SECONDS = 15
 NOT_RUN = (503, 429, 408, 421)
 CALLERS = 8
 
 
 class Proxy:
-    """Passes connections on to `target`, and harms them as told."""
+    """Forwards connections to `target` and injects faults into them."""
 
     def __init__(self, target):
         self.target = target
         self.delay = 0.0
-        self.silent = set()  # "there", "back": these bytes are lost
+        self.dropped_directions = set()  # "there", "back": bytes in these directions are dropped
         self.refuses = False
         self.open = set()
         self.lock = threading.Lock()
@@ -112,12 +114,12 @@
         for end in pair:
             end.close()
 
-    def pump(self, source, sink, way):
+    def pump(self, source, sink, direction):
         with contextlib.suppress(OSError):
             while data := source.recv(65536):
                 if self.delay:
                     time.sleep(self.delay)
-                if way not in self.silent:
+                if direction not in self.dropped_directions:
                     sink.sendall(data)
         for end in (source, sink):
             with contextlib.suppress(OSError):
@@ -132,8 +134,8 @@
                     end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     end.shutdown(socket.SHUT_RDWR)
 
-    def heal(self):
-        self.delay, self.silent, self.refuses = 0.0, set(), False
+    def clear_faults(self):
+        self.delay, self.dropped_directions, self.refuses = 0.0, set(), False
 
     def close(self):
         self.listener.close()
@@ -184,7 +186,7 @@
         self.calls = []  # (id, path, sent_at, ended_at, status or None, body, headers)
         self.lock = threading.Lock()
         self.ending = threading.Event()
-        self.dead_from, self.dead_until = None, None  # of the key
+        self.key_rejected_from, self.key_rejected_until = None, None  # when the key must not work
         self.began = time.monotonic()
         self.visits = 0
         ports = free_ports(2 + 4 * len(DATA_CENTRES))
@@ -197,7 +199,7 @@
         self.nodes = [Node(f"edge-{i}", data_centre, ports[2 + 4 * i:6 + 4 * i], ports[0], directory)
                       for i, data_centre in enumerate(DATA_CENTRES)]
 
-    def find(self, promise, text):
+    def report(self, promise, text):
         with self.lock:
             self.findings.append(f"{promise}: {text}")
 
@@ -237,59 +239,59 @@
                 connection = None
                 time.sleep(0.05)
 
-    # ---- faults: each returns after it has healed what it broke, and draws from its own numbers,
-    # so that a seed breaks the same things at the same times ----
+    # ---- faults: each undoes its effects before it returns, and has its own random generator, so
+    # that a seed always injects the same faults at the same times ----
 
-    def harm_store(self, node, draw):
-        how = draw.choice(["silent", "there", "back", "delay", "refuse", "reset"])
-        seconds = draw.uniform(0.3, 4)
+    def disturb_store(self, node, rng):
+        how = rng.choice(["silent", "there", "back", "delay", "refuse", "reset"])
+        seconds = rng.uniform(0.3, 4)
         proxy = node.store
         if how == "delay":
-            proxy.delay = draw.uniform(0.05, 0.6)
+            proxy.delay = rng.uniform(0.05, 0.6)
         elif how == "refuse":
             proxy.refuses = True
             proxy.reset()
         elif how == "reset":
             proxy.reset()
         else:
-            proxy.silent = {"there", "back"} if how == "silent" else {how}
+            proxy.dropped_directions = {"there", "back"} if how == "silent" else {how}
         time.sleep(seconds)
-        proxy.heal()
+        proxy.clear_faults()
         proxy.reset()
 
-    def harm_callers(self, node, draw):
-        if draw.random() < 0.5:
-            node.callers.delay = draw.uniform(0.01, 0.2)
-            time.sleep(draw.uniform(0.3, 2))
-            node.callers.heal()
+    def disturb_callers(self, node, rng):
+        if rng.random() < 0.5:
+            node.callers.delay = rng.uniform(0.01, 0.2)
+            time.sleep(rng.uniform(0.3, 2))
+            node.callers.clear_faults()
         else:
             node.callers.reset()
 
-    def stop_the_clock(self, node, draw):
+    def pause_node(self, node, rng):
         with node.lock:
             node.process.send_signal(signal.SIGSTOP)
-            time.sleep(draw.uniform(0.1, 4))
+            time.sleep(rng.uniform(0.1, 4))
             node.process.send_signal(signal.SIGCONT)
 
-    def kill_node(self, node, draw):
+    def kill_node(self, node, rng):
         with node.lock:
             node.process.kill()
             node.process.wait()
-            time.sleep(draw.uniform(0, 2))
+            time.sleep(rng.uniform(0, 2))
             node.start()
 
-    def terminate_node(self, node, _draw):
+    def terminate_node(self, node, _rng):
         with node.lock:
-            # Before it listens it may be anywhere in its start, with nothing to keep.
+            # While it is still starting, it has nothing to shut down gracefully.
             with contextlib.suppress(AssertionError):
                 wait_until(node.listens, node.name, timeout=5)
             node.process.terminate()
             try:
                 status = node.process.wait(timeout=GRACE_SECONDS + 2)
                 if status != 0:
-                    self.find("alive", f"{node.name} ended with status {status} when told to stop")
+                    self.report("alive", f"{node.name} ended with status {status} when told to stop")
             except subprocess.TimeoutExpired:
-                self.find("alive", f"{node.name} did not end within its grace")
+                self.report("alive", f"{node.name} did not end within its grace")
                 self.keep_stacks(node)
                 node.process.kill()
                 node.process.wait()
@@ -301,49 +303,49 @@
                 subprocess.run(["gdb", "-p", str(node.process.pid), "-batch", "-ex",
                                 "thread apply all bt"], stdout=out, stderr=out, check=False)
 
-    def kill_engine(self, _node, draw):
-        self.command("POST", f"/kill?head={draw.randrange(2)}")
+    def kill_engine(self, _node, rng):
+        self.command("POST", f"/kill?head={rng.randrange(2)}")
 
-    def restart_engine(self, _node, draw):
-        for _ in range(draw.randrange(1, 3)):
-            self.command("POST", f"/restart?head={draw.randrange(2)}")
-            time.sleep(draw.uniform(0.0, 0.4))
+    def restart_engine(self, _node, rng):
+        for _ in range(rng.randrange(1, 3)):
+            self.command("POST", f"/restart?head={rng.randrange(2)}")
+            time.sleep(rng.uniform(0.0, 0.4))
 
-    def foreign_entry(self, _node, _draw):
+    def add_unreadable_entry(self, _node, _rng):
         self.command("POST", "/foreign")
 
-    def store_away(self, _node, draw):
+    def disable_store(self, _node, rng):
         self.command("POST", "/store?down=1")
-        time.sleep(draw.uniform(0.2, 5))
+        time.sleep(rng.uniform(0.2, 5))
         self.command("POST", "/store?down=0")
 
-    def new_version(self, _node, draw):
-        for _ in range(draw.randrange(1, 6)):
-            if self.dead_from is None:
+    def new_version(self, _node, rng):
+        for _ in range(rng.randrange(1, 6)):
+            if self.key_rejected_from is None:
                 self.command("POST", "/configure?keys=1")
-            time.sleep(draw.uniform(0.02, 0.3))
+            time.sleep(rng.uniform(0.02, 0.3))
 
-    def withdraw_key(self, _node, _draw):
+    def withdraw_key(self, _node, _rng):
         with self.lock:
-            if self.dead_from is not None:
+            if self.key_rejected_from is not None:
                 return
-            self.dead_from = float("inf")
+            self.key_rejected_from = float("inf")
         self.command("POST", "/configure?keys=0")
-        self.dead_from = time.monotonic() + KEY_BOUND_SECONDS
+        self.key_rejected_from = time.monotonic() + KEY_BOUND_SECONDS
         time.sleep(KEY_BOUND_SECONDS + 3)
-        self.dead_until = time.monotonic()
+        self.key_rejected_until = time.monotonic()
         self.command("POST", "/configure?keys=1")
 
-    def name_limit(self, _node, draw):
-        self.command("POST", f"/limit?value={draw.choice(['0.5', '3', '20', 'nan', '-1'])}")
-        time.sleep(draw.uniform(0.5, 4))
+    def name_limit(self, _node, rng):
+        self.command("POST", f"/limit?value={rng.choice(['0.5', '3', '20', 'nan', '-1'])}")
+        time.sleep(rng.uniform(0.5, 4))
         self.command("POST", "/limit?value=")
 
-    def grow_configuration(self, _node, draw):
+    def grow_configuration(self, _node, rng):
         self.command("POST", f"/rate?bytes={STORE_BYTES_PER_SECOND}")
-        if self.dead_from is None:
-            self.command("POST", f"/grow?routes={draw.randrange(MANY_ROUTES)}")
-        time.sleep(draw.uniform(0.5, 4))
+        if self.key_rejected_from is None:
+            self.command("POST", f"/grow?routes={rng.randrange(MANY_ROUTES)}")
+        time.sleep(rng.uniform(0.5, 4))
         self.command("POST", "/rate?bytes=0")
 
     def check_newest(self):
@@ -352,12 +354,12 @@
         path = f"/extra-{MANY_ROUTES - 1}/"
         for node in self.nodes:
             try:
-                wait_until(lambda n=node: self.serves(n, path), node.name, timeout=BACK_SECONDS)
+                wait_until(lambda n=node: self.serves(n, path), node.name, timeout=RECOVERY_SECONDS)
             except AssertionError:
-                self.find("newest", f"{node.name} lacks the newest version for {BACK_SECONDS} s")
+                self.report("newest", f"{node.name} lacks the newest version for {RECOVERY_SECONDS} s")
         self.command("POST", "/rate?bytes=0")
 
-    def press(self, caller, until):
+    def send_requests(self, caller, until):
         number = 0
         while time.monotonic() < until:
             node = self.nodes[(caller + number) % len(self.nodes)]
@@ -371,7 +373,8 @@
     def check_limited(self):
         self.command("POST", f"/limit?value={LIMIT}")
         until = time.monotonic() + LIMIT_SECONDS
-        callers = [threading.Thread(target=self.press, args=(i, until)) for i in range(CALLERS)]
+        callers = [threading.Thread(target=self.send_requests, args=(i, until))
+                   for i in range(CALLERS)]
         for thread in callers:
             thread.start()
         for thread in callers:
@@ -382,12 +385,12 @@
             most = max((sum(1 for other in counted if 0 <= age - other <= LIMIT_WINDOW_SECONDS)
                         for age in counted), default=0)
             if most > allowed:
-                self.find("limited", f"{target} got {most} requests in {LIMIT_WINDOW_SECONDS:.0f} s, "
-                                     f"allowed {allowed:.0f}")
+                self.report("limited", f"{target} got {most} requests in "
+                                       f"{LIMIT_WINDOW_SECONDS:.0f} s, allowed {allowed:.0f}")
         self.command("POST", "/limit?value=")
 
     def visit(self, path):
-        """One visit of a request that ends its targets, at any node; its id."""
+        """Sends a request that ends its targets to some node; returns its id."""
         with self.lock:
             self.visits += 1
             request_id = f"v-{self.visits}"
@@ -397,45 +400,47 @@
             self.ask(connection, request_id, path)
         return request_id
 
-    def poison_comes(self, _node, draw):
-        path = draw.choice(POISON_PATHS)
-        for _ in range(draw.randrange(1, 5)):
+    def send_poison(self, _node, rng):
+        path = rng.choice(POISON_PATHS)
+        for _ in range(rng.randrange(1, 5)):
             self.visit(path)
-            time.sleep(draw.uniform(0.0, 1.0))
+            time.sleep(rng.uniform(0.0, 1.0))
 
     def check_contained(self):
-        time.sleep(CALM_SECONDS)
+        time.sleep(SETTLE_SECONDS)
         ends = self.command("GET", "/counts")["ends"]
         for path in POISON_PATHS:
-            if ends.get(path, 0) < ENDS_OF_BOUND:
+            if ends.get(path, 0) < ENDS_BEFORE_QUARANTINE:
                 continue
             visits = []
-            for _ in range(3 * VISITS_OF_BOUND):
+            for _ in range(3 * MAX_VISITS_IN_QUARANTINE):
                 visits.append(self.visit(path))
                 time.sleep(0.3)
             runs = self.command("GET", "/counts")["runs"]
             reached = sum(1 for request_id in visits if runs.get(request_id, 0))
-            if reached > VISITS_OF_BOUND:
-                self.find("contained", f"{path} ended {ends[path]} and reached targets {reached} more times")
-
-    def break_things(self):
-        """Faults in series, up to four at a time."""
-        kinds = ([self.harm_store] * 4 + [self.harm_callers, self.stop_the_clock, self.kill_node,
-                                          self.terminate_node, self.new_version, self.store_away] * 2
+            if reached > MAX_VISITS_IN_QUARANTINE:
+                self.report("contained",
+                            f"{path} ended {ends[path]} and reached targets {reached} more times")
+
+    def inject_faults(self):
+        """Injects faults in series, up to four at a time."""
+        kinds = ([self.disturb_store] * 4
+                 + [self.disturb_callers, self.pause_node, self.kill_node, self.terminate_node,
+                    self.new_version, self.disable_store] * 2
                  + [self.kill_engine, self.withdraw_key])
-        if self.seed >= FIRST_SEED_OF_LIVES:
-            kinds += [self.foreign_entry] + [self.restart_engine] * 2
+        if self.seed >= FIRST_SEED_OF_RESTARTS:
+            kinds += [self.add_unreadable_entry] + [self.restart_engine] * 2
         if self.seed >= FIRST_SEED_OF_POISON:
-            kinds += [self.poison_comes] * 6
+            kinds += [self.send_poison] * 6
         if self.seed >= FIRST_SEED_OF_LIMITS:
             kinds += [self.name_limit] * 2 + [self.grow_configuration] * 4
         with ThreadPoolExecutor(max_workers=4) as pool:
             until = time.monotonic() + self.seconds
             running = []
             while time.monotonic() < until:
-                draw = random.Random(self.random.random())
+                rng = random.Random(self.random.random())
                 running.append(pool.submit(self.random.choice(kinds), self.random.choice(self.nodes),
-                                           draw))
+                                           rng))
                 time.sleep(self.random.uniform(0.1, 1.5))
             for fault in running:
                 fault.result()
@@ -450,9 +455,9 @@
     def wait_for_all(self, promise):
         for node in self.nodes:
             try:
-                wait_until(lambda n=node: self.serves(n), node.name, timeout=BACK_SECONDS)
+                wait_until(lambda n=node: self.serves(n), node.name, timeout=RECOVERY_SECONDS)
             except AssertionError:
-                self.find(promise, f"{node.name} does not serve within {BACK_SECONDS} s")
+                self.report(promise, f"{node.name} does not serve within {RECOVERY_SECONDS} s")
 
     def run(self):
         try:
@@ -462,7 +467,7 @@
             callers = [threading.Thread(target=self.keep_calling, args=(i,)) for i in range(CALLERS)]
             for thread in callers:
                 thread.start()
-            self.break_things()
+            self.inject_faults()
             self.ending.set()
             for thread in callers:
                 thread.join()
@@ -483,28 +488,30 @@
         counts = self.command("GET", "/counts")
         runs = counts["runs"]
         if counts["leaked"]:
-            self.find("private", f"{counts['leaked']} requests carried a caller's key or no workspace")
+            self.report("private", f"{counts['leaked']} requests carried a caller's key or no workspace")
         for request_id, path, sent_at, ended_at, status, body, headers in self.calls:
             ran = runs.get(request_id, 0)
             if POISON_REASON in body and path not in POISON_PATHS:
-                self.find("accused", f"{request_id} at {path}")
+                self.report("accused", f"{request_id} at {path}")
             if status == 200:
                 right = (f"card {request_id}".encode() if path.startswith(("/card", "/extra"))
-                         else whole_stream(request_id))
+                         else expected_stream(request_id))
                 if body != right or headers.get("X-Response-Seal") != f"seal.{request_id}":
-                    self.find("whole", f"{request_id} got {body[:80]!r}")
+                    self.report("whole", f"{request_id} got {body[:80]!r}")
             if path.startswith(("/card", "/extra")) and ran > 1:
-                self.find("once", f"{request_id} ran {ran} times")
+                self.report("once", f"{request_id} ran {ran} times")
             if status in NOT_RUN and ran:
-                self.find("not run", f"{request_id} was answered {status} and ran {ran} times")
-            # One that is still on its way when the key is back may run then.
-            dead = (self.dead_until is not None and
-                    self.dead_from <= sent_at and ended_at < self.dead_until)
-            if dead and ran:
-                self.find("keys", f"{request_id} ran {sent_at - self.dead_from:.2f} s after the bound")
+                self.report("not run", f"{request_id} was answered {status} and ran {ran} times")
+            # A request still in progress when the key is valid again may run then.
+            key_rejected = (self.key_rejected_until is not None and
+                            self.key_rejected_from <= sent_at and
+                            ended_at < self.key_rejected_until)
+            if key_rejected and ran:
+                late = sent_at - self.key_rejected_from
+                self.report("keys", f"{request_id} ran {late:.2f} s after the bound")
         for node in self.nodes:
             if node.process.poll() is not None:
-                self.find("alive", f"{node.name} ended by itself, status {node.process.returncode}")
+                self.report("alive", f"{node.name} ended by itself, status {node.process.returncode}")
 
     def end(self):
         for node in self.nodes:
@@ -516,7 +523,7 @@
 
 
 def run_seed(seed, seconds, keep=None):
-    """Findings and calls of a seed. With findings the logs are kept under `keep`."""
+    """Returns findings, number of calls and number of served calls. Logs go to `keep` if given."""
     with tempfile.TemporaryDirectory() as temporary:
         directory = pathlib.Path(temporary)
         if keep is not None:
@@ -538,7 +545,7 @@
     first, _, last = options.seeds.partition("-")
     seeds = range(int(first), int(last or first) + 1)
     failed = 0
-    # Each seed in a process of its own: Python runs the threads of one on one core.
+    # Each seed runs in its own process, since the threads of a Python process share one core.
     with ThreadPoolExecutor(max_workers=options.at_once) as pool:
         command = [sys.executable, "-B", __file__, "--seconds", str(options.seconds)]
         command += ["--keep", options.keep] if options.keep else []
--- a/tests/process/soak_test.py
+++ b/tests/process/soak_test.py
@@ -1,4 +1,4 @@
-"""A short soak of real processes; long ones are run by hand, see soak.py."""
+"""A short soak test of real processes; longer ones are run by hand, see soak.py."""
 
 import unittest
 from concurrent.futures import ThreadPoolExecutor
@@ -7,19 +7,19 @@
 
 SECONDS = 8
 
-# Seeds that failed once; they stay as they were.
+# Seeds that once failed, with the fault that they found; they must not change.
 REGRESSIONS = (
-    9, 10, 12, 16,  # a node that started again took news meant for its earlier life
-    20,             # a node's end waited for ever for a worker that had ended
-    407,  # ends of an instance that was back within a second were taken for one
-    300, 315, 344,  # streams stood still behind a member that had started again, also at a node's end
+    9, 10, 12, 16,  # a restarted node accepted updates for its previous incarnation
+    20,             # a stopping node waited for ever for a worker that had ended
+    407,            # ends of an instance that restarted within a second were counted as one
+    300, 315, 344,  # streams stalled behind a restarted member, also while a node stopped
 )
 FIXED = (1, 601)
 AT_ONCE = 3
 
 
 class SoakTest(unittest.TestCase):
-    def test_promises_hold_under_faults(self):
+    def test_guarantees_hold_under_faults(self):
         seeds = (*REGRESSIONS, *FIXED)
         with ThreadPoolExecutor(max_workers=AT_ONCE) as pool:
             results = list(pool.map(lambda seed: run_seed(seed, SECONDS), seeds))
--- a/tests/process/stop_test.py
+++ b/tests/process/stop_test.py
@@ -1,4 +1,4 @@
-"""Planned stops of nodes and VMs: nothing that is in flight is cut off."""
+"""Planned stops of nodes and VMs: no request in flight is interrupted."""
 
 import signal
 import threading
@@ -17,7 +17,7 @@
                      "balancer_lag_ms": BALANCER_LAG_MS}
 
     def in_background(self, job):
-        """Starts it; the returned function waits for its result."""
+        """Starts the job in a thread; the returned function waits for its result."""
         result = []
         thread = threading.Thread(target=lambda: result.append(job()), daemon=True)
         thread.start()
@@ -28,16 +28,15 @@
         return wait
 
     def test_node_stops_under_load(self):
-        # Symptom: callers get broken answers at every roll-out.
-        # Sequence: a node is told to stop while streams, whole answers and a job card are under
-        #   way; the balancer notices only after its lag, and sends more callers meanwhile.
-        # Cause: a process that closes its port, or ends, before the balancer has looked.
+        # Guards against truncated answers at every roll-out: a node is stopped while streams,
+        # buffered answers and a job card are in progress, and closes its port or ends before the
+        # load balancer has noticed and stopped sending callers.
         node = self.fleet.nodes_of(DATA_CENTRES[1])[0]
-        load = Load([node], callers_per_node=6).learn(self.fleet)
+        load = Load([node], callers_per_node=6).learn_answers(self.fleet)
         body = completion_body("a long answer", tokens=120)
-        expected = text_of(self.fleet.ask_engine(body))
+        expected = text_of(self.fleet.call_engine(body))
         with load:
-            wait_until(lambda: load.whole > 6, "the load runs")
+            wait_until(lambda: load.complete_count > 6, "the load runs")
             long_stream = self.in_background(
                 lambda: complete(node.port, {**body, "stream": True}))
             self.fleet.fault("/faults/service/notes-api", late=1, late_ms=1500)
@@ -47,29 +46,29 @@
                              {**authorization(), "Idempotency-Key": "stop"}))
             wait_until(lambda: self.fleet.executions()["executions"] > before, "the card runs")
             node.send(signal.SIGTERM)
-            told_at = time.monotonic()
+            signalled_at = time.monotonic()
             wait_until(lambda: self.readiness(node) == 503, "readiness fails", timeout=1)
-            self.measured("SIGTERM until readiness fails", time.monotonic() - told_at)
+            self.measured("SIGTERM until readiness fails", time.monotonic() - signalled_at)
             late = complete(node.port, completion_body("sent by a balancer that lags"))
             self.assertEqual(late.status, 200, "new callers are still served")
-            self.assertLess(time.monotonic() - told_at, BALANCER_LAG_MS / 1000 + 0.5)
+            self.assertLess(time.monotonic() - signalled_at, BALANCER_LAG_MS / 1000 + 0.5)
             wait_until(lambda: self.readiness(node) is None, "the port is closed", timeout=10)
             status = node.wait(30)
-            self.measured("SIGTERM until the process has ended", time.monotonic() - told_at)
+            self.measured("SIGTERM until the process has ended", time.monotonic() - signalled_at)
         self.assertEqual(status, 0)
         self.assertEqual(text_of(long_stream()), expected)
         self.assertEqual(card().status, 200)
         print(f"measured: load of the stopped node: {load}", flush=True)
         self.assertFalse(load.wrong, load)
         self.assertFalse(load.refused, load)
-        # A connection that is refused proves that the request never left; any other end does not.
+        # Only a refused connection proves that the request was not sent.
         self.assertFalse([u for u in load.unanswered if "ConnectionRefused" not in u[1]], load)
         self.assertIn("nothing was cut off", node.log())
         node.start()
-        self.fleet.wait_whole([node])
+        self.fleet.wait_all_serving([node])
 
     def readiness(self, node):
-        """Status of /readyz; None when nobody listens."""
+        """Status of /readyz; None if the port is closed."""
         try:
             return call(node.port, "GET", "/readyz", timeout=5).status
         except ConnectionRefusedError:
@@ -80,35 +79,35 @@
         node.send(signal.SIGTERM)
         self.assertEqual(node.wait(10), 0)
         node.start()
-        self.fleet.wait_whole([node])
+        self.fleet.wait_all_serving([node])
 
     def test_leaving_target(self):
-        # Symptom: requests break off when the platform takes a VM away at the announced time.
-        # Sequence: a VM that answers for a replica is announced as leaving, under load.
-        # Cause: nodes go on sending to it until they have all read the platform's list.
+        # Guards against interrupted requests when the platform removes a VM at the announced time:
+        # the head of a replica is announced as leaving under load, and nodes keep sending to it
+        # until they have read the platform's list.
         nodes = self.fleet.nodes_of(DATA_CENTRES[0])
         replica = nodes[0].status()["replicas"][0]
         vm = replica["members"][0]
-        load = Load(nodes, callers_per_node=4).learn(self.fleet)
+        load = Load(nodes, callers_per_node=4).learn_answers(self.fleet)
         with load:
             wait_until(lambda: self.accepted(vm) > 5, "the VM gets requests")
             self.fleet.vm_fault(vm, leaving=True)
             self.addCleanup(self.fleet.vm_fault, vm, leaving=False)
-            told_at = time.monotonic()
-            last, last_at = self.accepted(vm), told_at
+            announced_at = time.monotonic()
+            last, last_at = self.accepted(vm), announced_at
             replaced_at = None
-            while time.monotonic() - told_at < 2 * LEAVING_SECONDS:
+            while time.monotonic() - announced_at < 2 * LEAVING_SECONDS:
                 count = self.accepted(vm)
                 if count != last:
                     last, last_at = count, time.monotonic()
                 if replaced_at is None and all(self.serve_without(n, vm) for n in nodes):
                     replaced_at = time.monotonic()
                 time.sleep(POLL_SECONDS)
-            self.measured("leaving announced until the last new request", last_at - told_at)
-            self.assertLess(last_at - told_at, LEAVING_SECONDS)
+            self.measured("leaving announced until the last new request", last_at - announced_at)
+            self.assertLess(last_at - announced_at, LEAVING_SECONDS)
             if replaced_at is not None:
                 self.measured("and until as many replicas serve without it",
-                              replaced_at - told_at)
+                              replaced_at - announced_at)
             wait_until(lambda: all(self.serve_without(n, vm) for n in nodes),
                        "as many replicas serve without it", timeout=20)
         print(f"measured: load while the VM left: {load}", flush=True)
@@ -119,7 +118,7 @@
         self.assertEqual((counters["cut"], counters["cut_by_order"]), (0, 0), counters)
 
     def accepted(self, vm):
-        """Requests that came to the VM, also those that it refused."""
+        """Requests that arrived at the VM, including refused ones."""
         counters = call(self.fleet.vm_ports[vm], "GET", "/counters").json
         return counters["accepted"] + counters["not_run"]
 
@@ -133,10 +132,9 @@
     fleet_options = {"workers": 4, "balancer_lag_ms": BALANCER_LAG_MS}
 
     def test_all_nodes_stop_at_once(self):
-        # Symptom: a node logs that it has stopped, and its process never ends.
-        # Sequence: all nodes of a fleet, each with several workers, are told to stop together.
-        # Cause: the workers were stopped before the links that live on them, which then waited
-        #   for a worker that had ended.
+        # Guards against a process that logs its stop but never ends: all nodes, each with several
+        # workers, are stopped together, the workers end before the links that run on them, and the
+        # links wait for them for ever.
         for node in self.fleet.nodes:
             node.send(signal.SIGTERM)
         for node in self.fleet.nodes:
--- a/tests/process/trial_test.py
+++ b/tests/process/trial_test.py
@@ -1,4 +1,4 @@
-"""The trial that a newcomer starts first."""
+"""The `trial` subcommand."""
 
 import subprocess
 import time
@@ -11,7 +11,7 @@
 
 
 class Trial(unittest.TestCase):
-    def test_trial_keeps_every_promise(self):
+    def test_trial_keeps_every_guarantee(self):
         begun = time.monotonic()
         result = subprocess.run([BINARY, "trial"], capture_output=True, text=True, check=False,
                                 timeout=TIMEOUT_SECONDS, stdin=subprocess.DEVNULL)
--- a/tests/process/whole_path_test.py
+++ b/tests/process/whole_path_test.py
@@ -1,4 +1,4 @@
-"""Requests through real nodes: whole answers, streams, and what is said of requests that cannot run."""
+"""Requests through real nodes: buffered answers, streams, and refused requests."""
 
 import json
 import socket
@@ -12,7 +12,7 @@
 class Answers(ProcessTest):
     def test_every_node_gives_the_answer_of_the_engine(self):
         for make_body in (completion_body, chat_body):
-            expected = text_of(self.fleet.ask_engine(make_body("The drain is blocked")))
+            expected = text_of(self.fleet.call_engine(make_body("The drain is blocked")))
             asked = [(node, stream) for node in self.fleet.nodes for stream in (False, True)]
             replies = in_parallel([
                 lambda node=node, stream=stream: complete(
@@ -24,13 +24,13 @@
                     self.assertEqual(text_of(reply), expected)
 
     def test_different_prompts_have_different_answers(self):
-        # Else the comparison above would hold for any answer.
+        # Otherwise the comparison above would hold for any answer.
         port = self.fleet.nodes[0].port
         texts = {text_of(complete(port, completion_body(f"call {i}"))) for i in range(5)}
         self.assertEqual(len(texts), 5)
 
-    def test_a_long_stream_is_whole(self):
-        expected = text_of(self.fleet.ask_engine(completion_body("long", tokens=60)))
+    def test_a_long_stream_is_complete(self):
+        expected = text_of(self.fleet.call_engine(completion_body("long", tokens=60)))
         reply = complete(self.fleet.nodes[3].port, completion_body("long", tokens=60, stream=True))
         self.assertEqual(text_of(reply), expected)
 
@@ -42,7 +42,7 @@
 
 
 class Refusals(ProcessTest):
-    """Each test ends with a request that is served: a refusal harms nobody else."""
+    """Each test ends with a request that is served, since a refusal must not affect others."""
 
     def setUp(self):
         self.port = self.fleet.nodes[0].port
@@ -98,10 +98,9 @@
         self.assert_not_run(reply, 403)
 
     def test_ambiguous_length(self):
-        # Symptom: a caller gets the answer to a request that nobody sent.
-        # Sequence: a request has Content-Length and Transfer-Encoding; one reader on the way goes
-        #   by the one, the next by the other.
-        # Cause: the rest of the body is taken for the next request of the connection.
+        # Guards against request smuggling: a request has both Content-Length and Transfer-Encoding,
+        # two parsers on its path use different ones, and the rest of the body is parsed as the next
+        # request of the connection.
         hidden = b"0\r\n\r\nGET /metrics HTTP/1.1\r\nHost: x\r\n\r\n"
         both = {"Content-Length": len(hidden), "Transfer-Encoding": "chunked"}
         head = "POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
@@ -116,7 +115,7 @@
         self.assert_not_run(reply, 400)
 
     def test_lengths_that_two_readers_could_take_differently(self):
-        # The same by other ways; a parser that is only lenient lets these pass.
+        # Other ambiguous lengths that a lenient parser accepts.
         for lines, version in ((["Content-Length: 2, 2"], "1.1"),
                                (["Content-Length: 2", "Content-Length: 2"], "1.1"),
                                (["Transfer-Encoding: chunked"], "1.0"),
@@ -135,7 +134,7 @@
         self.assert_not_run(reply, 400)
 
     def test_request_that_never_ends(self):
-        # Limits of the settings: a second for the header, a second for the body.
+        # The settings allow one second for the header and one second for the body.
         self.assert_not_run(self.raw({"Content-Length": 100}, b"{"), 408)
 
     def test_oversized_body(self):
@@ -153,9 +152,9 @@
                             400)
 
     def test_callers_that_leave(self):
-        # Symptom: a node holds slots for callers that have gone, and others wait.
-        # Sequence: streams are asked for and their connections closed at once.
-        # Cause: the end of a connection is seen only by whoever looks at it.
+        # Guards against slots that stay occupied after their callers have left: streams are
+        # requested and their connections closed immediately. A closed connection is noticed only by
+        # reading from it.
         body = json.dumps(completion_body("gone", tokens=5000, stream=True)).encode()
         head = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n" % len(body)
         head += "".join(f"{n}: {v}\r\n" for n, v in authorization().items())
