--- a/tests/process/configuration_test.py
+++ b/tests/process/configuration_test.py
@@ -56,16 +56,16 @@
         self.assert_applied(self.apply(), "request lost")
 
     def test_table_slow(self):
-        # Guards against nodes that run on different configurations for a long time: table and object
-        # store answer each call after 400 ms, and the delays add up if the nodes read one after the
-        # other or only from the table.
+        # Guards against nodes that run on different configurations for a long time: table and
+        # object store answer each call after 400 ms, and the delays add up if the nodes read one
+        # after the other or only from the table.
         self.fleet.platform_fault(latency_ms=400)
         self.assert_applied(self.apply(), "table and objects take 400 ms")
 
     def test_same_proposal_again(self):
         # Guards against a change that is applied twice and overwrites later changes: the command is
-        # repeated with the same proposal id. Only the head's list of proposal ids shows that it is a
-        # repetition.
+        # repeated with the same proposal id. Only the head's list of proposal ids shows that it is
+        # a repetition.
         first = self.apply("--proposal", f"again-{self.version}", "--base", self.version)
         self.assert_applied(first, "first of two")
         again = self.apply("--proposal", f"again-{self.version}", "--base", self.version)
--- a/tests/process/driver.py
+++ b/tests/process/driver.py
@@ -1,8 +1,8 @@
 """Starts the stand-in and nodes as real processes on loopback and controls them.
 
-Uses the standard library only. Every wait is for a condition and has a deadline; a test never sleeps
-for a fixed time and assumes that something has happened by then. Only processes started here are
-ended, each by its own pid.
+Uses the standard library only. Every wait is for a condition and has a deadline; a test never
+sleeps for a fixed time and assumes that something has happened by then. Only processes started here
+are ended, each by its own pid.
 """
 
 import atexit
@@ -106,7 +106,7 @@
 
 
 def call(port, method, path, body=None, headers=None, timeout=30.0):
-    """One request on its own connection. Raises OSError or HTTPException if there is no response."""
+    """One request on its own connection. Raises OSError or HTTPException if no response arrives."""
     connection = http.client.HTTPConnection(LOOPBACK, port, timeout=timeout)
     try:
         if isinstance(body, (dict, list)):
--- a/tests/process/hosted_test.py
+++ b/tests/process/hosted_test.py
@@ -80,9 +80,9 @@
         return reply is not None and reply.status == 200
 
     def test_six_nodes_serve_and_go_on_without_one(self):
-        # Guards against a killed node that affects callers of the other nodes: the controller of the
-        # largest data centre is killed, and no node takes over its responsibilities, or the others
-        # wait for it.
+        # Guards against a killed node that affects callers of the other nodes: the controller of
+        # the largest data centre is killed, and no node takes over its responsibilities, or the
+        # others wait for it.
         for node in range(len(DATA_CENTRES)):
             wait_until(lambda n=node: self.serves(n), f"node {node} serves", timeout=30)
             self.assertEqual(call(self.ready[node], "GET", "/x").status, 200)
--- a/tests/process/idle_cost.py
+++ b/tests/process/idle_cost.py
@@ -104,8 +104,8 @@
                                ("links", {n.link_port for n in nodes})):
         total, count = grown(net, net_after, lambda _, remote, p=remote_ports: remote in p)
         if name == "links":
-            # All traffic on links is sent by one node and received by another, so the bytes sent are
-            # counted for both directions.
+            # All traffic on links is sent by one node and received by another, so the bytes sent
+            # are counted for both directions.
             total = Traffic(total.sent, total.sent, *2 * [total.segments_out + total.segments_in])
         total_bytes += print_traffic(name, total, count, took * len(nodes))
     print(f"together {total_bytes:.0f} bytes with headers, the mean of all nodes")
--- a/tests/process/keyed_test.py
+++ b/tests/process/keyed_test.py
@@ -120,8 +120,8 @@
         self.assertEqual(self.executed(), 1)
 
     def test_node_killed_with_cards_at_every_step(self):
-        # The same failure, with the node killed at different steps of a card: before the reservation
-        # of the key, between it and the mark "sent", and between that and the call.
+        # The same failure, with the node killed at different steps of a card: before the
+        # reservation of the key, between it and the mark "sent", and between that and the call.
         node, others = self.fleet.nodes[0], self.fleet.nodes[1:]
         self.fleet.table_fault(latency_ms=250)
         keys = [self.new_key() for _ in range(12)]
@@ -149,8 +149,8 @@
         self.assert_none_twice()
 
     def test_table_unavailable(self):
-        # Guards against a caller that waits for a long time and repeats its call: while the table is
-        # down the call cannot be recorded and must not be sent, so it has to be refused.
+        # Guards against a caller that waits for a long time and repeats its call: while the table
+        # is down the call cannot be recorded and must not be sent, so it has to be refused.
         self.fleet.table_fault(down=True)
         begun = time.monotonic()
         reply = self.send_card(self.fleet.nodes[0], self.new_key())
@@ -173,9 +173,9 @@
         self.assertEqual(self.executed(), 1)
 
     def test_connection_to_the_service_breaks(self):
-        # Guards against a card that ran although its caller got "not run" and sends another one: the
-        # connection breaks after the service has received the card. A broken connection does not
-        # show whether the call ran.
+        # Guards against a card that ran although its caller got "not run" and sends another one:
+        # the connection breaks after the service has received the card. A broken connection does
+        # not show whether the call ran.
         for fault, executed in (("cut_after", 1), ("cut_before", 0)):
             with self.subTest(fault=fault):
                 key, before = self.new_key(), self.executed()
--- a/tests/process/repair_test.py
+++ b/tests/process/repair_test.py
@@ -120,8 +120,8 @@
 
 class Repair(RepairTest):
     def test_member_lost_without_the_table(self):
-        # Guards against a replica that does not serve while the table is unavailable: a member dies,
-        # and the nodes can agree on the VM that replaces it only through the table.
+        # Guards against a replica that does not serve while the table is unavailable: a member
+        # dies, and the nodes can agree on the VM that replaces it only through the table.
         self.repair_without_the_table(position=1)
 
     def test_head_lost_without_the_table(self):
@@ -174,10 +174,10 @@
         self.repair_without_the_table(position=1)
 
     def test_paused_node_sends_no_stale_orders(self):
-        # Guards against a repaired replica that is broken again by a paused node: a member dies, the
-        # node that would repair the replica is paused, and the other node repairs it. The paused
-        # node continues and sends its old orders, since a process cannot notice its own pause, and
-        # engines that do not check tokens accept them.
+        # Guards against a repaired replica that is broken again by a paused node: a member dies,
+        # the node that would repair the replica is paused, and the other node repairs it. The
+        # paused node continues and sends its old orders, since a process cannot notice its own
+        # pause, and engines that do not check tokens accept them.
         load = Load([self.second]).learn_answers(self.fleet)
         replica = self.first.status()["replicas"][0]
         name, victim = replica["replica"], replica["members"][1]
--- a/tests/process/soak.py
+++ b/tests/process/soak.py
@@ -16,8 +16,8 @@
   private   no caller's key reaches a target
   alive     no node ends on its own; a stopped node ends with status 0 within its grace period
   back      every node serves soon after the last fault
-  contained a poison request, which has ended three targets, reaches targets at most three more times
-            once the faults are over
+  contained a poison request, which has ended three targets, reaches targets at most three more
+            times once the faults are over
   accused   no other request is refused as a poison request
   limited   once the faults are over, all nodes together send a target with a rate limit at most one
             and a half times that rate plus five requests in four seconds
@@ -289,7 +289,8 @@
             try:
                 status = node.process.wait(timeout=GRACE_SECONDS + 2)
                 if status != 0:
-                    self.report("alive", f"{node.name} ended with status {status} when told to stop")
+                    self.report("alive",
+                                f"{node.name} ended with status {status} when told to stop")
             except subprocess.TimeoutExpired:
                 self.report("alive", f"{node.name} did not end within its grace")
                 self.keep_stacks(node)
@@ -356,7 +357,8 @@
             try:
                 wait_until(lambda n=node: self.serves(n, path), node.name, timeout=RECOVERY_SECONDS)
             except AssertionError:
-                self.report("newest", f"{node.name} lacks the newest version for {RECOVERY_SECONDS} s")
+                self.report("newest",
+                            f"{node.name} lacks the newest version for {RECOVERY_SECONDS} s")
         self.command("POST", "/rate?bytes=0")
 
     def send_requests(self, caller, until):
@@ -488,7 +490,8 @@
         counts = self.command("GET", "/counts")
         runs = counts["runs"]
         if counts["leaked"]:
-            self.report("private", f"{counts['leaked']} requests carried a caller's key or no workspace")
+            self.report("private",
+                        f"{counts['leaked']} requests carried a caller's key or no workspace")
         for request_id, path, sent_at, ended_at, status, body, headers in self.calls:
             ran = runs.get(request_id, 0)
             if POISON_REASON in body and path not in POISON_PATHS:
@@ -511,7 +514,8 @@
                 self.report("keys", f"{request_id} ran {late:.2f} s after the bound")
         for node in self.nodes:
             if node.process.poll() is not None:
-                self.report("alive", f"{node.name} ended by itself, status {node.process.returncode}")
+                self.report("alive",
+                            f"{node.name} ended on its own, status {node.process.returncode}")
 
     def end(self):
         for node in self.nodes:
--- a/tools/matrix.py
+++ b/tools/matrix.py
@@ -61,8 +61,8 @@
                 for seed in seeds:
                     for way, directory in ways.items():
                         cells.setdefault((site, day, way), []).append(
-                            pool.submit(run_simulation, args.bench, directory, site, day, seed, args.charge,
-                                        f"{args.why}: {way}"))
+                            pool.submit(run_simulation, args.bench, directory, site, day, seed,
+                                        args.charge, f"{args.why}: {way}"))
     first = next(iter(ways))
     for site in args.site:
         print(os.path.basename(site))
