--- a/src/load/checker.cpp
+++ b/src/load/checker.cpp
@@ -84,7 +84,8 @@
 
 void promise_checker::check_not_run(const request_id& id, std::uint32_t runs) {
   if (runs > 0) {
-    report_violation(promise::not_run, "request " + id.str() + " was reported as not run but ran " +
+    report_violation(promise::not_run, "request " + id.str() +
+                                           " was reported as not run but was accepted " +
                                            std::to_string(runs) + " times");
   }
 }
--- a/src/load/results.h
+++ b/src/load/results.h
@@ -66,7 +66,7 @@
   std::vector<std::string> samples;
   std::uint64_t not_run_checked{};
   std::uint64_t bookings_checked{};
-  // Set if a safeguard was disabled: exactly this guarantee has to be violated.
+  // Set if a safeguard was disabled: it has to be violated, and nothing else.
   std::optional<promise> expects_broken;
   std::vector<std::string> problems;  // failures of the run itself
 
--- a/src/load/schedule.cpp
+++ b/src/load/schedule.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Maximum delay of a repeated booking: short enough that some arrive while the first still runs.
+// Maximum delay of a repeated booking: short enough that some overlap with the first.
 constexpr duration longest_repeat_gap = 400ms;
 // Number of calls planned for a closed workload, whose callers cycle through them.
 constexpr std::size_t closed_calls = 4096;
--- a/src/load/variant_run.cpp
+++ b/src/load/variant_run.cpp
@@ -294,8 +294,7 @@
     }
     report_progress(on_progress, now - start_);
     if (now > latest) {
-      result_.problems.push_back(std::to_string(begun_ - ended_) +
-                                 " calls did not end within their timeout");
+      result_.problems.push_back(std::to_string(begun_ - ended_) + " calls did not end in time");
       break;
     }
     std::this_thread::sleep_for(poll_interval);
--- a/tests/shell/load_checker_test.cpp
+++ b/tests/shell/load_checker_test.cpp
@@ -1,4 +1,4 @@
-// The guarantee checker detects each kind of violation, and reports no others.
+// The checker of the guarantees detects each kind of violation, and reports no others.
 #include <gtest/gtest.h>
 
 #include "load/checker.h"
