--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,10 +1,10 @@
 // Embeds the coordination of three nodes in one process, in virtual time.
 //
-// A coordinator is fed with (now, input) and returns effects. Here a map plays the platform's
-// table, small structs play the engines, and an event queue plays clock and network. A program of
-// your own carries the same effects out over its sockets. The story: two replicas of two VMs form;
-// then the table goes away and a member dies; the replica comes back with the standby reserved for
-// it.
+// A coordinator gets inputs with the current time and returns effects. In this example a map
+// simulates the platform's table, small structs simulate the engines, and an event queue simulates
+// the clock and the network; a real program executes the same effects over its sockets. Two
+// replicas of two VMs form. Then the table becomes unavailable and a member dies, and the replica
+// serves again with the standby reserved for it.
 #include <algorithm>
 #include <cstdlib>
 #include <functional>
@@ -22,10 +22,10 @@
 
 namespace arbutus::example {
 
-const data_centre_id here{"hall-a"};
-constexpr duration delay = 2ms;      // between any two
+const data_centre_id local_data_centre{"hall-a"};
+constexpr duration delay = 2ms;      // of each message
 constexpr duration timeout = 500ms;  // of every call
-constexpr duration load_time = 3s;   // of weights into an engine
+constexpr duration load_time = 3s;   // to load the weights into an engine
 
 struct engine {
   engine_report report;
@@ -36,26 +36,27 @@
 configuration make_configuration() {
   configuration c;
   c.version = 1;
-  c.assets.data_centres.push_back({here, "sk-west"});
+  c.assets.data_centres.push_back({local_data_centre, "sk-west"});
   for (const char* name : {"node-1", "node-2", "node-3"}) {
-    c.assets.nodes.push_back({node_id{name}, here, {"10.0.0.1", 1}, {"10.0.0.1", 2}});
+    c.assets.nodes.push_back({node_id{name}, local_data_centre, {"10.0.0.1", 1}, {"10.0.0.1", 2}});
   }
   for (const char* name : {"vm-1", "vm-2", "vm-3", "vm-4", "vm-5", "vm-6"}) {
-    c.assets.vms.push_back({vm_id{name}, {"10.0.0.2", 1}, here, fabric_domain_id{"f"}, 1, true});
+    c.assets.vms.push_back(
+        {vm_id{name}, {"10.0.0.2", 1}, local_data_centre, fabric_domain_id{"f"}, 1, true});
   }
   model_rule model;
   model.id = model_id{"dispatch-llm"};
   model.version = "1";
   model.vms_per_replica = 2;
-  model.placements = {{here, 2}};
+  model.placements = {{local_data_centre, 2}};
   c.desired.models.push_back(model);
   c.desired.standbys_per_replica = 1;
   return c;
 }
 
-class world {
+class simulated_cluster {
  public:
-  world() {
+  simulated_cluster() {
     const configuration c = make_configuration();
     const std::string content = encode_content(c.assets, c.desired);
     objects_[content_hash(content)] = content;
@@ -69,15 +70,15 @@
     }
     for (const node_record& n : c.assets.nodes) {
       const std::uint64_t seed = nodes_.size() + 1;
-      nodes_[n.id] =
-          std::make_unique<coordinator>(coordinator_settings{n.id, here, 1, seed, c.assets.nodes});
+      nodes_[n.id] = std::make_unique<coordinator>(
+          coordinator_settings{n.id, local_data_centre, 1, seed, c.assets.nodes});
     }
     for (auto& [id, node] : nodes_) {
-      carry_out(id, node->start(now_));
+      execute(id, node->start(now_));
     }
   }
 
-  // Runs events and ticks until the condition holds; false when `limit` has passed.
+  // Runs events and ticks until the condition holds; returns false if `limit` passes first.
   bool run_until(const std::function<bool()>& condition, duration limit) {
     const time_point end = now_ + limit;
     while (!condition()) {
@@ -91,15 +92,15 @@
 
   // Replicas that every node may route to now.
   std::size_t serving() const {
-    std::size_t least = engines_.size();
+    std::size_t min_count = engines_.size();
     for (const auto& [id, node] : nodes_) {
       std::size_t count = 0;
       for (const replica_route& route : node->routes(now_).replicas) {
         count += may_use(now_, route) ? 1 : 0;
       }
-      least = std::min(least, count);
+      min_count = std::min(min_count, count);
     }
-    return least;
+    return min_count;
   }
 
   const replica_plan& first_replica() const {
@@ -115,14 +116,14 @@
     for (const auto& [id, node] : nodes_) {
       next = std::min(next, node->next_tick());
     }
-    now_ = std::max(now_ + duration{1}, next);  // time never stands still
+    now_ = std::max(now_ + duration{1}, next);  // time always advances
     while (!events_.empty() && events_.begin()->first <= now_) {
       const auto run = std::move(events_.extract(events_.begin()).mapped());
       run();
     }
     for (auto& [id, node] : nodes_) {
       if (node->next_tick() <= now_) {
-        carry_out(id, node->tick(now_));
+        execute(id, node->tick(now_));
       }
     }
   }
@@ -130,26 +131,27 @@
   void later(duration after, std::function<void()> run) {
     events_.emplace(now_ + after, std::move(run));
   }
-  void feed(const node_id& to, const input& in) { carry_out(to, nodes_.at(to)->on(now_, in)); }
+  void deliver(const node_id& to, const input& in) { execute(to, nodes_.at(to)->on(now_, in)); }
 
-  // A call: `work` runs over there if it is up, else `lost` comes back after the timeout.
+  // A remote call: if the other side is up, `work` runs there and its result is returned, else
+  // `lost` is returned after the timeout.
   void call(const node_id& from, bool up, std::function<input()> work, input lost) {
     if (!up) {
-      later(timeout, [=, this] { feed(from, lost); });
+      later(timeout, [=, this] { deliver(from, lost); });
       return;
     }
     later(delay, [=, this] {
       const input answer = work();
-      later(delay, [=, this] { feed(from, answer); });
+      later(delay, [=, this] { deliver(from, answer); });
     });
   }
 
-  void carry_out(const node_id& from, const effects& list) {
+  void execute(const node_id& from, const effects& list) {
     for (const effect& e : list) {
-      std::visit([&](const auto& one) { carry_out(from, one); }, e);
+      std::visit([&](const auto& one) { execute(from, one); }, e);
     }
   }
-  void carry_out(const node_id& from, const table_read& r) {
+  void execute(const node_id& from, const table_read& r) {
     call(
         from, table_up_,
         [=, this]() -> input {
@@ -157,7 +159,7 @@
         },
         table_read_result{r, unknown{"timeout"}});
   }
-  void carry_out(const node_id& from, const table_write& w) {
+  void execute(const node_id& from, const table_write& w) {
     const auto write = [=, this]() -> input {
       table_row& row = rows_[w.key];
       if (row.version != w.expected) {
@@ -168,7 +170,7 @@
     };
     call(from, table_up_, write, table_write_result{w, unknown{"timeout"}});
   }
-  void carry_out(const node_id& from, const object_get& g) {
+  void execute(const node_id& from, const object_get& g) {
     const auto get = [=, this]() -> input {
       const auto found = objects_.find(g.name);
       if (found == objects_.end()) {
@@ -178,19 +180,19 @@
     };
     call(from, table_up_, get, object_get_result{g, unknown{"timeout"}});
   }
-  void carry_out(const node_id& from, const object_put& p) {
+  void execute(const node_id& from, const object_put& p) {
     const auto put = [=, this]() -> input {
       objects_[p.name] = p.content;
       return object_put_result{p, std::monostate{}};
     };
     call(from, table_up_, put, object_put_result{p, unknown{"timeout"}});
   }
-  void carry_out(const node_id& from, const vm_list_read& /*asked*/) {
+  void execute(const node_id& from, const vm_list_read& /*asked*/) {
     call(
         from, table_up_, []() -> input { return vm_list_result{std::vector<vm_list_entry>{}}; },
         vm_list_result{unknown{"timeout"}});
   }
-  void carry_out(const node_id& from, const probe& p) {
+  void execute(const node_id& from, const probe& p) {
     const time_point sent = now_;
     call(
         from, engines_.at(p.vm).up,
@@ -199,23 +201,23 @@
         },
         probe_result{p.vm, sent, unknown{"timeout"}});
   }
-  void carry_out(const node_id& from, const order& o) {
-    // A real sender connects first, and asks again directly before the bytes go.
+  void execute(const node_id& from, const order& o) {
+    // A real sender first connects, and checks this again immediately before sending.
     if (!nodes_.at(from)->may_send(now_, o)) {
-      later(duration{0}, [=, this] { feed(from, order_result{o, refused{"out of date"}}); });
+      later(duration{0}, [=, this] { deliver(from, order_result{o, refused{"out of date"}}); });
       return;
     }
     call(
         from, engines_.at(o.vm).up,
         [=, this]() -> input {
-          return order_result{o, obey(o)};
+          return order_result{o, execute_order(o)};
         },
         order_result{o, unknown{"timeout"}});
   }
-  void carry_out(const node_id& from, const peer_send& s) {
-    later(delay, [=, this] { feed(s.to, peer_message{from, s.bytes}); });
+  void execute(const node_id& from, const peer_send& s) {
+    later(delay, [=, this] { deliver(s.to, peer_message{from, s.bytes}); });
   }
-  void carry_out(const node_id& from, const notice& n) {
+  void execute(const node_id& from, const notice& n) {
     std::cout << seconds() << " s  " << from << ", " << n.part << ": " << n.text << '\n';
   }
 
@@ -227,8 +229,8 @@
     return e.report;
   }
 
-  // Refuses an old fencing token; a repeated order changes nothing.
-  outcome<engine_report> obey(const order& o) {
+  // Refuses an old fencing token. A repeated order changes nothing.
+  outcome<engine_report> execute_order(const order& o) {
     engine& e = engines_.at(o.vm);
     if (o.target.gen < e.report.gen) {
       return refused{"old token"};
@@ -257,7 +259,7 @@
   std::map<node_id, std::unique_ptr<coordinator>> nodes_;
 };
 
-void expect(world& w, const char* what, bool held) {
+void require_in_time(simulated_cluster& w, const char* what, bool held) {
   std::cout << w.seconds() << " s  " << what << (held ? "" : ": NOT WITHIN TIME") << std::endl;
   if (!held) {
     std::exit(EXIT_FAILURE);
@@ -269,13 +271,16 @@
 int main() {
   using namespace arbutus::example;
   using namespace std::chrono_literals;
-  world w;
-  expect(w, "two replicas serve on all nodes", w.run_until([&] { return w.serving() == 2; }, 30s));
+  simulated_cluster w;
+  require_in_time(w, "two replicas serve on all nodes",
+                  w.run_until([&] { return w.serving() == 2; }, 30s));
   w.set_table(false);
   const arbutus::vm_id lost = w.first_replica().members.back();
   w.kill(lost);
   std::cout << "the table is down, and " << lost << " has died\n";
-  expect(w, "no node routes to its replica", w.run_until([&] { return w.serving() == 1; }, 3s));
-  expect(w, "it serves again with its standby", w.run_until([&] { return w.serving() == 2; }, 30s));
+  require_in_time(w, "no node routes to its replica",
+                  w.run_until([&] { return w.serving() == 1; }, 3s));
+  require_in_time(w, "it serves again with its standby",
+                  w.run_until([&] { return w.serving() == 2; }, 30s));
   return EXIT_SUCCESS;
 }
--- a/src/cli/session.cpp
+++ b/src/cli/admin_client.cpp
@@ -1,24 +1,24 @@
-// Calls of commands.
-#include "cli/session.h"
+// HTTP calls of the subcommands to nodes.
+#include "cli/admin_client.h"
 
 #include "connection/clock.h"
 
 namespace arbutus {
 
-session::session() : runtime_(1) {
+admin_client::admin_client() : runtime_(1) {
   runtime_.run();
   client_.emplace(runtime_);
 }
 
-session::~session() {
+admin_client::~admin_client() {
   client_.reset();
   runtime_.stop();
   runtime_.join();
 }
 
-call_result session::call(const endpoint& node, const std::string& method,
-                          const std::string& target, const std::string& key,
-                          const std::string& body, duration timeout) {
+call_result admin_client::call(const endpoint& node, const std::string& method,
+                               const std::string& target, const std::string& key,
+                               const std::string& body, duration timeout) {
   http_request request;
   request.method = method;
   request.target = target;
--- a/src/cli/apply.cpp
+++ b/src/cli/apply.cpp
@@ -1,12 +1,12 @@
-// `apply`: proposes a configuration through a node. A lost reply is resolved by asking again with
-// the same proposal id, which the nodes never apply twice.
+// The `apply` subcommand: proposes a configuration through a node. After a lost reply it sends the
+// request again with the same proposal id, which the nodes never apply twice.
 #include <iostream>
 #include <nlohmann/json.hpp>
 #include <random>
 #include <sstream>
 
+#include "cli/admin_client.h"
 #include "cli/commands.h"
-#include "cli/session.h"
 #include "connection/clock.h"
 #include "version/import.h"
 
@@ -20,14 +20,15 @@
 constexpr int status_unauthorized = 401;
 constexpr int status_conflict = 409;
 constexpr int status_unprocessable = 422;
-constexpr duration probe_timeout_of_nodes = 3s;
+constexpr duration version_query_timeout = 3s;
 
-struct texts {
+struct configuration_texts {
   std::string inventory;
   std::string rules;
 };
 
-std::optional<texts> read_texts(const std::string& directory, findings& problems) {
+std::optional<configuration_texts> read_configuration_files(const std::string& directory,
+                                                            findings& problems) {
   const std::filesystem::path root(directory);
   const auto inventory = read_text_file(root / inventory_file_name, max_inventory_bytes, problems);
   const auto rules = read_text_file(root / rules_file_name, max_toml_bytes, problems);
@@ -37,7 +38,7 @@
   const import_result imported = import_texts(*inventory, (root / inventory_file_name).string(),
                                               *rules, (root / rules_file_name).string());
   problems.insert(problems.end(), imported.problems.begin(), imported.problems.end());
-  return texts{*inventory, *rules};
+  return configuration_texts{*inventory, *rules};
 }
 
 std::string new_proposal() {
@@ -58,9 +59,9 @@
              : 0;
 }
 
-class proposing {
+class proposal_client {
  public:
-  proposing(const apply_options& options, texts content, std::ostream& out)
+  proposal_client(const apply_options& options, configuration_texts content, std::ostream& out)
       : options_(options), content_(std::move(content)), out_(out) {
     proposal_ = options.proposal.empty() ? new_proposal() : options.proposal;
   }
@@ -75,7 +76,7 @@
       base = *known;
     }
     if (options_.dry_run) {
-      out_ << "the texts are good; they would be proposed on version " << base << '\n';
+      out_ << "the configuration is valid; it would be proposed on version " << base << '\n';
       return to_status(exit_code::ok);
     }
     return propose(base);
@@ -85,8 +86,8 @@
   std::optional<std::uint64_t> newest_version() {
     std::optional<std::uint64_t> newest;
     for (const endpoint& node : options_.nodes) {
-      const call_result result = nodes_.call(node, "GET", "/admin/configuration", options_.key, {},
-                                             probe_timeout_of_nodes);
+      const call_result result =
+          nodes_.call(node, "GET", "/admin/configuration", options_.key, {}, version_query_timeout);
       if (result.ok() && result.response.status == status_ok) {
         const json body = json::parse(result.response.body, nullptr, false);
         newest = std::max(newest.value_or(0), number_in(body, "version"));
@@ -95,7 +96,8 @@
     return newest;
   }
 
-  // Every try carries the same proposal id, so asking another node after a lost reply is safe.
+  // Every attempt carries the same proposal id, so retrying at another node after a lost reply is
+  // safe.
   int propose(std::uint64_t base) {
     const std::string body = json{
         {"base_version", base},
@@ -110,7 +112,7 @@
         const call_result result = nodes_.call(node, "POST", "/admin/configuration", options_.key,
                                                body, deadline - monotonic_now());
         if (result.ok()) {
-          if (const auto status = judge(result.response)) {
+          if (const auto status = handle_response(result.response)) {
             return *status;
           }
         }
@@ -123,12 +125,15 @@
         return fail(exit_code::unreachable, "no node could be reached; nothing was changed");
       }
     }
-    return fail(exit_code::unknown, "not settled in time. Resolve it with --proposal " + proposal_ +
-                                        " --base " + std::to_string(base));
+    return fail(exit_code::unknown,
+                "no reply in time; the change may have been accepted. Find out "
+                "with --proposal " +
+                    proposal_ + " --base " + std::to_string(base));
   }
 
-  // Empty: not settled, ask again.
-  std::optional<int> judge(const http_response& response) {
+  // Returns the exit status, or nothing if the outcome is still unknown and the request has to be
+  // sent again.
+  std::optional<int> handle_response(const http_response& response) {
     const json body = json::parse(response.body, nullptr, false);
     switch (response.status) {
       case status_ok:
@@ -152,7 +157,7 @@
     out_ << "accepted as version " << number_in(body, "version")
          << (body.value("in_force_here", false) ? ", in force on the node that took it\n"
                                                 : ", not yet in force on the node that took it\n");
-    // Beside the result: a repeated proposal has the same result, but nothing to show.
+    // To standard error: a repeated proposal prints the same result but has no changes to list.
     for (const json& line : body.value("changed", json::array())) {
       std::cerr << "  " << line.get<std::string>() << '\n';
     }
@@ -170,24 +175,24 @@
   }
 
   const apply_options& options_;
-  texts content_;
+  configuration_texts content_;
   std::ostream& out_;
   std::string proposal_;
-  session nodes_;
+  admin_client nodes_;
 };
 
 }  // namespace
 
 int run_apply(const apply_options& options, std::ostream& out) {
   findings problems;
-  auto content = read_texts(options.directory, problems);
+  auto content = read_configuration_files(options.directory, problems);
   for (const finding& f : problems) {
     std::cerr << f << '\n';
   }
   if (!content || has_errors(problems)) {
     return to_status(exit_code::input_errors);
   }
-  return proposing(options, std::move(*content), out).run();
+  return proposal_client(options, std::move(*content), out).run();
 }
 
 }  // namespace arbutus
--- a/src/cli/bench.cpp
+++ b/src/cli/bench.cpp
@@ -1,6 +1,6 @@
-// The bench subcommand: runs the decisions over fixed seeds in virtual time and prints a signature
-// of what they decided. It is equal on every run, so that a change that is meant to change no
-// decision is shown to change none; the processor times beside it are not.
+// The `bench` subcommand: runs the decision code over fixed seeds in virtual time and prints a
+// signature of its decisions. The signature is the same on every run, so it shows whether a change
+// of the code changed any decision; the processor times printed beside it vary.
 #include <array>
 #include <bit>
 #include <ctime>
@@ -28,7 +28,7 @@
   return stable_hash(std::to_string(more), signature);
 }
 
-// ---- parts: each returns its signature, and prints its figures ----
+// ---- parts: each prints its figures and returns its signature ----
 
 std::uint64_t bench_requests(std::ostream& figures, std::uint64_t seed) {
   return print_policy_bench(figures, seed);
@@ -54,7 +54,7 @@
   return signature;
 }
 
-std::uint64_t bench_days(std::ostream& figures, std::uint64_t seed) {
+std::uint64_t bench_failure_simulations(std::ostream& figures, std::uint64_t seed) {
   constexpr std::uint64_t days = 3;
   std::uint64_t signature = 0;
   for (std::uint64_t day = 0; day < days; ++day) {
@@ -78,7 +78,7 @@
   return control_signature(nodes, targets, seed);
 }
 
-// ---- the long tables of --full: figures of this machine, without a signature ----
+// ---- the long tables of --full: measurements on this machine, not part of the signature ----
 
 void print_connections(std::ostream& out, const bench_options& options) {
   print(out, bench_connections(options.length));
@@ -92,7 +92,7 @@
 constexpr std::array<bench_part, 4> parts = {{
     {"requests", bench_requests},
     {"planner", bench_planner},
-    {"days", bench_days},
+    {"days", bench_failure_simulations},
     {"control", bench_control},
 }};
 
@@ -110,7 +110,7 @@
     {"connections", print_connections},
 }};
 
-bool chosen(std::string_view name, const bench_options& options) {
+bool matches_filter(std::string_view name, const bench_options& options) {
   return name.find(options.filter) != std::string_view::npos;
 }
 
@@ -127,11 +127,11 @@
   return signature;
 }
 
-// The number of tables printed.
+// Returns the number of tables printed.
 std::size_t print_tables(const bench_options& options, std::ostream& out) {
   std::size_t printed = 0;
   for (const bench_table& table : tables) {
-    if (options.full && chosen(table.name, options)) {
+    if (options.full && matches_filter(table.name, options)) {
       out << "-- " << table.name << '\n';
       table.print(out, options);
       out << '\n';
@@ -147,7 +147,7 @@
   std::uint64_t signature = 0;
   std::size_t run = 0;
   for (const bench_part& part : parts) {
-    if (chosen(part.name, options)) {
+    if (matches_filter(part.name, options)) {
       signature = mix(signature, run_part(part, options, out));
       ++run;
     }
@@ -156,7 +156,8 @@
     out << "bench: no part has \"" << options.filter << "\" in its name\n";
     return to_status(exit_code::failure);
   }
-  // Of some parts alone it is another number, and must not pass for the whole one.
+  // The signature of a selection of parts differs from that of all parts and is labelled
+  // differently, so that the two are not confused.
   if (run == parts.size()) {
     out << "Bench: " << signature << '\n';
   } else if (run > 0) {
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -1,5 +1,5 @@
-// The check subcommand: reads configurations and node settings as the other commands would, and
-// names every mistake in one run. It asks nobody and changes nothing.
+// The `check` subcommand: reads configurations and node settings as the other commands would, and
+// reports every error in one run. It makes no network calls and changes nothing.
 #include <algorithm>
 #include <filesystem>
 #include <optional>
@@ -27,21 +27,21 @@
 
 class checker {
  public:
-  void take(const fs::path& path) {
+  void check_path(const fs::path& path) {
     std::error_code error;
     if (fs::is_directory(path, error)) {
-      take_directory(path);
+      check_directory(path);
     } else if (path.extension() == ".csv") {
-      take_inventory(path);
+      check_inventory(path);
     } else if (path.filename() == rules_file_name) {
-      take_rules(path);
+      check_rules(path);
     } else {
-      take_settings(path);
+      check_settings(path);
     }
   }
 
-  // Settings that were read without errors must tell the same of their node as the inventory, when
-  // just one configuration is given.
+  // If exactly one configuration is given, checks that valid node settings agree with its
+  // inventory.
   void compare() {
     if (directories_ != 1 || !assets_) {
       return;
@@ -75,7 +75,7 @@
     return static_cast<std::size_t>(std::count_if(problems_.begin(), problems_.end(), matches));
   }
 
-  void take_directory(const fs::path& path) {
+  void check_directory(const fs::path& path) {
     ++directories_;
     import_result result = import_directory(path);
     if (!has_errors(result.problems)) {
@@ -89,19 +89,19 @@
     return read_text_file(path, limit, problems_);
   }
 
-  void take_inventory(const fs::path& path) {
+  void check_inventory(const fs::path& path) {
     if (const auto text = text_of(path, max_inventory_bytes)) {
       append(import_inventory(*text, path.string()).problems);
     }
   }
 
-  void take_rules(const fs::path& path) {
+  void check_rules(const fs::path& path) {
     if (const auto text = text_of(path, max_toml_bytes)) {
       append(import_rules(*text, path.string()).problems);
     }
   }
 
-  void take_settings(const fs::path& path) {
+  void check_settings(const fs::path& path) {
     const auto text = text_of(path, max_toml_bytes);
     if (!text) {
       return;
@@ -114,7 +114,7 @@
   }
 
   findings problems_;
-  std::optional<inventory> assets_;  // of the configuration, when it is sound
+  std::optional<inventory> assets_;  // of the last configuration without errors
   std::vector<named_settings> settings_;
   std::size_t directories_ = 0;
   std::size_t files_ = 0;
@@ -125,7 +125,7 @@
 int run_check(const check_options& options, std::ostream& out) {
   checker check;
   for (const std::string& path : options.paths) {
-    check.take(path);
+    check.check_path(path);
   }
   check.compare();
   return check.print(out, options.strict);
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -1,4 +1,4 @@
-// `node`: runs one node until SIGTERM, then ends it gracefully.
+// The `node` subcommand: runs one node until SIGTERM, then stops it gracefully.
 #include "node/node.h"
 
 #include <algorithm>
@@ -33,7 +33,7 @@
   return limits;
 }
 
-std::uint64_t fresh_seed() {
+std::uint64_t random_seed() {
   std::random_device device;
   return (std::uint64_t{device()} << 32U) | device();
 }
@@ -54,7 +54,7 @@
   setup.limits = limits_of(settings.limits);
   setup.operator_key_hash = settings.operator_key_hash;
   setup.incarnation = static_cast<std::uint64_t>(wall_now().milliseconds);
-  setup.seed = fresh_seed();
+  setup.seed = random_seed();
   setup.balancer_lag = settings.timing.balancer_lag.value_or(setup.balancer_lag);
   setup.drain_timeout = settings.timing.stop_limit.value_or(setup.drain_timeout);
   setup.on_notice = [](const notice& n) { log_line(log_level::info, n.part, n.text); };
@@ -83,7 +83,7 @@
   running.start();
   out << "node " << settings.id << " listens for callers at " << to_string(settings.listen.callers)
       << " and for nodes at " << to_string(settings.listen.links) << std::endl;
-  wait_for_end_signal();
+  wait_for_termination_signal();
   log_line(log_level::info, "node", "stopping: readiness fails, requests in flight finish");
   const bool clean = running.stop();
   log_line(clean ? log_level::info : log_level::error, "node",
@@ -98,7 +98,7 @@
   if (!settings) {
     return to_status(exit_code::input_errors);
   }
-  block_end_signals();
+  block_termination_signals();
   start_log(settings->log, settings->id, std::cerr);
   int status = to_status(exit_code::failure);
   try {
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -1,4 +1,4 @@
-// The command line by Boost.Program_options: one entry of `specs` for each subcommand.
+// Parses the command line with Boost.Program_options; `specs` has one entry for each subcommand.
 #include "cli/options.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 using strings = std::vector<std::string>;
 
-// A value that the library accepts but the command does not.
+// Thrown for a value that Boost accepts but the command does not.
 struct usage_error : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -45,9 +45,9 @@
 }
 
 double positive(const po::variables_map& values, const char* option) {
-  constexpr double most = 1e6;
+  constexpr double max_value = 1e6;
   const double value = values[option].as<double>();
-  if (!std::isfinite(value) || value <= 0 || value > most) {
+  if (!std::isfinite(value) || value <= 0 || value > max_value) {
     throw usage_error("--" + std::string(option) + ": expected a number above 0, at most 1000000");
   }
   return value;
@@ -57,9 +57,9 @@
   return from_seconds(positive(values, option));
 }
 
-// The library would read "-1" into an unsigned type as a huge number, so these are signed and
+// Boost would parse "-1" for an unsigned type as a huge number, so the options are signed and
 // checked here.
-std::uint64_t whole_of(const po::variables_map& values, const char* option) {
+std::uint64_t non_negative_integer(const po::variables_map& values, const char* option) {
   const auto value = values[option].as<std::int64_t>();
   if (value < 0) {
     throw usage_error("--" + std::string(option) + ": expected a whole number from 0");
@@ -68,7 +68,7 @@
 }
 
 std::uint64_t seed_of(const po::variables_map& values) {
-  return whole_of(values, "seed");
+  return non_negative_integer(values, "seed");
 }
 
 po::typed_value<std::string>* text() {
@@ -83,7 +83,7 @@
   return po::value<std::int64_t>()->default_value(fallback);
 }
 
-std::string text_or(const po::variables_map& values, const char* option) {
+std::string text_or_empty(const po::variables_map& values, const char* option) {
   return values.count(option) != 0 ? values[option].as<std::string>() : std::string();
 }
 
@@ -103,19 +103,19 @@
       "engines", count_value(9)->value_name("N"), "engines of each data centre")(
       "store-port", count_value(0)->value_name("PORT"), "of the store; 0: any")(
       "control-port", count_value(0)->value_name("PORT"),
-      "of commands that break things, for tests; 0: none");
+      "of commands that inject faults, for tests; 0: none");
 }
 
 command make_platform(const po::variables_map& values) {
-  constexpr std::uint64_t most_engines = 100;
-  constexpr std::uint64_t highest_port = 65535;
-  const std::uint64_t engines = whole_of(values, "engines");
-  const std::uint64_t port = whole_of(values, "store-port");
-  const std::uint64_t control = whole_of(values, "control-port");
-  if (engines == 0 || engines > most_engines) {
+  constexpr std::uint64_t max_engines = 100;
+  constexpr std::uint64_t max_port = 65535;
+  const std::uint64_t engines = non_negative_integer(values, "engines");
+  const std::uint64_t port = non_negative_integer(values, "store-port");
+  const std::uint64_t control = non_negative_integer(values, "control-port");
+  if (engines == 0 || engines > max_engines) {
     throw usage_error("--engines: expected 1 to 100");
   }
-  if (port > highest_port || control > highest_port) {
+  if (port > max_port || control > max_port) {
     throw usage_error("--store-port, --control-port: expected 0 to 65535");
   }
   return platform_options{values["data-centre"].as<strings>(), static_cast<std::uint32_t>(engines),
@@ -144,7 +144,7 @@
   add.add_options()("files", po::value<strings>()->value_name("FILE"),
                     "log files; without one, standard input")(
       "window", po::value<int>()->default_value(2)->value_name("SECONDS"),
-      "length of a line's time, in seconds");
+      "time that one output line covers");
 }
 
 command make_outcomes(const po::variables_map& values) {
@@ -166,7 +166,8 @@
   return check_options{values["path"].as<strings>(), values["strict"].as<bool>()};
 }
 
-// The operators' key; a variable of the environment keeps it out of the list of processes.
+// The operators' key. It may come from an environment variable, since arguments are visible in the
+// list of processes.
 std::string operator_key(const po::variables_map& values) {
   if (values.count("key") != 0) {
     return values["key"].as<std::string>();
@@ -193,8 +194,8 @@
   options.directory = values["directory"].as<std::string>();
   options.nodes = endpoints_of(values, "node");
   options.key = operator_key(values);
-  options.base = whole_of(values, "base");
-  options.proposal = text_or(values, "proposal");
+  options.base = non_negative_integer(values, "base");
+  options.proposal = text_or_empty(values, "proposal");
   options.dry_run = values["dry-run"].as<bool>();
   options.timeout = seconds_of(values, "timeout");
   return options;
@@ -222,7 +223,7 @@
 }
 
 command make_bench(const po::variables_map& values) {
-  return bench_options{text_or(values, "filter"), values["full"].as<bool>(),
+  return bench_options{text_or_empty(values, "filter"), values["full"].as<bool>(),
                        seconds_of(values, "seconds"), seed_of(values)};
 }
 
@@ -237,7 +238,7 @@
 command make_load(const po::variables_map& values) {
   load_options options;
   options.experiment_file = values["experiment"].as<std::string>();
-  options.out_directory = text_or(values, "out");
+  options.out_directory = text_or_empty(values, "out");
   if (values.count("variant") != 0) {
     options.variants = values["variant"].as<strings>();
   }
@@ -268,7 +269,7 @@
   options.directory = values["directory"].as<std::string>();
   options.settings_file = values["settings"].as<std::string>();
   options.seed = seed_of(values);
-  const std::string only = text_or(values, "only");
+  const std::string only = text_or_empty(values, "only");
   if (!only.empty() && only != "platform" && only != "engines" && only != "services") {
     throw usage_error("--only: " + in_quotes(only) +
                       " is not known; expected platform, engines or services");
@@ -283,7 +284,7 @@
   std::string_view name;
   std::string_view summary;
   std::string_view arguments;   // as shown after the name
-  std::string_view positional;  // option that takes the arguments without a name
+  std::string_view positional;  // name of the option that takes the positional arguments
   int positional_count;         // -1: any number
   void (*add)(po::options_description&);
   command (*make)(const po::variables_map&);
@@ -293,38 +294,39 @@
 constexpr std::array<command_spec, 12> specs = {{
     {"node", "Run a node in front of the targets, until SIGTERM.", "FILE", "settings", 1, add_node,
      make_node, "  arbutusworks node examples/small/nodes/lab-a-node-1.toml\n"},
-    {"hosted", "Run a node on a platform that keeps configuration and targets, until SIGTERM.",
+    {"hosted", "Run a node on a platform that stores configuration and targets, until SIGTERM.",
      "FILE", "settings", 1, add_node, make_hosted,
      "  arbutusworks hosted /etc/arbutusworks/node.toml\n"},
-    {"platform", "Stand in for a platform that keeps configuration and targets, until interrupted.",
-     "NAME...", "data-centre", -1, add_platform, make_platform,
+    {"platform",
+     "Stand in for a platform that stores configuration and targets, until interrupted.", "NAME...",
+     "data-centre", -1, add_platform, make_platform,
      "  arbutusworks platform lab-a lab-b --store-port 23900\n"},
-    {"explain", "Tell what became of a request, from the log lines of all nodes.", "ID [FILE...]",
+    {"explain", "Show the timeline of a request, from the log lines of all nodes.", "ID [FILE...]",
      "words", -1, add_explain, make_explain,
      "  arbutusworks explain 4f1d22a07c9be853 /var/log/arbutusworks/*.log\n"
      "  zcat old/*.gz | arbutusworks explain 4f1d22a07c9be853\n"},
-    {"outcomes", "Show what became of requests over time, from the log lines of all nodes.",
-     "[FILE...]", "files", -1, add_outcomes, make_outcomes,
+    {"outcomes", "Show how requests ended over time, from the log lines of all nodes.", "[FILE...]",
+     "files", -1, add_outcomes, make_outcomes,
      "  arbutusworks outcomes /var/log/arbutusworks/*.log\n"
      "  arbutusworks outcomes --window 10 < evening.log\n"},
-    {"check", "Check configurations and node settings; name every mistake with its place.",
+    {"check", "Check configurations and node settings; report every error with its location.",
      "DIR|FILE...", "path", -1, add_check, make_check,
      "  arbutusworks check examples/odtok\n"
      "  arbutusworks check examples/odtok examples/odtok/nodes/*.toml\n"},
-    {"apply", "Propose a configuration; when another came first, show what changed.",
+    {"apply", "Propose a configuration; if another change came first, show what it changed.",
      "DIR --node IP:PORT...", "directory", 1, add_apply, make_apply,
      "  arbutusworks apply examples/small --node 127.0.0.1:23400 --key example-operator\n"},
     {"status", "Show what nodes know: configuration, replicas, targets.", "IP:PORT...", "node", -1,
      add_status, make_status,
      "  arbutusworks status 127.0.0.1:23400 127.0.0.1:23402 --key example-operator\n"},
-    {"bench", "Measure the decisions, without a network; prints a signature of them.", "", "", 0,
+    {"bench", "Benchmark the decisions, without a network; prints a signature of them.", "", "", 0,
      add_bench, make_bench, "  arbutusworks bench\n  arbutusworks bench --filter planner --full\n"},
-    {"load", "Run an experiment: calls and faults, latencies and broken promises.", "FILE",
+    {"load", "Run an experiment: calls and faults, latencies and violated guarantees.", "FILE",
      "experiment", 1, add_load, make_load,
      "  arbutusworks load experiments/overload.toml\n"
      "  arbutusworks load experiments/overload.toml --variant double --out build/experiments\n"},
-    {"trial", "Run nodes, platform and targets in this process and show the main job.", "", "", 0,
-     add_trial, make_trial, "  arbutusworks trial\n  arbutusworks trial --keep-up\n"},
+    {"trial", "Run nodes, platform and targets in this process and test the main functions.", "",
+     "", 0, add_trial, make_trial, "  arbutusworks trial\n  arbutusworks trial --keep-up\n"},
     {"standin", "Stand in for the platform and the targets of a configuration.",
      "DIR --settings FILE", "directory", 1, add_standin, make_standin,
      "  arbutusworks standin examples/small --settings "
@@ -372,7 +374,7 @@
   return out.str();
 }
 
-early_exit wrong_usage(const std::string& message, const std::string& hint) {
+early_exit usage_exit(const std::string& message, const std::string& hint) {
   return {to_status(exit_code::usage), "arbutusworks: " + message + '\n' + hint};
 }
 
@@ -383,12 +385,13 @@
     names.push_back(spec.name);
   }
   const finding problem = unknown_name_finding({}, "command", name, names);
-  return wrong_usage(problem.message, "Commands are listed by: arbutusworks --help\n");
+  return usage_exit(problem.message, "Commands are listed by: arbutusworks --help\n");
 }
 
 // ---- parsing ----
 
-// Without guessing: a prefix that is taken for an option today may mean another one tomorrow.
+// Abbreviated options are rejected: a prefix that is unique now may become ambiguous or match
+// another option later.
 constexpr int option_style =
     po::command_line_style::default_style & ~po::command_line_style::allow_guessing;
 
@@ -430,13 +433,13 @@
     po::notify(values);
     return spec.make(values);
   } catch (const po::unknown_option& e) {
-    return wrong_usage(unknown_option_message(options, e.get_option_name()), usage_of(spec));
+    return usage_exit(unknown_option_message(options, e.get_option_name()), usage_of(spec));
   } catch (const po::required_option& e) {
-    return wrong_usage(missing_option_message(spec, e.get_option_name()), usage_of(spec));
+    return usage_exit(missing_option_message(spec, e.get_option_name()), usage_of(spec));
   } catch (const po::error& e) {
-    return wrong_usage(e.what(), usage_of(spec));
+    return usage_exit(e.what(), usage_of(spec));
   } catch (const usage_error& e) {
-    return wrong_usage(e.what(), usage_of(spec));
+    return usage_exit(e.what(), usage_of(spec));
   }
 }
 
@@ -444,7 +447,7 @@
 
 std::variant<command, early_exit> parse_command_line(const strings& arguments) {
   if (arguments.empty()) {
-    return wrong_usage("no command is given", '\n' + overview());
+    return usage_exit("no command is given", '\n' + overview());
   }
   const std::string& first = arguments.front();
   if (first == "--version") {
@@ -454,16 +457,16 @@
     return std::find_if(specs.begin(), specs.end(),
                         [&](const command_spec& s) { return s.name == name; });
   };
-  const bool asks_help = first == "--help" || first == "-h" || first == "help";
-  if (asks_help && arguments.size() == 1) {
+  const bool help_requested = first == "--help" || first == "-h" || first == "help";
+  if (help_requested && arguments.size() == 1) {
     return early_exit{to_status(exit_code::ok), overview()};
   }
-  const std::string& name = asks_help ? arguments[1] : first;
+  const std::string& name = help_requested ? arguments[1] : first;
   const auto spec = find(name);
   if (spec == specs.end()) {
     return unknown_command(name);
   }
-  if (asks_help) {
+  if (help_requested) {
     return early_exit{to_status(exit_code::ok), help_of(*spec)};
   }
   return parse_with(*spec, {arguments.begin() + 1, arguments.end()});
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -1,4 +1,5 @@
-// `platform`: the stand-in of a platform that keeps configuration and targets.
+// The `platform` subcommand: a stand-in for a platform that stores the configuration and runs the
+// targets.
 #include <boost/system/system_error.hpp>
 #include <iostream>
 #include <optional>
@@ -11,7 +12,7 @@
 namespace arbutus {
 
 int run_platform(const platform_options& options, std::ostream& out) {
-  block_end_signals();
+  block_termination_signals();
   fiber_runtime runtime(1);
   runtime.run();
   standin::hosted_platform_settings settings;
@@ -27,7 +28,7 @@
     out << "store at " << settings.ip << ':' << platform.store_port() << "; host "
         << standin::hosted_host << ", key " << standin::hosted_key << ", paths /llm/ and /card/"
         << std::endl;
-    wait_for_end_signal();
+    wait_for_termination_signal();
   } catch (const boost::system::system_error& e) {
     std::cerr << "platform: cannot listen: " << e.what() << '\n';
     return to_status(exit_code::failure);
--- a/src/cli/signals.cpp
+++ b/src/cli/signals.cpp
@@ -1,4 +1,4 @@
-// Signals that end a command.
+// Waits for the signals that end a command or make it reload its settings.
 #include "cli/signals.h"
 
 #include <csignal>
@@ -7,7 +7,7 @@
 
 namespace {
 
-sigset_t end_signals() {
+sigset_t termination_signals() {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGINT);
@@ -17,26 +17,26 @@
 
 }  // namespace
 
-void block_end_signals() {
-  const sigset_t signals = end_signals();
+void block_termination_signals() {
+  const sigset_t signals = termination_signals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
-int wait_for_end_signal() {
-  const sigset_t signals = end_signals();
+int wait_for_termination_signal() {
+  const sigset_t signals = termination_signals();
   int received = 0;
   sigwait(&signals, &received);
   return received;
 }
 
 void block_signals() {
-  sigset_t signals = end_signals();
+  sigset_t signals = termination_signals();
   sigaddset(&signals, SIGHUP);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
 signal_kind wait_for_signal() {
-  sigset_t signals = end_signals();
+  sigset_t signals = termination_signals();
   sigaddset(&signals, SIGHUP);
   int received = 0;
   sigwait(&signals, &received);
--- a/src/cli/status.cpp
+++ b/src/cli/status.cpp
@@ -1,12 +1,12 @@
-// `status`: what nodes know, at a glance or as JSON.
+// The `status` subcommand: prints the state known to each node, as text or as JSON.
 #include <algorithm>
 #include <iomanip>
 #include <iostream>
 #include <nlohmann/json.hpp>
 #include <sstream>
 
+#include "cli/admin_client.h"
 #include "cli/commands.h"
-#include "cli/session.h"
 
 namespace arbutus {
 
@@ -89,7 +89,7 @@
 }  // namespace
 
 int run_status(const status_options& options, std::ostream& out) {
-  session nodes;
+  admin_client nodes;
   bool all_answered = true;
   json collected = json::array();
   for (const endpoint& node : options.nodes) {
--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -1,4 +1,5 @@
-// The trial's story: a fleet comes up, requests are answered, things fail, promises are counted.
+// The `trial` subcommand: starts a fleet, sends requests, injects failures, and counts violated
+// guarantees.
 #include <algorithm>
 #include <cmath>
 #include <functional>
@@ -9,7 +10,7 @@
 
 #include "cli/commands.h"
 #include "cli/signals.h"
-#include "cli/trial_load.h"
+#include "cli/trial_callers.h"
 #include "connection/clock.h"
 #include "load/fleet.h"
 #include "node/status_json.h"
@@ -22,14 +23,14 @@
 constexpr std::size_t callers_per_workspace = 8;
 const service_id crew_service{"crew-api"};
 
-// A narrator that remembers whether all went well.
-class story {
+// Prints the steps of the trial with their times and records whether any failed.
+class trial_reporter {
  public:
-  void tell(const std::string& text) {
+  void print(const std::string& text) {
     std::cout << std::fixed << std::setprecision(2) << std::setw(6)
               << to_seconds(monotonic_now() - begun_) << " s  " << text << std::endl;
   }
-  // Waits until `holds`; tells how long it took.
+  // Waits until `holds` returns true and prints how long it took; fails after `step_timeout`.
   bool wait(const std::string& what, const std::function<bool()>& holds) {
     const time_point from = monotonic_now();
     while (!holds()) {
@@ -43,18 +44,18 @@
     std::ostringstream text;
     text << what << ": after " << std::fixed << std::setprecision(2)
          << to_seconds(monotonic_now() - from) << " s";
-    tell(text.str());
+    print(text.str());
     return true;
   }
-  void check(const std::string& promise, bool held) {
+  void check(const std::string& guarantee, bool held) {
     if (held) {
-      tell("held: " + promise);
+      print("held: " + guarantee);
     } else {
-      fail("BROKEN: " + promise);
+      fail("BROKEN: " + guarantee);
     }
   }
   void fail(const std::string& text) {
-    tell(text);
+    print(text);
     failed_ = true;
   }
   [[nodiscard]] bool failed() const { return failed_; }
@@ -77,8 +78,8 @@
   std::cout << "\nworkspace            whole  first token ms (p50 p95 p99)   whole answer ms (p50 "
                "p95 p99)\n";
   for (const auto& [name, r] : load.results()) {
-    std::cout << std::left << std::setw(18) << name << std::right << std::setw(8) << r.counts.whole
-              << std::setprecision(1);
+    std::cout << std::left << std::setw(18) << name << std::right << std::setw(8)
+              << r.counts.complete << std::setprecision(1);
     for (const double p : {0.5, 0.95, 0.99}) {
       std::cout << std::setw(10) << percentile(r.first_token_ms, p);
     }
@@ -91,8 +92,8 @@
   std::cout << std::endl;
 }
 
-fleet_shape trial_shape() {
-  fleet_shape shape;
+fleet_spec make_trial_fleet_spec() {
+  fleet_spec shape;
   shape.workspaces = {{"sk-west-dispatch", "key-dispatch", 4.0},
                       {"crew-tablets", "key-tablets", 1.0},
                       {"night-desk", "key-night", 1.0}};
@@ -106,8 +107,8 @@
   return shape;
 }
 
-// The same job card, sent through two nodes at once and once more later.
-void send_job_card(fleet& f, story& s) {
+// Sends the same job card three times at once, through two nodes.
+void send_job_card(fleet& f, trial_reporter& s) {
   const std::string key = "card-4711";
   std::atomic<int> answered{0};
   const auto send = [&](std::size_t node) {
@@ -132,86 +133,87 @@
           f.standins().executions_of(crew_service, key) == 1 && answered == 3);
 }
 
-void kill_member(fleet& f, story& s, std::size_t centre, const std::string& how) {
+void kill_member(fleet& f, trial_reporter& s, std::size_t centre, const std::string& suffix) {
   const fleet::member lost = f.find_member(centre);
   if (lost.vm.empty()) {
     s.fail("no serving replica to take a member from");
     return;
   }
-  s.tell("killing " + lost.vm.str() + ", a member of " + lost.replica.str() + how);
+  s.print("killing " + lost.vm.str() + ", a member of " + lost.replica.str() + suffix);
   f.standins().kill_vm(lost.vm);
   s.wait("not routed to", [&] { return !f.is_routed_to(lost.node, lost.replica); });
   const bool repaired = s.wait("repaired and serving again",
                                [&] { return f.serves_without(lost.node, lost.replica, lost.vm); });
   if (!repaired) {
-    s.tell("what the node knows: " + status_json(f.nodes()[lost.node]->status(), monotonic_now()));
+    s.print("what the node knows: " + status_json(f.nodes()[lost.node]->status(), monotonic_now()));
   }
 }
 
-void stop_one_node(fleet& f, trial_load& load, story& s) {
+void stop_one_node(fleet& f, trial_load& load, trial_reporter& s) {
   const std::size_t index = f.nodes().size() - 1;
-  s.tell("stopping a node gracefully under load");
-  load.leave_out(index);
+  s.print("stopping a node gracefully under load");
+  load.exclude_node(index);
   const bool clean = f.nodes()[index]->stop();
   s.check("the stopped node cut off no request", clean);
 }
 
-void tell_story(fleet& f, trial_load& load, story& s) {
+void run_steps(fleet& f, trial_load& load, trial_reporter& s) {
   const std::uint64_t first = f.apply(4.0);
   s.check("the first configuration was accepted", first != 0);
-  s.wait("configuration in force on all six nodes", [&] { return f.all_in_force(first); });
+  s.wait("configuration in force on all six nodes",
+         [&] { return f.is_active_on_all_nodes(first); });
   s.wait("all replicas formed and serving on all nodes",
-         [&] { return f.serving_replicas() >= f.wanted_replicas(); });
+         [&] { return f.serving_replicas() >= f.desired_replicas(); });
   if (s.failed()) {
     return;
   }
   load.start(callers_per_workspace);
-  s.tell("callers of three workspaces ask all nodes, streamed and not");
+  s.print("callers of three workspaces send requests to all nodes, streamed and buffered");
   send_job_card(f, s);
   kill_member(f, s, 0, "");
   const std::uint64_t second = f.apply(2.0);
   s.check("a change of rules was accepted", second > first);
-  s.wait("the change in force on all nodes", [&] { return f.all_in_force(second); });
+  s.wait("the change in force on all nodes", [&] { return f.is_active_on_all_nodes(second); });
   f.standins().table_outage(true);
-  s.tell("the platform's table is down");
+  s.print("the platform's table is down");
   kill_member(f, s, 1, ", with the table down");
   f.standins().table_outage(false);
-  s.tell("the table is back");
+  s.print("the table is back");
   stop_one_node(f, load, s);
   load.stop();
 }
 
-void stay_up(fleet& f) {
+void keep_fleet_running(fleet& f) {
   std::cout << "The fleet stays up. In another terminal:\n\n  curl -N http://127.0.0.1:"
             << f.caller_address(0).port
             << "/v1/completions -H 'Authorization: Bearer key-dispatch' \\\n    -d "
                "'{\"model\":\"dispatch-llm\",\"prompt\":\"Flooded cellar\",\"max_tokens\":20,"
                "\"stream\":true}'\n\nCtrl-C ends it."
             << std::endl;
-  wait_for_end_signal();
+  wait_for_termination_signal();
 }
 
 }  // namespace
 
 int run_trial(const trial_options& options, std::ostream& /*out*/) {
   if (options.keep_up) {
-    block_end_signals();
+    block_termination_signals();
   }
-  story s;
-  s.tell("six nodes in three data centres, 21 target VMs, a platform and a plain service start");
-  fleet f(trial_shape());
+  trial_reporter s;
+  s.print("six nodes in three data centres, 21 target VMs, a platform and a plain service start");
+  fleet f(make_trial_fleet_spec());
   trial_load load(f);
-  tell_story(f, load, s);
+  run_steps(f, load, s);
   const trial_counts counts = load.sum();
   print_results(load);
-  std::cout << "answers whole and their own " << counts.whole << ", refused and not run "
-            << counts.not_run << ", may have run " << counts.unknown << ", silent " << counts.silent
-            << ", wrong " << counts.wrong << "\n\n";
-  s.check("no answer was crossed, cut or doubled", counts.wrong == 0);
-  s.check("every request got an answer", counts.silent == 0);
+  std::cout << "complete and correct answers " << counts.complete << ", refused and not run "
+            << counts.not_run << ", may have run " << counts.unknown << ", silent "
+            << counts.no_response << ", wrong " << counts.wrong << "\n\n";
+  s.check("no answer was swapped, truncated or duplicated", counts.wrong == 0);
+  s.check("every request got an answer", counts.no_response == 0);
   std::cout << (s.failed() ? "\nThe trial FAILED.\n" : "\nEvery promise held.\n");
   if (options.keep_up && !s.failed()) {
-    stay_up(f);
+    keep_fleet_running(f);
   } else if (!s.failed()) {
     std::cout << "Keep it up for calls of your own: build/release/arbutusworks trial --keep-up\n";
   }
--- a/src/cli/trial_load.cpp
+++ b/src/cli/trial_callers.cpp
@@ -1,5 +1,5 @@
-// Callers of the trial.
-#include "cli/trial_load.h"
+// The callers of the trial.
+#include "cli/trial_callers.h"
 
 #include <thread>
 
@@ -26,7 +26,7 @@
   workspace_result& result = results_[workspace];
   result.first_token_ms.push_back(first_ms);
   result.total_ms.push_back(total_ms);
-  ++result.counts.whole;
+  ++result.counts.complete;
 }
 
 void trial_load::count(const std::string& workspace, std::uint64_t trial_counts::*field) {
@@ -38,7 +38,7 @@
                            bool stream) {
   const fleet_workspace& who = fleet_.workspaces()[workspace];
   planned_call call;
-  call.kind = stream ? call_kind::streamed : call_kind::whole;
+  call.kind = stream ? call_kind::streamed : call_kind::buffered;
   call.workspace = static_cast<std::uint32_t>(workspace);
   call.prompt = prompt_of(workspace, serial);
   call.answer_tokens = answer_tokens;
@@ -46,26 +46,26 @@
   const timed_answer answer =
       make_call(fleet_.client(), {fleet_.caller_address(node), who.key, {}, {}},
                 fleet_.shape().model, {}, call, begun + call_timeout);
-  promise_checker checker(fleet_.shape().model, service_id{fleet_service}, {});
+  guarantee_checker checker(fleet_.shape().model, service_id{fleet_service}, {});
   switch (checker.check_answer(call, answer.raw)) {
-    case call_end::whole: {
+    case caller_outcome::complete: {
       const time_point first = stream ? answer.first_token : answer.ended;
       record(who.name, to_milliseconds(first - begun), to_milliseconds(answer.ended - begun));
       return;
     }
-    case call_end::wrong:
+    case caller_outcome::wrong:
       count(who.name, &trial_counts::wrong);
       return;
-    case call_end::not_run:
+    case caller_outcome::not_run:
       count(who.name, &trial_counts::not_run);
       return;
-    case call_end::unknown:
+    case caller_outcome::unknown:
       count(who.name, &trial_counts::unknown);
       return;
-    // In the trial no node goes away without notice: a node that cannot be reached is a fault too.
-    case call_end::unreached:
-    case call_end::silent:
-      count(who.name, &trial_counts::silent);
+    // No node of the trial is killed, so one that cannot be reached is a fault, too.
+    case caller_outcome::unreached:
+    case caller_outcome::no_response:
+      count(who.name, &trial_counts::no_response);
       return;
   }
 }
@@ -74,7 +74,7 @@
   std::uint64_t serial = index * 1'000'000;
   while (!stopping_) {
     std::size_t target = (index + serial) % fleet_.nodes().size();
-    if (target == left_out_) {
+    if (target == excluded_nodes_) {
       target = (target + 1) % fleet_.nodes().size();
     }
     call_once(target, workspace, serial, serial % 2 == 0);
@@ -109,11 +109,11 @@
 trial_counts trial_load::sum() const {
   trial_counts total;
   for (const auto& [name, result] : results()) {
-    total.whole += result.counts.whole;
+    total.complete += result.counts.complete;
     total.wrong += result.counts.wrong;
     total.not_run += result.counts.not_run;
     total.unknown += result.counts.unknown;
-    total.silent += result.counts.silent;
+    total.no_response += result.counts.no_response;
   }
   return total;
 }
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -1,4 +1,4 @@
-// One call over HTTP.
+// Makes one call over HTTP and reads its answer.
 #include "load/caller.h"
 
 #include <algorithm>
@@ -48,7 +48,7 @@
   if (call.kind == call_kind::booking) {
     request.target = booking_path;
     request.headers.add("idempotency-key", call.prompt);
-    request.body = promise_checker::booking_body(call.prompt);
+    request.body = guarantee_checker::booking_body(call.prompt);
     return request;
   }
   request.target = "/v1/completions";
@@ -60,7 +60,7 @@
   return request;
 }
 
-// Takes one answer apart as it arrives.
+// Parses one answer as it arrives.
 class answer_reader {
  public:
   explicit answer_reader(const planned_call& call) : call_(call) {}
@@ -92,12 +92,12 @@
     if (raw.status != status_ok) {
       read_error(json::parse(body_, nullptr, false), raw);
     } else if (call_.kind == call_kind::booking) {
-      raw.called_whole = result.ok();
+      raw.marked_complete = result.ok();
       raw.text = std::move(body_);
-    } else if (call_.kind == call_kind::whole && result.ok()) {
+    } else if (call_.kind == call_kind::buffered && result.ok()) {
       const json body = json::parse(body_, nullptr, false);
-      raw.called_whole = body.is_object() && body.contains("choices");
-      raw.text = raw.called_whole ? text_of(body) : std::string();
+      raw.marked_complete = body.is_object() && body.contains("choices");
+      raw.text = raw.marked_complete ? text_of(body) : std::string();
     }
     return std::move(answer_);
   }
@@ -106,7 +106,7 @@
   void on_frame(std::string_view frame) {
     frame.remove_prefix(std::min(frame.size(), data_prefix.size()));
     if (frame.starts_with("[DONE]")) {
-      answer_.raw.called_whole = true;
+      answer_.raw.marked_complete = true;
       return;
     }
     const json body = json::parse(frame, nullptr, false);
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -1,4 +1,4 @@
-// Experiments from TOML.
+// Reads experiments from TOML.
 #include "load/experiment.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 constexpr real_range non_negative_real{0, 1e6};
 constexpr real_range fraction{0, 1};
 constexpr std::array<std::string_view, 2> arrival_names = {"poisson", "closed"};
-constexpr std::uint32_t most_rounds = 100;
+constexpr std::uint32_t max_rounds = 100;
 
 class experiment_reader {
  public:
@@ -34,12 +34,12 @@
     std::uint32_t seed = 1;
     root_.read("seed", seed, presence::optional, {});
     result_.seed = seed;
-    root_.read("rounds", result_.rounds, presence::optional, {1, most_rounds});
+    root_.read("rounds", result_.rounds, presence::optional, {1, max_rounds});
     read_fleet();
     read_workload();
     read_classes();
     read_workspaces();
-    read_workspace_name(root_, "apart", result_.apart);
+    read_workspace_name(root_, "apart", result_.excluded_workspace);
     read_faults();
     read_variants();
     root_.finish();
@@ -61,7 +61,7 @@
   }
 
   void read_fleet() {
-    fleet_shape& shape = result_.shape;
+    fleet_spec& shape = result_.shape;
     if (auto table = root_.table("fleet")) {
       read_size(*table, "data_centres", shape.data_centres);
       read_size(*table, "nodes_per_data_centre", shape.nodes_per_data_centre);
@@ -180,12 +180,12 @@
 
   void read_faults() {
     for (table_reader& table : root_.tables("fault")) {
-      timed_fault f;
+      scheduled_fault f;
       read_seconds(table, "at_seconds", f.at, {0, 3600});
-      duration lasts{};
-      read_seconds(table, "for_seconds", lasts, {0, 3600, true});
-      if (lasts > duration{}) {
-        f.lasts = lasts;
+      duration undo_after{};
+      read_seconds(table, "for_seconds", undo_after, {0, 3600, true});
+      if (undo_after > duration{}) {
+        f.undo_after = undo_after;
       }
       std::size_t kind = std::size(fault_names);
       table.read_choice("kind", kind, fault_names);
@@ -236,8 +236,8 @@
     table.read("node_workers", v.node_workers, presence::optional, {1, 64});
     table.read("faults", v.with_faults);
     std::size_t check = 0;
-    table.read_choice("check_self", check, self_check_names);
-    v.check_self = static_cast<self_check>(check);
+    table.read_choice("check_self", check, checker_test_names);
+    v.checker_test = static_cast<checker_test_kind>(check);
     if (v.target != call_target::nodes && !result_.nodes.empty()) {
       table.problem("target", "existing nodes have no stand-ins here to call directly");
     }
@@ -266,7 +266,7 @@
     return result;
   }
   result.value = experiment_reader(*document, result.problems).read();
-  fleet_shape& shape = result.value.shape;
+  fleet_spec& shape = result.value.shape;
   shape.seed = result.value.seed;
   for (const load_workspace& w : result.value.work.workspaces) {
     shape.workspaces.push_back(w.caller);
--- /dev/null
+++ b/src/load/fault_injector.h
@@ -0,0 +1,68 @@
+// Injects the faults of an experiment into a fleet, according to their timeline.
+#pragma once
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <thread>
+#include <vector>
+
+#include "load/experiment.h"
+#include "load/fleet.h"
+#include "load/results.h"
+
+namespace arbutus {
+
+class fault_injector {
+ public:
+  // `exclude_node(node)` makes the callers stop using that node, as the platform's load balancer
+  // would.
+  fault_injector(fleet& f, std::vector<scheduled_fault> faults,
+                 std::function<void(std::size_t)> exclude_node);
+  ~fault_injector();  // waits for planned stops
+  fault_injector(const fault_injector&) = delete;
+  fault_injector& operator=(const fault_injector&) = delete;
+
+  // Injects the faults that are due and undoes those whose duration has passed.
+  void play(duration elapsed);
+  // Undoes all remaining faults and waits for planned stops.
+  void finish(duration elapsed);
+
+  [[nodiscard]] const std::vector<fault_mark>& marks() const { return marks_; }
+  // Planned stops that interrupted requests.
+  [[nodiscard]] std::size_t unclean_stops() const { return unclean_stops_; }
+
+ private:
+  struct undo {
+    duration at;
+    std::string text;
+    std::function<void()> run;
+  };
+  struct planned_stop {
+    std::size_t node{};
+    duration exclude_at{};
+    bool excluded = false;
+    bool clean = false;  // read after the join
+    std::thread thread;
+  };
+
+  void begin(const scheduled_fault& fault, duration elapsed);
+  void begin_on_member(const scheduled_fault& fault, duration elapsed);
+  void begin_on_table(const scheduled_fault& fault, duration elapsed);
+  void begin_on_answers(const scheduled_fault& fault, duration elapsed);
+  void start_planned_stop(const scheduled_fault& fault, duration elapsed);
+  void mark(duration elapsed, std::string text);
+  void schedule_undo(const scheduled_fault& fault, duration elapsed, std::string text,
+                     std::function<void()> run);
+
+  fleet& fleet_;
+  std::vector<scheduled_fault> faults_;  // by time; those before next_ were injected
+  std::size_t next_ = 0;
+  std::function<void(std::size_t)> exclude_node_;
+  std::vector<undo> undos_;
+  std::vector<std::unique_ptr<planned_stop>> stops_;
+  std::vector<fault_mark> marks_;
+  std::size_t unclean_stops_ = 0;
+};
+
+}  // namespace arbutus
--- a/src/load/fleet.cpp
+++ b/src/load/fleet.cpp
@@ -1,4 +1,4 @@
-// A fleet inside this process.
+// A fleet of nodes and stand-ins inside this process.
 #include "load/fleet.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 constexpr const char* loopback = "127.0.0.1";
 constexpr std::uint32_t accelerators_per_vm = 2;
 
-std::string centre_name(std::size_t i) {
+std::string data_centre_name(std::size_t i) {
   return std::string("hall-") + static_cast<char>('a' + i);
 }
 
@@ -41,7 +41,7 @@
   return assets;
 }
 
-fleet::fleet(fleet_shape shape) : shape_(std::move(shape)), runtime_(shape_.runtime_workers) {
+fleet::fleet(fleet_spec shape) : shape_(std::move(shape)), runtime_(shape_.runtime_workers) {
   runtime_.run();
   standins_ = std::make_unique<standin_fleet>(runtime_, assets_without_ports(), shape_.standins);
   client_ = std::make_unique<http_client>(runtime_);
@@ -52,7 +52,7 @@
   const socket_address platform{standins_->platform().host, standins_->platform().port};
   for (std::size_t i = 0; i < shape_.data_centres * shape_.nodes_per_data_centre; ++i) {
     node_setup options;
-    const std::string centre = centre_name(i / shape_.nodes_per_data_centre);
+    const std::string centre = data_centre_name(i / shape_.nodes_per_data_centre);
     options.self =
         node_id{centre + "-node-" + std::to_string(i % shape_.nodes_per_data_centre + 1)};
     options.data_centre = data_centre_id{centre};
@@ -79,7 +79,7 @@
   runtime_.join();
 }
 
-std::size_t fleet::wanted_replicas() const {
+std::size_t fleet::desired_replicas() const {
   return shape_.data_centres * shape_.replicas_per_data_centre;
 }
 
@@ -100,7 +100,7 @@
         << v.fabric_domain << ',' << v.accelerators << ",yes,,\n";
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    const std::string centre = centre_name(i / shape_.nodes_per_data_centre);
+    const std::string centre = data_centre_name(i / shape_.nodes_per_data_centre);
     out << "node," << centre << "-node-" << i % shape_.nodes_per_data_centre + 1 << ',' << centre
         << ",,,,,," << loopback << ':' << nodes_[i]->link_port() << ',' << loopback << ':'
         << nodes_[i]->caller_port() << '\n';
@@ -122,7 +122,7 @@
       << "\naccelerators_per_vm = " << accelerators_per_vm << "\nslots = " << shape_.slots
       << "\nreplicas = { ";
   for (std::size_t c = 0; c < shape_.data_centres; ++c) {
-    out << (c == 0 ? "" : ", ") << centre_name(c) << " = " << shape_.replicas_per_data_centre;
+    out << (c == 0 ? "" : ", ") << data_centre_name(c) << " = " << shape_.replicas_per_data_centre;
   }
   out << " }\n\n[[service]]\nid = \"" << fleet_service << "\"\npath_prefix = \""
       << fleet_service_path << "\"\nidempotent_calls = [\"GET " << fleet_service_path << "\"]\n\n";
@@ -166,10 +166,10 @@
 }
 
 data_centre_id fleet::data_centre(std::size_t index) const {
-  return data_centre_id{centre_name(index)};
+  return data_centre_id{data_centre_name(index)};
 }
 
-bool fleet::all_in_force(std::uint64_t version) const {
+bool fleet::is_active_on_all_nodes(std::uint64_t version) const {
   return std::all_of(nodes_.begin(), nodes_.end(),
                      [&](const auto& n) { return n->config_version() >= version; });
 }
@@ -177,11 +177,11 @@
 std::size_t fleet::serving_replicas() const {
   std::size_t sum = 0;
   for (std::size_t first = 0; first < nodes_.size(); first += shape_.nodes_per_data_centre) {
-    std::size_t least = nodes_[first]->routable_replicas();
+    std::size_t min_count = nodes_[first]->routable_replicas();
     for (std::size_t i = 1; i < shape_.nodes_per_data_centre; ++i) {
-      least = std::min(least, nodes_[first + i]->routable_replicas());
+      min_count = std::min(min_count, nodes_[first + i]->routable_replicas());
     }
-    sum += least;
+    sum += min_count;
   }
   return sum;
 }
--- a/src/load/fleet.h
+++ b/src/load/fleet.h
@@ -1,5 +1,5 @@
-// A fleet inside this process, for `trial` and `load`: stand-ins of the platform, of target VMs and
-// of a plain service, and nodes in several data centres, all on loopback with free ports.
+// A fleet inside this process, for `trial` and `load`: nodes in several data centres and stand-ins
+// for the platform, for target VMs and for a plain service, all on free loopback ports.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,15 @@
 
 namespace arbutus {
 
-// One who calls, with a key that opens nothing outside this process.
+// A calling workspace. Its key is valid in this process only.
 struct fleet_workspace {
   std::string name;
   std::string key;
   double share = 1.0;
 };
 
-// What the fleet consists of. Every data centre is alike.
-struct fleet_shape {
+// What the fleet consists of. All data centres are alike.
+struct fleet_spec {
   std::size_t data_centres = 3;
   std::size_t nodes_per_data_centre = 2;
   std::size_t vms_per_data_centre = 7;
@@ -47,16 +47,16 @@
 
 class fleet {
  public:
-  explicit fleet(fleet_shape shape);
+  explicit fleet(fleet_spec shape);
   ~fleet();
   fleet(const fleet&) = delete;
   fleet& operator=(const fleet&) = delete;
 
-  // Proposes the rules with this share for the first workspace through the first node, as `apply`
-  // does. Returns the version, or 0 if it was not accepted.
+  // Proposes rules with this share for the first workspace through the first node, as the `apply`
+  // subcommand does. Returns the version, or 0 if it was not accepted.
   std::uint64_t apply(double first_share);
 
-  [[nodiscard]] const fleet_shape& shape() const { return shape_; }
+  [[nodiscard]] const fleet_spec& shape() const { return shape_; }
   [[nodiscard]] standin_fleet& standins() { return *standins_; }
   [[nodiscard]] std::vector<std::unique_ptr<node>>& nodes() { return nodes_; }
   [[nodiscard]] socket_address caller_address(std::size_t node) const;
@@ -64,25 +64,25 @@
   [[nodiscard]] fiber_runtime& runtime() { return runtime_; }
   [[nodiscard]] http_client& client() { return *client_; }
   [[nodiscard]] const std::vector<fleet_workspace>& workspaces() const { return shape_.workspaces; }
-  [[nodiscard]] std::size_t wanted_replicas() const;
-  // Over all data centres, as the node that knows fewest of its own sees it.
+  [[nodiscard]] std::size_t desired_replicas() const;
+  // Sum over all data centres; in each, the lowest count that one of its nodes can route to.
   [[nodiscard]] std::size_t serving_replicas() const;
-  [[nodiscard]] bool all_in_force(std::uint64_t version) const;
-  // A member of a replica that serves now, and the replica.
+  [[nodiscard]] bool is_active_on_all_nodes(std::uint64_t version) const;
+  // A member of a replica that is serving, and the replica.
   struct member {
     vm_id vm;
     replica_id replica;
     std::size_t node = 0;  // a node of its data centre
   };
-  // The last member of the last serving replica there; `vm` is empty when none serves.
+  // The last member of the last serving replica of the data centre; `vm` is empty if none serves.
   [[nodiscard]] member find_member(std::size_t data_centre);
-  // Where the serving replicas answer: the address of each one's first member, and that VM.
+  // The first member of a serving replica, which answers its requests.
   struct replica_head {
     vm_id vm;
     socket_address address;
   };
   [[nodiscard]] std::vector<replica_head> heads() const;
-  // Whether the node routes to the replica, and none of its members is `without`.
+  // Whether the node routes to the replica and `without` is not one of its members.
   [[nodiscard]] bool serves_without(std::size_t node, const replica_id& replica,
                                     const vm_id& without);
   [[nodiscard]] bool is_routed_to(std::size_t node, const replica_id& replica);
@@ -93,8 +93,8 @@
   [[nodiscard]] std::string rules_text(double first_share) const;
   void start_nodes();
 
-  fleet_shape shape_;
-  // In order of construction: the runtime outlives all that runs on it.
+  fleet_spec shape_;
+  // The order matters: the runtime must outlive everything that runs on it.
   fiber_runtime runtime_;
   std::unique_ptr<standin_fleet> standins_;
   std::unique_ptr<http_client> client_;
--- a/src/load/latency.cpp
+++ b/src/load/latency.cpp
@@ -1,4 +1,4 @@
-// Latencies as histograms.
+// Latency histograms.
 #include "load/latency.h"
 
 #include <algorithm>
@@ -7,19 +7,19 @@
 
 namespace {
 
-// From a token's gap on loopback to a caller's timeout; a bin is 0.8% wide, so that an added
-// tenth of a millisecond in a few milliseconds still shows.
-constexpr double least_ms = 0.01;
-constexpr double most_ms = 120'000;
+// The range covers the gap between two tokens on loopback as well as a caller's timeout. A bin is
+// 0.8% wide, so that an increase by a tenth of a millisecond is visible in a few milliseconds.
+constexpr double min_latency_ms = 0.01;
+constexpr double max_latency_ms = 120'000;
 constexpr unsigned bin_count = 2048;
 
 }  // namespace
 
 latency_histogram::latency_histogram()
-    : bins_(boost::histogram::make_histogram(axis(bin_count, least_ms, most_ms))) {}
+    : bins_(boost::histogram::make_histogram(axis(bin_count, min_latency_ms, max_latency_ms))) {}
 
 void latency_histogram::add(duration latency) {
-  const double ms = std::clamp(to_milliseconds(latency), least_ms, most_ms * 0.999);
+  const double ms = std::clamp(to_milliseconds(latency), min_latency_ms, max_latency_ms * 0.999);
   bins_(ms);
   ++count_;
   sum_ += ms;
@@ -46,7 +46,7 @@
     }
     seen += here;
   }
-  return most_ms;
+  return max_latency_ms;
 }
 
 double latency_histogram::mean() const {
--- a/src/load/report_html.cpp
+++ b/src/load/report_html.cpp
@@ -1,4 +1,4 @@
-// The report as a page: tables, latency distributions, and what happened second by second.
+// The report as an HTML page: tables, latency distributions, and outcomes by second.
 #include <iomanip>
 #include <sstream>
 
@@ -52,16 +52,16 @@
 
 chart timeline_chart(const variant_result& v) {
   chart c{v.name + ": ends by second", "s", "calls", false, {}, {}};
-  chart_line whole{"whole", {}};
+  chart_line complete{"whole", {}};
   chart_line refused{"refused", {}};
   chart_line failed{"unknown or wrong", {}};
   for (std::size_t i = 0; i < v.timeline.size(); ++i) {
     const auto x = static_cast<double>(i);
-    whole.points.emplace_back(x, v.timeline[i].whole);
+    complete.points.emplace_back(x, v.timeline[i].complete);
     refused.points.emplace_back(x, v.timeline[i].refused);
     failed.points.emplace_back(x, v.timeline[i].failed);
   }
-  c.lines = {whole, refused, failed};
+  c.lines = {complete, refused, failed};
   for (const fault_mark& mark : v.marks) {
     c.marks.push_back({mark.at_seconds, mark.text});
   }
@@ -71,10 +71,11 @@
 void row(std::ostream& out, const std::string& workspace, const std::string& request_class,
          const load_cell& cell) {
   out << "<tr><td>" << html_escape(workspace) << "</td><td>" << html_escape(request_class)
-      << "</td><td>" << cell.calls() << "</td><td>" << cell.of(call_end::whole) << "</td><td>"
-      << cell.useful << "</td><td>" << cell.of(call_end::not_run) + cell.of(call_end::unreached)
-      << "</td><td>" << cell.of(call_end::unknown) + cell.of(call_end::silent) << "</td><td>"
-      << cell.of(call_end::wrong) << "</td>";
+      << "</td><td>" << cell.calls() << "</td><td>" << cell.of(caller_outcome::complete)
+      << "</td><td>" << cell.useful << "</td><td>"
+      << cell.of(caller_outcome::not_run) + cell.of(caller_outcome::unreached) << "</td><td>"
+      << cell.of(caller_outcome::unknown) + cell.of(caller_outcome::no_response) << "</td><td>"
+      << cell.of(caller_outcome::wrong) << "</td>";
   for (const latency_histogram* h : {&cell.first_token, &cell.total, &cell.per_token}) {
     for (const double p : {0.5, 0.95, 0.99}) {
       out << "<td>" << h->quantile(p) << "</td>";
@@ -92,8 +93,8 @@
     row(out, name.first, name.second, cell);
   }
   row(out, "all", "", v.sum());
-  if (!v.apart.empty()) {
-    row(out, "not " + v.apart, "", v.sum_without(v.apart));
+  if (!v.excluded_workspace.empty()) {
+    row(out, "not " + v.excluded_workspace, "", v.sum_without(v.excluded_workspace));
   }
   out << "</table>\n";
 }
@@ -101,7 +102,7 @@
 void section(std::ostream& out, const variant_result& v) {
   out << "<h2>" << html_escape(v.name) << "</h2>\n<p"
       << (v.passed() ? ">passed" : " class=\"bad\">FAILED") << ", " << v.violations()
-      << " broken promises" << (v.expects_broken ? " (a safeguard was off)" : "") << "</p>\n";
+      << " broken promises" << (v.expected_violation ? " (a safeguard was off)" : "") << "</p>\n";
   for (const std::string& sample : v.samples) {
     out << "<p class=\"bad\">" << html_escape(sample) << "</p>\n";
   }
@@ -109,9 +110,10 @@
     out << "<p class=\"bad\">not measured: " << html_escape(problem) << "</p>\n";
   }
   table(out, v);
-  out << svg_of(timeline_chart(v)) << svg_of(cells_chart(v, &load_cell::total, "whole answer"));
+  out << render_svg(timeline_chart(v))
+      << render_svg(cells_chart(v, &load_cell::total, "whole answer"));
   if (v.sum().first_token.count() > 0) {
-    out << svg_of(cells_chart(v, &load_cell::first_token, "first token"));
+    out << render_svg(cells_chart(v, &load_cell::first_token, "first token"));
   }
 }
 
@@ -123,8 +125,8 @@
       << "</h1>\n<p>" << html_escape(report.description) << "</p>\n<p>seed " << report.seed
       << "</p>\n";
   if (report.variants.size() > 1) {
-    out << svg_of(variants_chart(report, &load_cell::total, "whole answer, all variants"))
-        << svg_of(variants_chart(report, &load_cell::first_token, "first token, all variants"));
+    out << render_svg(variants_chart(report, &load_cell::total, "whole answer, all variants"))
+        << render_svg(variants_chart(report, &load_cell::first_token, "first token, all variants"));
   }
   for (const variant_result& v : report.variants) {
     section(out, v);
--- a/src/load/report_json.cpp
+++ b/src/load/report_json.cpp
@@ -17,8 +17,8 @@
 json cell_of(const std::string& workspace, const std::string& request_class,
              const load_cell& cell) {
   json ends;
-  for (std::size_t i = 0; i < call_end_names.size(); ++i) {
-    ends[std::string(call_end_names[i])] = cell.ends[i];
+  for (std::size_t i = 0; i < caller_outcome_names.size(); ++i) {
+    ends[std::string(caller_outcome_names[i])] = cell.ends[i];
   }
   return {{"workspace", workspace},
           {"class", request_class},
@@ -35,13 +35,13 @@
   for (const auto& [name, cell] : v.cells) {
     cells.push_back(cell_of(name.first, name.second, cell));
   }
-  json broken;
-  for (std::size_t i = 0; i < promise_names.size(); ++i) {
-    broken[std::string(promise_names[i])] = v.broken[i];
+  json violations;
+  for (std::size_t i = 0; i < guarantee_names.size(); ++i) {
+    violations[std::string(guarantee_names[i])] = v.violation_counts[i];
   }
   json timeline = json::array();
-  for (const load_second& s : v.timeline) {
-    timeline.push_back({{"whole", s.whole}, {"refused", s.refused}, {"failed", s.failed}});
+  for (const second_counts& s : v.timeline) {
+    timeline.push_back({{"whole", s.complete}, {"refused", s.refused}, {"failed", s.failed}});
   }
   json marks = json::array();
   for (const fault_mark& mark : v.marks) {
@@ -51,13 +51,13 @@
           {"rounds", v.rounds},
           {"measured_seconds", v.measured_seconds},
           {"passed", v.passed()},
-          {"safeguard_off", v.expects_broken.has_value()},
+          {"safeguard_off", v.expected_violation.has_value()},
           {"all", cell_of("", "", v.sum())},
-          {"all_but_apart", cell_of("", "", v.sum_without(v.apart))},
+          {"all_but_apart", cell_of("", "", v.sum_without(v.excluded_workspace))},
           {"cells", cells},
           {"late_start", quantiles_of(v.late_start)},
           {"not_whole", v.reasons},
-          {"broken", broken},
+          {"broken", violations},
           {"samples", v.samples},
           {"problems", v.problems},
           {"not_run_checked", v.not_run_checked},
--- a/src/load/run.h
+++ b/src/load/run.h
@@ -10,7 +10,7 @@
 
 namespace arbutus {
 
-// What can be told while a variant runs.
+// Progress of a running variant.
 struct load_progress {
   std::string variant;
   std::uint32_t round{};
@@ -18,16 +18,16 @@
   double planned_seconds{};
   std::uint64_t begun{};
   std::uint64_t ended{};
-  std::uint64_t not_whole{};
+  std::uint64_t incomplete_calls{};
   std::uint64_t violations{};
 };
 
 struct load_run_options {
-  std::vector<std::string> only;                          // names of variants; empty: all
+  std::vector<std::string> only;                          // variants to run, by name; empty: all
   std::function<void(const load_progress&)> on_progress;  // may be empty
 };
 
-[[nodiscard]] experiment_report run_experiment(const experiment& what,
+[[nodiscard]] experiment_report run_experiment(const experiment& experiment_spec,
                                                const load_run_options& options);
 
 }  // namespace arbutus
--- a/src/load/svg.cpp
+++ b/src/load/svg.cpp
@@ -1,4 +1,4 @@
-// Line charts as SVG.
+// Renders line charts as SVG.
 #include "load/svg.h"
 
 #include <algorithm>
@@ -26,39 +26,41 @@
                                                       "#7f7f7f", "#bcbd22"};
 
 struct range {
-  double least = std::numeric_limits<double>::max();
-  double most = std::numeric_limits<double>::lowest();
-
-  void take(double value) {
-    least = std::min(least, value);
-    most = std::max(most, value);
-  }
-  void widen() {
-    if (least > most) {
-      least = 0;
-      most = 1;
-    } else if (least == most) {
-      most = least + 1;
+  double lowest_value = std::numeric_limits<double>::max();
+  double highest_value = std::numeric_limits<double>::lowest();
+
+  void include(double value) {
+    lowest_value = std::min(lowest_value, value);
+    highest_value = std::max(highest_value, value);
+  }
+  void ensure_nonempty() {
+    if (lowest_value > highest_value) {
+      lowest_value = 0;
+      highest_value = 1;
+    } else if (lowest_value == highest_value) {
+      highest_value = lowest_value + 1;
     }
   }
-  [[nodiscard]] double position(double value) const { return (value - least) / (most - least); }
+  [[nodiscard]] double position(double value) const {
+    return (value - lowest_value) / (highest_value - lowest_value);
+  }
 };
 
-class drawing {
+class svg_renderer {
  public:
-  explicit drawing(const chart& c) : chart_(c) {
+  explicit svg_renderer(const chart& c) : chart_(c) {
     out_ << std::fixed << std::setprecision(1);
     for (const chart_line& line : c.lines) {
       for (const auto& [x, y] : line.points) {
         if (is_shown(x)) {
-          x_.take(scaled(x));
-          y_.take(y);
+          x_.include(scaled(x));
+          y_.include(y);
         }
       }
     }
-    y_.take(0);
-    x_.widen();
-    y_.widen();
+    y_.include(0);
+    x_.ensure_nonempty();
+    y_.ensure_nonempty();
   }
 
   std::string draw() {
@@ -77,10 +79,10 @@
  private:
   [[nodiscard]] bool is_shown(double x) const { return !chart_.log_x || x > 0; }
   [[nodiscard]] double scaled(double x) const { return chart_.log_x ? std::log10(x) : x; }
-  [[nodiscard]] double at_x(double x) const {
+  [[nodiscard]] double to_pixel_x(double x) const {
     return left + x_.position(scaled(x)) * (width - left - right);
   }
-  [[nodiscard]] double at_y(double y) const {
+  [[nodiscard]] double to_pixel_y(double y) const {
     return height - bottom - y_.position(y) * (height - top - bottom);
   }
 
@@ -100,23 +102,23 @@
   }
 
   void tick_x(double x) {
-    line(at_x(x), top, at_x(x), height - bottom, "#ddd");
-    text(at_x(x) - 8, height - bottom + line_height, number(x));
+    line(to_pixel_x(x), top, to_pixel_x(x), height - bottom, "#ddd");
+    text(to_pixel_x(x) - 8, height - bottom + line_height, number(x));
   }
 
   void draw_x_axis() {
     if (chart_.log_x) {
-      for (double decade = std::floor(x_.least); decade <= x_.most; ++decade) {
+      for (double decade = std::floor(x_.lowest_value); decade <= x_.highest_value; ++decade) {
         for (const double factor : {1.0, 2.0, 5.0}) {
           const double x = std::pow(10.0, decade) * factor;
-          if (scaled(x) >= x_.least && scaled(x) <= x_.most) {
+          if (scaled(x) >= x_.lowest_value && scaled(x) <= x_.highest_value) {
             tick_x(x);
           }
         }
       }
     } else {
       for (int i = 0; i <= linear_steps; ++i) {
-        tick_x(x_.least + (x_.most - x_.least) * i / linear_steps);
+        tick_x(x_.lowest_value + (x_.highest_value - x_.lowest_value) * i / linear_steps);
       }
     }
     text((left + width - right) / 2, height - 8, chart_.x_label);
@@ -124,9 +126,9 @@
 
   void draw_y_axis() {
     for (int i = 0; i <= linear_steps; ++i) {
-      const double y = y_.least + (y_.most - y_.least) * i / linear_steps;
-      line(left, at_y(y), width - right, at_y(y), "#ddd");
-      text(8, at_y(y) + 4, number(y));
+      const double y = y_.lowest_value + (y_.highest_value - y_.lowest_value) * i / linear_steps;
+      line(left, to_pixel_y(y), width - right, to_pixel_y(y), "#ddd");
+      text(8, to_pixel_y(y) + 4, number(y));
     }
     text(8, top - 12, chart_.y_label);
   }
@@ -134,25 +136,25 @@
   void draw_marks() {
     double y = top + line_height;
     for (const chart_mark& mark : chart_.marks) {
-      const double x = std::clamp(at_x(mark.x), left, width - right);
+      const double x = std::clamp(to_pixel_x(mark.x), left, width - right);
       line(x, top, x, height - bottom, "#a00", "stroke-dasharray=\"3 3\"");
       text(x + 3, y, mark.text, "fill=\"#a00\" font-size=\"9\"");
       y = y + line_height > height - bottom ? top + line_height : y + line_height;
     }
   }
 
-  void draw_line(const chart_line& one, std::size_t index) {
+  void draw_line(const chart_line& series, std::size_t index) {
     const std::string_view colour = colours[index % colours.size()];
     out_ << "<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"" << colour << "\" points=\"";
-    for (const auto& [x, y] : one.points) {
+    for (const auto& [x, y] : series.points) {
       if (is_shown(x)) {
-        out_ << at_x(x) << ',' << at_y(y) << ' ';
+        out_ << to_pixel_x(x) << ',' << to_pixel_y(y) << ' ';
       }
     }
     out_ << "\"/>\n";
     const double y = top + line_height * static_cast<double>(index);
     line(width - right + 8, y, width - right + 26, y, colour, "stroke-width=\"3\"");
-    text(width - right + 30, y + 4, one.name);
+    text(width - right + 30, y + 4, series.name);
   }
 
   const chart& chart_;
@@ -163,8 +165,8 @@
 
 }  // namespace
 
-std::string svg_of(const chart& c) {
-  return drawing(c).draw();
+std::string render_svg(const chart& c) {
+  return svg_renderer(c).draw();
 }
 
 std::string html_escape(const std::string& text) {
--- a/src/load/variant_run.h
+++ b/src/load/variant_run.h
@@ -1,5 +1,5 @@
-// One round of one variant: brings a fleet up, makes the planned calls at their times, plays the
-// faults, and checks.
+// Runs one round of one variant: starts a fleet, makes the planned calls at their times, injects
+// the faults, and checks the guarantees.
 #pragma once
 
 #include <atomic>
@@ -9,23 +9,23 @@
 #include <vector>
 
 #include "load/caller.h"
-#include "load/faults.h"
+#include "load/fault_injector.h"
 #include "load/run.h"
 
 namespace arbutus {
 
 class variant_run {
  public:
-  variant_run(const experiment& what, const variant& how, std::uint32_t round);
+  variant_run(const experiment& experiment_spec, const variant& variant_spec, std::uint32_t round);
   ~variant_run();
   variant_run(const variant_run&) = delete;
   variant_run& operator=(const variant_run&) = delete;
 
-  // Once.
+  // May be called only once.
   variant_result run(const std::function<void(const load_progress&)>& on_progress);
 
  private:
-  // What one worker's callers recorded; merged after the run.
+  // The results of the callers of one worker; merged after the run.
   struct shard {
     std::mutex lock;  // guards result
     variant_result result;
@@ -34,43 +34,43 @@
   bool bring_up();
   void find_targets();
   void start_callers();
-  void arrive(std::size_t worker);
-  void call_in_turn(std::size_t worker, std::size_t first);
+  void run_open_loop(std::size_t worker);
+  void run_closed_loop(std::size_t worker, std::size_t first);
   void call(std::size_t worker, const planned_call& planned, time_point intended);
   [[nodiscard]] call_address address_for(const planned_call& planned);
   [[nodiscard]] std::size_t pick_target();
-  [[nodiscard]] std::size_t least_reported();
+  [[nodiscard]] std::size_t least_loaded_target();
   void record(std::size_t worker, const planned_call& planned, time_point intended,
               time_point begun, const timed_answer& answer);
-  [[nodiscard]] call_end check(const planned_call& planned, const raw_answer& answer);
-  void wait_and_play(const std::function<void(const load_progress&)>& on_progress);
+  [[nodiscard]] caller_outcome check(const planned_call& planned, const raw_answer& answer);
+  void run_timeline(const std::function<void(const load_progress&)>& on_progress);
   void report_progress(const std::function<void(const load_progress&)>& on_progress,
                        duration elapsed);
   void check_executions();
-  void set_safeguard_off();
+  void disable_safeguard();
 
-  const experiment& what_;
-  const variant& how_;
+  const experiment& experiment_;
+  const variant& variant_;
   std::uint32_t round_;
   std::vector<planned_call> plan_;
-  std::unique_ptr<fleet> fleet_;  // null with existing nodes
+  std::unique_ptr<fleet> fleet_;  // null if existing nodes are called
   fiber_runtime callers_;
   std::unique_ptr<http_client> client_;
   std::vector<std::unique_ptr<shard>> shards_;
   std::vector<socket_address> targets_;
   std::vector<vm_id> target_vms_;  // of direct targets, in the order of targets_
-  std::vector<std::unique_ptr<std::atomic<bool>>> left_out_;
+  std::vector<std::unique_ptr<std::atomic<bool>>> excluded_nodes_;
   std::mutex checker_lock_;  // guards checker_ while callers run
-  promise_checker checker_;
+  guarantee_checker checker_;
   variant_result result_;
 
   time_point start_;
-  std::atomic<std::uint64_t> turn_{0};    // of the targets
-  std::atomic<std::uint64_t> serial_{0};  // of the request ids made here
+  std::atomic<std::uint64_t> next_target_{0};  // counter for round robin over the targets
+  std::atomic<std::uint64_t> serial_{0};       // of the request ids assigned here
   std::atomic<std::uint64_t> begun_{0};
   std::atomic<std::uint64_t> ended_{0};
-  std::atomic<std::uint64_t> not_whole_{0};
-  std::atomic<std::size_t> generators_{0};  // fibers that still begin calls
+  std::atomic<std::uint64_t> incomplete_calls_{0};
+  std::atomic<std::size_t> generators_{0};  // fibers that still start calls
 };
 
 }  // namespace arbutus
--- a/tests/shell/cli_check_test.cpp
+++ b/tests/shell/cli_check_test.cpp
@@ -1,4 +1,4 @@
-// The check subcommand: findings, summary and exit status.
+// The `check` subcommand: findings, summary and exit status.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -25,7 +25,7 @@
   return {status, out.str()};
 }
 
-TEST(cli_check, a_sound_configuration_with_its_nodes_passes) {
+TEST(cli_check, a_valid_configuration_with_its_nodes_passes) {
   const auto run =
       check({source + "/examples/odtok", source + "/examples/odtok/nodes/hall-a-node-1.toml",
              source + "/examples/odtok/nodes/hall-c-node-2.toml"});
@@ -33,7 +33,7 @@
   EXPECT_EQ(run.status, 0);
 }
 
-TEST(cli_check, mistakes_are_all_printed_and_give_status_3) {
+TEST(cli_check, all_errors_are_printed_and_give_status_3) {
   const auto run = check({source + "/tests/core/data/mistakes"});
   EXPECT_EQ(run.status, 3);
   EXPECT_THAT(run.text, HasSubstr("rules.toml:18:11: error:"));
@@ -47,7 +47,7 @@
   EXPECT_EQ(check({source + "/no-such-file"}).status, 3);
 }
 
-TEST(cli_check, a_node_of_another_configuration_is_found) {
+TEST(cli_check, a_node_of_another_configuration_is_reported) {
   const auto run =
       check({source + "/examples/odtok", source + "/examples/small/nodes/lab-a-node-1.toml"});
   EXPECT_EQ(run.status, 3);
--- a/tests/shell/cli_options_test.cpp
+++ b/tests/shell/cli_options_test.cpp
@@ -1,4 +1,4 @@
-// The command line: what is parsed, and what is refused with which help.
+// The command line: parsed options, and the messages for invalid ones.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -25,13 +25,13 @@
   return std::get<Options>(std::get<command>(parsed));
 }
 
-TEST(cli_options, a_misspelt_command_is_refused_with_the_nearest) {
+TEST(cli_options, a_misspelt_command_is_refused_with_a_suggestion) {
   EXPECT_EQ(exit_of({"chekc"}).status, 2);
   EXPECT_THAT(exit_of({"chekc"}).text, HasSubstr("did you mean \"check\"?"));
   EXPECT_EQ(exit_of({}).status, 2);
 }
 
-TEST(cli_options, every_command_explains_itself_with_an_example) {
+TEST(cli_options, every_command_has_help_with_an_example) {
   for (const std::string name : {"node", "check", "apply", "status", "bench", "load", "trial",
                                  "standin", "hosted", "explain"}) {
     for (const auto& arguments : {std::vector<std::string>{name, "--help"}, {"help", name}}) {
@@ -45,7 +45,7 @@
   EXPECT_EQ(exit_of({"--version"}).text, "arbutusworks " ARBUTUS_VERSION "\n");
 }
 
-TEST(cli_options, values_arrive) {
+TEST(cli_options, values_are_parsed) {
   EXPECT_EQ(parsed_as<node_options>({"node", "n.toml"}).settings_file, "n.toml");
   const auto check = parsed_as<check_options>({"check", "a", "b", "--strict"});
   EXPECT_EQ(check.paths, (std::vector<std::string>{"a", "b"}));
