--- a/src/process/control_slopes.cpp
+++ b/src/process/control_slopes.cpp
@@ -1,6 +1,5 @@
-// Nodes of one data centre exchange heartbeats and probe targets for a while of virtual time.
-// Counted: what membership, observations and gossip cost; not the links and probes themselves,
-// which belong to the shells.
+// Simulates the nodes of one data centre, which exchange heartbeats and probe targets on virtual
+// time. The figures cover membership, observations and gossip, but not the I/O of links and probes.
 #include "process/control_slopes.h"
 
 #include <malloc.h>
@@ -23,11 +22,9 @@
 
 constexpr duration tick_interval = 50ms;
 constexpr duration warm_up = 5s;
-constexpr duration measured = 20s;
-// TCP/IP header of a segment, once for the message and once for its acknowledgement; and the length
-// before a message.
-constexpr double header_bytes = 40.0;
-constexpr double framing_bytes = 4.0;
+constexpr duration measured_time = 20s;
+constexpr double header_bytes = 40.0;  // TCP/IP headers of the message and of its acknowledgement
+constexpr double framing_bytes = 4.0;  // length prefix of a message
 
 struct control_cost {  // per node and second
   double messages{};   // both directions
@@ -65,11 +62,11 @@
   control_cost measure() {
     messages_ = answers_ = bytes_ = probes_ = 0;
     const std::clock_t before = std::clock();
-    run_for(measured);
+    run_for(measured_time);
     const double cpu = static_cast<double>(std::clock() - before) / CLOCKS_PER_SEC;
-    const double node_seconds = to_seconds(measured) * static_cast<double>(ids_.size());
+    const double node_seconds = to_seconds(measured_time) * static_cast<double>(ids_.size());
     control_cost cost;
-    // Each message is one node's sent and another's received.
+    // Each message counts for its sender and for its receiver.
     cost.messages = 2.0 * static_cast<double>(messages_) / node_seconds;
     cost.payload = 2.0 * static_cast<double>(bytes_) / node_seconds;
     cost.with_headers = cost.payload + cost.messages * (header_bytes + framing_bytes);
@@ -82,7 +79,7 @@
     return cost;
   }
 
-  // Of all messages so far.
+  // Hash of all messages sent so far.
   [[nodiscard]] std::uint64_t signature() const { return signature_; }
 
  private:
@@ -120,11 +117,11 @@
 
   void beat_where_due(std::size_t i) {
     for (const node_id& peer : nodes_[i].peers->due(now_)) {
-      beat(i, peer);
+      send_heartbeat(i, peer);
     }
   }
 
-  // What the node does with the answer, decoding included.
+  // Lets the node process a probe's answer, including its decoding.
   void probe(loop_node& n, const vm_id& vm) {
     engine_report report;
     report.vm = vm;
@@ -139,14 +136,14 @@
     n.seen->on_probe_result({vm, now_, answer}, now_);
   }
 
-  void beat(std::size_t from, const node_id& to) {
+  void send_heartbeat(std::size_t from, const node_id& to) {
     loop_node& sender = nodes_[from];
-    heartbeat beat = sender.peers->prepare(to, now_);
-    sender.peers->announce_config(beat, to, 7600, "00112233445566778899aabbccddeeff");
-    beat.assignment_version = 1234;
-    beat.table_reachable = true;
-    sender.seen->take_deltas(beat, to, sender.peers->echoed(to), now_);
-    const std::string bytes = encode(gossip_message{std::move(beat)});
+    heartbeat message = sender.peers->prepare(to, now_);
+    sender.peers->announce_config(message, to, 7600, "00112233445566778899aabbccddeeff");
+    message.assignment_version = 1234;
+    message.table_reachable = true;
+    sender.seen->take_deltas(message, to, sender.peers->echoed(to), now_);
+    const std::string bytes = encode(gossip_message{std::move(message)});
     ++messages_;
     bytes_ += bytes.size();
     signature_ = stable_hash(bytes, signature_);
@@ -154,16 +151,16 @@
   }
 
   void receive(const node_id& from, const node_id& to, const std::string& bytes) {
-    const auto place = std::ranges::lower_bound(ids_, to) - ids_.begin();
-    loop_node& n = nodes_[static_cast<std::size_t>(place)];
+    const auto index = std::ranges::lower_bound(ids_, to) - ids_.begin();
+    loop_node& n = nodes_[static_cast<std::size_t>(index)];
     const auto decoded = decode_gossip(from, bytes);
-    const auto& beat = std::get<heartbeat>(std::get<gossip_message>(decoded));
-    if (const auto h = n.peers->receive(beat, 1234, now_)) {
-      n.seen->merge(beat, *h, now_);
+    const auto& message = std::get<heartbeat>(std::get<gossip_message>(decoded));
+    if (const auto h = n.peers->receive(message, 1234, now_)) {
+      n.seen->merge(message, *h, now_);
     }
     const std::size_t before = messages_;
-    beat_where_due(static_cast<std::size_t>(place));
-    // An answer at once carries the acknowledgement of what it answers.
+    beat_where_due(static_cast<std::size_t>(index));
+    // An immediate answer also carries the TCP acknowledgement of the message that it answers.
     answers_ += messages_ > before ? 1 : 0;
   }
 
--- a/src/process/failure_day.cpp
+++ b/src/process/failure_day.cpp
@@ -1,4 +1,4 @@
-// Plays the day in steps and sums up; prints the comparison.
+// Runs the simulation in time steps, accumulates the results and prints the comparison.
 #include "process/failure_day.h"
 
 #include <algorithm>
@@ -15,13 +15,13 @@
 
 constexpr duration step = 500ms;
 constexpr duration retry_unwritable = 5s;
-// Dead or paused nodes that still count as live: ordinarily (20 pauses of 10 s a day each), and
-// when a domain has just gone with a fifth of the nodes.
+// Share of the nodes that are dead or paused but still count as live: normally (20 pauses of 10 s
+// per node and day), and right after a domain failed together with a fifth of the nodes.
 constexpr double absent_usually = 0.002;
 constexpr double absent_after_domain_loss = 0.2;
 constexpr int seeds = 40;
 
-// One writing of the row at a time: what is decided meanwhile waits for the next.
+// Only one row write is in progress at a time; changes seen meanwhile go into the next row.
 class day_player {
  public:
   day_player(const failure_day_settings& settings, std::uint64_t seed)
@@ -52,7 +52,7 @@
       finish_write(now);
       begin_write(now);
     }
-    account();
+    accumulate_costs();
   }
 
   void begin_write(time_point now) {
@@ -85,11 +85,11 @@
     dirty_ = true;
   }
 
-  void account() {
+  void accumulate_costs() {
     const std::uint32_t serving = world_.serving();
-    const std::uint32_t dark = world_.desired() - std::min(world_.desired(), serving);
+    const std::uint32_t unserved = world_.desired() - std::min(world_.desired(), serving);
     const std::uint32_t working = serving * settings_.vms_per_replica;
-    result_.group_downtime += to_seconds(step) * dark;
+    result_.group_downtime += to_seconds(step) * unserved;
     result_.stranded_accelerators += to_seconds(step) * (world_.powered_accelerators() - working);
   }
 
@@ -134,7 +134,8 @@
   return sorted[static_cast<std::size_t>(q * static_cast<double>(sorted.size() - 1))];
 }
 
-// Weighed loss in accelerator-hours: a dark replica counts as its accelerators.
+// Weighted loss in accelerator-hours; a replica that does not serve counts with all its
+// accelerators.
 double cost(const failure_day_settings& s, const totals& t, const weights& w) {
   return (w.group_downtime * t.sum.group_downtime * s.vms_per_replica +
           w.stranded_accelerators * t.sum.stranded_accelerators) /
@@ -177,7 +178,8 @@
 void print_policies(std::ostream& out, failure_day_settings s) {
   for (const printed_policy& p : printed_policies) {
     s.policy = p.policy;
-    // Without spares some failures would hit none; the domains keep their size for the draw.
+    // Policy none samples failures over one spare per domain too, so that its domains have the size
+    // that they have under the policies with one spare; failures of the missing spare hit no VM.
     s.spares_per_domain = std::max(1U, p.spares_per_domain);
     s.preference = p.preference;
     s.writer = p.writer;
@@ -193,9 +195,10 @@
 
 void print_failure_day(std::ostream& out) {
   out << "One data centre, mean of " << seeds << " days. down: replica-seconds not served; "
-      << "strand: accelerator-hours\npowered and not working; cost 4:1 and 1:4: downtime weighed "
-      << "against stranding, in accelerator-hours;\nwrite: seconds from a change seen to its row "
-      << "written, where it can be. Spares are per fabric domain.\n"
+      << "strand: accelerator-hours\npowered and not working; cost 4:1 and 1:4: downtime weighted "
+      << "against stranding, in accelerator-hours;\np50, p99, worst: seconds from the detection of "
+      << "a change until its row is written,\nwithout time when the table could not be written. "
+      << "Spares are per fabric domain.\n"
       << std::left << std::setw(26) << "policy" << std::right << std::setw(10) << "down"
       << std::setw(10) << "strand" << std::setw(10) << "cost 4:1" << std::setw(10) << "cost 1:4"
       << std::setw(8) << "rows" << std::setw(8) << "wasted" << std::setw(9) << "lease"
--- a/src/process/failure_day.h
+++ b/src/process/failure_day.h
@@ -1,6 +1,6 @@
-// A day of failures in one data centre, played against the planner and the local repair alone: no
-// sockets, no nodes. It compares policies in one run by the two measures that matter, group
-// downtime and stranded accelerators, and the two ways to choose who writes the row.
+// Simulates a day of failures in one data centre. It runs only the planner and the local repair,
+// without nodes or network, and compares standby policies, and the two ways to select the node that
+// writes the row, by group downtime and by stranded accelerators.
 #pragma once
 
 #include <cstdint>
@@ -13,56 +13,57 @@
 namespace arbutus {
 
 enum class standby_policy {
-  none,      // no VM beyond those of the replicas
-  shared,    // spares that only the row can give to a replica
-  reserved,  // the same spares, reserved as the planner decides
+  none,      // no VMs besides those of the replicas
+  shared,    // spares, which only a new row can assign to a replica
+  reserved,  // the same spares, reserved for replicas by the planner
 };
 
 enum class row_writer {
-  ranked,  // any node proposes, each later by its rank
-  leased,  // the holder of a lease does
+  ranked,  // any node may propose; a node of lower rank waits longer
+  leased,  // only the holder of a lease proposes
 };
 
 struct failure_day_settings {
   std::uint32_t fabric_domains = 5;
   std::uint32_t replicas_per_domain = 2;
   std::uint32_t vms_per_replica = 16;
-  std::uint32_t spares_per_domain = 2;  // powered beside the replicas; none under policy none
+  std::uint32_t spares_per_domain = 2;  // powered besides the replicas; none under policy none
   std::uint32_t nodes = 21;
-  // A sixteenth of what the whole fleet sees on an ordinary day.
+  // The rates are a sixteenth of those of the whole fleet, which has 16 data centres.
   double vm_failures_per_day = 29.0 / 16;
   double vm_restarts_per_day = 160.0 / 16;
   double vm_repair_hours = 4.0;
   duration restart = 10min;
-  duration restart_notice = 2min;  // the platform lists the VM as leaving that long before
+  duration restart_notice = 2min;  // the platform lists the VM as leaving this long before
   std::uint32_t domain_losses = 1;
   duration domain_loss = 1h;
-  std::uint32_t table_outages = 1;  // the row cannot be read or written
+  std::uint32_t table_outages = 1;  // the row can be neither read nor written
   duration table_outage = 1h;
-  std::uint32_t cut_offs = 1;  // the data centre sees nothing outside, the table included
+  std::uint32_t cut_offs = 1;  // the data centre reaches nothing outside, including the table
   duration cut_off = 1h;
-  duration weights_load = 3min;  // of a member that is new to its place
+  duration weights_load = 3min;  // by a member that is new at its rank
   standby_policy policy = standby_policy::reserved;
   row_writer writer = row_writer::ranked;
   weights preference;
 };
 
 struct failure_day_result {
-  double group_downtime{};         // replica-seconds desired and not served
-  double stranded_accelerators{};  // accelerator-seconds powered and in no replica that serves
+  double group_downtime{};         // replica-seconds desired but not served
+  double stranded_accelerators{};  // accelerator-seconds powered but in no serving replica
   std::uint32_t rows_written = 0;
-  std::uint32_t wasted_writes = 0;  // refused: another was first
-  std::uint32_t lease_writes = 0;   // to renew or take the lease
-  std::uint32_t activations = 0;    // standbys used without the table
-  // From the moment a change is seen until its row is written; not while it could not be.
+  std::uint32_t wasted_writes = 0;  // refused because another node wrote first
+  std::uint32_t lease_writes = 0;   // to acquire or renew the lease
+  std::uint32_t activations = 0;    // standbys activated without the table
+  // From the detection of a change until its row is written, without time when the table could not
+  // be written.
   std::vector<double> seconds_to_write;
 };
 
-// Deterministic: equal settings and seed, equal result.
+// Deterministic: equal settings and an equal seed give an equal result.
 [[nodiscard]] failure_day_result run_failure_day(const failure_day_settings& settings,
                                                  std::uint64_t seed);
 
-// Policies and writers over many seeds, in one table.
+// Prints one table that compares policies and writer selections over many seeds.
 void print_failure_day(std::ostream& out);
 
 }  // namespace arbutus
--- a/src/process/failure_schedule.cpp
+++ b/src/process/failure_schedule.cpp
@@ -1,4 +1,5 @@
-// Failures as Poisson arrivals; the rare large ones once each at a random moment.
+// Generates VM failures and restarts as Poisson arrivals, and each of the rare large failures at a
+// uniformly random time.
 #include "process/failure_schedule.h"
 
 #include <algorithm>
@@ -8,14 +9,15 @@
 
 namespace {
 
-time_point moment(rng& random, duration before_end) {
-  return time_point{random.jitter(day_length - before_end)};
+time_point random_begin(rng& random, duration length) {
+  return time_point{random.jitter(day_length - length)};
 }
 
 vm_outage draw_outage(const failure_day_settings& s, rng& random, time_point begin) {
   vm_outage o;
   o.domain = static_cast<std::uint32_t>(random.below(s.fabric_domains));
-  // Drawn over the replicas' VMs and the spares, so that without spares some hit nothing.
+  // Sampled over the VMs of the replicas and the spares, also under policy none, where failures of
+  // spares hit no VM.
   o.index = static_cast<std::uint32_t>(
       random.below(s.replicas_per_domain * s.vms_per_replica + s.spares_per_domain));
   o.begin = begin;
@@ -37,7 +39,7 @@
 
 void draw_domain_loss(const failure_day_settings& s, rng& random, failure_schedule& schedule) {
   const auto domain = static_cast<std::uint32_t>(random.below(s.fabric_domains));
-  const time_point begin = moment(random, s.domain_loss);
+  const time_point begin = random_begin(random, s.domain_loss);
   const std::uint32_t vms = s.replicas_per_domain * s.vms_per_replica + s.spares_per_domain;
   for (std::uint32_t i = 0; i < vms; ++i) {
     schedule.outages.push_back({domain, i, begin, begin + s.domain_loss, {}, true});
@@ -65,11 +67,11 @@
     draw_domain_loss(s, random, schedule);
   }
   for (std::uint32_t i = 0; i < s.table_outages; ++i) {
-    const time_point begin = moment(random, s.table_outage);
+    const time_point begin = random_begin(random, s.table_outage);
     schedule.unwritable.push_back({begin, begin + s.table_outage});
   }
   for (std::uint32_t i = 0; i < s.cut_offs; ++i) {
-    const time_point begin = moment(random, s.cut_off);
+    const time_point begin = random_begin(random, s.cut_off);
     schedule.unwritable.push_back({begin, begin + s.cut_off});
   }
   std::ranges::stable_sort(schedule.outages, {}, &vm_outage::begin);
--- a/src/process/failure_schedule.h
+++ b/src/process/failure_schedule.h
@@ -1,5 +1,5 @@
-// When what fails in a played day, drawn from a seed beforehand, so that every policy meets the
-// same day.
+// The failures of a simulated day. They are generated from a seed in advance, so that policies with
+// the same number of spares are compared on the same failures.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +15,8 @@
   std::uint32_t index{};  // within the domain
   time_point begin;
   time_point end;
-  duration notice{};  // zero: it comes unannounced
-  bool with_domain = false;
+  duration notice{};         // zero: unannounced
+  bool with_domain = false;  // the whole fabric domain fails
 };
 
 struct time_span {
@@ -26,8 +26,8 @@
 };
 
 struct failure_schedule {
-  std::vector<vm_outage> outages;     // by begin
-  std::vector<time_span> unwritable;  // the row cannot be reached
+  std::vector<vm_outage> outages;     // sorted by begin
+  std::vector<time_span> unwritable;  // the table cannot be reached
 };
 
 inline constexpr duration day_length = 24h;
--- a/src/process/failure_world.cpp
+++ b/src/process/failure_world.cpp
@@ -1,5 +1,5 @@
-// The played data centre. Times are those the design aims at; the comparison is between policies
-// that all meet the same ones.
+// The simulated data centre. Detection, drain and regroup times are the design's target values; all
+// policies are compared with the same ones.
 #include "process/failure_world.h"
 
 #include <algorithm>
@@ -8,13 +8,14 @@
 
 namespace {
 
-// Probes of a VM stay unanswered that long before it counts as lost; it is seen back as late.
+// A VM counts as lost after its probes were unanswered for this long, and its return is detected
+// with the same delay.
 constexpr duration detection = 2500ms;
 constexpr duration acknowledgement = 1s;
 constexpr duration drain_time = 20s;
-// Members that hold their weights already only have to find each other.
+// Time to form a replica whose members have their weights loaded and only have to connect.
 constexpr duration regroup_time = 5s;
-// Nodes that went with a domain count as live for that long.
+// Nodes that failed with a domain still count as live for this long after its detection.
 constexpr duration domain_shock = 5s;
 
 vm_id name_vm(std::uint32_t domain, std::uint32_t index) {
@@ -110,8 +111,8 @@
 bool failure_world::look() {
   bool changed = false;
   for (const seen_change& c : to_see_) {
-    if (c.at <= now_ && vms_[c.vm].seen != c.condition) {
-      vms_[c.vm].seen = c.condition;
+    if (c.at <= now_ && vms_[c.vm].observed != c.condition) {
+      vms_[c.vm].observed = c.condition;
       changed = true;
       stale_ = true;
     }
@@ -160,7 +161,7 @@
   in.current = &row_;
   in.data_centre = row_.data_centre;
   for (const auto& [id, vm] : vms_) {
-    in.health.push_back({id, vm.seen});
+    in.health.push_back({id, vm.observed});
   }
   for (const auto& [id, c] : activated_) {
     in.in_force.push_back(c);
@@ -184,10 +185,10 @@
       drained_at_.try_emplace(r.id, now_ + acknowledgement + drain_time);
     }
   }
-  const auto gone = [&](const auto& entry) { return row_.find(entry.first) == nullptr; };
-  std::erase_if(drained_at_, gone);
-  std::erase_if(activated_, gone);
-  std::erase_if(forming_, gone);
+  const auto removed = [&](const auto& entry) { return row_.find(entry.first) == nullptr; };
+  std::erase_if(drained_at_, removed);
+  std::erase_if(activated_, removed);
+  std::erase_if(forming_, removed);
   std::erase_if(emptied_, [&](const replica_id& id) { return row_.find(id) == nullptr; });
 }
 
@@ -202,13 +203,14 @@
 
 std::uint32_t failure_world::activate_standbys() {
   std::uint32_t count = 0;
-  const auto lost = [&](const vm_id& vm) { return vms_.at(vm).seen == vm_condition::lost; };
+  const auto lost = [&](const vm_id& vm) { return vms_.at(vm).observed == vm_condition::lost; };
   for (const replica_plan& r : row_.replicas) {
     const composition present = in_force(r);
     if (r.phase != replica_phase::active || std::ranges::none_of(present.members, lost)) {
       continue;
     }
-    // Losses only add up: a token with fewer would be older than one in force.
+    // The mask only grows within a row: a token with fewer losses would be older than the one in
+    // force.
     lost_mask mask = present.gen.row == row_.version ? present.gen.lost : 0;
     std::size_t position = 0;
     for (const auto* vms : {&r.members, &r.standbys}) {
@@ -247,20 +249,20 @@
   const composition c = in_force(r);
   forming& f = forming_[r.id];
   const bool up = all_up(c.members);
-  const auto holds = [&](std::size_t i) {
+  const auto has_weights = [&](std::size_t i) {
     const vm_state& vm = vms_.at(c.members[i]);
-    return vm.model == r.model && vm.place == i;
+    return vm.model == r.model && vm.rank == i;
   };
   if (!up) {
     f = {c.gen, false, {}, false};
     return;
   }
   if (!f.whole || f.gen != c.gen) {
-    bool all_hold = true;
+    bool all_loaded = true;
     for (std::size_t i = 0; i < c.members.size(); ++i) {
-      all_hold = all_hold && holds(i);
+      all_loaded = all_loaded && has_weights(i);
     }
-    f = {c.gen, true, now_ + (all_hold ? regroup_time : settings_.weights_load), false};
+    f = {c.gen, true, now_ + (all_loaded ? regroup_time : settings_.weights_load), false};
   }
   if (f.held || now_ < f.ready) {
     return;
@@ -268,16 +270,16 @@
   f.held = true;
   for (std::size_t i = 0; i < c.members.size(); ++i) {
     vms_[c.members[i]].model = r.model;
-    vms_[c.members[i]].place = i;
+    vms_[c.members[i]].rank = i;
   }
 }
 
 bool failure_world::serves(const replica_plan& r) const {
   const auto f = forming_.find(r.id);
   const bool formed = f != forming_.end() && f->second.whole && f->second.held;
-  // Nothing new is routed to a replica with a member that is known to leave.
+  // No new requests are routed to a replica with a member that is known to be leaving.
   const bool leaving = std::ranges::any_of(in_force(r).members, [&](const vm_id& vm) {
-    return vms_.at(vm).seen == vm_condition::leaving;
+    return vms_.at(vm).observed == vm_condition::leaving;
   });
   return formed && !leaving && r.phase == replica_phase::active;
 }
--- a/src/process/failure_world.h
+++ b/src/process/failure_world.h
@@ -1,4 +1,5 @@
-// The data centre of a played day: which VMs work, what is known of them, which replicas serve.
+// The data centre of a failure simulation: which VMs work, which of their changes have been
+// detected, and which replicas serve.
 #pragma once
 
 #include <map>
@@ -16,17 +17,18 @@
  public:
   failure_world(const failure_day_settings& settings, std::uint64_t seed);
 
-  // Moves to `now`; true when something was seen that may call for a new row.
+  // Advances to `now`; true if a change was detected that may require a new row.
   bool advance(time_point now);
 
   [[nodiscard]] bool writable() const;
   [[nodiscard]] planner_input input() const;
   [[nodiscard]] const assignment& row() const { return row_; }
-  // A whole domain went a moment ago, and with it some of the nodes.
+  // A whole domain has just failed, and with it some of the nodes.
   [[nodiscard]] bool domain_just_lost() const;
 
   void write(assignment next);
-  // What nodes do on their own while the row cannot be written; the number of activations.
+  // Does what nodes do on their own while the row cannot be written. Returns the number of
+  // activations.
   std::uint32_t activate_standbys();
 
   [[nodiscard]] std::uint32_t desired() const { return wanted_; }
@@ -38,9 +40,9 @@
     int outages = 0;
     bool up = true;
     bool leaving = false;
-    vm_condition seen = vm_condition::working;
-    model_id model;       // whose weights it holds,
-    std::size_t place{};  // for this place among the members
+    vm_condition observed = vm_condition::working;
+    model_id model;      // of the loaded weights
+    std::size_t rank{};  // member rank that the weights are for
   };
   struct seen_change {
     time_point at;
@@ -51,12 +53,12 @@
     generation gen;
     bool whole = false;
     time_point ready;
-    bool held = false;  // its members hold their weights
+    bool held = false;  // of all members
   };
   struct switch_point {
     time_point at;
     vm_id vm;
-    int outages;  // change of the count
+    int outages;  // added to the VM's count
     bool leaving;
     bool with_domain;
   };
@@ -74,7 +76,7 @@
   failure_day_settings settings_;
   configuration config_;
   std::uint32_t wanted_ = 0;
-  std::vector<switch_point> switches_;  // by time
+  std::vector<switch_point> switches_;  // sorted by time
   std::size_t next_switch_ = 0;
   std::vector<time_span> unwritable_;
   std::vector<seen_change> to_see_;
@@ -86,7 +88,8 @@
   std::map<replica_id, forming> forming_;
   std::map<replica_id, time_point> drained_at_;
   std::set<replica_id> emptied_;
-  // Counted anew only when something changed or a replica gets ready: a day has few such moments.
+  // The counts below are recomputed only when something changed or a replica gets ready, which
+  // happens in few of the steps.
   bool stale_ = true;
   time_point next_ready_;
   std::uint32_t serving_ = 0;
--- a/src/process/fleet_sizes.cpp
+++ b/src/process/fleet_sizes.cpp
@@ -1,4 +1,5 @@
-// Builds a configuration of that size with names as an asset register has them, and rows beside it.
+// Builds a configuration of the given size, with names like those in an asset register, and rows,
+// records and messages that match it.
 #include "process/fleet_sizes.h"
 
 #include <malloc.h>
@@ -23,7 +24,7 @@
 
 constexpr std::size_t vms_per_replica = 16;
 constexpr std::size_t standbys_per_replica = 1;
-constexpr std::size_t max_named_proposals = 32;  // as many as a head keeps
+constexpr std::size_t max_named_proposals = 32;  // the limit of a head
 
 std::string numbered(const char* name, std::size_t number) {
   return name + std::to_string(1000 + number).substr(1);
@@ -221,16 +222,16 @@
 
 void print_fleet_sizes(std::ostream& out) {
   constexpr std::size_t fraction = 10;
-  const fleet_size whole;
+  const fleet_size planned_size;
   fleet_size tenth;
   tenth.vms /= fraction;
   tenth.nodes /= fraction;
   out << std::fixed << std::setprecision(2);
   print_configuration(out, tenth);
-  print_configuration(out, whole);
-  print_row(out, whole.vms / whole.data_centres + 4);  // five replicas
+  print_configuration(out, planned_size);
+  print_row(out, planned_size.vms / planned_size.data_centres + 4);  // five replicas
   print_row(out, 170);
-  print_messages(out, whole);
+  print_messages(out, planned_size);
 }
 
 }  // namespace arbutus
--- a/src/process/fleet_sizes.h
+++ b/src/process/fleet_sizes.h
@@ -1,5 +1,5 @@
-// Measures what the fleet's shared state takes: bytes in the table, in the object store and on the
-// wire, processor time to read it, and memory, at the size that is planned for.
+// Measures the fleet's shared state at the planned fleet size: bytes in the table, in the object
+// store and on the wire, processor time to decode it, and memory.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
   std::size_t workspaces = 100;
 };
 
-// One line for each kind of state, at this size and at a tenth of its VMs and nodes.
+// Prints one line per kind of state; the configuration also at a tenth of the VMs and nodes.
 void print_fleet_sizes(std::ostream& out);
 
 }  // namespace arbutus
--- a/src/process/hub_cost.cpp
+++ b/src/process/hub_cost.cpp
@@ -1,4 +1,4 @@
-// A fleet that serves, as the list of targets would tell of it.
+// Builds the target list of a serving fleet and times the replica controller and the planner on it.
 #include "process/hub_cost.h"
 
 #include <array>
@@ -37,7 +37,7 @@
   return data_centre_id{"hall-" + std::to_string(index)};
 }
 
-// Domains serve the large and the small model by turns; what is left over stands ready.
+// Domains alternate between the large and the small model; leftover engines are ready spares.
 std::vector<target_record> records_of(const hub_cost_size& size) {
   std::vector<target_record> records;
   for (std::size_t d = 0; d < size.data_centres * size.domains; ++d) {
@@ -80,8 +80,8 @@
     for (const target_record& record : records_) {
       fleet_.listed(now_, record);
     }
-    constexpr int until_settled = 20;  // ticks; every question has been answered by then
-    for (int i = 0; i < until_settled; ++i) {
+    constexpr int settle_ticks = 20;  // every report request has been answered by then
+    for (int i = 0; i < settle_ticks; ++i) {
       tick();
     }
   }
@@ -148,7 +148,7 @@
 }  // namespace
 
 hub_cost measure_hub_cost(const hub_cost_size& size) {
-  constexpr int ticks = 50;  // a second of them
+  constexpr int ticks = 50;  // one second
   measured_keeper keeper(size);
   hub_cost cost;
   cost.engines = size.data_centres * size.domains * size.engines;
--- a/src/process/hub_cost.h
+++ b/src/process/hub_cost.h
@@ -1,5 +1,5 @@
-// Measures what a hub's decisions cost as its deployment grows: processor time of a keeper's tick
-// and of a plan, by engines. No network; figures of this machine.
+// Measures the processor time of a hub's decisions (a tick of the replica controller, and a layout
+// plan) as the number of engines grows. No network; the figures depend on the machine.
 #pragma once
 
 #include <cstddef>
@@ -9,18 +9,18 @@
 
 struct hub_cost_size {
   std::size_t data_centres = 5;
-  std::size_t domains = 3;   // of a data centre
-  std::size_t engines = 73;  // of a domain
+  std::size_t domains = 3;   // per data centre
+  std::size_t engines = 73;  // per domain
 };
 
 struct hub_cost {
-  std::size_t engines = 0;   // of all data centres
-  double busy_tick_ms = 0;   // an engine's record changed before it
-  double quiet_tick_ms = 0;  // nothing did
-  double plan_ms = 0;        // of all domains, once one changed
+  std::size_t engines = 0;   // in all data centres
+  double busy_tick_ms = 0;   // after the record of one engine changed
+  double quiet_tick_ms = 0;  // without a change
+  double plan_ms = 0;        // for all domains, after one changed
 };
 
-// A keeper of one data centre, all engines in replicas that serve.
+// Measures a replica controller of one data centre, whose engines are in open replicas or spares.
 [[nodiscard]] hub_cost measure_hub_cost(const hub_cost_size& size);
 
 void print_hub_cost(std::ostream& out);
--- a/src/request/policy_bench.cpp
+++ b/src/request/policy_bench.cpp
@@ -1,4 +1,4 @@
-// Prints the figures of all measuring loops.
+// Runs all policy simulations and prints their figures.
 #include "request/policy_bench.h"
 
 #include <iomanip>
@@ -22,7 +22,7 @@
 }
 
 std::uint64_t print_overload(std::ostream& out, std::uint64_t seed) {
-  out << "overload: useful part of all slot time\n";
+  out << "overload: fraction of slot time spent on useful requests\n";
   std::uint64_t signature = 0;
   for (const double times : {0.7, 1.0, 1.5, 2.0, 3.0}) {
     const admission_figures ours = run_admission(overload(times, false), seed);
@@ -39,7 +39,7 @@
 std::uint64_t print_fairness(std::ostream& out, std::uint64_t seed) {
   admission_load load;
   const double capacity = load.slots / to_seconds(load.mean_service);
-  // Four small workspaces at 0.6 of their share; the large one asks for five times its own.
+  // Four small workspaces use 0.6 of their share; the large one demands five times its share.
   for (const char* name : {"a", "b", "c", "d"}) {
     load.workspaces.push_back({name, 1.0, 0.6 * capacity / 8});
   }
@@ -94,7 +94,7 @@
 }
 
 std::uint64_t print_limits(std::ostream& out, std::uint64_t seed) {
-  out << "limits: 6 nodes, parts of the limit\n";
+  out << "limits: 6 nodes; figures are multiples of the limit\n";
   std::uint64_t signature = 0;
   for (const limit_phase_figures& f : run_limits(seed)) {
     out << "  " << std::left << std::setw(32) << f.phase << std::right << " demand " << f.demand
--- a/src/request/policy_bench.h
+++ b/src/request/policy_bench.h
@@ -1,5 +1,6 @@
-// Measures the request decisions against their baselines in virtual time: the same seed gives the
-// same figures on every machine. Small loops around the real decisions; no cluster is modelled.
+// Measures the request policies (admission, routing, retries, rate limits) against baselines on
+// virtual time, so that the same seed gives the same figures on every machine. Each simulation
+// calls the production policy code in a small model of its surroundings, not of a whole cluster.
 #pragma once
 
 #include <cstdint>
@@ -11,11 +12,11 @@
 
 namespace arbutus {
 
-// Prints all figures and returns a signature of the decisions made: it changes only when a
-// decision changes.
+// Prints all figures. Returns a hash of the decisions made, which changes only when a decision
+// changes.
 std::uint64_t print_policy_bench(std::ostream& out, std::uint64_t seed);
 
-// ---- admission: one model at one node, slots that serve one request each ----
+// ---- admission: one model on one node; each slot serves one request at a time ----
 
 struct workspace_load {
   std::string name;
@@ -26,35 +27,35 @@
 struct admission_load {
   std::vector<workspace_load> workspaces;
   std::uint32_t slots = 40;
-  duration mean_service = 2s;  // per unit of cost; costs are uniform in 0.5 .. 1.5
+  duration mean_service = 2s;  // per unit of cost; costs are uniform in [0.5, 1.5)
   duration deadline = 6s;
   duration length = 600s;
-  bool first_come = false;  // baseline: one queue in order of arrival, nothing refused
+  bool first_come = false;  // baseline: one queue in order of arrival, no request is refused
 };
 
 struct workspace_figures {
   std::uint64_t asked{};
   std::uint64_t useful{};           // answered before the deadline
-  std::uint64_t late{};             // answered after it
-  std::uint64_t refused{};          // at once or while waiting
-  std::uint64_t refused_waiting{};  // of these, after more than a tick of waiting
-  double p50_wait{};                // seconds from arrival to start, of those started
+  std::uint64_t late{};             // answered after the deadline
+  std::uint64_t refused{};          // on arrival or in the queue
+  std::uint64_t refused_waiting{};  // refused after more than one tick in the queue
+  double p50_wait{};                // seconds from arrival to start, of started requests
   double p99_wait{};
-  double p99_answer{};   // seconds from arrival to the end, of those answered
+  double p99_answer{};   // seconds from arrival to the end, of answered requests
   double p99_refusal{};  // seconds from arrival to the refusal
 };
 
 struct admission_figures {
-  std::vector<workspace_figures> workspaces;  // in the order of the load
-  double goodput{};                           // useful slot time over all slot time
-  double busy{};                              // slot time in use
+  std::vector<workspace_figures> workspaces;  // in the order of admission_load::workspaces
+  double goodput{};                           // fraction of slot time spent on useful requests
+  double busy{};                              // fraction of slot time in use
   std::uint64_t useful{};
   std::uint64_t signature{};
 };
 
 [[nodiscard]] admission_figures run_admission(const admission_load& load, std::uint64_t seed);
 
-// ---- routing: several nodes before the same replicas, with lagged reports ----
+// ---- routing: several nodes route to the same replicas, with delayed load reports ----
 
 enum class policy_kind {
   expected_completion,
@@ -71,16 +72,16 @@
   std::uint32_t slots = 8;
   std::uint32_t stragglers = 1;
   double straggler_factor = 5.0;
-  double utilisation = 0.7;  // of all replicas at full speed and with cold caches
+  double utilisation = 0.7;  // of all replicas without stragglers and with empty caches
   duration report_every = 250ms;
-  duration lag = 500ms;               // of reports, beyond their interval
-  duration decode = 1s;               // per unit of cost; costs are exponential around 1
+  duration lag = 500ms;               // from the sampling of a report until nodes receive it
+  duration decode = 1s;               // per unit of cost; costs are exponential with mean 1
   duration block_prefill = 5ms;       // per prefix block that is not in the cache
   std::uint32_t blocks = 40;          // of each prompt
-  std::uint32_t prefixes = 200;       // different ones, by Zipf's law
+  std::uint32_t prefixes = 200;       // distinct ones, with Zipf-distributed popularity
   std::uint32_t cache_blocks = 1600;  // per replica: a fifth of all prefixes
   duration event_lag = 500ms;         // of cache events
-  double lost_events = 0.05;          // part of the batches
+  double lost_events = 0.05;          // fraction of the batches
   duration length = 300s;
 };
 
@@ -89,33 +90,35 @@
   double p50_first_token{};  // seconds
   double p99_first_token{};
   double p99_answer{};
-  double cache_hits{};  // part of blocks
+  double cache_hits{};  // fraction of the prompt blocks
   std::uint64_t signature{};
 };
 
 [[nodiscard]] routing_figures run_routing(policy_kind kind, const routing_load& load,
                                           std::uint64_t seed);
 
-// ---- retries: two hops before a target that fails for a while ----
+// ---- retries: two hops in front of a target that fails for some time ----
 
 struct retry_figures {
   std::uint64_t requests{};
-  std::uint64_t attempts{};  // that met the target
+  std::uint64_t attempts{};  // that reached the target
   std::uint64_t answered{};
-  double worst_ratio{};  // attempts per request in the worst second
+  double worst_ratio{};  // highest ratio of attempts to requests in one second
   std::uint64_t signature{};
 };
 
-// `with_budget` false: each hop retries on its own, as often as max_attempts allows.
+// With `with_budget` false, each hop retries independently, up to max_attempts. `failing_part` is
+// the fraction of attempts that fail while the target is faulty.
 [[nodiscard]] retry_figures run_retries(bool with_budget, double failing_part, std::uint64_t seed);
 
-// ---- limits: nodes that share a rate limit, cut and joined again ----
+// ---- limits: nodes that share a rate limit, through network partitions and their end ----
 
 struct limit_phase_figures {
   std::string phase;
-  double demand{};        // over the limit
-  double passed{};        // over the limit, mean of the phase
-  double worst_second{};  // over the limit
+  // As multiples of the limit:
+  double demand{};
+  double passed{};        // mean of the phase
+  double worst_second{};  // most requests passed in one second
 };
 
 [[nodiscard]] std::vector<limit_phase_figures> run_limits(std::uint64_t seed);
--- a/src/request/policy_bench_admission.cpp
+++ b/src/request/policy_bench_admission.cpp
@@ -1,4 +1,4 @@
-// Measuring loop of admission.
+// Simulation of admission to the slots of one model.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -47,7 +47,7 @@
   }
 
   admission_figures run() {
-    // With nothing waiting, nothing can start; the call only tells the capacity.
+    // The queue is empty, so no request starts; the call only sets the capacity.
     start(time_point{}, admission_.on_capacity(time_point{}, {load_.slots, load_.slots, 0us}));
     free_ = load_.slots;
     for (std::size_t i = 0; i < load_.workspaces.size(); ++i) {
@@ -75,9 +75,9 @@
 
   void arrive(time_point now, std::size_t workspace) {
     const double cost = 0.5 + random_.unit();
-    const double spread = 0.5 + random_.unit();  // what the estimated cost does not tell
+    const double error = 0.5 + random_.unit();  // ratio of the actual to the estimated cost
     const request_id id(std::to_string(++last_id_));
-    const duration service = from_seconds(to_seconds(load_.mean_service) * cost * spread);
+    const duration service = from_seconds(to_seconds(load_.mean_service) * cost * error);
     requests_[id] = {workspace, now, now + load_.deadline, service};
     ++figures_.workspaces[workspace].asked;
     if (load_.first_come) {
@@ -172,8 +172,8 @@
   admission admission_;
   event_queue events_;
   std::unordered_map<request_id, pending> requests_;
-  std::deque<request_id> line_;  // of the baseline
-  std::uint32_t free_ = 0;       // of the baseline
+  std::deque<request_id> line_;
+  std::uint32_t free_ = 0;
   std::uint64_t last_id_ = 0;
   double useful_time_ = 0;
   double busy_time_ = 0;
--- a/src/request/policy_bench_budgets.cpp
+++ b/src/request/policy_bench_budgets.cpp
@@ -1,4 +1,4 @@
-// Measuring loops of retry budgets and shared rate limits.
+// Simulations of retry budgets and of shared rate limits.
 #include <algorithm>
 
 #include "base/hash.h"
@@ -18,14 +18,15 @@
 constexpr int failing_from = 30;
 constexpr int failing_to = 90;
 
-// One hop's attempts at what lies behind it, `behind` returning how an attempt ended.
-template <class Behind>
+// One hop's attempts, including retries. `downstream` makes one attempt at the next hop or the
+// target and returns its outcome.
+template <class Downstream>
 execution try_hop(time_point now, const attempt_note& note, bool with_budget, retry_budget& budget,
-                  rng& random, Behind behind) {
+                  rng& random, Downstream downstream) {
   attempt_note own = note;
   budget.first_attempt(now);
   for (;;) {
-    const execution result = behind(own);
+    const execution result = downstream(own);
     if (!with_budget) {
       if (result == execution::done || own.attempt >= budget.settings().max_attempts) {
         return result;
@@ -54,7 +55,7 @@
 struct limit_phase {
   std::string name;
   std::vector<double> demand;  // per node, requests per second
-  std::vector<int> side;       // nodes of one side hear each other
+  std::vector<int> partition;  // per node; only nodes of one partition exchange messages
 };
 
 struct told_usage {
@@ -106,17 +107,17 @@
       now_ += limit_step;
       deliver(phase);
       for (std::size_t i = 0; i < limit_nodes; ++i) {
-        passed += ask(i, phase.demand[i]);
-        // Nodes tell at different moments.
+        passed += submit_requests(i, phase.demand[i]);
+        // Nodes send their usage at different times.
         if (t == limit_step * static_cast<std::int64_t>(i * 7)) {
-          tell(i);
+          send_usage(i);
         }
       }
     }
     return passed;
   }
 
-  void tell(std::size_t from) {
+  void send_usage(std::size_t from) {
     nodes_[from].update(now_);
     for (std::size_t to = 0; to < limit_nodes; ++to) {
       if (to != from) {
@@ -125,7 +126,8 @@
     }
   }
 
-  double ask(std::size_t node, double demand) {
+  // Returns how many requests passed the limit.
+  double submit_requests(std::size_t node, double demand) {
     const double expected = demand * to_seconds(limit_step);
     auto count = static_cast<int>(expected);
     count += random_.unit() < expected - count ? 1 : 0;
@@ -138,12 +140,12 @@
   }
 
   void deliver(const limit_phase& phase) {
-    for (const told_usage& told : under_way_) {
-      if (told.at <= now_ && phase.side[told.to] == phase.side[told.from]) {
-        nodes_[told.to].heard(now_, names_[told.from], told.content);
+    for (const told_usage& m : under_way_) {
+      if (m.at <= now_ && phase.partition[m.to] == phase.partition[m.from]) {
+        nodes_[m.to].heard(now_, names_[m.from], m.content);
       }
     }
-    std::erase_if(under_way_, [&](const told_usage& told) { return told.at <= now_; });
+    std::erase_if(under_way_, [&](const told_usage& m) { return m.at <= now_; });
   }
 
   rng random_;
@@ -187,25 +189,25 @@
 }
 
 std::vector<limit_phase_figures> run_limits(std::uint64_t seed) {
-  const std::vector<int> joined(limit_nodes, 0);
+  const std::vector<int> connected(limit_nodes, 0);
   const std::vector<int> halves{0, 0, 0, 1, 1, 1};
-  const std::vector<int> alone{0, 1, 2, 3, 4, 5};
+  const std::vector<int> isolated{0, 1, 2, 3, 4, 5};
   const std::vector<double> even(limit_nodes, 200);
-  const std::vector<double> skewed{1000, 40, 40, 40, 40, 40};
-  const std::vector<double> turned{40, 40, 40, 40, 40, 1000};
+  const std::vector<double> first_node{1000, 40, 40, 40, 40, 40};
+  const std::vector<double> last_node{40, 40, 40, 40, 40, 1000};
   limit_run run(seed);
   std::vector<limit_phase_figures> figures;
-  run.run({"start", even, joined}, 20);
-  figures.push_back(run.run({"even demand, joined", even, joined}, 60));
-  figures.push_back(run.run({"demand turns to one node", skewed, joined}, 30));
-  figures.push_back(run.run({"that demand, settled", skewed, joined}, 60));
-  figures.push_back(run.run({"cut in halves, same demand", skewed, halves}, 60));
-  figures.push_back(run.run({"cut in halves, demand turned", turned, halves}, 60));
+  run.run({"start", even, connected}, 20);
+  figures.push_back(run.run({"even demand, joined", even, connected}, 60));
+  figures.push_back(run.run({"demand turns to one node", first_node, connected}, 30));
+  figures.push_back(run.run({"that demand, settled", first_node, connected}, 60));
+  figures.push_back(run.run({"cut in halves, same demand", first_node, halves}, 60));
+  figures.push_back(run.run({"cut in halves, demand turned", last_node, halves}, 60));
   figures.push_back(run.run({"cut in halves, all want 2x", even, halves}, 60));
-  figures.push_back(run.run({"each node alone, all want 2x", even, alone}, 60));
+  figures.push_back(run.run({"each node alone, all want 2x", even, isolated}, 60));
   run.restart(5);
-  figures.push_back(run.run({"alone, one node restarted", even, alone}, 60));
-  figures.push_back(run.run({"joined again", even, joined}, 60));
+  figures.push_back(run.run({"alone, one node restarted", even, isolated}, 60));
+  figures.push_back(run.run({"joined again", even, connected}, 60));
   return figures;
 }
 
--- a/src/request/policy_bench_routing.cpp
+++ b/src/request/policy_bench_routing.cpp
@@ -1,4 +1,5 @@
-// Measuring loop of routing: nodes that choose apart, replicas that batch up to their slots.
+// Simulation of routing: nodes choose replicas independently, and each replica runs as many
+// requests at a time as it has slots.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -26,30 +27,30 @@
   return values[at];
 }
 
-// Least recently used blocks of one replica.
+// Prefix cache of one replica with least-recently-used eviction.
 class block_cache {
  public:
   explicit block_cache(std::size_t capacity) : capacity_(capacity) {}
 
-  // Returns how many leading blocks were there; all are there afterwards.
+  // Returns how many leading blocks were cached; adds the missing ones.
   std::uint32_t use(const prefix_blocks& blocks, std::vector<std::uint64_t>& stored,
                     std::vector<std::uint64_t>& evicted) {
     std::uint32_t hits = 0;
     bool leading = true;
     for (const std::uint64_t block : blocks) {
-      const auto found = at_.find(block);
-      leading = leading && found != at_.end();
+      const auto found = entries_.find(block);
+      leading = leading && found != entries_.end();
       hits += leading ? 1 : 0;
-      if (found != at_.end()) {
+      if (found != entries_.end()) {
         order_.splice(order_.end(), order_, found->second);
         continue;
       }
-      at_[block] = order_.insert(order_.end(), block);
+      entries_[block] = order_.insert(order_.end(), block);
       stored.push_back(block);
     }
     while (order_.size() > capacity_) {
       evicted.push_back(order_.front());
-      at_.erase(order_.front());
+      entries_.erase(order_.front());
       order_.pop_front();
     }
     return hits;
@@ -57,8 +58,8 @@
 
  private:
   std::size_t capacity_;
-  std::list<std::uint64_t> order_;
-  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> at_;
+  std::list<std::uint64_t> order_;  // least recently used first
+  std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> entries_;
 };
 
 struct job {
@@ -204,9 +205,9 @@
       r.queue.pop_front();
       ++r.running;
       const std::uint32_t cached = use_cache(now, r, j.facts.prefix);
-      const double cold = load_.blocks - cached;
+      const double uncached = load_.blocks - cached;
       j.first_token =
-          now + from_seconds(r.slowness * (0.01 + cold * to_seconds(load_.block_prefill)));
+          now + from_seconds(r.slowness * (0.01 + uncached * to_seconds(load_.block_prefill)));
       const double decode = r.slowness * j.facts.cost * to_seconds(load_.decode);
       events_.at(j.first_token + from_seconds(decode),
                  [this, &r, j](time_point at) { end(at, r, j); });
@@ -252,7 +253,7 @@
   std::vector<simulated_replica> replicas_;
   std::vector<node_state> nodes_;
   std::vector<prefix_blocks> prefixes_;
-  std::vector<double> popularity_;  // summed up
+  std::vector<double> popularity_;  // cumulative, by prefix
   std::vector<double> first_tokens_;
   std::vector<double> answers_;
   std::uint64_t hits_ = 0;
--- a/tests/core/failure_day_test.cpp
+++ b/tests/core/failure_day_test.cpp
@@ -1,4 +1,4 @@
-// The played day of failures: deterministic, and sensitive to what it compares.
+// The failure simulation is deterministic and shows the differences between standby policies.
 #include "process/failure_day.h"
 
 #include <gtest/gtest.h>
@@ -48,8 +48,8 @@
   EXPECT_GT(shared.stranded_accelerators, none.stranded_accelerators);
 }
 
-// Symptom: a replica stays dark through a table outage beside an idle VM.
-// Cause: only the row, which cannot be written, could give the VM to it.
+// Guards against a replica that stays down through a table outage although a spare VM is idle:
+// with shared spares only a new row can assign the VM, and the row cannot be written.
 TEST(failure_day, reserved_standbys_repair_without_the_table) {
   failure_day_settings s;
   s.domain_losses = 0;
