--- a/spec/assignment.pml
+++ b/spec/assignment.pml
@@ -1,46 +1,50 @@
-/* Who a VM belongs to: the assignment row, repairs while the table is away, orders to engines, serving.
+/* Assignment of VMs to replicas: the assignment row, repairs while the table is unavailable, orders to engines, and
+ * serving.
  *
- * Replica P has two members (VM 0 and 1) and a standby (VM 3); of replica Q one slot is shown (VM 2), its other
- * members never fail. Two nodes act; each may be cut off from the table, from its peer and from any engine for as long
- * as it likes, suspect any member rightly or wrongly, and be paused at any step, also with an order half sent
- * (`pending`). Replies of row writes may be lost. A VM that was replaced may return, with its old role or
- * restarted (roles and highest token gone).
+ * Replica P has two members (VM 0 and 1) and a standby (VM 3). Of replica Q one slot is modelled (VM 2); its other
+ * members never fail. There are two nodes. Each may be partitioned from the table, from its peer and from any engine
+ * for any time, suspect any member rightly or wrongly, and be paused at any step, also between the checks and the
+ * arrival of an order (`pending`). Replies to row writes may be lost. A VM that was replaced may return with its old
+ * role, or restarted (without its role and highest token).
  *
- * The row gives each VM one status, so no VM stands in two replicas of one row. `generation` is (row, lost mask);
- * tokens compare (row number, VMs lost, mask, row identity).
+ * The row gives each VM one status, so no VM is in two replicas of one row. A generation is (row, lost mask); tokens
+ * are ordered by (row number, number of lost VMs, mask, row identity).
  *
- * Time: PERMISSION and SETTLE are ticks. What a node may have observed within the permission time is kept with
- * the VM (`prev`), because any node may have observed it at any moment.
+ * Time: PERMISSION and SETTLE are in ticks. The role that a node may have observed within the permission time is kept
+ * with the VM (`prev`), because any node may have observed it at any time.
  *
  * Properties
- *   !served_twice   no VM is in two replicas that some nodes serve
- *   !wrong_group    a served replica's members were all started as this very group
- *   !two_owners     no VM is reserved to, or in, P in one node's view and Q in another's
- *   !stolen         no order moves a VM to another replica while a node still counts on its present role
- *   !unmergeable    a repair that was made while the table was away can be written to the row later
- *   !undone         a node that hears a newer row does not give up a repair that serves
+ *   !served_twice   no VM is in two replicas that nodes serve
+ *   !wrong_group    all members of a served replica were started as members of this same group
+ *   !two_owners     no VM is in or reserved for P in one node's view and Q in another's
+ *   !stolen         no order moves a VM to another replica while a node still relies on its current role
+ *   !unmergeable    a repair made while the table was unavailable can be written to the row later
+ *   !undone         a node that receives a newer row does not drop a repair that serves
  *
- * Environment: TOKENS (engines refuse lower tokens), RESTART (one VM restarts), RESTORE (the table is restored
- * once from an old copy), REPLACE (afterwards one node is replaced by one that knows nothing), PLANNED (P is also repaired in the row).
+ * Environment: TOKENS (engines refuse lower tokens), RESTART (one VM restarts), RESTORE (the table is restored once
+ * from an old copy), REPLACE (afterwards one node is replaced by one without any state), PLANNED (P is also repaired
+ * in the row).
  *
- * Safeguards (each can be removed by -D):
+ * Each switch (-D) removes one safeguard:
  *   GIVE_AT_ONCE          a reservation moves from P to Q in one row version
- *   GIVE_UNACKNOWLEDGED   a withdrawn VM is given away before every node has acknowledged the withdrawal
- *   RETURNED_IS_FREE      a member that was replaced is given away without acknowledgements when it returns
- *   ACK_WITH_ORDER        a node acknowledges while an order of its own to the VM is half sent
- *   DROP_ACTIVATION       a node that hears a newer row forgets its repair in place of merging it
- *   STEP_ONLY             a generation counts the lost members but does not name them
- *   NUMBER_ONLY           rows of one number are taken for equal (a restored table grows a second row N)
+ *   GIVE_UNACKNOWLEDGED   a withdrawn VM is assigned again before every node has acknowledged the withdrawal
+ *   RETURNED_IS_FREE      a replaced member is assigned again without acknowledgements when it returns
+ *   ACK_WITH_ORDER        a node acknowledges while one of its own orders to the VM is pending
+ *   DROP_ACTIVATION       a node that receives a newer row drops its repair instead of merging it
+ *   STEP_ONLY             a generation has the number of lost members, but not which ones
+ *   NUMBER_ONLY           rows with the same number count as equal (a restored table gets a second row N)
  *   KEEP_GENERATION       a replica keeps its generation when its members have changed
  *   NO_SETTLE             a member counts as soon as it reports the role
- *   SHORT_SETTLE          the settle time is no longer than the permission time
- *   NO_READ_BEFORE_SEND   an order is sent without reading what the VM does now (holds without it: a second line)
+ *   SHORT_SETTLE          the settle time does not exceed the permission time
+ *   NO_READ_BEFORE_SEND   an order is sent without reading the VM's current state (the properties hold without this
+ *                         safeguard, which is a second line of defence)
  *   STEP_DOWN             a node follows a restored table to an older row
- *   START_WITHOUT_PEER    a new node acts on the table's row before it has asked its peer
- * IGNORE_x leaves property x out, where a missing safeguard breaks several.
+ *   START_WITHOUT_PEER    a new node acts on the table's row before it has queried its peer
+ * IGNORE_x omits property x, for switches that violate several.
  *
- * Bounds: an acknowledgement is read at the moment of the write it allows (it must be asked for after the row was
- * read); a row write lands at once or never; a member is suspected only while a standby is left.
+ * Simplifications: an acknowledgement is read at the moment of the write that it permits (in the system it must be
+ * requested after the row was read); a row write is applied immediately or never; a member is suspected only while a
+ * standby is left.
  */
 
 #define VMS 4
@@ -63,7 +67,7 @@
 #define Q0 3
 #define STANDBY_P 4
 #define STANDBY_Q 5
-#define WITHDRAWN 6 /* belongs to nobody until all nodes have acknowledged */
+#define WITHDRAWN 6 /* in no replica, and not assignable until all nodes have acknowledged */
 
 #define P 0
 #define Q 1
@@ -96,13 +100,13 @@
 byte group[VMS];   /* ghost: the members the role was started with */
 byte highest[VMS]; /* order with the highest token */
 short role_token[VMS]; /* derived */
-byte since[VMS];   /* ticks in the role, up to SETTLE */
-byte prev[VMS];    /* settled role left within the permission time */
+byte ticks_in_role[VMS];   /* ticks in the role, up to SETTLE */
+byte prev[VMS];    /* settled role that was left within the permission time */
 byte prev_group[VMS];
-byte left[VMS];    /* ticks since it was left */
+byte ticks_since_left[VMS];    /* ticks since it was left */
 bool vm_restarted;
 
-/* Nodes. An activation is 16 | lost mask, for the row the node knows; 0: none. */
+/* Nodes. An activation is 16 | lost mask, for the row that the node knows; 0: none. */
 byte known[2];
 byte act_p[2], act_q[2];
 bool ready[2] = true;
@@ -111,13 +115,13 @@
 byte p0[2], p1[2], q0[2];       /* members, NONE if none is left */
 byte gen_p[2], gen_q[2];        /* roles that the members must report */
 short token_p[2], token_q[2];
-byte own_p[2], own_q[2];        /* VMs in or reserved to the replica */
-/* One order whose checks are done and that is half sent; all others arrive as soon as they are checked. */
+byte vms_p[2], vms_q[2];        /* VMs in or reserved to the replica */
+/* One order that was checked but has not arrived; all others arrive as soon as they are checked. */
 byte pending, pending_vm, pending_group, pending_by;
 
 bool served_twice, wrong_group, two_owners, stolen, unmergeable, undone;
 
-/* Marks that a situation came about; only in the runs that look for it. */
+/* Records that a situation occurred; compiled only into witness runs. */
 #ifdef WITNESS
 bool saw_two_repairs, saw_repair_after_withdrawal, saw_late_order, saw_returned, saw_heal, saw_given, saw_merge;
 #define SAW(x, condition) x = x || (condition)
@@ -172,13 +176,13 @@
   gen_q[n] = (act_q[n] -> ROLE(Q, known[n], MASK(act_q[n])) : row_generation_q[known[n]]);
   token_p[n] = TOKEN(gen_p[n]);
   token_q[n] = TOKEN(gen_q[n]);
-  own_p[n] = 0; own_q[n] = 0;
+  vms_p[n] = 0; vms_q[n] = 0;
   i = 0;
   do
   :: i < VMS ->
      if
-     :: IN_P(STATUS(known[n], i)) -> own_p[n] = own_p[n] | (1 << i)
-     :: IN_Q(STATUS(known[n], i)) -> own_q[n] = own_q[n] | (1 << i)
+     :: IN_P(STATUS(known[n], i)) -> vms_p[n] = vms_p[n] | (1 << i)
+     :: IN_Q(STATUS(known[n], i)) -> vms_q[n] = vms_q[n] | (1 << i)
      :: else
      fi;
      i++
@@ -187,30 +191,30 @@
   i = 0; a = 0; b = 0; c = 0; s = 0
 }
 
-/* Does a report count as the generation wanted? */
+/* Whether a reported role has the desired generation. */
 #ifdef STEP_ONLY
-#define EQUAL(c, d) (IS_ROLE(c) && REPLICA(c) == REPLICA(d) && ROW(c) == ROW(d) && COUNT(MASK(c)) == COUNT(MASK(d)))
+#define SAME_GENERATION(c, d) (IS_ROLE(c) && REPLICA(c) == REPLICA(d) && ROW(c) == ROW(d) && COUNT(MASK(c)) == COUNT(MASK(d)))
 #elif defined(NUMBER_ONLY)
-#define EQUAL(c, d) (IS_ROLE(c) && REPLICA(c) == REPLICA(d) && row_number[ROW(c)] == row_number[ROW(d)] && MASK(c) == MASK(d))
+#define SAME_GENERATION(c, d) (IS_ROLE(c) && REPLICA(c) == REPLICA(d) && row_number[ROW(c)] == row_number[ROW(d)] && MASK(c) == MASK(d))
 #else
-#define EQUAL(c, d) ((c) == (d))
+#define SAME_GENERATION(c, d) ((c) == (d))
 #endif
 
-#define HOLDS_NOW(x, c) (EQUAL(role[x], c) && since[x] >= SETTLE)
-#define HELD(x, c) (prev[x] && EQUAL(prev[x], c))
-#define COUNTS(x, c) (HOLDS_NOW(x, c) || HELD(x, c))
+#define HOLDS_NOW(x, c) (SAME_GENERATION(role[x], c) && ticks_in_role[x] >= SETTLE)
+#define HELD_RECENTLY(x, c) (prev[x] && SAME_GENERATION(prev[x], c))
+#define COUNTS(x, c) (HOLDS_NOW(x, c) || HELD_RECENTLY(x, c))
 #define SERVES_P(n) (p0[n] != NONE && COUNTS(p0[n], gen_p[n]) && COUNTS(p1[n], gen_p[n]))
 #define SERVES_Q(n) (q0[n] != NONE && COUNTS(q0[n], gen_q[n]))
 #define TWICE(n, k) (SERVES_P(n) && SERVES_Q(k) && (p0[n] == q0[k] || p1[n] == q0[k]))
 #define GROUP_P(n) (p0[n] | (p1[n] << 3))
-#define STRANGER(n, x, c, g) ((HOLDS_NOW(x, c) && group[x] != (g)) || (HELD(x, c) && prev_group[x] != (g)))
-#define WRONG(n) (SERVES_P(n) && (STRANGER(n, p0[n], gen_p[n], GROUP_P(n)) || STRANGER(n, p1[n], gen_p[n], GROUP_P(n))))
+#define NOT_IN_GROUP(n, x, c, g) ((HOLDS_NOW(x, c) && group[x] != (g)) || (HELD_RECENTLY(x, c) && prev_group[x] != (g)))
+#define WRONG(n) (SERVES_P(n) && (NOT_IN_GROUP(n, p0[n], gen_p[n], GROUP_P(n)) || NOT_IN_GROUP(n, p1[n], gen_p[n], GROUP_P(n))))
 
 /* ---- the table ---- */
 
-#define ROOM (rows < MAX_ROWS)
+#define ROW_LEFT (rows < MAX_ROWS)
 
-/* Writes `st` over the row in the table, generations as in row r; the writer hears of it like any node. */
+/* Replaces the row in the table by status `st` and the generations of row r. The writer reads it like any node. */
 inline write(r, its_number) {
   row_number[rows] = its_number;
   row_status[rows] = st;
@@ -234,12 +238,12 @@
 }
 
 #define NEWER(r, n) (row_number[r] > row_number[known[n]])
-/* A repair that has run out of standbys holds nothing: it must not hold up newer rows. */
-#define BAKED(n, r) ((!act_p[n] || p0[n] == NONE || row_token_p[r] >= token_p[n]) && (!act_q[n] || q0[n] == NONE || row_token_q[r] >= token_q[n]))
+/* A repair without standbys left has no members, so it must not block newer rows. */
+#define MERGED(n, r) ((!act_p[n] || p0[n] == NONE || row_token_p[r] >= token_p[n]) && (!act_q[n] || q0[n] == NONE || row_token_q[r] >= token_q[n]))
 #ifdef DROP_ACTIVATION
 #define MAY_LEARN(n, r) NEWER(r, n)
 #else
-#define MAY_LEARN(n, r) (NEWER(r, n) && BAKED(n, r))
+#define MAY_LEARN(n, r) (NEWER(r, n) && MERGED(n, r))
 #endif
 
 /* Gives VM x another status in st. */
@@ -292,11 +296,11 @@
   base = 0; number = 0
 }
 
-#define UNBAKED_P(n) (act_p[n] && p0[n] != NONE && token_p[n] > row_token_p[table])
-#define UNBAKED_Q(n) (act_q[n] && q0[n] != NONE && token_q[n] > row_token_q[table])
-#define UNBAKED(n) (UNBAKED_P(n) || UNBAKED_Q(n))
+#define UNMERGED_P(n) (act_p[n] && p0[n] != NONE && token_p[n] > row_token_p[table])
+#define UNMERGED_Q(n) (act_q[n] && q0[n] != NONE && token_q[n] > row_token_q[table])
+#define UNMERGED(n) (UNMERGED_P(n) || UNMERGED_Q(n))
 
-/* The node has seen the withdrawal and has no order of its own to the VM half sent. */
+/* The node has seen the withdrawal and has no pending order of its own to the VM. */
 #ifdef ACK_WITH_ORDER
 #define ACKNOWLEDGED(n, x) (ready[n] && STATUS(known[n], x) == WITHDRAWN)
 #else
@@ -314,14 +318,14 @@
 
 inline leave_role(x) {
   if
-  :: role[x] && since[x] >= SETTLE -> prev[x] = role[x]; prev_group[x] = group[x]; left[x] = 0
+  :: role[x] && ticks_in_role[x] >= SETTLE -> prev[x] = role[x]; prev_group[x] = group[x]; ticks_since_left[x] = 0
   :: else
   fi;
-  role[x] = 0; role_token[x] = 0; group[x] = 0; since[x] = 0
+  role[x] = 0; role_token[x] = 0; group[x] = 0; ticks_in_role[x] = 0
 }
 
-/* Node n counts on the role that VM x has. */
-#define WANTED(n, x) (ready[n] && ((role[x] == gen_p[n] && (p0[n] == (x) || p1[n] == (x))) || (role[x] == gen_q[n] && q0[n] == (x))))
+/* Node n relies on the role that VM x has. */
+#define IN_USE(n, x) (ready[n] && ((role[x] == gen_p[n] && (p0[n] == (x) || p1[n] == (x))) || (role[x] == gen_q[n] && q0[n] == (x))))
 
 inline obey(x, code, members) {
   d_step {
@@ -332,7 +336,7 @@
 #endif
     :: code == role[i] /* idempotent */
     :: else ->
-       stolen = role[i] && REPLICA(role[i]) != REPLICA(code) && (WANTED(0, i) || WANTED(1, i));
+       stolen = role[i] && REPLICA(role[i]) != REPLICA(code) && (IN_USE(0, i) || IN_USE(1, i));
        SAW(saw_late_order, TOKEN(code) < role_token[i]);
        leave_role(i);
 #ifdef TOKENS
@@ -351,19 +355,19 @@
 
 inline age(x) {
   if
-  :: role[x] && since[x] < SETTLE -> since[x]++
+  :: role[x] && ticks_in_role[x] < SETTLE -> ticks_in_role[x]++
   :: else
   fi;
   if
-  :: prev[x] && left[x] == PERMISSION -> prev[x] = 0; prev_group[x] = 0; left[x] = 0
-  :: prev[x] && left[x] < PERMISSION -> left[x]++
+  :: prev[x] && ticks_since_left[x] == PERMISSION -> prev[x] = 0; prev_group[x] = 0; ticks_since_left[x] = 0
+  :: prev[x] && ticks_since_left[x] < PERMISSION -> ticks_since_left[x]++
   :: else
   fi
 }
 
 /* ---- a node ---- */
 
-/* Directly before an order the VM's report is read: it shows an equal or higher token, and the order is not sent. */
+/* The VM's report is read directly before an order. If it shows an equal or higher token, the order is not sent. */
 #ifdef NO_READ_BEFORE_SEND
 #define MAY_ORDER(x, token) (role_token[x] != (token))
 #else
@@ -381,62 +385,62 @@
   fi
 }
 
-#define FREE_TO_WRITE(n) (ready[n] && ROOM && table == known[n] && !act_p[n] && !act_q[n])
+#define FREE_TO_WRITE(n) (ready[n] && ROW_LEFT && table == known[n] && !act_p[n] && !act_q[n])
 /* A stale node has raised a member's token beyond the replica's with a lower row. */
-#define OVERTAKEN(n, x) (IS_ROLE(role[x]) && REPLICA(role[x]) == P && role_token[x] > token_p[n] && row_number[ROW(role[x])] < row_number[known[n]])
-#define REPORTS_MORE(n, x) (IS_ROLE(role[x]) && REPLICA(role[x]) == P && ROW(role[x]) == known[n] && role_token[x] > token_p[n])
+#define SUPERSEDED(n, x) (IS_ROLE(role[x]) && REPLICA(role[x]) == P && role_token[x] > token_p[n] && row_number[ROW(role[x])] < row_number[known[n]])
+#define REPORTS_HIGHER(n, x) (IS_ROLE(role[x]) && REPLICA(role[x]) == P && ROW(role[x]) == known[n] && role_token[x] > token_p[n])
 
-/* A standby is left. Without one the replica is dark and nothing is ordered: such suspicions are left out. */
-#define SPARE_P(n) (p0[n] != NONE && (own_p[n] & ~(MASK(act_p[n]) | (1 << p0[n]) | (1 << p1[n]))))
+/* A standby is left. Without one the replica is down and nothing is ordered, so such suspicions are not modelled. */
+#define SPARE_P(n) (p0[n] != NONE && (vms_p[n] & ~(MASK(act_p[n]) | (1 << p0[n]) | (1 << p1[n]))))
 
 proctype node(byte me) {
 end:
   do
   :: atomic {
        if
-       /* Hears a newer row, from the table or from its peer. */
+       /* Receives a newer row from the table or from its peer. */
        :: ready[me] && MAY_LEARN(me, table) -> learn(me, table)
        :: ready[me] && ready[1 - me] && MAY_LEARN(me, known[1 - me]) -> learn(me, known[1 - me])
 #ifdef STEP_DOWN
        :: ready[me] && row_number[table] < row_number[known[me]] -> learn(me, table)
 #endif
 
-       /* Hears of a greater activation for the row it knows, from its peer or in a VM's report. */
+       /* Receives a higher activation for the row it knows, from its peer or in a VM's report. */
        :: ready[me] && ready[1 - me] && known[me] == known[1 - me] && act_p[1 - me] && token_p[1 - me] > token_p[me] ->
           act_p[me] = act_p[1 - me]
        :: ready[me] && ready[1 - me] && known[me] == known[1 - me] && act_q[1 - me] && token_q[1 - me] > token_q[me] ->
           act_q[me] = act_q[1 - me]
-       :: ready[me] && REPORTS_MORE(me, 1) -> act_p[me] = 16 | MASK(role[1])
+       :: ready[me] && REPORTS_HIGHER(me, 1) -> act_p[me] = 16 | MASK(role[1])
 
        /* Suspects a member, rightly or wrongly, and activates a standby on its own.
-        * Hazards: two nodes repair P with the same standby for different members; a node that cannot see the table
+        * Hazards: two nodes repair P with the same standby for different members; a node that cannot read the table
         * activates a standby whose reservation is being withdrawn. */
        :: ready[me] && SPARE_P(me) && (p0[me] == 0 || p1[me] == 0) ->
           act_p[me] = 16 | act_p[me] | 1;
           SAW(saw_two_repairs, act_p[1 - me] == (16 | 2) && known[0] == known[1]);
           SAW(saw_repair_after_withdrawal, row_number[table] > row_number[known[me]] && STATUS(table, 3) == WITHDRAWN)
        :: ready[me] && SPARE_P(me) && (p0[me] == 1 || p1[me] == 1) -> act_p[me] = 16 | act_p[me] | 2
-       :: ready[me] && q0[me] == 2 && (own_q[me] & ~4) -> act_q[me] = 16 | act_q[me] | 4
-       /* The generation is raised to the known row, members unchanged: else no order would be obeyed any more. */
-       :: ready[me] && !act_p[me] && p0[me] != NONE && (OVERTAKEN(me, p0[me]) || OVERTAKEN(me, p1[me])) -> act_p[me] = 16
+       :: ready[me] && q0[me] == 2 && (vms_q[me] & ~4) -> act_q[me] = 16 | act_q[me] | 4
+       /* Raises the generation to the known row with unchanged members; otherwise no order would be obeyed any more. */
+       :: ready[me] && !act_p[me] && p0[me] != NONE && (SUPERSEDED(me, p0[me]) || SUPERSEDED(me, p1[me])) -> act_p[me] = 16
 
-       /* Orders, checked here; they arrive now, or later if they are left half sent. */
+       /* Orders are checked here and arrive now, or later if they are left pending. */
        :: ready[me] && p0[me] != NONE && MAY_ORDER(p0[me], token_p[me]) -> order(me, p0[me], gen_p[me], GROUP_P(me))
        :: ready[me] && p1[me] != NONE && MAY_ORDER(p1[me], token_p[me]) -> order(me, p1[me], gen_p[me], GROUP_P(me))
        :: ready[me] && q0[me] != NONE && MAY_ORDER(q0[me], token_q[me]) ->
           /* Hazard: a lost VM returns after being replaced, with its old role. */
           SAW(saw_returned, q0[me] == 0 && role[0] && REPLICA(role[0]) == P);
           order(me, q0[me], gen_q[me], 0)
-       /* Hazard: the node wakes up with an order half sent, and it arrives now; or it is lost. */
+       /* Hazard: the node resumes with a pending order, which arrives now or is lost. */
        :: pending && pending_by == me -> obey(pending_vm, pending, pending_group); drop_pending()
        :: pending && pending_by == me -> drop_pending()
 
-       /* Writes, conditional on the row that the table shows. The writer hears of it like any other node, so that
-        * a lost reply is the ordinary case. */
-       :: ready[me] && ROOM && UNBAKED(me) && (table == known[me] || NEWER(table, me)) ->
+       /* Writes are conditional on the row in the table. The writer learns of the new row like any other node, so
+        * every reply is treated as lost. */
+       :: ready[me] && ROW_LEFT && UNMERGED(me) && (table == known[me] || NEWER(table, me)) ->
           base = table; number = row_number[table] + 1
-       /* Hazard: an old copy of the table was restored. The node heals it and never steps down. */
-       :: ready[me] && ROOM && table != known[me] && row_number[table] <= row_number[known[me]] ->
+       /* Hazard: an old copy of the table was restored. The node repairs the table and never adopts an older row. */
+       :: ready[me] && ROW_LEFT && table != known[me] && row_number[table] <= row_number[known[me]] ->
           base = known[me]; number = row_number[known[me]] + 1;
           SAW(saw_heal, true)
        :: FREE_TO_WRITE(me) && STATUS(table, 3) == STANDBY_P ->
@@ -459,7 +463,7 @@
           SAW(saw_given, true)
 
 #ifdef PLANNED
-       /* Repairs P in the row itself, the table being up: a new generation, its first. */
+       /* Repairs P in the row itself while the table is available; P gets the first generation of the new row. */
        :: FREE_TO_WRITE(me) && STATUS(table, 3) == STANDBY_P ->
           st = row_status[table];
           put(3, P0);
@@ -472,7 +476,7 @@
           row_token_p[table] = TOKEN(row_generation_p[table])
 #endif
 #ifdef REPLACE
-       /* Replaced by a node that knows nothing. */
+       /* Replaced by a node without any state. */
        :: ready[0] && ready[1] && !replaced && restored ->
           replaced = true;
           ready[me] = false;
@@ -532,7 +536,7 @@
   :: atomic { WRONG(0) || WRONG(1) -> wrong_group = true; assert(!wrong_group) }
 #endif
 #ifndef IGNORE_TWO_OWNERS
-  :: atomic { ready[0] && ready[1] && ((own_p[0] & own_q[1]) || (own_p[1] & own_q[0])) -> two_owners = true; assert(!two_owners) }
+  :: atomic { ready[0] && ready[1] && ((vms_p[0] & vms_q[1]) || (vms_p[1] & vms_q[0])) -> two_owners = true; assert(!two_owners) }
 #endif
   :: false
   od
@@ -550,7 +554,7 @@
     role_token[0] = TOKEN(role[0]); role_token[1] = role_token[0]; role_token[2] = TOKEN(role[2]);
     row_token_p[0] = role_token[0]; row_token_q[0] = role_token[2];
     group[0] = 0 | (1 << 3); group[1] = group[0];
-    since[0] = SETTLE; since[1] = SETTLE; since[2] = SETTLE;
+    ticks_in_role[0] = SETTLE; ticks_in_role[1] = SETTLE; ticks_in_role[2] = SETTLE;
 #ifdef TOKENS
     highest[0] = role[0]; highest[1] = role[1]; highest[2] = role[2];
 #endif
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,17 +1,17 @@
 #!/usr/bin/env bash
-# Checks every model in this directory with spin: the whole protocol must hold, each removed safeguard must be
-# caught by the property named for it, and each hazard must really occur in the whole protocol (witness).
+# Checks every model in this directory with spin: the full protocol must satisfy all properties, the removal of each
+# safeguard must violate the property named for it, and each hazard must be reachable in the full protocol (witness).
 #
 #   spec/check.sh [--long] [TEXT]    TEXT: only runs whose model or switches contain it
 #
-# The runs stand in checks.txt, those that take minutes in checks-long.txt. Work files go to build/spec. The exit
-# status is 1 if any run does not give the verdict expected of it; an incomplete search is never a pass.
+# The runs are listed in checks.txt, those that take minutes in checks-long.txt. Work files go to build/spec. The exit
+# status is 1 if any run does not give its expected verdict; an incomplete search is never a pass.
 set -uo pipefail
 cd "$(dirname "$0")" || exit 1
 spec=$PWD
 work=$(cd .. && pwd)/build/spec
 checks=checks.txt
-memory_mb=${SPEC_MEMORY_MB:-2048} # of one run; pan gives up beyond it
+memory_mb=${SPEC_MEMORY_MB:-2048} # per run; pan stops when it needs more
 if [ "${1:-}" = --long ]; then
   checks=checks-long.txt
   memory_mb=${SPEC_MEMORY_MB:-4096}
@@ -23,14 +23,14 @@
 command -v ccache >/dev/null && compiler='ccache gcc'
 mkdir -p "$work"
 
-# The assertion as pan prints it and as the list gives it differ in blanks and parentheses.
+# Removes blanks and parentheses, in which the assertion printed by pan differs from the one in the list.
 plain() {
   local text=${1//[ ()]/}
   [ "$text" = 0 ] && text=reached # the `assert(false)` of a witness
   printf '%s' "$text"
 }
 
-# verdict_of LOG: holds, reached, violates ASSERTION, incomplete search, or the error.
+# verdict_of LOG: prints `holds`, `reached`, `violates ASSERTION`, `incomplete search` or the error.
 verdict_of() {
   local violated
   violated=$(sed -nE 's/^pan:[0-9]+: assertion violated (.*) \(at depth [0-9]+\)$/\1/p' "$1" | head -1)
@@ -47,7 +47,7 @@
   fi
 }
 
-# check_line LINE: one run of the list; prints one line.
+# check_line LINE: does one run of the list and prints its result in one line.
 check_line() {
   local model switches expected dir start states seconds verdict result switch defines=()
   IFS='|' read -r model switches expected <<<"$1"
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,42 +1,42 @@
-/* Accepting a configuration and keeping it in force.
+/* Accepting configuration proposals and keeping the accepted configuration in force.
  *
- * One head row {version, content, recent proposals} changed by conditional write; contents live in the object
- * store. Two nodes; three proposals, made through either node, the last two racing. A write may be refused,
- * lose its reply, or land later than its caller waits. The table may be restored once from an old copy. One node
- * may be replaced by one that knows nothing. Nodes are paused at any step.
+ * One head row {version, content, recent proposals} is changed by conditional writes; contents are kept in the object
+ * store. There are two nodes and three proposals, made through either node, the last two concurrently. A write may be
+ * refused, lose its reply, or be applied later than its caller waits. The table may be restored once from an old copy.
+ * One node may be replaced by one without any state. Nodes may be paused at any step.
  *
- * A content is identified by its proposal. `lineage[c]` is the set of proposals that c was built on, c included:
- * going from x to y reverts an accepted proposal a when a is in the lineage of x and not in that of y.
+ * A content is identified by its proposal. `lineage[c]` is the set of proposals that c was built on, including c.
+ * A change from x to y reverts an accepted proposal a if a is in the lineage of x and not in that of y.
  *
  * Properties
- *   !reverted        no node goes from a configuration with an accepted proposal to one without it, and no
+ *   !reverted        no node changes from a configuration with an accepted proposal to one without it, and no
  *                    later accepted proposal lacks it
  *   !twice           a proposal is not applied a second time over newer ones
  *   !missing         a configuration in force has its content in the object store
- *   !denied          a proposal told "rejected" is not in force afterwards
+ *   !denied          a proposal reported as "rejected" does not come into force afterwards
  *
- * Safeguards (each can be removed by -D):
+ * Each switch (-D) removes one safeguard:
  *   UNCONDITIONAL_WRITE    the head is written without checking its version
  *   STEP_DOWN              a node follows the head to a lower version
- *   WRITE_ON_LOWER_HEAD    a proposal is written on a head older than its node knows, instead of healing it
- *   HEAL_WITHOUT_RECENT    the healed head loses the list of recent proposals
+ *   WRITE_ON_LOWER_HEAD    a proposal is written on a head older than its node knows, instead of repairing the head
+ *   HEAL_WITHOUT_RECENT    the repaired head loses the list of recent proposals
  *   RETRY_LOST_REPLY       after a lost reply the proposal is written again, without reading back
- *   SHORT_LIST             the recent list is shorter than the writes that can pass while a proposer waits,
- *                          and absence from it is taken for "not applied"
- *   LATE_WRITE_IS_REJECTED after a lost reply, absence from the list at an unchanged version is taken for "not
- *                          applied": the write may still land
- *   REJECT_AT_ONCE         after a lost reply "rejected" is told as soon as the head has moved on: a restored head
- *                          brings the base back and the late write lands
- *   REJECT_BY_HEAD_ALONE   "rejected" is told though a node holds the proposal: the head had it, a node read it, and a
- *                          restored copy has replaced the head since
- *   START_WITHOUT_PEER     a new node trusts the table before it has asked a peer
- *   ACCEPT_BEFORE_PEERS    "accepted" is told before every live node holds it: a head restored at that moment
- *                          is not noticed by a node that never heard of it
- *   ACCEPT_WITHOUT_HEAD    "accepted" is told without reading the head again: a node that held another content
- *                          has healed the head with it and was replaced since
- *   VERSION_ONLY           writes are conditional on the number only, and a head of an equal number with another
- *                          content (written on a restored copy) is not healed
- *   TIE_BY_ID              of two contents of one number the greater id wins, in place of the one that a node holds
+ *   SHORT_LIST             the recent list is shorter than the number of writes that can happen while a proposer
+ *                          waits, and absence from it is treated as "not applied"
+ *   LATE_WRITE_IS_REJECTED after a lost reply, absence from the list at an unchanged version is treated as "not
+ *                          applied", although the write may still be applied
+ *   REJECT_AT_ONCE         after a lost reply, "rejected" is reported as soon as the head has a newer version: a
+ *                          restored head has the base version again, and the late write is applied
+ *   REJECT_BY_HEAD_ALONE   "rejected" is reported although a node holds the proposal: a node read it from the head,
+ *                          which was then replaced by a restored copy
+ *   START_WITHOUT_PEER     a new node uses the table's head before it has queried a peer
+ *   ACCEPT_BEFORE_PEERS    "accepted" is reported before every live node holds the proposal: a node that never
+ *                          received it does not notice when an old copy of the head is restored
+ *   ACCEPT_WITHOUT_HEAD    "accepted" is reported without reading the head again: a node with another content may
+ *                          have repaired the head with that content and been replaced since
+ *   VERSION_ONLY           writes are conditional on the version number only, and a head with an equal number but
+ *                          another content (written on a restored copy) is not repaired
+ *   TIE_BY_ID              of two contents with the same number the greater id wins, instead of the one a node holds
  *   HEAD_BEFORE_CONTENT    the head is written before the content
  */
 
@@ -53,8 +53,8 @@
 /* The head row. */
 byte head_version;
 byte head_content;
-byte head_recent; /* set of proposals in it, oldest dropped beyond RECENT */
-/* A copy that may be restored. */
+byte head_recent; /* set of its most recent proposals, at most RECENT */
+/* A copy of the table that may be restored. */
 byte copy_version;
 byte copy_content;
 byte copy_recent;
@@ -67,16 +67,16 @@
 bool replaced;
 
 byte lineage[4] = 1; /* ghost: content 0 is the first configuration */
-bool written[4];     /* ghost: was in a head once */
-byte accepted = 1;   /* ghost: set of proposals told "accepted" */
-byte rejected;       /* ghost */
-byte stored = 1;     /* the object store */
+bool written[4];     /* ghost: has been in a head */
+byte accepted = 1;   /* ghost: set of proposals reported as "accepted" */
+byte rejected;       /* ghost: set of proposals reported as "rejected" */
+byte stored = 1;     /* set of contents in the object store */
 
 bool late[4]; /* a write that the table has not applied yet */
 byte late_base[4], late_content[4];
 
 bool reverted, twice, missing, denied;
-/* Marks that a situation came about; only in the runs that look for it. */
+/* Records that a situation occurred; compiled only into witness runs. */
 #ifdef WITNESS
 bool saw_lost_reply, saw_heal, saw_late_applied, saw_conflict, saw_accepted_after_restore;
 #define SAW(x) x = true
@@ -84,19 +84,19 @@
 #define SAW(x) skip
 #endif
 
-/* A node goes over to a higher number only: at an equal one with another content it keeps its own ... */
+/* A node changes to a higher number only. At an equal number with another content it keeps its own ... */
 #ifdef TIE_BY_ID
 #define AHEAD(v, c, w, d) ((v) > (w) || ((v) == (w) && (c) > (d)))
 #else
 #define AHEAD(v, c, w, d) ((v) > (w))
 #endif
-/* ... and heals a head that is lower, or equal with another content. */
+/* ... and repairs a head with a lower number, or with an equal number and another content. */
 #if defined(VERSION_ONLY) || defined(TIE_BY_ID)
-#define HEALS(n) AHEAD(known_version[n], known_content[n], head_version, head_content)
+#define NEEDS_REPAIR(n) AHEAD(known_version[n], known_content[n], head_version, head_content)
 #else
-#define HEALS(n) (known_version[n] >= head_version && (known_version[n] > head_version || known_content[n] != head_content))
+#define NEEDS_REPAIR(n) (known_version[n] >= head_version && (known_version[n] > head_version || known_content[n] != head_content))
 #endif
-/* The condition of a write. */
+/* The condition of a conditional write. */
 #ifdef VERSION_ONLY
 #define SAME_BASE(v, c) (head_version == (v))
 #else
@@ -109,7 +109,7 @@
 #define READY_TO_WRITE(n) SAME_BASE(known_version[n], known_content[n])
 #endif
 
-/* The longest time that a write may take to land has passed. */
+/* The maximum time until a write is applied has passed. */
 #ifdef REJECT_AT_ONCE
 #define WRITE_IS_OVER(p) true
 #else
@@ -122,8 +122,8 @@
 #define NO_NODE_HOLDS(p) (started[0] && started[1] && !((known_recent[0] | known_recent[1]) & BIT(p)))
 #endif
 
-/* Two accepted proposals stand in one line: one of them was built on the other. */
-#define IN_LINE(a, p) (!(accepted & BIT(a)) || (lineage[p] & BIT(a)) || (lineage[a] & BIT(p)))
+/* Of two accepted proposals, one was built on the other. */
+#define SAME_LINEAGE(a, p) (!(accepted & BIT(a)) || (lineage[p] & BIT(a)) || (lineage[a] & BIT(p)))
 
 inline adopt(n, v, c, r) {
   reverted = (lineage[known_content[n]] & accepted & ~lineage[c]) != 0;
@@ -137,7 +137,7 @@
   known_recent[n] = r
 }
 
-/* Applies proposal p on the present head. */
+/* Applies proposal p to the current head. */
 inline apply(p) {
   twice = written[p];
   assert(!twice);
@@ -165,15 +165,15 @@
 #ifdef STEP_DOWN
        :: head_version < known_version[me] -> adopt(me, head_version, head_content, head_recent); goto end
 #endif
-       :: HEALS(me) ->
+       :: NEEDS_REPAIR(me) ->
           seen_version = head_version; seen_content = head_content
        :: else -> goto end
        fi
      };
-     /* The table was restored from an old copy: the node heals the head and never steps down. */
+     /* The table was restored from an old copy: the node repairs the head and never adopts the lower version. */
      atomic {
        if
-       :: head_version == seen_version && head_content == seen_content && HEALS(me) ->
+       :: head_version == seen_version && head_content == seen_content && NEEDS_REPAIR(me) ->
           head_version = known_version[me] + 1;
           head_content = known_content[me];
 #ifdef HEAL_WITHOUT_RECENT
@@ -188,13 +188,13 @@
        seen_version = 0;
        seen_content = 0
      }
-  :: atomic { /* replaced by a node that knows nothing */
+  :: atomic { /* replaced by a node without any state */
        started[0] && started[1] && !replaced ->
        replaced = true;
        started[me] = false;
        known_version[me] = 0; known_content[me] = 0; known_recent[me] = 0
      }
-  :: atomic { /* has asked its peer */
+  :: atomic { /* has queried its peer */
        !started[me] ->
        started[me] = true;
 #ifndef START_WITHOUT_PEER
@@ -211,12 +211,12 @@
 
   if
   :: n = 0
-  :: p != 1 -> n = 1 /* the nodes are alike */
+  :: p != 1 -> n = 1 /* proposal 1 only through node 0: the nodes are symmetric */
   fi;
 #ifndef HEAD_BEFORE_CONTENT
   atomic { stored = stored | BIT(p) };
 #endif
-  /* Reads the head it builds on; a head behind the node is healed first. */
+  /* Reads the head that the proposal builds on. A head older than the node's is repaired first. */
 again:
   atomic {
     started[n] && READY_TO_WRITE(n) -> base = head_version; base_content = head_content
@@ -247,14 +247,14 @@
     if
     :: head_recent & BIT(p) -> goto confirm
     :: !(head_recent & BIT(p)) && head_version > base && WRITE_IS_OVER(p) && NO_NODE_HOLDS(p) ->
-       /* Its base is gone, it cannot land after a restored copy has brought the base back, and it was not in a
-        * head that was replaced by a restored copy after a node had read it. */
+       /* The head has left its base; the write can no longer be applied, even if a restored copy has the base
+        * version again; and it was not in a head that a node read before a restored copy replaced it. */
        goto refuse
     :: !(head_recent & BIT(p)) && head_version <= base ->
 #ifdef LATE_WRITE_IS_REJECTED
        goto refuse
 #else
-       goto finished /* unknown; an outside caller reads again */
+       goto finished /* outcome unknown; the caller reads again */
 #endif
     fi
   };
@@ -264,7 +264,7 @@
   atomic { stored = stored | BIT(p) };
 #endif
 #ifndef ACCEPT_BEFORE_PEERS
-  /* Accepted once every live node holds it, or something built on it, and the head, read afterwards, still has it. */
+  /* Accepted once every live node holds the proposal, or one built on it, and the head, read afterwards, still has it. */
   atomic {
     started[0] && started[1] && (known_recent[0] & BIT(p)) && (known_recent[1] & BIT(p))
   };
@@ -272,13 +272,13 @@
   atomic {
     if
     :: head_recent & BIT(p)
-    :: !(head_recent & BIT(p)) -> goto finished /* unknown until the head is healed */
+    :: !(head_recent & BIT(p)) -> goto finished /* unknown until the head is repaired */
     fi
   };
 #endif
 #endif
   atomic {
-    reverted = !IN_LINE(1, p) || !IN_LINE(2, p) || !IN_LINE(3, p);
+    reverted = !SAME_LINEAGE(1, p) || !SAME_LINEAGE(2, p) || !SAME_LINEAGE(3, p);
     assert(!reverted);
     accepted = accepted | BIT(p);
     if :: restored -> SAW(saw_accepted_after_restore) :: else fi
--- a/spec/grants.pml
+++ b/spec/grants.pml
@@ -1,81 +1,81 @@
 /* Grants of sends, from the hub that issues them to a node.
  *
- * A beat of the hub tells the total of its grants to one life of the node. Beats may be lost, come twice or be late,
- * also beyond the end of their sender or receiver. The hub is replaced by another life that counts from nothing, and so
- * is the node.
+ * A heartbeat of the hub carries the total of its grants to one incarnation of the node. Heartbeats may be lost,
+ * duplicated or delayed, also beyond the end of the sender's or the receiver's incarnation. The hub is replaced by
+ * another incarnation that counts from zero, and so is the node.
  *
  * Property
- *   taken <= issued: a node never takes more grants than all lives of the hub have issued
+ *   taken <= issued: a node never takes more grants than all incarnations of the hub have issued
  *
- * Safeguards (each can be removed by -D):
- *   NO_RECEIVER_LIFE   a node takes totals that were meant for its earlier life
- *   ONE_SENDER_LIFE    totals of the newest heard life of the hub alone are remembered: lives have no order, and a late
- *                      beat of the earlier one counts anew, and then the next of the later one
- *   INCREMENTS         beats tell what is new, not the total
- *   GOES_BACK          a late, lower total is remembered as the newest
+ * Each switch (-D) removes one safeguard:
+ *   NO_RECEIVER_LIFE   a node accepts totals that were sent to its earlier incarnation
+ *   ONE_SENDER_LIFE    only the total of the hub incarnation received last is kept: incarnations are not ordered, so a
+ *                      late heartbeat of the earlier one is counted again, and then the next one of the later one
+ *   INCREMENTS         heartbeats carry the grants issued since the last one, not the total
+ *   GOES_BACK          a late, lower total is stored as the newest
  */
 
-#define BEATS 3 /* on their way at once */
-#define MOST 3  /* grants of one life of the hub */
+#define MESSAGES 3 /* in transit simultaneously */
+#define MAX_GRANTS 3 /* per incarnation of the hub */
 
-byte hub_life = 1;
-byte node_life = 1;
-byte told_life;   /* of the node, as the hub has heard it; 0: not yet */
-byte total;       /* to that life */
-byte fresh;       /* issued since the last beat; only for INCREMENTS */
+byte hub_incarnation = 1;
+byte node_incarnation = 1;
+byte reported_incarnation; /* of the node, as received by the hub; 0: none yet */
+byte total;                /* issued to that incarnation */
+byte unsent;               /* issued since the last heartbeat; only for INCREMENTS */
 byte issued;
 
-byte seen_life;   /* of the hub that was heard last */
-byte seen[3];     /* total that was taken, by life of the hub */
+byte last_sender;       /* hub incarnation received last */
+byte received_total[3]; /* total taken, by hub incarnation */
 byte taken;
 
-chan way = [BEATS] of { byte, byte, byte }; /* life of the hub, life of the node, total */
+chan channel = [MESSAGES] of { byte, byte, byte }; /* hub incarnation, node incarnation, total */
 
 proctype hub() {
 end:
   do
-  :: atomic { told_life != node_life -> told_life = node_life; total = 0; fresh = 0 }
-  :: atomic { told_life != 0 && total < MOST && issued < 2 * MOST ->
-       total++; fresh++; issued++ }
-  :: atomic { told_life != 0 && nfull(way) ->
+  :: atomic { reported_incarnation != node_incarnation -> reported_incarnation = node_incarnation; total = 0; unsent = 0 }
+  :: atomic { reported_incarnation != 0 && total < MAX_GRANTS && issued < 2 * MAX_GRANTS ->
+       total++; unsent++; issued++ }
+  :: atomic { reported_incarnation != 0 && nfull(channel) ->
 #ifdef INCREMENTS
-       way ! hub_life, told_life, fresh; fresh = 0
+       channel ! hub_incarnation, reported_incarnation, unsent; unsent = 0
 #else
-       way ! hub_life, told_life, total
+       channel ! hub_incarnation, reported_incarnation, total
 #endif
      }
-  :: atomic { hub_life == 1 -> hub_life = 2; told_life = 0; total = 0; fresh = 0 }
+  :: atomic { hub_incarnation == 1 -> hub_incarnation = 2; reported_incarnation = 0; total = 0; unsent = 0 }
   od
 }
 
-inline take(life, to, count) {
+inline take(sender, receiver, count) {
   if
 #ifndef NO_RECEIVER_LIFE
-  :: to != node_life -> skip
+  :: receiver != node_incarnation -> skip
 #endif
   :: else ->
 #ifdef ONE_SENDER_LIFE
      if
-     :: life != seen_life -> seen[life] = 0
+     :: sender != last_sender -> received_total[sender] = 0
      :: else -> skip
      fi;
 #endif
-     seen_life = life;
+     last_sender = sender;
 #ifdef INCREMENTS
      taken = taken + count
 #else
      if
-     :: count > seen[life] -> taken = taken + count - seen[life]; seen[life] = count
+     :: count > received_total[sender] -> taken = taken + count - received_total[sender]; received_total[sender] = count
 #ifdef GOES_BACK
-     :: count < seen[life] -> seen[life] = count
+     :: count < received_total[sender] -> received_total[sender] = count
 #endif
      :: else -> skip
      fi
 #endif
   fi;
 #ifdef WITNESS
-  if /* a late beat of the earlier life of the hub, when the later one was heard */
-  :: life < hub_life && taken > 0 && seen[2] > 0 -> assert(false)
+  if /* a late heartbeat of the earlier hub incarnation, after one of the later incarnation */
+  :: sender < hub_incarnation && taken > 0 && received_total[2] > 0 -> assert(false)
   :: else -> skip
   fi;
 #endif
@@ -83,14 +83,14 @@
 }
 
 proctype node() {
-  byte life, to, count;
+  byte sender, receiver, count;
 end:
   do
-  :: atomic { way ?? life, to, count -> take(life, to, count) }   /* in any order, by what is lost or late */
-  :: atomic { way ? <life, to, count> -> take(life, to, count) }  /* comes, and comes again */
-  :: atomic { way ? life, to, count }                             /* lost */
-  :: atomic { nempty(way) && nfull(way) -> way ? life, to, count; way ! life, to, count } /* overtaken */
-  :: atomic { node_life == 1 -> node_life = 2; seen[1] = 0; seen[2] = 0; seen_life = 0 }
+  :: atomic { channel ?? sender, receiver, count -> take(sender, receiver, count) }   /* in any order: others are lost or late */
+  :: atomic { channel ? <sender, receiver, count> -> take(sender, receiver, count) }  /* delivered, and duplicated */
+  :: atomic { channel ? sender, receiver, count }                             /* lost */
+  :: atomic { nempty(channel) && nfull(channel) -> channel ? sender, receiver, count; channel ! sender, receiver, count } /* reordered */
+  :: atomic { node_incarnation == 1 -> node_incarnation = 2; received_total[1] = 0; received_total[2] = 0; last_sender = 0 }
   od
 }
 
--- a/spec/keyed.pml
+++ b/spec/keyed.pml
@@ -1,38 +1,39 @@
-/* The keyed record of a request that may not be repeated.
+/* The record of an idempotency key, which makes a request run at most once.
  *
- * One (workspace, idempotency key). Several attempts carry it: retries of a caller whose first attempt went
- * unanswered, or two clicks. Attempts 0 and 1 reach the same node, attempt 2 another one. The record is inserted
- * conditionally before anything is sent; the table may be slow (a write lands later than its caller waits), its
- * replies may be lost. A process that is never scheduled again is a dead node; one scheduled late is a paused one.
+ * Several attempts carry the same workspace and idempotency key: retries of a caller whose first attempt was not
+ * answered, or accidental duplicates. Attempts 0 and 1 reach the same node, attempt 2 another one. The record is
+ * inserted conditionally before anything is sent. The table may be slow (a write is applied later than its caller
+ * waits), and its replies may be lost. A process that is never scheduled again models a dead node, one that is
+ * scheduled late a paused node.
  *
- * Time is counted in ticks. The bounds that matter are ratios, not lengths:
+ * Time is counted in ticks. Only the ratios of these bounds matter, not their lengths:
  *   SEND_WINDOW  an attempt may start its send at most this long after it arrived
- *   TRANSIT      the longest time from the deadline check to the request's arrival at the target
+ *   TRANSIT      the maximum time from the deadline check to the request's arrival at the target
  *   ANSWER       an attempt may be answered "not run" at most this long after it arrived
- *   RETRY        the longest time after which a caller still repeats the key
+ *   RETRY        the maximum time after which a caller still repeats the key
  *   RETENTION    how long the record is kept: at least RETRY + ANSWER, and SEND_WINDOW + TRANSIT
  *
  * Properties
  *   runs <= 1                       the request runs at most once
- *   !(told_not_run && runs > 0)     a caller told "not run" can rely on it, for the key and not just the attempt
+ *   !(told_not_run && runs > 0)     a caller that was answered "not run" can rely on it, for all attempts with the key
  *
- * Safeguards (each can be removed by -D):
+ * Each switch (-D) removes one safeguard:
  *   NO_KEYED_ROW          send without inserting the record
  *   ROW_AFTER_SEND        insert the record after the send
  *   OWNER_IS_NODE         the record names the node, not the attempt, as its owner
- *   LOST_REPLY_IS_MINE    a lost insert reply is taken for success, without reading back
- *   SEND_TWICE            the sender tries again when no answer comes
- *   NO_DEADLINE_CHECK     the deadline is not re-checked directly before the send
- *   EARLY_EXPIRY          the record expires after the send window, not counting transit and retries
- *   RETENTION_IS_RETRY    the record is kept for the retry time only: a late attempt claims the key afresh
- *   LATE_NOT_RUN          "not run" is answered however late the record was claimed: an earlier one, which
- *                         ran, may have expired in between
+ *   LOST_REPLY_IS_MINE    a lost insert reply is treated as success, without reading back
+ *   SEND_TWICE            the sender tries again when no answer arrives
+ *   NO_DEADLINE_CHECK     the deadline is not checked again directly before the send
+ *   EARLY_EXPIRY          the record expires after the send window, without allowing for transit and retries
+ *   RETENTION_IS_RETRY    the record is kept for the retry time only: a late attempt inserts a new record
+ *   LATE_NOT_RUN          "not run" is answered however late the record was inserted: an earlier record, whose
+ *                         attempt ran, may have expired before
  *   OTHERS_CLOSE          a node that is not the owner closes an unfinished record as not run
  *   NO_SINGLE_DECISION    a timer answers "not run" while the sender is still able to send
  *   REFUSAL_IS_NOT_RUN    an attempt refused before its insert is answered "not run" for the key
- *   TAKE_OVER_NOT_RUN     a record closed as not run may be claimed again by a later attempt
- *   TAKE_OVER_UNKNOWN     a duplicate re-runs a record whose owner seems dead
- * Limits (outside what the record can protect; shown so that the pages state them):
+ *   TAKE_OVER_NOT_RUN     a record closed as not run may be taken over by a later attempt
+ *   TAKE_OVER_UNKNOWN     a duplicate takes over a record whose owner seems dead, and runs the request again
+ * Limits (faults that the record cannot protect against; checked so that the documentation can state them):
  *   RETRY_AFTER_EXPIRY    the caller repeats the key after the record has expired
  *   TABLE_RESTORED        the table is restored from a copy older than the record
  */
@@ -67,11 +68,11 @@
 byte runs;
 bool told_not_run;
 
-bool late_insert[ATTEMPTS]; /* a write the table has not applied yet */
-bool in_transit[ATTEMPTS];  /* deadline checked, order half sent or on the wire */
-byte lands_by[ATTEMPTS];
+bool late_insert[ATTEMPTS]; /* a write that the table has not applied yet */
+bool in_transit[ATTEMPTS];  /* deadline checked; the request is being sent or in the network */
+byte arrives_by[ATTEMPTS];
 
-/* Marks that a situation came about; only in the runs that look for it. */
+/* Records that a situation occurred; compiled only into witness runs. */
 #ifdef WITNESS
 bool saw_late_insert, saw_run_after_late_insert, saw_woken_owner, saw_outcome, saw_closed, saw_expired_after_run;
 #define SAW(x, condition) x = x || (condition)
@@ -79,7 +80,7 @@
 #define SAW(x, condition) skip
 #endif
 
-/* ONLY_AT_MOST_ONCE leaves the second property out, where a missing safeguard breaks both. */
+/* ONLY_AT_MOST_ONCE omits the second property, for switches that violate both. */
 #ifdef ONLY_AT_MOST_ONCE
 #define CHECK_NOT_RUN
 #else
@@ -94,18 +95,18 @@
   fi
 }
 
-inline tell_not_run() {
+inline answer_not_run() {
   told_not_run = true;
   CHECK_NOT_RUN
 }
 
-/* The clock is read after the table's reply: too late, and the answer is "unknown". */
-inline tell_not_run_in_time() {
+/* The clock is read after the table's reply. After the limit the answer is "unknown". */
+inline answer_not_run_in_time() {
   if
 #ifdef LATE_NOT_RUN
-  :: true -> tell_not_run()
+  :: true -> answer_not_run()
 #else
-  :: clock <= arrived + ANSWER -> tell_not_run()
+  :: clock <= arrived + ANSWER -> answer_not_run()
   :: else
 #endif
   fi
@@ -134,12 +135,12 @@
     arrived = clock
   };
 
-  /* Admission may refuse it at once: the attempt was not run, but of the key nothing is known. */
+  /* Admission may refuse it immediately: the attempt did not run, but other attempts with the key may have. */
   if
   :: true
   :: true ->
 #ifdef REFUSAL_IS_NOT_RUN
-     atomic { tell_not_run() };
+     atomic { answer_not_run() };
 #endif
      goto finished
   fi;
@@ -149,7 +150,7 @@
 #endif
 
 claim:
-  /* Conditional insert; the reply tells, is lost, or the write is applied later than its caller waits. */
+  /* Conditional insert; the reply may be lost, or the write may be applied later than its caller waits. */
   atomic {
     if
     :: row == absent -> table_insert(id); goto owner
@@ -174,11 +175,11 @@
 #else
        goto closed
 #endif
-    :: row == done -> SAW(saw_outcome, true); goto finished  /* the recorded outcome is repeated to the caller */
+    :: row == done -> SAW(saw_outcome, true); goto finished  /* the caller gets the recorded outcome */
     :: row == absent -> goto finished                    /* answered: unknown */
     :: row == in_progress && row_owner != OWNER(id) ->   /* answered: in progress or unknown */
 #ifdef OTHERS_CLOSE
-       row = not_run; tell_not_run()
+       row = not_run; answer_not_run()
 #endif
 #ifdef TAKE_OVER_UNKNOWN
        row_owner = OWNER(id); goto owner
@@ -188,14 +189,14 @@
   };
 
 owner:
-  /* Hazard: a paused keyed owner wakes up here, long after its record has expired. */
+  /* Hazard: a paused owner resumes here, long after its record has expired. */
   if
   :: goto send
   :: goto close
   fi;
 
 send:
-  /* The clock is read directly before the send; afterwards the order lands within TRANSIT or never. */
+  /* The clock is read directly before the send; the request then arrives within TRANSIT or never. */
   atomic {
     if
 #ifdef NO_DEADLINE_CHECK
@@ -203,7 +204,7 @@
 #else
     :: clock <= arrived + SEND_WINDOW ->
 #endif
-       in_transit[id] = true; lands_by[id] = clock + TRANSIT
+       in_transit[id] = true; arrives_by[id] = clock + TRANSIT
 #ifndef NO_DEADLINE_CHECK
     :: clock > arrived + SEND_WINDOW ->
        SAW(saw_woken_owner, row == absent);
@@ -214,12 +215,12 @@
 #ifdef NO_SINGLE_DECISION
   if
   :: true
-  :: atomic { tell_not_run() }
+  :: atomic { answer_not_run() }
   fi;
 #endif
   if
   :: target_runs(id)
-  :: atomic { in_transit[id] = false; goto unanswered } /* lost on the way */
+  :: atomic { in_transit[id] = false; goto unanswered } /* lost in transit */
   fi;
   if
   :: goto record
@@ -227,7 +228,7 @@
   fi;
 
 unanswered:
-  /* Whether it ran is not known. The record stays in progress: it is never run again. */
+  /* Whether the request ran is unknown. The record stays in progress, so it never runs again. */
 #ifdef SEND_TWICE
   if
   :: true -> target_runs(id)
@@ -243,30 +244,30 @@
   atomic {
     if
     :: row == in_progress && row_owner == OWNER(id) -> row = done
-    :: true /* table away, or the record has expired */
+    :: true /* table unavailable, or the record has expired */
     fi
   };
   goto finished;
 
 close:
-  /* From here on this attempt never sends. Only its owner can know that, so only the owner closes. */
+  /* From here on this attempt never sends. Only the owner of the record knows this, so only the owner closes it. */
   atomic {
     if
     :: row == in_progress && row_owner == OWNER(id) -> row = not_run; goto closed
     :: row == in_progress && row_owner == OWNER(id) -> row = not_run /* reply lost: answered unknown */
-    :: true /* table away, or no longer one's own: answered unknown */
+    :: true /* table unavailable, or the record has another owner: answered unknown */
     fi
   };
   goto finished;
 
 closed:
-  atomic { tell_not_run_in_time(); SAW(saw_closed, told_not_run) };
+  atomic { answer_not_run_in_time(); SAW(saw_closed, told_not_run) };
 
 finished:
   skip
 }
 
-/* The network and the table: late writes are applied, records expire, old copies are restored. */
+/* The table: late writes are applied, records expire, old copies are restored. */
 active proctype table() {
   byte i;
 end:
@@ -281,7 +282,7 @@
   od
 }
 
-#define MAY_TICK(i) (!in_transit[i] || clock < lands_by[i])
+#define MAY_TICK(i) (!in_transit[i] || clock < arrives_by[i])
 
 active proctype time() {
 end:
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,23 +1,24 @@
-/* How long a node uses keys of the version that it holds: proofs from the store and from its hub.
+/* How long a node may use the keys of its configuration version: proofs, from the store and from its hub, that the
+ * version is still the newest.
  *
- * The store accepts a second version that takes a key away. A hub follows the store; a node asks the store itself, or is
- * told by its hub, which answers on the position and the stamp that the node last told it. Every message may be on its
- * way for any time, and one of each kind at a time. The node may start again once and then knows nothing, while its
- * hub still has what its earlier life told.
+ * The store accepts a second version that withdraws a key. A hub follows the store. A node queries the store itself, or
+ * gets updates from its hub, which replies to the position and the timestamp that the node last reported to it. Every
+ * message may be in transit for any time, one of each kind at a time. The node may restart once and then has no state,
+ * while its hub still has what the earlier incarnation reported.
  *
- * Property
- *   !late    the node does not use the key BOUND ticks or more after it was taken away
- *   !blind   the node holds the version that its position claims: it asks for nothing before that again
+ * Properties
+ *   !late    the node does not use the key BOUND ticks or more after it was withdrawn
+ *   !blind   the node holds the version of its position, because it requests nothing older than that again
  *
- * Safeguards (each can be removed by -D):
- *   FROM_ARRIVAL   a proof from the store counts from its answer, not from the question
- *   NO_ECHO        what the hub says counts from its arrival, not from the node's stamp that it echoes
- *   NO_AGE         the hub's word counts as if the hub had just asked the store
- *   NO_POSITION    news are taken by a node that is behind the position that they go on from
+ * Each switch (-D) removes one safeguard:
+ *   FROM_ARRIVAL   the age of a proof from the store counts from the arrival of the answer, not from the query
+ *   NO_ECHO        the age of a hub update counts from its arrival, not from the node's timestamp that it echoes
+ *   NO_AGE         a hub update counts as if the hub had just queried the store
+ *   NO_POSITION    a node whose position is behind the start of an update accepts it
  */
 
 #define BOUND 2
-#define START 4 /* the first tick, so that no time is below zero */
+#define START 4 /* the first tick; keeps times from going below zero */
 #ifndef END
 #define END 8
 #endif
@@ -25,29 +26,29 @@
 
 byte now = START;
 byte newest;           /* version in the store: 0, then 1 */
-byte withdrawn;        /* tick at which version 1 was accepted */
+byte withdrawn_at;        /* tick at which version 1 was accepted */
 
-byte hub_version, hub_proof = START; /* the hub has read the store at the start */
-byte hub_asked, hub_stamp;           /* what the node told: its position, its clock */
-bool hub_told;
+byte hub_version, hub_proof_time = START; /* the hub has read the store at the start */
+byte reported_position, reported_stamp;   /* the node's position and clock, as last received by the hub */
+bool hub_informed;
 
-byte own_version = NONE, own_position, own_proof;
-bool proved, restarted, late, blind;
+byte own_version = NONE, own_position, proof_time;
+bool has_proof, restarted, late, blind;
 
 #ifdef WITNESS
 bool saw_hub_proof, saw_refusal;
 #endif
 
 #define MAX(a, b) ((a) > (b) -> (a) : (b))
-#define usable (proved && own_version == 0 && now - own_proof < BOUND)
+#define usable (has_proof && own_version == 0 && now - proof_time < BOUND)
 
-inline prove(time) {
-  own_proof = (proved -> MAX(own_proof, time) : time);
-  proved = true
+inline renew(time) {
+  proof_time = (has_proof -> MAX(proof_time, time) : time);
+  has_proof = true
 }
 
 inline check() {
-  late = late || (usable && newest == 1 && now - withdrawn >= BOUND);
+  late = late || (usable && newest == 1 && now - withdrawn_at >= BOUND);
   blind = blind || (own_position > 0 && own_version != own_position)
 }
 
@@ -58,29 +59,29 @@
 }
 
 active proctype operator() {
-  d_step { newest == 0 -> newest = 1; withdrawn = now }
+  d_step { newest == 0 -> newest = 1; withdrawn_at = now }
 }
 
-/* What a step no longer needs is set to zero, so that states that differ in nothing else are one. */
+/* Variables that are no longer needed are set to zero, which makes otherwise equal states identical. */
 
-/* Asks, is answered from what the store holds at some later moment, and hears it later still. */
+/* Queries the store, which answers with its version at some later time; the answer arrives later still. */
 active proctype hub() {
-  byte asked, answer;
+  byte sent_at, answer;
   do
-  :: atomic { now < END -> asked = now };
+  :: atomic { now < END -> sent_at = now };
      answer = newest;
      d_step {
        hub_version = MAX(hub_version, answer);
-       hub_proof = MAX(hub_proof, asked);
-       asked = 0; answer = 0
+       hub_proof_time = MAX(hub_proof_time, sent_at);
+       sent_at = 0; answer = 0
      }
   od
 }
 
 active proctype node() {
-  byte asked, answer;
+  byte sent_at, answer;
   do
-  :: atomic { now < END -> asked = now };
+  :: atomic { now < END -> sent_at = now };
      answer = newest;
      d_step {
        if
@@ -88,41 +89,41 @@
           own_version = (own_version == NONE -> answer : MAX(own_version, answer));
           own_position = MAX(own_position, answer);
 #ifdef FROM_ARRIVAL
-          prove(now);
+          renew(now);
 #else
-          prove(asked);
+          renew(sent_at);
 #endif
           check()
        :: else -> skip
        fi;
-       asked = 0; answer = 0
+       sent_at = 0; answer = 0
      }
   :: d_step {
        !restarted -> restarted = true;
-       own_version = NONE; own_position = 0; own_proof = 0; proved = false
+       own_version = NONE; own_position = 0; proof_time = 0; has_proof = false
      }
   od
 }
 
-/* The node's beats. */
-active proctype telling() {
+/* The node's heartbeats to the hub. */
+active proctype node_heartbeats() {
   byte stamp, position;
   do
   :: d_step { now < END -> stamp = now; position = own_position };
-     d_step { hub_asked = position; hub_stamp = stamp; hub_told = true; stamp = 0; position = 0 }
+     d_step { reported_position = position; reported_stamp = stamp; hub_informed = true; stamp = 0; position = 0 }
   od
 }
 
-/* The hub's beats. */
-active proctype news() {
+/* The hub's heartbeats to the node. */
+active proctype hub_heartbeats() {
   byte after, position, echo, age;
   bool row;
   do
   :: d_step {
-       hub_told && now < END ->
-       after = hub_asked; echo = hub_stamp; position = hub_version;
-       row = hub_version > hub_asked;
-       age = now - hub_proof
+       hub_informed && now < END ->
+       after = reported_position; echo = reported_stamp; position = hub_version;
+       row = hub_version > reported_position;
+       age = now - hub_proof_time
      };
      d_step {
        if
@@ -139,12 +140,12 @@
           if
           :: own_version != NONE && position >= own_position ->
 #ifdef NO_ECHO
-             prove(now - age)
+             renew(now - age)
 #else
 #ifdef NO_AGE
-             prove(echo)
+             renew(echo)
 #else
-             prove(echo - age)
+             renew(echo - age)
 #endif
 #endif
 #ifdef WITNESS
--- a/spec/parts.pml
+++ b/spec/parts.pml
@@ -1,42 +1,43 @@
-/* A configuration that comes in parts from hubs which may lag, to a node that may start again.
+/* A configuration sent in parts, by hubs that may lag, to a node that may restart.
  *
- * A change against the row that the node told, or the whole row, is two parts. Beats with a part may be lost, late, doubled or overtaken. Two
- * hubs send at once, and each may hold an older row than the other.
+ * The patch against the row that the node reported, or the complete row, is sent in two parts. Heartbeats with a part
+ * may be lost, delayed, duplicated or reordered. Two hubs send simultaneously, and each may have an older row than the
+ * other.
  *
  * Properties
- *   !mixed      what is put in force is both parts, in their order, of one change made for the row that the node holds
- *   !reverted   a node never puts an older row in force than it has held in this life
+ *   !mixed      the node applies only both parts, in order, of one patch against the row it holds, or of one complete row
+ *   !reverted   between restarts, a node applies only rows newer than the one it holds
  *
- * Safeguards (each can be removed by -D):
- *   NO_ROW      a second part is joined to the first whatever row it belongs to
- *   NO_BASE     parts do not say which row they are made for
- *   NO_OFFSET   parts are joined in the order in which they come
- *   NO_ORDER    a row is taken whatever the node holds
+ * Each switch (-D) removes one safeguard:
+ *   NO_ROW      a second part is joined to the first one even if it belongs to another row
+ *   NO_BASE     parts do not name the row that their patch is based on
+ *   NO_OFFSET   parts are joined in the order in which they arrive
+ *   NO_ORDER    a row is accepted regardless of the row that the node holds
  */
 
 #define HUBS 2
-#define BEATS 2
+#define MESSAGES 2
 #define ROWS 3 /* 1 is in force everywhere at the start */
 
-byte row[HUBS] = 1;     /* that each hub holds */
-byte told = 1;          /* the row that the node has said it holds, as the hubs have heard it */
+byte row[HUBS] = 1;     /* newest row of each hub */
+byte reported = 1;      /* the row that the node reported to hold, as received by the hubs */
 
-byte held = 1;          /* by the node; 0: it has just started */
-byte part_row, part_base, parts;   /* progress of the node */
+byte held = 1;          /* row of the node; 0: it has just started */
+byte part_row, part_base, parts_received;   /* the node's incomplete transfer */
 bool mixed, reverted, restarted;
-byte first_row, first_base;        /* whose the first part really was */
+byte first_row, first_base;        /* ghost: actual row and base of the first part */
 
-chan way = [BEATS] of { byte, byte, byte }; /* row, base, offset */
+chan channel = [MESSAGES] of { byte, byte, byte }; /* row, base, offset */
 
 proctype hub(byte me) {
 end:
   do
   :: atomic { row[me] < ROWS -> row[me]++ }
-  :: atomic { row[me] > told && nfull(way) -> way ! row[me], told, 0 }
-  :: atomic { row[me] > told && nfull(way) -> way ! row[me], told, 1 }
-  /* It does not keep that row any more: the whole one. */
-  :: atomic { row[me] > told && nfull(way) -> way ! row[me], 0, 0 }
-  :: atomic { row[me] > told && nfull(way) -> way ! row[me], 0, 1 }
+  :: atomic { row[me] > reported && nfull(channel) -> channel ! row[me], reported, 0 }
+  :: atomic { row[me] > reported && nfull(channel) -> channel ! row[me], reported, 1 }
+  /* The hub no longer has the reported row, so it sends the complete row (base 0). */
+  :: atomic { row[me] > reported && nfull(channel) -> channel ! row[me], 0, 0 }
+  :: atomic { row[me] > reported && nfull(channel) -> channel ! row[me], 0, 1 }
   od
 }
 
@@ -49,14 +50,14 @@
   :: base != held && base != 0 -> skip
 #endif
 #ifdef NO_OFFSET
-  :: parts == 0 -> part_row = r; part_base = base; parts = 1; first_row = r; first_base = base;
+  :: parts_received == 0 -> part_row = r; part_base = base; parts_received = 1; first_row = r; first_base = base;
        mixed = mixed || offset != 0
 #else
-  :: offset == 0 -> part_row = r; part_base = base; parts = 1; first_row = r; first_base = base
+  :: offset == 0 -> part_row = r; part_base = base; parts_received = 1; first_row = r; first_base = base
 #endif
   :: else ->
      if
-     :: parts == 1 &&
+     :: parts_received == 1 &&
 #ifndef NO_OFFSET
         offset == 1 &&
 #endif
@@ -70,7 +71,7 @@
           mixed = mixed || r != first_row || base != first_base || (base != held && base != 0) || offset != 1;
           reverted = reverted || r <= held;
           held = r;
-          parts = 0
+          parts_received = 0
      :: else -> skip
      fi
   fi;
@@ -88,12 +89,12 @@
   byte r, base, offset;
 end:
   do
-  :: atomic { way ? r, base, offset -> take(r, base, offset) }
-  :: atomic { way ? <r, base, offset> -> take(r, base, offset) }
-  :: atomic { way ? r, base, offset }
-  :: atomic { nempty(way) && nfull(way) -> way ? r, base, offset; way ! r, base, offset }
-  :: atomic { told != held -> told = held }
-  :: atomic { !restarted -> restarted = true; held = 0; parts = 0 }
+  :: atomic { channel ? r, base, offset -> take(r, base, offset) }
+  :: atomic { channel ? <r, base, offset> -> take(r, base, offset) }
+  :: atomic { channel ? r, base, offset }
+  :: atomic { nempty(channel) && nfull(channel) -> channel ? r, base, offset; channel ! r, base, offset }
+  :: atomic { reported != held -> reported = held }
+  :: atomic { !restarted -> restarted = true; held = 0; parts_received = 0 }
   od
 }
 
--- a/spec/replica.pml
+++ b/spec/replica.pml
@@ -1,43 +1,45 @@
-/* Replicas that live in their engines: two keepers, orders that rest on a count, late and lost orders.
+/* Replicas whose membership is stored only in their engines: two controllers, orders that are conditional on a count,
+ * late and lost orders.
  *
- * Three engines, replicas of two: a head and a member. There is no row of who belongs to whom. An engine keeps the
- * replica it joined and counts the orders it obeyed; an order names the count it was decided on. Two keepers
- * observe engines one by one and act on what they saw, however old; an order may arrive at any later time, and
- * an answer may be lost. Engines also write rows (ROWS), which may be older than anything that was observed since. An
- * engine may start again under its name (RESTARTS): it knows nothing of before, its count and epochs start anew, and an
- * order for its earlier life, under any name given until then and on any count, may still be on its way.
+ * There are three engines and replicas of two: a head and a member. No row stores which engine belongs to which replica.
+ * An engine stores the replica it joined and counts the orders it obeyed; an order names the count that it is based on.
+ * Two controllers observe engines one by one and act on these observations, however old. An order may arrive at any
+ * later time, and its answer may be lost. Engines also write rows (ROWS), which may be older than later observations.
+ * An engine may restart under its name (RESTARTS): it loses its state, its count and epochs start again, and an order
+ * for its earlier incarnation, for any replica named until then and with any count, may still be in transit.
  *
- * Taken for given: epochs rise in the order in which replicas are named, also between keepers (a keeper's first one leaps
- * beyond those of the one before); and between the report that an order rests on and its arrival in time, no engine starts
- * again and is a member of something that serves (0.5 s against 1.6 s).
+ * Assumptions: epochs rise in the order in which replicas are named, also between controllers (the first epoch of a
+ * controller is higher than all epochs of the previous one). Between the report that an order is based on and the
+ * timely arrival of the order, no engine restarts and becomes a member of a serving replica (0.5 s against 1.6 s).
  *
  * Properties
- *   !two       no engine joins a replica while the head of its own, which it has not left, serves
+ *   !two       no engine joins a replica while the head of its current replica, which it has not left, serves
  *   !partial   no head opens whose member was never in its replica
  *
- * Safeguards (each can be removed by -D):
- *   NO_COUNT        orders are obeyed whatever the count is
+ * Each switch (-D) removes one safeguard:
+ *   NO_COUNT        orders are obeyed regardless of their count
  *   MEMBER_FIRST    the member joins before its head
- *   OLD_OUTSIDE     a head counts as outside of a replica if it was seen so at any time, also before it joined
- *   NO_RECHECK      a plan goes on when a member is no longer in what it was chosen from
- *   ROW_IS_PROOF    a row that says that a head is outside frees its members
- *   NO_EPOCH        an engine joins under a lower epoch than it knows
- *   NO_LIVES        a plan goes on with a member that started again, and a head that did counts as outside
- *   OLD_LIFE        an order in time may rest on a count of an earlier life
+ *   OLD_OUTSIDE     a head counts as outside of a replica if it was ever seen outside, also before it joined
+ *   NO_RECHECK      a replica is formed further although a member has left the replica that it was chosen from
+ *   ROW_IS_PROOF    a row according to which a head is outside frees its members
+ *   NO_EPOCH        an engine joins under a lower epoch than the highest it knows
+ *   NO_LIVES        a replica is formed further with a restarted member, and a restarted head counts as outside
+ *   OLD_LIFE        an order in time may be based on the count of an earlier incarnation
  *
- * Searched whole with two engines, two names and six orders; with one start again or with rows, four orders. With three engines the search was not ended: 16 million
- * states in 32 s at five orders showed nothing.
+ * The search is complete with two engines, two replica names and six orders, and with four orders if there is one
+ * restart or if there are rows. With three engines and five orders it was stopped after 16 million states (32 s)
+ * without a violation.
  */
 
 #ifndef ENGINES
 #define ENGINES 3
 #endif
 #ifndef GROUPS
-#define GROUPS 4 /* 1 to 3; 0: none */
+#define GROUPS 4 /* replica numbers 1 to 3; 0: none */
 #endif
 #define UNKNOWN 7
 
-/* Orders of both keepers together: three form and open a replica, so that five leave two to the other. */
+/* Orders of both controllers together. Three form and open a replica, so five leave two for the other controller. */
 #ifndef ORDERS
 #define ORDERS 5
 #endif
@@ -47,27 +49,27 @@
 #endif
 
 #if RESTARTS > 0
-byte cnt[ENGINES] = 1; /* each has obeyed one order, as spares have, before it is looked at; a new life has not */
-byte top[ENGINES];  /* greatest epoch that this life knows */
-byte life[ENGINES];
+byte order_count[ENGINES] = 1; /* each has obeyed one order before it is observed, as spares have; a new incarnation has not */
+byte highest_epoch[ENGINES];  /* known to this incarnation */
+byte incarnation[ENGINES];
 byte restarts;
-byte head_life[GROUPS], member_life[GROUPS]; /* in its name */
+byte head_incarnation[GROUPS], member_incarnation[GROUPS]; /* named in the replica's name */
 #else
-byte cnt[ENGINES];
+byte order_count[ENGINES];
 #endif
 #ifdef ROWS
 byte row[ENGINES];  /* the replica that its row names */
 #endif
-byte in[ENGINES];
+byte joined[ENGINES];
 bit serves[ENGINES];
 byte head[GROUPS], member[GROUPS];
-bit was[GROUPS];   /* the member was in it */
+bit was_member[GROUPS];   /* the member was in it */
 byte formed;       /* replicas named so far */
 byte orders;       /* sent so far */
 bool two, partial;
 
 #ifdef WITNESS
-bool saw_open, saw_apart;
+bool saw_open, saw_dissolved;
 #define SAW(x, condition) x = x || (condition)
 #else
 #define SAW(x, condition) skip
@@ -75,74 +77,74 @@
 
 mtype = { join, open, leave };
 
-/* One order that is late. */
+/* One late order. */
 bool late;
 mtype late_what;
 byte late_to, late_group, late_count;
 
 #if RESTARTS > 0 && !defined(NO_EPOCH)
-#define EPOCH_FITS(e, g) ((g) >= top[e])
+#define EPOCH_FITS(e, g) ((g) >= highest_epoch[e])
 #else
 #define EPOCH_FITS(e, g) true
 #endif
 #if RESTARTS > 0 && !defined(OLD_LIFE)
-#define SAME_LIFE(e) (seen_life[e] == life[e])
+#define SAME_INCARNATION(e) (seen_incarnation[e] == incarnation[e])
 #else
-#define SAME_LIFE(e) true
+#define SAME_INCARNATION(e) true
 #endif
 
 #if RESTARTS > 0 && !defined(NO_LIVES)
-#define HEAD_LIFE(g) (seen_life[head[g]] == head_life[g])
-#define LIVES(g) (HEAD_LIFE(g) && seen_life[member[g]] == member_life[g])
+#define SAME_HEAD_INCARNATION(g) (seen_incarnation[head[g]] == head_incarnation[g])
+#define SAME_INCARNATIONS(g) (SAME_HEAD_INCARNATION(g) && seen_incarnation[member[g]] == member_incarnation[g])
 #else
-#define HEAD_LIFE(g) true
-#define LIVES(g) true
+#define SAME_HEAD_INCARNATION(g) true
+#define SAME_INCARNATIONS(g) true
 #endif
 
 #ifdef NO_COUNT
 #define COUNT_FITS(e, c) true
 #else
-#define COUNT_FITS(e, c) (cnt[e] == (c))
+#define COUNT_FITS(e, c) (order_count[e] == (c))
 #endif
 
-inline arrive(what, e, g, c, done) {
+inline deliver(what, e, g, c, done) {
   done = false;
   if
   :: !COUNT_FITS(e, c) -> skip
   :: else ->
     if
-    :: what == join && in[e] != g && EPOCH_FITS(e, g) ->
+    :: what == join && joined[e] != g && EPOCH_FITS(e, g) ->
       if
-      :: in[e] != 0 && head[in[e]] != e && in[head[in[e]]] == in[e] && serves[head[in[e]]] -> two = true
+      :: joined[e] != 0 && head[joined[e]] != e && joined[head[joined[e]]] == joined[e] && serves[head[joined[e]]] -> two = true
       :: else -> skip
       fi;
       assert(!two);
 #if RESTARTS > 0
-      top[e] = g;
+      highest_epoch[e] = g;
 #endif
-      in[e] = g; serves[e] = 0; cnt[e]++; done = true;
-      was[g] = was[g] || (member[g] == e)
-    :: what == open && in[e] == g && head[g] == e && !serves[e] ->
-      serves[e] = 1; cnt[e]++; done = true;
-      partial = partial || !was[g];
+      joined[e] = g; serves[e] = 0; order_count[e]++; done = true;
+      was_member[g] = was_member[g] || (member[g] == e)
+    :: what == open && joined[e] == g && head[g] == e && !serves[e] ->
+      serves[e] = 1; order_count[e]++; done = true;
+      partial = partial || !was_member[g];
       assert(!partial);
       SAW(saw_open, true)
-    :: what == leave && in[e] == g ->
-      SAW(saw_apart, serves[e]);
-      in[e] = 0; serves[e] = 0; cnt[e]++; done = true
+    :: what == leave && joined[e] == g ->
+      SAW(saw_dissolved, serves[e]);
+      joined[e] = 0; serves[e] = 0; order_count[e]++; done = true
     :: else -> skip
     fi
   fi
 }
 
-active [2] proctype keeper() {
+active [2] proctype controller() {
   byte seen_count[ENGINES] = UNKNOWN;
   byte seen_in[ENGINES];
 #if RESTARTS > 0
-  byte seen_life[ENGINES];
+  byte seen_incarnation[ENGINES];
 #endif
-  bit claimed[GROUPS];  /* an engine was seen in it ... */
-  bit out[GROUPS];      /* ... and its head outside of it after that */
+  bit observed[GROUPS];  /* an engine was observed in it ... */
+  bit head_outside[GROUPS];      /* ... and later its head outside of it */
   byte g = 0, h, m, head_from, member_from, e, x;
   byte step = 0;        /* of the replica being formed: 1 head joins, 2 member joins, 3 opens */
   bool done;
@@ -152,13 +154,13 @@
     atomic {
       orders < ORDERS ->
       select(e : 0 .. (ENGINES - 1));
-      seen_count[e] = cnt[e];
-      seen_in[e] = in[e];
+      seen_count[e] = order_count[e];
+      seen_in[e] = joined[e];
 #if RESTARTS > 0
-      seen_life[e] = life[e];
+      seen_incarnation[e] = incarnation[e];
 #endif
       if
-      :: in[e] != 0 -> claimed[in[e]] = 1
+      :: joined[e] != 0 -> observed[joined[e]] = 1
       :: else -> skip
       fi;
       x = 1;
@@ -166,9 +168,9 @@
       :: x < GROUPS ->
         if
 #ifdef OLD_OUTSIDE
-        :: x <= formed + 1 && head[x] == e && in[e] != x -> out[x] = 1
+        :: x <= formed + 1 && head[x] == e && joined[e] != x -> head_outside[x] = 1
 #else
-        :: claimed[x] && head[x] == e && in[e] != x && HEAD_LIFE(x) -> out[x] = 1
+        :: observed[x] && head[x] == e && joined[e] != x && SAME_HEAD_INCARNATION(x) -> head_outside[x] = 1
 #endif
         :: else -> skip
         fi;
@@ -178,7 +180,7 @@
       x = 0; e = 0
     }
 #ifdef ROWS
-  :: /* Read a row, which may be old. What it says without a fitting count has to be asked about. */
+  :: /* Read a row, which may be old. If it differs from the observation, the engine has to be observed again. */
     atomic {
       orders < ORDERS ->
       select(e : 0 .. (ENGINES - 1));
@@ -187,7 +189,7 @@
       :: else -> skip
       fi;
       if
-      :: row[e] != 0 -> claimed[row[e]] = 1
+      :: row[e] != 0 -> observed[row[e]] = 1
       :: else -> skip
       fi;
 #ifdef ROW_IS_PROOF
@@ -195,7 +197,7 @@
       do
       :: x < GROUPS ->
         if
-        :: claimed[x] && head[x] == e && row[e] != x -> out[x] = 1
+        :: observed[x] && head[x] == e && row[e] != x -> head_outside[x] = 1
         :: else -> skip
         fi;
         x++
@@ -213,11 +215,11 @@
       select(m : 0 .. (ENGINES - 1));
       if
       :: h != m && seen_count[h] != UNKNOWN && seen_count[m] != UNKNOWN &&
-         (seen_in[h] == 0 || out[seen_in[h]]) && (seen_in[m] == 0 || out[seen_in[m]]) ->
+         (seen_in[h] == 0 || head_outside[seen_in[h]]) && (seen_in[m] == 0 || head_outside[seen_in[m]]) ->
         formed++; g = formed;
         head[g] = h; member[g] = m; head_from = seen_in[h]; member_from = seen_in[m]; step = 1;
 #if RESTARTS > 0
-        head_life[g] = seen_life[h]; member_life[g] = seen_life[m]
+        head_incarnation[g] = seen_incarnation[h]; member_incarnation[g] = seen_incarnation[m]
 #endif
       :: else -> h = 0; m = 0
       fi
@@ -231,33 +233,33 @@
       e = (step == 2 -> m : h);
 #endif
       if
-      :: seen_count[e] == UNKNOWN || !LIVES(g) -> step = 0
+      :: seen_count[e] == UNKNOWN || !SAME_INCARNATIONS(g) -> step = 0
 #ifndef NO_RECHECK
-      :: seen_count[e] != UNKNOWN && LIVES(g) && step < 3 && ((seen_in[m] != member_from && seen_in[m] != g) ||
+      :: seen_count[e] != UNKNOWN && SAME_INCARNATIONS(g) && step < 3 && ((seen_in[m] != member_from && seen_in[m] != g) ||
          (seen_in[h] != head_from && seen_in[h] != g)) -> step = 0
 #endif
-      :: seen_count[e] != UNKNOWN && LIVES(g) && step == 3 && (seen_in[h] != g || seen_in[m] != g) -> step = 0
-      :: seen_count[e] != UNKNOWN && LIVES(g) && !SAME_LIFE(e) -> seen_count[e] = UNKNOWN; step = 0
+      :: seen_count[e] != UNKNOWN && SAME_INCARNATIONS(g) && step == 3 && (seen_in[h] != g || seen_in[m] != g) -> step = 0
+      :: seen_count[e] != UNKNOWN && SAME_INCARNATIONS(g) && !SAME_INCARNATION(e) -> seen_count[e] = UNKNOWN; step = 0
       :: else ->
         orders++;
         if
         :: true -> /* obeyed or refused, and answered */
           if
-          :: step == 3 -> arrive(open, e, g, seen_count[e], done)
-          :: else -> arrive(join, e, g, seen_count[e], done)
+          :: step == 3 -> deliver(open, e, g, seen_count[e], done)
+          :: else -> deliver(join, e, g, seen_count[e], done)
           fi;
           if
           :: done -> seen_count[e]++; seen_in[e] = (step == 3 -> seen_in[e] : g);
             if
             :: step == 3 -> step = 0
-            :: else -> claimed[g] = 1; step++
+            :: else -> observed[g] = 1; step++
             fi
           :: else -> seen_count[e] = UNKNOWN; step = 0
           fi
         :: true -> /* the answer is lost */
           if
-          :: step == 3 -> arrive(open, e, g, seen_count[e], done)
-          :: else -> arrive(join, e, g, seen_count[e], done)
+          :: step == 3 -> deliver(open, e, g, seen_count[e], done)
+          :: else -> deliver(join, e, g, seen_count[e], done)
           fi;
           seen_count[e] = UNKNOWN; step = 0
         :: !late -> /* the order is late */
@@ -271,19 +273,19 @@
       fi;
       done = false; e = 0
     }
-  :: /* Take a replica apart: its head first. */
+  :: /* Dissolve a replica, its head first. */
     atomic {
       orders < ORDERS ->
       select(x : 1 .. (GROUPS - 1));
       if
-      :: x <= formed && claimed[x] && seen_count[head[x]] != UNKNOWN && seen_in[head[x]] == x &&
-         SAME_LIFE(head[x]) ->
+      :: x <= formed && observed[x] && seen_count[head[x]] != UNKNOWN && seen_in[head[x]] == x &&
+         SAME_INCARNATION(head[x]) ->
         orders++;
         e = head[x];
         if
-        :: true -> arrive(leave, e, x, seen_count[e], done);
+        :: true -> deliver(leave, e, x, seen_count[e], done);
           if
-          :: done -> seen_count[e]++; seen_in[e] = 0; out[x] = 1
+          :: done -> seen_count[e]++; seen_in[e] = 0; head_outside[x] = 1
           :: else -> seen_count[e] = UNKNOWN
           fi
         :: !late -> late = true; late_what = leave; late_to = e; late_group = x; late_count = seen_count[e];
@@ -305,9 +307,9 @@
       late ->
       late = false;
       if
-      :: late_what == join -> arrive(join, late_to, late_group, late_count, done)
-      :: late_what == open -> arrive(open, late_to, late_group, late_count, done)
-      :: else -> arrive(leave, late_to, late_group, late_count, done)
+      :: late_what == join -> deliver(join, late_to, late_group, late_count, done)
+      :: late_what == open -> deliver(open, late_to, late_group, late_count, done)
+      :: else -> deliver(leave, late_to, late_group, late_count, done)
       fi;
       done = false
     }
@@ -319,20 +321,20 @@
   byte e;
 end:
   do
-  :: atomic { select(e : 0 .. (ENGINES - 1)); row[e] != in[e] -> row[e] = in[e]; e = 0 }
+  :: atomic { select(e : 0 .. (ENGINES - 1)); row[e] != joined[e] -> row[e] = joined[e]; e = 0 }
   od
 }
 #endif
 
 #if RESTARTS > 0
-active proctype starts() {
+active proctype restarting() {
   byte e, g;
 end:
   do
   :: atomic {
       restarts < RESTARTS ->
       select(e : 0 .. (ENGINES - 1));
-      restarts++; life[e]++; cnt[e] = 0; in[e] = 0; serves[e] = 0; top[e] = 0;
+      restarts++; incarnation[e]++; order_count[e] = 0; joined[e] = 0; serves[e] = 0; highest_epoch[e] = 0;
       if
       :: !late && formed > 0 ->
         select(g : 1 .. (GROUPS - 1));
@@ -352,6 +354,6 @@
 
 #ifdef WITNESS
 active proctype witness() {
-  atomic { saw_open && saw_apart -> assert(false) }
+  atomic { saw_open && saw_dissolved -> assert(false) }
 }
 #endif
