--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Checks every model in this directory with spin: the full protocol must satisfy all properties, the removal of each
-# safeguard must violate the property named for it, and each hazard must be reachable in the full protocol (witness).
+# safeguard must violate the property that checks.txt names, and each hazard must be reachable in the full protocol.
 #
 #   spec/check.sh [--long] [TEXT]    TEXT: only runs whose model or switches contain it
 #
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -264,7 +264,7 @@
   atomic { stored = stored | BIT(p) };
 #endif
 #ifndef ACCEPT_BEFORE_PEERS
-  /* Accepted once every live node holds the proposal, or one built on it, and the head, read afterwards, still has it. */
+  /* Accepted once every live node holds the proposal or one built on it, and the head, read afterwards, still has it. */
   atomic {
     started[0] && started[1] && (known_recent[0] & BIT(p)) && (known_recent[1] & BIT(p))
   };
--- a/spec/parts.pml
+++ b/spec/parts.pml
@@ -5,7 +5,7 @@
  * other.
  *
  * Properties
- *   !mixed      the node applies only both parts, in order, of one patch against the row it holds, or of one complete row
+ *   !mixed      the node applies only both parts, in order, of one patch against its row or of one complete row
  *   !reverted   between restarts, a node applies only rows newer than the one it holds
  *
  * Each switch (-D) removes one safeguard:
--- a/spec/replica.pml
+++ b/spec/replica.pml
@@ -1,7 +1,7 @@
 /* Replicas whose membership is stored only in their engines: two controllers, orders that are conditional on a count,
  * late and lost orders.
  *
- * There are three engines and replicas of two: a head and a member. No row stores which engine belongs to which replica.
+ * Three engines form replicas of two: a head and a member. No row stores which engine belongs to which replica.
  * An engine stores the replica it joined and counts the orders it obeyed; an order names the count that it is based on.
  * Two controllers observe engines one by one and act on these observations, however old. An order may arrive at any
  * later time, and its answer may be lost. Engines also write rows (ROWS), which may be older than later observations.
--- a/src/request/policy_bench.cpp
+++ b/src/request/policy_bench.cpp
@@ -22,7 +22,7 @@
 }
 
 std::uint64_t print_overload(std::ostream& out, std::uint64_t seed) {
-  out << "overload: fraction of slot time spent on useful requests\n";
+  out << "overload: useful part of all slot time\n";
   std::uint64_t signature = 0;
   for (const double times : {0.7, 1.0, 1.5, 2.0, 3.0}) {
     const admission_figures ours = run_admission(overload(times, false), seed);
--- a/src/request/policy_bench_admission.cpp
+++ b/src/request/policy_bench_admission.cpp
@@ -75,9 +75,9 @@
 
   void arrive(time_point now, std::size_t workspace) {
     const double cost = 0.5 + random_.unit();
-    const double error = 0.5 + random_.unit();  // ratio of the actual to the estimated cost
+    const double cost_ratio = 0.5 + random_.unit();  // ratio of the actual to the estimated cost
     const request_id id(std::to_string(++last_id_));
-    const duration service = from_seconds(to_seconds(load_.mean_service) * cost * error);
+    const duration service = from_seconds(to_seconds(load_.mean_service) * cost * cost_ratio);
     requests_[id] = {workspace, now, now + load_.deadline, service};
     ++figures_.workspaces[workspace].asked;
     if (load_.first_come) {
