--- a/src/process/failure_world.h
+++ b/src/process/failure_world.h
@@ -23,7 +23,7 @@
   [[nodiscard]] bool writable() const;
   [[nodiscard]] planner_input input() const;
   [[nodiscard]] const assignment& row() const { return row_; }
-  // A whole domain has just failed, and with it some of the nodes.
+  // An entire domain has just failed, and with it some of the nodes.
   [[nodiscard]] bool domain_just_lost() const;
 
   void write(assignment next);
