--- a/src/cli/bench.cpp
+++ b/src/cli/bench.cpp
@@ -13,8 +13,8 @@
 #include "base/hash.h"
 #include "cli/commands.h"
 #include "connection/bench_connections.h"
-#include "process/control_slopes.h"
-#include "process/failure_day.h"
+#include "process/control_plane_cost.h"
+#include "process/failure_simulation.h"
 #include "process/fleet_sizes.h"
 #include "process/hub_cost.h"
 #include "request/policy_bench.h"
@@ -42,7 +42,7 @@
   return history.signature;
 }
 
-std::uint64_t signature_of(const failure_day_result& day) {
+std::uint64_t signature_of(const failure_simulation_result& day) {
   std::uint64_t signature = 0;
   for (const double figure : {day.group_downtime, day.stranded_accelerators}) {
     signature = mix(signature, std::bit_cast<std::uint64_t>(figure));
@@ -59,9 +59,9 @@
   std::uint64_t signature = 0;
   for (std::uint64_t day = 0; day < days; ++day) {
     for (const standby_policy policy : {standby_policy::shared, standby_policy::reserved}) {
-      failure_day_settings settings;
+      failure_simulation_settings settings;
       settings.policy = policy;
-      const failure_day_result result = run_failure_day(settings, seed + day);
+      const failure_simulation_result result = run_failure_simulation(settings, seed + day);
       figures << "day " << day << (policy == standby_policy::shared ? " shared  " : " reserved")
               << ": " << result.group_downtime << " replica-seconds down, "
               << result.stranded_accelerators / 3600 << " accelerator-hours stranded\n";
@@ -103,8 +103,10 @@
 
 constexpr std::array<bench_table, 6> tables = {{
     {"planner cost", [](std::ostream& out, const bench_options&) { print_planner_cost(out); }},
-    {"days of failures", [](std::ostream& out, const bench_options&) { print_failure_day(out); }},
-    {"control slopes", [](std::ostream& out, const bench_options&) { print_control_slopes(out); }},
+    {"days of failures",
+     [](std::ostream& out, const bench_options&) { print_failure_simulation(out); }},
+    {"control slopes",
+     [](std::ostream& out, const bench_options&) { print_control_plane_cost(out); }},
     {"fleet sizes", [](std::ostream& out, const bench_options&) { print_fleet_sizes(out); }},
     {"hub cost", [](std::ostream& out, const bench_options&) { print_hub_cost(out); }},
     {"connections", print_connections},
--- a/src/process/control_slopes.cpp
+++ b/src/process/control_plane_cost.cpp
@@ -1,7 +1,6 @@
-// Nodes of one data centre exchange heartbeats and probe targets for a while of virtual time.
-// Counted: what membership, observations and gossip cost; not the links and probes themselves,
-// which belong to the shells.
-#include "process/control_slopes.h"
+// Simulates the nodes of one data centre, which exchange heartbeats and probe targets on virtual
+// time. The figures cover membership, observations and gossip, but not the I/O of links and probes.
+#include "process/control_plane_cost.h"
 
 #include <malloc.h>
 
@@ -23,11 +22,9 @@
 
 constexpr duration tick_interval = 50ms;
 constexpr duration warm_up = 5s;
-constexpr duration measured = 20s;
-// TCP/IP header of a segment, once for the message and once for its acknowledgement; and the length
-// before a message.
-constexpr double header_bytes = 40.0;
-constexpr double framing_bytes = 4.0;
+constexpr duration measured_time = 20s;
+constexpr double header_bytes = 40.0;  // TCP/IP headers of the message and of its acknowledgement
+constexpr double framing_bytes = 4.0;  // length prefix of a message
 
 struct control_cost {  // per node and second
   double messages{};   // both directions
@@ -39,14 +36,15 @@
   double state_kilobytes{};
 };
 
-struct loop_node {
+struct simulated_node {
   std::unique_ptr<membership> peers;
-  std::unique_ptr<observation_table> seen;
+  std::unique_ptr<observation_table> observations;
 };
 
-class control_loop {
+class control_plane_simulation {
  public:
-  control_loop(std::size_t nodes, std::size_t targets, bool load_changes, std::uint64_t seed = 0)
+  control_plane_simulation(std::size_t nodes, std::size_t targets, bool load_changes,
+                           std::uint64_t seed = 0)
       : load_changes_(load_changes), seed_(seed) {
     for (std::size_t i = 0; i < targets; ++i) {
       vms_.emplace_back("vm-" + std::to_string(1000 + i));
@@ -65,11 +63,11 @@
   control_cost measure() {
     messages_ = answers_ = bytes_ = probes_ = 0;
     const std::clock_t before = std::clock();
-    run_for(measured);
+    run_for(measured_time);
     const double cpu = static_cast<double>(std::clock() - before) / CLOCKS_PER_SEC;
-    const double node_seconds = to_seconds(measured) * static_cast<double>(ids_.size());
+    const double node_seconds = to_seconds(measured_time) * static_cast<double>(ids_.size());
     control_cost cost;
-    // Each message is one node's sent and another's received.
+    // Each message counts for its sender and for its receiver.
     cost.messages = 2.0 * static_cast<double>(messages_) / node_seconds;
     cost.payload = 2.0 * static_cast<double>(bytes_) / node_seconds;
     cost.with_headers = cost.payload + cost.messages * (header_bytes + framing_bytes);
@@ -82,50 +80,50 @@
     return cost;
   }
 
-  // Of all messages so far.
+  // Hash of all messages sent so far.
   [[nodiscard]] std::uint64_t signature() const { return signature_; }
 
  private:
   static std::size_t heap_bytes() { return mallinfo2().uordblks; }
 
   void add_node(std::size_t i) {
-    loop_node n;
+    simulated_node n;
     n.peers = std::make_unique<membership>(ids_[i], 0x70000000 + i, seed_ + i, now_);
     n.peers->set_nodes(ids_, now_);
     n.peers->set_targets(vms_);
-    n.seen = std::make_unique<observation_table>(ids_[i]);
-    n.seen->set_targets(vms_);
+    n.observations = std::make_unique<observation_table>(ids_[i]);
+    n.observations->set_targets(vms_);
     nodes_.push_back(std::move(n));
   }
 
   void run_for(duration d) {
     for (const time_point end = now_ + d; now_ < end; now_ += tick_interval) {
       for (std::size_t i = 0; i < nodes_.size(); ++i) {
-        act(i);
+        tick_node(i);
       }
     }
   }
 
-  void act(std::size_t i) {
-    loop_node& n = nodes_[i];
+  void tick_node(std::size_t i) {
+    simulated_node& n = nodes_[i];
     n.peers->tick(now_);
-    n.seen->set_own_targets(n.peers->own_targets(now_), now_);
-    for (const vm_id& vm : n.seen->next_probes(now_)) {
+    n.observations->set_own_targets(n.peers->own_targets(now_), now_);
+    for (const vm_id& vm : n.observations->next_probes(now_)) {
       ++probes_;
       probe(n, vm);
     }
-    beat_where_due(i);
-    (void)n.seen->take_changes(now_);
+    send_due_heartbeats(i);
+    (void)n.observations->take_changes(now_);
   }
 
-  void beat_where_due(std::size_t i) {
+  void send_due_heartbeats(std::size_t i) {
     for (const node_id& peer : nodes_[i].peers->due(now_)) {
-      beat(i, peer);
+      send_heartbeat(i, peer);
     }
   }
 
-  // What the node does with the answer, decoding included.
-  void probe(loop_node& n, const vm_id& vm) {
+  // Lets the node process a probe's answer, including its decoding.
+  void probe(simulated_node& n, const vm_id& vm) {
     engine_report report;
     report.vm = vm;
     report.incarnation = 0x12345678;
@@ -136,17 +134,17 @@
     report.running = load_changes_ ? static_cast<std::uint32_t>(probes_ % 16) : 4;
     report.tokens_per_second = 31.0;
     const outcome<engine_report> answer = decode_report(encode(report));
-    n.seen->on_probe_result({vm, now_, answer}, now_);
+    n.observations->on_probe_result({vm, now_, answer}, now_);
   }
 
-  void beat(std::size_t from, const node_id& to) {
-    loop_node& sender = nodes_[from];
-    heartbeat beat = sender.peers->prepare(to, now_);
-    sender.peers->announce_config(beat, to, 7600, "00112233445566778899aabbccddeeff");
-    beat.assignment_version = 1234;
-    beat.table_reachable = true;
-    sender.seen->take_deltas(beat, to, sender.peers->echoed(to), now_);
-    const std::string bytes = encode(gossip_message{std::move(beat)});
+  void send_heartbeat(std::size_t from, const node_id& to) {
+    simulated_node& sender = nodes_[from];
+    heartbeat message = sender.peers->prepare(to, now_);
+    sender.peers->announce_config(message, to, 7600, "00112233445566778899aabbccddeeff");
+    message.assignment_version = 1234;
+    message.table_reachable = true;
+    sender.observations->take_deltas(message, to, sender.peers->echoed(to), now_);
+    const std::string bytes = encode(gossip_message{std::move(message)});
     ++messages_;
     bytes_ += bytes.size();
     signature_ = stable_hash(bytes, signature_);
@@ -154,16 +152,16 @@
   }
 
   void receive(const node_id& from, const node_id& to, const std::string& bytes) {
-    const auto place = std::ranges::lower_bound(ids_, to) - ids_.begin();
-    loop_node& n = nodes_[static_cast<std::size_t>(place)];
+    const auto index = std::ranges::lower_bound(ids_, to) - ids_.begin();
+    simulated_node& n = nodes_[static_cast<std::size_t>(index)];
     const auto decoded = decode_gossip(from, bytes);
-    const auto& beat = std::get<heartbeat>(std::get<gossip_message>(decoded));
-    if (const auto h = n.peers->receive(beat, 1234, now_)) {
-      n.seen->merge(beat, *h, now_);
+    const auto& message = std::get<heartbeat>(std::get<gossip_message>(decoded));
+    if (const auto h = n.peers->receive(message, 1234, now_)) {
+      n.observations->merge(message, *h, now_);
     }
     const std::size_t before = messages_;
-    beat_where_due(static_cast<std::size_t>(place));
-    // An answer at once carries the acknowledgement of what it answers.
+    send_due_heartbeats(static_cast<std::size_t>(index));
+    // An immediate answer also carries the TCP acknowledgement of the message that it answers.
     answers_ += messages_ > before ? 1 : 0;
   }
 
@@ -172,7 +170,7 @@
   std::uint64_t signature_{};
   std::vector<vm_id> vms_;
   std::vector<node_id> ids_;
-  std::vector<loop_node> nodes_;
+  std::vector<simulated_node> nodes_;
   time_point now_{100s};
   std::size_t messages_{};
   std::size_t answers_{};
@@ -182,7 +180,7 @@
 };
 
 control_cost cost_of(std::size_t nodes, std::size_t targets, bool load_changes) {
-  return control_loop(nodes, targets, load_changes).measure();
+  return control_plane_simulation(nodes, targets, load_changes).measure();
 }
 
 void print(std::ostream& out, std::size_t nodes, std::size_t targets, bool load_changes,
@@ -211,10 +209,10 @@
 
 std::uint64_t control_signature(std::size_t nodes, std::size_t targets, std::uint64_t seed) {
   constexpr bool load_changes = true;
-  return control_loop(nodes, targets, load_changes, seed).signature();
+  return control_plane_simulation(nodes, targets, load_changes, seed).signature();
 }
 
-void print_control_slopes(std::ostream& out) {
+void print_control_plane_cost(std::ostream& out) {
   for (const bool load_changes : {false, true}) {
     const control_cost few_peers = cost_of(6, 81, load_changes);
     const control_cost few_targets = cost_of(21, 27, load_changes);
--- a/src/process/failure_schedule.h
+++ b/src/process/failure_schedule.h
@@ -1,22 +1,22 @@
-// When what fails in a played day, drawn from a seed beforehand, so that every policy meets the
-// same day.
+// The failures of a simulated day. They are generated from a seed in advance, so that policies with
+// the same number of spares are compared on the same failures.
 #pragma once
 
 #include <cstdint>
 #include <vector>
 
 #include "base/rng.h"
-#include "process/failure_day.h"
+#include "process/failure_simulation.h"
 
 namespace arbutus {
 
-struct vm_outage {
+struct vm_outage_window {
   std::uint32_t domain{};
   std::uint32_t index{};  // within the domain
   time_point begin;
   time_point end;
-  duration notice{};  // zero: it comes unannounced
-  bool with_domain = false;
+  duration notice{};         // zero: unannounced
+  bool with_domain = false;  // the whole fabric domain fails
 };
 
 struct time_span {
@@ -26,13 +26,13 @@
 };
 
 struct failure_schedule {
-  std::vector<vm_outage> outages;     // by begin
-  std::vector<time_span> unwritable;  // the row cannot be reached
+  std::vector<vm_outage_window> outages;  // sorted by begin
+  std::vector<time_span> unwritable;      // the table cannot be reached
 };
 
-inline constexpr duration day_length = 24h;
+inline constexpr duration simulation_length = 24h;
 
-[[nodiscard]] failure_schedule draw_failures(const failure_day_settings& settings,
-                                             std::uint64_t seed);
+[[nodiscard]] failure_schedule make_failure_schedule(const failure_simulation_settings& settings,
+                                                     std::uint64_t seed);
 
 }  // namespace arbutus
--- a/src/process/failure_day.cpp
+++ b/src/process/failure_simulation.cpp
@@ -1,50 +1,50 @@
-// Plays the day in steps and sums up; prints the comparison.
-#include "process/failure_day.h"
+// Runs the simulation in time steps, accumulates the results and prints the comparison.
+#include "process/failure_simulation.h"
 
 #include <algorithm>
 #include <iomanip>
 #include <optional>
 #include <string>
 
-#include "process/failure_world.h"
 #include "process/row_write_model.h"
+#include "process/simulated_data_centre.h"
 
 namespace arbutus {
 
 namespace {
 
 constexpr duration step = 500ms;
-constexpr duration retry_unwritable = 5s;
-// Dead or paused nodes that still count as live: ordinarily (20 pauses of 10 s a day each), and
-// when a domain has just gone with a fifth of the nodes.
-constexpr double absent_usually = 0.002;
-constexpr double absent_after_domain_loss = 0.2;
+constexpr duration unwritable_retry_interval = 5s;
+// Share of the nodes that are dead or paused but still count as live: normally (20 pauses of 10 s
+// per node and day), and right after a domain failed together with a fifth of the nodes.
+constexpr double normal_absent_fraction = 0.002;
+constexpr double absent_fraction_after_domain_loss = 0.2;
 constexpr int seeds = 40;
 
-// One writing of the row at a time: what is decided meanwhile waits for the next.
-class day_player {
+// Only one row write is in progress at a time; changes seen meanwhile go into the next row.
+class failure_simulation_run {
  public:
-  day_player(const failure_day_settings& settings, std::uint64_t seed)
-      : settings_(settings), world_(settings, seed), random_(seed + 1) {}
+  failure_simulation_run(const failure_simulation_settings& settings, std::uint64_t seed)
+      : settings_(settings), data_centre_(settings, seed), random_(seed + 1) {}
 
-  failure_day_result play() {
-    for (time_point now{}; now < time_point{day_length}; now += step) {
-      play_step(now);
+  failure_simulation_result run() {
+    for (time_point now{}; now < time_point{simulation_length}; now += step) {
+      run_step(now);
     }
-    if (settings_.writer == row_writer::leased) {
-      result_.lease_writes += static_cast<std::uint32_t>(day_length / (lease_duration / 3));
+    if (settings_.writer == writer_selection::leased) {
+      result_.lease_writes += static_cast<std::uint32_t>(simulation_length / (lease_duration / 3));
     }
     return result_;
   }
 
  private:
-  void play_step(time_point now) {
-    dirty_ = world_.advance(now) || dirty_;
-    if (!world_.writable()) {
-      lapsed_ = true;
+  void run_step(time_point now) {
+    dirty_ = data_centre_.advance(now) || dirty_;
+    if (!data_centre_.writable()) {
+      lease_expired_ = true;
       proposal_.reset();
-      result_.activations += dirty_ ? world_.activate_standbys() : 0;
-      not_before_ = now + retry_unwritable;
+      result_.activations += dirty_ ? data_centre_.activate_standbys() : 0;
+      not_before_ = now + unwritable_retry_interval;
       changed_while_unwritable_ = dirty_ || changed_while_unwritable_;
       dirty_ = false;
     } else {
@@ -52,7 +52,7 @@
       finish_write(now);
       begin_write(now);
     }
-    account();
+    accumulate_costs();
   }
 
   void begin_write(time_point now) {
@@ -60,14 +60,15 @@
       return;
     }
     dirty_ = false;
-    plan next = make_plan(world_.input());
+    plan next = make_plan(data_centre_.input());
     if (!next.changed) {
       return;
     }
-    const double absent = world_.domain_just_lost() ? absent_after_domain_loss : absent_usually;
+    const double absent = data_centre_.domain_recently_lost() ? absent_fraction_after_domain_loss
+                                                              : normal_absent_fraction;
     const write_timing timing =
-        simulate_write({settings_.writer, settings_.nodes, absent, lapsed_}, random_);
-    lapsed_ = false;
+        simulate_write({settings_.writer, settings_.nodes, absent, lease_expired_}, random_);
+    lease_expired_ = false;
     proposal_ = std::move(next.next);
     written_at_ = now + timing.delay;
     result_.wasted_writes += timing.wasted;
@@ -79,41 +80,43 @@
     if (!proposal_ || now < written_at_) {
       return;
     }
-    world_.write(std::move(*proposal_));
+    data_centre_.write(std::move(*proposal_));
     proposal_.reset();
     ++result_.rows_written;
     dirty_ = true;
   }
 
-  void account() {
-    const std::uint32_t serving = world_.serving();
-    const std::uint32_t dark = world_.desired() - std::min(world_.desired(), serving);
+  void accumulate_costs() {
+    const std::uint32_t serving = data_centre_.serving();
+    const std::uint32_t unserved =
+        data_centre_.desired() - std::min(data_centre_.desired(), serving);
     const std::uint32_t working = serving * settings_.vms_per_replica;
-    result_.group_downtime += to_seconds(step) * dark;
-    result_.stranded_accelerators += to_seconds(step) * (world_.powered_accelerators() - working);
+    result_.group_downtime += to_seconds(step) * unserved;
+    result_.stranded_accelerators +=
+        to_seconds(step) * (data_centre_.powered_accelerators() - working);
   }
 
-  failure_day_settings settings_;
-  failure_world world_;
+  failure_simulation_settings settings_;
+  simulated_data_centre data_centre_;
   rng random_;
-  failure_day_result result_;
+  failure_simulation_result result_;
   bool dirty_ = false;
   bool changed_while_unwritable_ = false;
-  bool lapsed_ = false;
+  bool lease_expired_ = false;
   time_point not_before_;
   std::optional<assignment> proposal_;
   time_point written_at_;
 };
 
 struct totals {
-  failure_day_result sum;
+  failure_simulation_result sum;
   std::vector<double> seconds_to_write;
 };
 
-totals run_many(const failure_day_settings& settings) {
+totals run_all_seeds(const failure_simulation_settings& settings) {
   totals t;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    const failure_day_result r = run_failure_day(settings, seed);
+    const failure_simulation_result r = run_failure_simulation(settings, seed);
     t.sum.group_downtime += r.group_downtime;
     t.sum.stranded_accelerators += r.stranded_accelerators;
     t.sum.rows_written += r.rows_written;
@@ -134,15 +137,16 @@
   return sorted[static_cast<std::size_t>(q * static_cast<double>(sorted.size() - 1))];
 }
 
-// Weighed loss in accelerator-hours: a dark replica counts as its accelerators.
-double cost(const failure_day_settings& s, const totals& t, const weights& w) {
+// Weighted loss in accelerator-hours; a replica that does not serve counts with all its
+// accelerators.
+double cost(const failure_simulation_settings& s, const totals& t, const weights& w) {
   return (w.group_downtime * t.sum.group_downtime * s.vms_per_replica +
           w.stranded_accelerators * t.sum.stranded_accelerators) /
          3600 / seeds;
 }
 
-void print_row(std::ostream& out, const std::string& name, const failure_day_settings& s) {
-  const totals t = run_many(s);
+void print_row(std::ostream& out, const std::string& name, const failure_simulation_settings& s) {
+  const totals t = run_all_seeds(s);
   out << std::left << std::setw(26) << name << std::right << std::fixed << std::setprecision(0)
       << std::setw(10) << t.sum.group_downtime / seeds << std::setw(10)
       << t.sum.stranded_accelerators / 3600 / seeds << std::setw(10) << cost(s, t, {4, 1})
@@ -155,15 +159,15 @@
       << std::setw(8) << quantile(t.seconds_to_write, 1.0) << '\n';
 }
 
-struct printed_policy {
+struct policy_row {
   const char* name;
   standby_policy policy;
   std::uint32_t spares_per_domain;
   weights preference;
-  row_writer writer = row_writer::ranked;
+  writer_selection writer = writer_selection::ranked;
 };
 
-constexpr printed_policy printed_policies[] = {
+constexpr policy_row policy_rows[] = {
     {"no spares", standby_policy::none, 0, {1, 1}},
     {"1 shared", standby_policy::shared, 1, {1, 1}},
     {"2 shared", standby_policy::shared, 2, {1, 1}},
@@ -171,13 +175,14 @@
     {"1 reserved, 1:4", standby_policy::reserved, 1, {1, 4}},
     {"2 reserved, 4:1", standby_policy::reserved, 2, {4, 1}},
     {"2 reserved, 1:4", standby_policy::reserved, 2, {1, 4}},
-    {"2 reserved, 4:1, leased", standby_policy::reserved, 2, {4, 1}, row_writer::leased},
+    {"2 reserved, 4:1, leased", standby_policy::reserved, 2, {4, 1}, writer_selection::leased},
 };
 
-void print_policies(std::ostream& out, failure_day_settings s) {
-  for (const printed_policy& p : printed_policies) {
+void print_policies(std::ostream& out, failure_simulation_settings s) {
+  for (const policy_row& p : policy_rows) {
     s.policy = p.policy;
-    // Without spares some failures would hit none; the domains keep their size for the draw.
+    // Policy none samples failures over one spare per domain too, so that its domains have the size
+    // that they have under the policies with one spare; failures of the missing spare hit no VM.
     s.spares_per_domain = std::max(1U, p.spares_per_domain);
     s.preference = p.preference;
     s.writer = p.writer;
@@ -187,15 +192,17 @@
 
 }  // namespace
 
-failure_day_result run_failure_day(const failure_day_settings& settings, std::uint64_t seed) {
-  return day_player(settings, seed).play();
+failure_simulation_result run_failure_simulation(const failure_simulation_settings& settings,
+                                                 std::uint64_t seed) {
+  return failure_simulation_run(settings, seed).run();
 }
 
-void print_failure_day(std::ostream& out) {
+void print_failure_simulation(std::ostream& out) {
   out << "One data centre, mean of " << seeds << " days. down: replica-seconds not served; "
-      << "strand: accelerator-hours\npowered and not working; cost 4:1 and 1:4: downtime weighed "
-      << "against stranding, in accelerator-hours;\nwrite: seconds from a change seen to its row "
-      << "written, where it can be. Spares are per fabric domain.\n"
+      << "strand: accelerator-hours\npowered and not working; cost 4:1 and 1:4: downtime weighted "
+      << "against stranding, in accelerator-hours;\np50, p99, worst: seconds from the detection of "
+      << "a change to the writing of its row, without\ntime when the table could not be written. "
+         "Spares are per fabric domain.\n"
       << std::left << std::setw(26) << "policy" << std::right << std::setw(10) << "down"
       << std::setw(10) << "strand" << std::setw(10) << "cost 4:1" << std::setw(10) << "cost 1:4"
       << std::setw(8) << "rows" << std::setw(8) << "wasted" << std::setw(9) << "lease"
@@ -204,8 +211,8 @@
   out << "a day with a table outage, a cut-off and a domain loss\n";
   print_policies(out, {});
   out << "the same without the domain loss\n";
-  failure_day_settings calm;
-  calm.domain_losses = 0;
+  failure_simulation_settings calm;
+  calm.domain_outages = 0;
   print_policies(out, calm);
 }
 
--- a/src/process/hub_cost.cpp
+++ b/src/process/hub_cost.cpp
@@ -1,4 +1,4 @@
-// A fleet that serves, as the list of targets would tell of it.
+// Builds the target list of a serving fleet and times the replica controller and the planner on it.
 #include "process/hub_cost.h"
 
 #include <array>
@@ -21,7 +21,7 @@
 constexpr std::uint32_t small_size = 8;
 constexpr time_point begin{1h};
 
-service_spec shape_of_service() {
+service_spec make_service_spec() {
   service_spec service;
   service.id = service_id{"llm"};
   engine_parameters engine;
@@ -37,8 +37,8 @@
   return data_centre_id{"hall-" + std::to_string(index)};
 }
 
-// Domains serve the large and the small model by turns; what is left over stands ready.
-std::vector<target_record> records_of(const hub_cost_size& size) {
+// Domains alternate between the large and the small model; leftover engines are ready spares.
+std::vector<target_record> make_target_records(const hub_cost_size& size) {
   std::vector<target_record> records;
   for (std::size_t d = 0; d < size.data_centres * size.domains; ++d) {
     const std::uint32_t replica_size = d % 2 == 0 ? large_size : small_size;
@@ -53,9 +53,9 @@
       record.domain = fabric_domain_id{"domain-" + std::to_string(d)};
       record.loaded = model;
       const auto rank = static_cast<std::uint32_t>(e % replica_size);
-      const bool whole = e / replica_size < size.engines / replica_size;
+      const bool complete = e / replica_size < size.engines / replica_size;
       head = rank == 0 ? record.id : head;
-      if (whole) {
+      if (complete) {
         record.member_of =
             membership{{"r." + model.str() + ".k.d." + head.str(), 1 + e / replica_size},
                        rank,
@@ -70,18 +70,20 @@
   return records;
 }
 
-class measured_keeper {
+class measured_controller {
  public:
-  explicit measured_keeper(const hub_cost_size& size)
-      : service_(shape_of_service()), keeper_({}, "k", begin, false), records_(records_of(size)) {
+  explicit measured_controller(const hub_cost_size& size)
+      : service_(make_service_spec()),
+        controller_({}, "k", begin, false),
+        records_(make_target_records(size)) {
     own_.data_centres = {data_centre_at(0)};
     own_.all_data_centres = size.data_centres;
     own_.requests_seen = true;
     for (const target_record& record : records_) {
       fleet_.listed(now_, record);
     }
-    constexpr int until_settled = 20;  // ticks; every question has been answered by then
-    for (int i = 0; i < until_settled; ++i) {
+    constexpr int settle_ticks = 20;  // every report request has been answered by then
+    for (int i = 0; i < settle_ticks; ++i) {
       tick();
     }
   }
@@ -104,20 +106,20 @@
   void tick() {
     constexpr duration interval = 20ms;
     now_ += interval;
-    for (const controller_effect& e : keeper_.tick(now_, fleet_, service_, own_)) {
-      if (const auto* question = std::get_if<report_request>(&e)) {
-        const target_view* view = fleet_.find(question->to);
+    for (const controller_effect& e : controller_.tick(now_, fleet_, service_, own_)) {
+      if (const auto* query = std::get_if<report_request>(&e)) {
+        const target_view* view = fleet_.find(query->to);
         target_report report;
-        report.incarnation = question->to;
+        report.incarnation = query->to;
         report.member_of = view->record.member_of;
         report.loaded = view->record.loaded;
-        keeper_.on_report(now_, question->to, report);
+        controller_.on_report(now_, query->to, report);
       }
     }
   }
 
   service_spec service_;
-  replica_controller keeper_;
+  replica_controller controller_;
   std::vector<target_record> records_;
   fleet_view fleet_;
   replica_controller::responsibilities own_;
@@ -148,12 +150,12 @@
 }  // namespace
 
 hub_cost measure_hub_cost(const hub_cost_size& size) {
-  constexpr int ticks = 50;  // a second of them
-  measured_keeper keeper(size);
+  constexpr int ticks = 50;  // one second
+  measured_controller controller(size);
   hub_cost cost;
   cost.engines = size.data_centres * size.domains * size.engines;
-  cost.quiet_tick_ms = keeper.time_ticks(ticks, false);
-  cost.busy_tick_ms = keeper.time_ticks(ticks, true);
+  cost.quiet_tick_ms = controller.time_ticks(ticks, false);
+  cost.busy_tick_ms = controller.time_ticks(ticks, true);
   cost.plan_ms = time_plan(size);
   return cost;
 }
--- a/src/process/row_write_model.cpp
+++ b/src/process/row_write_model.cpp
@@ -86,8 +86,8 @@
 }  // namespace
 
 write_timing simulate_write(const write_conditions& situation, rng& random) {
-  return situation.writer == row_writer::ranked ? write_ranked(situation, random)
-                                                : write_leased(situation, random);
+  return situation.writer == writer_selection::ranked ? write_ranked(situation, random)
+                                                      : write_leased(situation, random);
 }
 
 }  // namespace arbutus
--- a/src/process/row_write_model.h
+++ b/src/process/row_write_model.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 
 #include "base/rng.h"
-#include "process/failure_day.h"
+#include "process/failure_simulation.h"
 
 namespace arbutus {
 
@@ -17,7 +17,7 @@
 };
 
 struct write_conditions {
-  row_writer writer = row_writer::ranked;
+  writer_selection writer = writer_selection::ranked;
   std::uint32_t nodes = 1;
   double absent_fraction = 0;  // share of nodes that are dead or paused but not yet known to be
   bool lease_expired = false;  // could not be renewed because the table was unavailable
--- a/src/process/failure_world.cpp
+++ b/src/process/simulated_data_centre.cpp
@@ -1,6 +1,6 @@
-// The played data centre. Times are those the design aims at; the comparison is between policies
-// that all meet the same ones.
-#include "process/failure_world.h"
+// The simulated data centre. Detection, drain and regroup times are the design's target values; all
+// policies are compared with the same ones.
+#include "process/simulated_data_centre.h"
 
 #include <algorithm>
 
@@ -8,14 +8,15 @@
 
 namespace {
 
-// Probes of a VM stay unanswered that long before it counts as lost; it is seen back as late.
+// A VM counts as lost after its probes were unanswered for this long, and its return is detected
+// with the same delay.
 constexpr duration detection = 2500ms;
 constexpr duration acknowledgement = 1s;
 constexpr duration drain_time = 20s;
-// Members that hold their weights already only have to find each other.
+// Time to form a replica whose members have their weights loaded and only have to connect.
 constexpr duration regroup_time = 5s;
-// Nodes that went with a domain count as live for that long.
-constexpr duration domain_shock = 5s;
+// Nodes that failed with a domain still count as live for this long after its detection.
+constexpr duration stale_liveness_duration = 5s;
 
 vm_id name_vm(std::uint32_t domain, std::uint32_t index) {
   const std::string number = std::to_string(100 + index);
@@ -24,7 +25,8 @@
 
 }  // namespace
 
-failure_world::failure_world(const failure_day_settings& settings, std::uint64_t seed)
+simulated_data_centre::simulated_data_centre(const failure_simulation_settings& settings,
+                                             std::uint64_t seed)
     : settings_(settings) {
   build(seed);
   row_.data_centre = data_centre_id{"dc"};
@@ -33,7 +35,7 @@
     write(std::move(first.next));
     acknowledged_ = row_.version;
     refresh();
-    for (auto& [id, f] : forming_) {
+    for (auto& [id, f] : formations_) {
       f.ready = now_;
     }
     refresh();
@@ -41,8 +43,8 @@
   }
 }
 
-void failure_world::build(std::uint64_t seed) {
-  const failure_day_settings& s = settings_;
+void simulated_data_centre::build(std::uint64_t seed) {
+  const failure_simulation_settings& s = settings_;
   const bool with_spares = s.policy != standby_policy::none;
   const std::uint32_t spares = with_spares ? s.spares_per_domain : 0;
   const std::uint32_t per_domain = s.replicas_per_domain * s.vms_per_replica + spares;
@@ -59,12 +61,12 @@
       config_.assets.vms.push_back(vm);
     }
   }
-  wanted_ = s.fabric_domains * s.replicas_per_domain;
+  desired_ = s.fabric_domains * s.replicas_per_domain;
   model_rule model;
   model.id = model_id{"llm"};
   model.version = "v1";
   model.vms_per_replica = s.vms_per_replica;
-  model.placements = {{data_centre_id{"dc"}, wanted_}};
+  model.placements = {{data_centre_id{"dc"}, desired_}};
   config_.desired.models = {model};
   config_.desired.preference = s.preference;
   config_.desired.vm_failures_per_day = s.vm_failures_per_day;
@@ -72,23 +74,23 @@
   const bool shared = s.policy == standby_policy::shared;
   config_.desired.spare_vms_per_data_centre = shared ? spares * s.fabric_domains : 0;
 
-  const failure_schedule schedule = draw_failures(s, seed);
+  const failure_schedule schedule = make_failure_schedule(s, seed);
   unwritable_ = schedule.unwritable;
-  for (const vm_outage& o : schedule.outages) {
+  for (const vm_outage_window& o : schedule.outages) {
     const vm_id vm = name_vm(o.domain, o.index);
     if (!vms_.contains(vm)) {
       continue;
     }
     if (o.notice > duration::zero()) {
-      switches_.push_back({o.begin - o.notice, vm, 0, true, false});
+      state_changes_.push_back({o.begin - o.notice, vm, 0, true, false});
     }
-    switches_.push_back({o.begin, vm, 1, false, o.with_domain});
-    switches_.push_back({o.end, vm, -1, false, false});
+    state_changes_.push_back({o.begin, vm, 1, false, o.with_domain});
+    state_changes_.push_back({o.end, vm, -1, false, false});
   }
-  std::ranges::stable_sort(switches_, {}, &switch_point::at);
+  std::ranges::stable_sort(state_changes_, {}, &state_change::at);
 }
 
-void failure_world::apply(const switch_point& p) {
+void simulated_data_centre::apply(const state_change& p) {
   stale_ = true;
   vm_state& vm = vms_[p.vm];
   vm.outages += p.outages;
@@ -104,23 +106,24 @@
   const vm_condition condition = !up          ? vm_condition::lost
                                  : vm.leaving ? vm_condition::leaving
                                               : vm_condition::working;
-  to_see_.push_back({now_ + (vm.leaving ? acknowledgement : detection), p.vm, condition});
+  pending_observations_.push_back(
+      {now_ + (vm.leaving ? acknowledgement : detection), p.vm, condition});
 }
 
-bool failure_world::look() {
+bool simulated_data_centre::apply_due_observations() {
   bool changed = false;
-  for (const seen_change& c : to_see_) {
-    if (c.at <= now_ && vms_[c.vm].seen != c.condition) {
-      vms_[c.vm].seen = c.condition;
+  for (const pending_observation& c : pending_observations_) {
+    if (c.at <= now_ && vms_[c.vm].observed != c.condition) {
+      vms_[c.vm].observed = c.condition;
       changed = true;
       stale_ = true;
     }
   }
-  std::erase_if(to_see_, [&](const seen_change& c) { return c.at <= now_; });
+  std::erase_if(pending_observations_, [&](const pending_observation& c) { return c.at <= now_; });
   return changed;
 }
 
-bool failure_world::end_drains() {
+bool simulated_data_centre::end_drains() {
   bool changed = false;
   for (const auto& [id, at] : drained_at_) {
     changed = (at <= now_ && emptied_.insert(id).second) || changed;
@@ -128,12 +131,13 @@
   return changed;
 }
 
-bool failure_world::advance(time_point now) {
+bool simulated_data_centre::advance(time_point now) {
   now_ = now;
-  while (next_switch_ < switches_.size() && switches_[next_switch_].at <= now) {
-    apply(switches_[next_switch_++]);
+  while (next_state_change_ < state_changes_.size() &&
+         state_changes_[next_state_change_].at <= now) {
+    apply(state_changes_[next_state_change_++]);
   }
-  bool changed = look();
+  bool changed = apply_due_observations();
   changed = end_drains() || changed;
   if (acknowledged_ < row_.version && row_acknowledged_at_ <= now) {
     acknowledged_ = row_.version;
@@ -146,36 +150,36 @@
   return serving_ != before || changed;
 }
 
-bool failure_world::writable() const {
+bool simulated_data_centre::writable() const {
   return std::ranges::none_of(unwritable_, [&](const time_span& s) { return s.contains(now_); });
 }
 
-bool failure_world::domain_just_lost() const {
-  return now_ < domain_lost_at_ + detection + domain_shock;
+bool simulated_data_centre::domain_recently_lost() const {
+  return now_ < domain_lost_at_ + detection + stale_liveness_duration;
 }
 
-planner_input failure_world::input() const {
+planner_input simulated_data_centre::input() const {
   planner_input in;
   in.config = &config_;
   in.current = &row_;
   in.data_centre = row_.data_centre;
   for (const auto& [id, vm] : vms_) {
-    in.health.push_back({id, vm.seen});
+    in.health.push_back({id, vm.observed});
   }
   for (const auto& [id, c] : activated_) {
     in.in_force.push_back(c);
   }
   in.emptied.assign(emptied_.begin(), emptied_.end());
   in.acknowledged = acknowledged_;
-  for (const auto& [id, f] : forming_) {
-    if (f.held && f.whole) {
+  for (const auto& [id, f] : formations_) {
+    if (f.weights_loaded && f.complete) {
       in.serving.push_back(id);
     }
   }
   return in;
 }
 
-void failure_world::write(assignment next) {
+void simulated_data_centre::write(assignment next) {
   stale_ = true;
   row_ = std::move(next);
   row_acknowledged_at_ = now_ + acknowledgement;
@@ -184,31 +188,32 @@
       drained_at_.try_emplace(r.id, now_ + acknowledgement + drain_time);
     }
   }
-  const auto gone = [&](const auto& entry) { return row_.find(entry.first) == nullptr; };
-  std::erase_if(drained_at_, gone);
-  std::erase_if(activated_, gone);
-  std::erase_if(forming_, gone);
+  const auto removed = [&](const auto& entry) { return row_.find(entry.first) == nullptr; };
+  std::erase_if(drained_at_, removed);
+  std::erase_if(activated_, removed);
+  std::erase_if(formations_, removed);
   std::erase_if(emptied_, [&](const replica_id& id) { return row_.find(id) == nullptr; });
 }
 
-composition failure_world::in_force(const replica_plan& r) const {
+composition simulated_data_centre::in_force(const replica_plan& r) const {
   const auto own = activated_.find(r.id);
   return own != activated_.end() && own->second.gen > r.gen ? own->second : planned(r);
 }
 
-bool failure_world::all_up(const std::vector<vm_id>& vms) const {
+bool simulated_data_centre::all_up(const std::vector<vm_id>& vms) const {
   return std::ranges::all_of(vms, [&](const vm_id& vm) { return vms_.at(vm).up; });
 }
 
-std::uint32_t failure_world::activate_standbys() {
+std::uint32_t simulated_data_centre::activate_standbys() {
   std::uint32_t count = 0;
-  const auto lost = [&](const vm_id& vm) { return vms_.at(vm).seen == vm_condition::lost; };
+  const auto lost = [&](const vm_id& vm) { return vms_.at(vm).observed == vm_condition::lost; };
   for (const replica_plan& r : row_.replicas) {
     const composition present = in_force(r);
     if (r.phase != replica_phase::active || std::ranges::none_of(present.members, lost)) {
       continue;
     }
-    // Losses only add up: a token with fewer would be older than one in force.
+    // The mask only grows within a row: a token with fewer losses would be older than the one in
+    // force.
     lost_mask mask = present.gen.row == row_.version ? present.gen.lost : 0;
     std::size_t position = 0;
     for (const auto* vms : {&r.members, &r.standbys}) {
@@ -227,15 +232,15 @@
   return count;
 }
 
-void failure_world::refresh() {
+void simulated_data_centre::refresh() {
   stale_ = false;
   next_ready_ = time_point::max();
   serving_ = 0;
   for (const replica_plan& r : row_.replicas) {
     form(r);
     serving_ += serves(r) ? 1 : 0;
-    const forming& f = forming_[r.id];
-    if (f.whole && !f.held) {
+    const formation& f = formations_[r.id];
+    if (f.complete && !f.weights_loaded) {
       next_ready_ = std::min(next_ready_, f.ready);
     }
   }
@@ -243,41 +248,41 @@
   powered_ = static_cast<std::uint32_t>(up);
 }
 
-void failure_world::form(const replica_plan& r) {
+void simulated_data_centre::form(const replica_plan& r) {
   const composition c = in_force(r);
-  forming& f = forming_[r.id];
+  formation& f = formations_[r.id];
   const bool up = all_up(c.members);
-  const auto holds = [&](std::size_t i) {
+  const auto has_weights = [&](std::size_t i) {
     const vm_state& vm = vms_.at(c.members[i]);
-    return vm.model == r.model && vm.place == i;
+    return vm.model == r.model && vm.rank == i;
   };
   if (!up) {
     f = {c.gen, false, {}, false};
     return;
   }
-  if (!f.whole || f.gen != c.gen) {
-    bool all_hold = true;
+  if (!f.complete || f.gen != c.gen) {
+    bool all_loaded = true;
     for (std::size_t i = 0; i < c.members.size(); ++i) {
-      all_hold = all_hold && holds(i);
+      all_loaded = all_loaded && has_weights(i);
     }
-    f = {c.gen, true, now_ + (all_hold ? regroup_time : settings_.weights_load), false};
+    f = {c.gen, true, now_ + (all_loaded ? regroup_time : settings_.weights_load_time), false};
   }
-  if (f.held || now_ < f.ready) {
+  if (f.weights_loaded || now_ < f.ready) {
     return;
   }
-  f.held = true;
+  f.weights_loaded = true;
   for (std::size_t i = 0; i < c.members.size(); ++i) {
     vms_[c.members[i]].model = r.model;
-    vms_[c.members[i]].place = i;
+    vms_[c.members[i]].rank = i;
   }
 }
 
-bool failure_world::serves(const replica_plan& r) const {
-  const auto f = forming_.find(r.id);
-  const bool formed = f != forming_.end() && f->second.whole && f->second.held;
-  // Nothing new is routed to a replica with a member that is known to leave.
+bool simulated_data_centre::serves(const replica_plan& r) const {
+  const auto f = formations_.find(r.id);
+  const bool formed = f != formations_.end() && f->second.complete && f->second.weights_loaded;
+  // No new requests are routed to a replica with a member that is known to be leaving.
   const bool leaving = std::ranges::any_of(in_force(r).members, [&](const vm_id& vm) {
-    return vms_.at(vm).seen == vm_condition::leaving;
+    return vms_.at(vm).observed == vm_condition::leaving;
   });
   return formed && !leaving && r.phase == replica_phase::active;
 }
--- a/src/request/policy_bench.cpp
+++ b/src/request/policy_bench.cpp
@@ -1,4 +1,4 @@
-// Prints the figures of all measuring loops.
+// Runs all policy simulations and prints their figures.
 #include "request/policy_bench.h"
 
 #include <iomanip>
@@ -13,11 +13,11 @@
   return stable_hash(std::to_string(more), signature);
 }
 
-admission_load overload(double times, bool first_come) {
+admission_load overload(double times, bool first_come_first_served) {
   admission_load load;
   const double capacity = load.slots / to_seconds(load.mean_service);
   load.workspaces = {{"only", 1.0, capacity * times}};
-  load.first_come = first_come;
+  load.first_come_first_served = first_come_first_served;
   return load;
 }
 
@@ -29,7 +29,7 @@
     const admission_figures base = run_admission(overload(times, true), seed);
     out << "  " << std::setprecision(1) << times << "x  goodput " << std::setprecision(3)
         << ours.goodput << "  late " << ours.workspaces[0].late << "  refused "
-        << ours.workspaces[0].refused << " (" << ours.workspaces[0].refused_waiting
+        << ours.workspaces[0].refused << " (" << ours.workspaces[0].refused_after_waiting
         << " after waiting)   | first come: goodput " << base.goodput << "\n";
     signature = mix(signature, ours.signature);
   }
@@ -39,21 +39,22 @@
 std::uint64_t print_fairness(std::ostream& out, std::uint64_t seed) {
   admission_load load;
   const double capacity = load.slots / to_seconds(load.mean_service);
-  // Four small workspaces at 0.6 of their share; the large one asks for five times its own.
+  // Four small workspaces use 0.6 of their share; the large one demands five times its share.
   for (const char* name : {"a", "b", "c", "d"}) {
     load.workspaces.push_back({name, 1.0, 0.6 * capacity / 8});
   }
   const admission_figures alone = run_admission(load, seed);
   load.workspaces.push_back({"large", 4.0, 5 * capacity / 2});
   const admission_figures together = run_admission(load, seed);
-  load.first_come = true;
+  load.first_come_first_served = true;
   const admission_figures base = run_admission(load, seed);
   out << "fairness: a large workspace at 5x its share, p99 answer of a small one\n"
       << "  alone " << alone.workspaces[0].p99_answer << " s  together "
       << together.workspaces[0].p99_answer << " s  ratio "
       << together.workspaces[0].p99_answer / alone.workspaces[0].p99_answer << "  refused "
-      << together.workspaces[0].refused << " of " << together.workspaces[0].asked << "  slots busy "
-      << together.busy << "  | first come: " << base.workspaces[0].p99_answer << " s\n";
+      << together.workspaces[0].refused << " of " << together.workspaces[0].submitted
+      << "  slots busy " << together.busy << "  | first come: " << base.workspaces[0].p99_answer
+      << " s\n";
   return together.signature;
 }
 
@@ -94,7 +95,7 @@
 }
 
 std::uint64_t print_limits(std::ostream& out, std::uint64_t seed) {
-  out << "limits: 6 nodes, parts of the limit\n";
+  out << "limits: 6 nodes; figures are multiples of the limit\n";
   std::uint64_t signature = 0;
   for (const limit_phase_figures& f : run_limits(seed)) {
     out << "  " << std::left << std::setw(32) << f.phase << std::right << " demand " << f.demand
--- a/src/request/policy_bench_admission.cpp
+++ b/src/request/policy_bench_admission.cpp
@@ -1,4 +1,4 @@
-// Measuring loop of admission.
+// Simulation of admission to the slots of one model.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr duration tick_every = 20ms;
+constexpr duration tick_interval = 20ms;
 
 double exponential(rng& random, double mean) {
   return -mean * std::log(1.0 - random.unit());
@@ -47,13 +47,13 @@
   }
 
   admission_figures run() {
-    // With nothing waiting, nothing can start; the call only tells the capacity.
+    // The queue is empty, so no request starts; the call only sets the capacity.
     start(time_point{}, admission_.on_capacity(time_point{}, {load_.slots, load_.slots, 0us}));
-    free_ = load_.slots;
+    baseline_free_slots_ = load_.slots;
     for (std::size_t i = 0; i < load_.workspaces.size(); ++i) {
       schedule_arrival(time_point{}, i);
     }
-    events_.at(time_point{} + tick_every, [this](time_point now) { tick(now); });
+    events_.at(time_point{} + tick_interval, [this](time_point now) { tick(now); });
     events_.run_until(time_point{} + load_.length);
     return summary();
   }
@@ -75,14 +75,14 @@
 
   void arrive(time_point now, std::size_t workspace) {
     const double cost = 0.5 + random_.unit();
-    const double spread = 0.5 + random_.unit();  // what the estimated cost does not tell
+    const double cost_ratio = 0.5 + random_.unit();  // ratio of the actual to the estimated cost
     const request_id id(std::to_string(++last_id_));
-    const duration service = from_seconds(to_seconds(load_.mean_service) * cost * spread);
+    const duration service = from_seconds(to_seconds(load_.mean_service) * cost * cost_ratio);
     requests_[id] = {workspace, now, now + load_.deadline, service};
-    ++figures_.workspaces[workspace].asked;
-    if (load_.first_come) {
-      line_.push_back(id);
-      start_first_come(now);
+    ++figures_.workspaces[workspace].submitted;
+    if (load_.first_come_first_served) {
+      baseline_queue_.push_back(id);
+      start_in_arrival_order(now);
       return;
     }
     request_facts facts;
@@ -111,11 +111,11 @@
     }
   }
 
-  void start_first_come(time_point now) {
-    while (free_ > 0 && !line_.empty()) {
-      --free_;
-      const request_id id = line_.front();
-      line_.pop_front();
+  void start_in_arrival_order(time_point now) {
+    while (baseline_free_slots_ > 0 && !baseline_queue_.empty()) {
+      --baseline_free_slots_;
+      const request_id id = baseline_queue_.front();
+      baseline_queue_.pop_front();
       start(now, {id});
     }
   }
@@ -130,9 +130,9 @@
     useful_time_ += in_time ? to_seconds(p.service) : 0;
     busy_time_ += to_seconds(p.service);
     samples_[p.workspace].answers.push_back(to_seconds(now - p.arrival));
-    if (load_.first_come) {
-      ++free_;
-      start_first_come(now);
+    if (load_.first_come_first_served) {
+      ++baseline_free_slots_;
+      start_in_arrival_order(now);
     } else {
       start(now, admission_.finished(now, id));
     }
@@ -142,7 +142,7 @@
     const pending& p = requests_.at(id);
     workspace_figures& w = figures_.workspaces[p.workspace];
     ++w.refused;
-    w.refused_waiting += now - p.arrival > tick_every ? 1 : 0;
+    w.refused_after_waiting += now - p.arrival > tick_interval ? 1 : 0;
     samples_[p.workspace].refusals.push_back(to_seconds(now - p.arrival));
     requests_.erase(id);
   }
@@ -151,7 +151,7 @@
     for (const rejection& r : admission_.tick(now)) {
       refuse(now, r.id);
     }
-    events_.at(now + tick_every, [this](time_point at) { tick(at); });
+    events_.at(now + tick_interval, [this](time_point at) { tick(at); });
   }
 
   admission_figures summary() {
@@ -172,8 +172,8 @@
   admission admission_;
   event_queue events_;
   std::unordered_map<request_id, pending> requests_;
-  std::deque<request_id> line_;  // of the baseline
-  std::uint32_t free_ = 0;       // of the baseline
+  std::deque<request_id> baseline_queue_;
+  std::uint32_t baseline_free_slots_ = 0;
   std::uint64_t last_id_ = 0;
   double useful_time_ = 0;
   double busy_time_ = 0;
--- a/tests/core/request_admission_test.cpp
+++ b/tests/core/request_admission_test.cpp
@@ -252,11 +252,11 @@
     const admission_figures f = run_admission(overload(times), 7);
     EXPECT_GT(f.goodput, 0.9) << times;
     EXPECT_GT(static_cast<double>(f.useful), 0.9 * static_cast<double>(at_capacity.useful));
-    EXPECT_LT(f.workspaces[0].refused_waiting * 50, f.workspaces[0].refused)
+    EXPECT_LT(f.workspaces[0].refused_after_waiting * 50, f.workspaces[0].refused)
         << "held back before the refusal";
   }
   admission_load baseline = overload(2.0);
-  baseline.first_come = true;
+  baseline.first_come_first_served = true;
   EXPECT_LT(run_admission(baseline, 7).goodput, 0.2) << "the load is no challenge for the baseline";
 }
 
@@ -271,10 +271,10 @@
   const admission_figures together = run_admission(load, 3);
   for (std::size_t i = 0; i < 4; ++i) {
     EXPECT_LT(together.workspaces[i].p99_answer, 1.25 * alone.workspaces[i].p99_answer);
-    EXPECT_LT(together.workspaces[i].refused * 100, together.workspaces[i].asked);
+    EXPECT_LT(together.workspaces[i].refused * 100, together.workspaces[i].submitted);
   }
   EXPECT_GT(together.busy, 0.97) << "work conserving";
-  load.first_come = true;
+  load.first_come_first_served = true;
   EXPECT_GT(run_admission(load, 3).workspaces[0].p99_answer, 3 * alone.workspaces[0].p99_answer);
 }
 
