--- a/src/node/model_attempt.h
+++ b/src/node/model_attempt.h
@@ -5,7 +5,7 @@
 #include <functional>
 
 #include "node/call_context.h"
-#include "request/expected_answer.h"
+#include "request/answer.h"
 #include "request/outcome.h"
 
 namespace arbutus {
--- a/src/request/answer.cpp
+++ b/src/request/answer.cpp
@@ -1,5 +1,5 @@
 // Checks the tokens of streamed responses.
-#include "request/expected_answer.h"
+#include "request/answer.h"
 
 namespace arbutus {
 
--- a/tests/core/request_answer_test.cpp
+++ b/tests/core/request_answer_test.cpp
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "base/rng.h"
-#include "request/expected_answer.h"
+#include "request/answer.h"
 
 namespace arbutus {
 namespace {
--- a/tests/shell/explain_test.cpp
+++ b/tests/shell/explain_test.cpp
@@ -25,8 +25,8 @@
   // Stops the log and reads it. A node writes a request's last line after it has sent the answer;
   // that line is certain to be written once the node has answered another request.
   std::optional<request_timeline> explain_request(const std::string& id) {
-    (void)ask(0, "/llm/x", "after-0");
-    (void)ask(1, "/llm/x", "after-1");
+    (void)send_request(0, "/llm/x", "after-0");
+    (void)send_request(1, "/llm/x", "after-1");
     stop_log();
     std::istringstream lines(log_.str());
     log_reader reader;
@@ -51,13 +51,14 @@
 
 TEST_F(ExplainLoad, ARefusalUnderLoad) {
   ASSERT_TRUE(eventually([&] {
-    return platform_.serving() >= 1 && ask(0, "/llm/x", "warm-0").response.status == 200;
+    return platform_.serving() >= 1 && send_request(0, "/llm/x", "warm-0").response.status == 200;
   }));
   constexpr std::size_t callers = 30;
   std::vector<std::thread> threads;
   std::vector<call_result> results(callers);
   for (std::size_t i = 0; i < callers; ++i) {
-    threads.emplace_back([&, i] { results[i] = ask(0, "/llm/2f", "l" + std::to_string(i)); });
+    threads.emplace_back(
+        [&, i] { results[i] = send_request(0, "/llm/2f", "l" + std::to_string(i)); });
   }
   for (std::thread& t : threads) {
     t.join();
@@ -78,7 +79,7 @@
   ASSERT_TRUE(serves());
   std::vector<std::thread> threads;
   for (std::size_t i = 0; i < 12; ++i) {
-    threads.emplace_back([&, i] { (void)ask(i % 2, "/llm/2f", "m" + std::to_string(i)); });
+    threads.emplace_back([&, i] { (void)send_request(i % 2, "/llm/2f", "m" + std::to_string(i)); });
   }
   ASSERT_TRUE(eventually([&] { return platform_.runs().count("m5") > 0; }));
   const std::string lost = platform_.find_member(false);
@@ -102,7 +103,7 @@
 TEST_F(Explain, AKeyThatCannotBeChecked) {
   ASSERT_TRUE(serves());
   platform_.set_store_down(true);
-  ASSERT_TRUE(eventually([&] { return ask(0, "/llm/2f", "d0").response.status == 503; }));
+  ASSERT_TRUE(eventually([&] { return send_request(0, "/llm/2f", "d0").response.status == 503; }));
   const auto timeline = explain_request("d0");
   ASSERT_TRUE(timeline);
   EXPECT_THAT(timeline->cause, HasSubstr("cannot be checked"));
