--- a/src/process/config_replica.cpp
+++ b/src/process/config_replica.cpp
@@ -316,7 +316,7 @@
                : "no configuration";
   requested.push_back(operator_notice{"the table has " + found + ", older than version " +
                                       std::to_string(in_force_.version) +
-                                      " in force: the head is set to the version in force"});
+                                      " in force: it is lifted"});
   pending_repair_ = repair_head{head_, row.row_version};
   requested.push_back(restore_object{in_force_.hash, content_});
 }
--- a/src/process/coordinator_decide.cpp
+++ b/src/process/coordinator_decide.cpp
@@ -52,7 +52,7 @@
       .allowed = table_unavailable && peers->may_act_without_table(rows.row().version, now),
   };
   for (const replica_id& id : activations.tick(now, context)) {
-    emit(notice{"repair", "replica " + id.str() + " repaired by standbys, table unavailable"});
+    emit(notice{"repair", "replica " + id.str() + " brought back by standbys, table unavailable"});
     peers->expedite_heartbeats(now);
     changed();
   }
--- a/src/process/node_heartbeat.h
+++ b/src/process/node_heartbeat.h
@@ -75,8 +75,8 @@
   grant_update grants;
   // From a hub to a node of its data centre.
   std::optional<feed_update> targets;  // records of targets
-  std::optional<feed_update> served;   // serving replicas, sent instead of `targets`; positions are
-                                       // of the sender's incarnation
+  // Serving replicas, sent instead of `targets`; positions are of the sender's incarnation.
+  std::optional<feed_update> served;
   std::optional<feed_update> configuration;
   std::optional<config_part> configuration_part;
 };
--- a/src/process/observations.h
+++ b/src/process/observations.h
@@ -123,8 +123,8 @@
     time_point at;
   };
   using received_slots = std::map<std::uint32_t, engine_report>;  // full forms received from a peer
-  struct failure_reporter {  // a peer with refuted failure reports, which may have a bad
-                             // link
+  // A peer with refuted failure reports, which may have a bad link.
+  struct failure_reporter {
     double refuted{};
     time_point at;
   };
--- a/src/process/replica_controller.cpp
+++ b/src/process/replica_controller.cpp
@@ -329,10 +329,10 @@
   const model_spec* model =
       head_is_inside ? ctx.engine.find_model(model_of_name(replica.key.name)) : nullptr;
   if (model == nullptr) {
-    return head_is_inside ? "its model is not configured" : "its head is not in the replica";
+    return head_is_inside ? "its model is not configured" : "its head is gone";
   }
   if (replica.members.size() != model->size) {
-    return "a member is missing or in another replica";
+    return "a member is in another replica or gone";
   }
   std::size_t unlisted = 0;
   std::vector<target_id> incarnations;
--- a/src/process/replica_controller.h
+++ b/src/process/replica_controller.h
@@ -135,8 +135,8 @@
 
   struct responsibilities {
     std::set<data_centre_id> data_centres;  // whose engines this node controls
-    std::size_t all_data_centres =
-        1;  // number of data centres that have engines and share the limit on loads
+    // Number of data centres that have engines and share the limit on loads.
+    std::size_t all_data_centres = 1;
     bool requests_seen = false;  // from the first request on, loads take their full time
     duration list_age{};         // time since the list of targets was last up to date
   };
--- a/src/version/desired_replicas.cpp
+++ b/src/version/desired_replicas.cpp
@@ -73,7 +73,7 @@
   const std::vector<draft_replica*> list = by_removal_order(draft, model);
   for (std::size_t i = 0; i + desired < list.size(); ++i) {
     if (list[i]->broken()) {
-      draft.dissolve(*list[i], "broken and no longer needed");
+      draft.dissolve(*list[i], "broken and no longer wanted");
       continue;
     }
     const auto stay = list.begin() + static_cast<std::ptrdiff_t>(i + 1);
@@ -81,7 +81,7 @@
     if (static_cast<std::size_t>(serve) < desired) {
       return;
     }
-    draft.drain(*list[i], "no longer needed");
+    draft.drain(*list[i], "no longer wanted");
   }
 }
 
--- a/src/version/placement.cpp
+++ b/src/version/placement.cpp
@@ -105,7 +105,7 @@
   std::erase_if(standbys, elsewhere);
   fill_gaps_from_standbys(members, standbys);
   fill_gaps_from_pool(draft, members, *domain, r.rule->accelerators_per_vm, *domain);
-  draft.replace_members(r, members, "moved to a domain with room for all members");
+  draft.replace_members(r, members, "moved to a domain that holds it whole");
   return true;
 }
 
@@ -122,7 +122,7 @@
 void repair(plan_draft& draft, draft_replica& r) {
   const bool size_changed = r.plan.members.size() != r.rule->vms_per_replica;
   if (size_changed) {
-    draft.dissolve(r, "broken, and of a size that is no longer configured");
+    draft.dissolve(r, "broken, and of a size that is no longer wanted");
     return;
   }
   const domain_index main_domain = draft.main_domain(r);
--- a/src/version/service_map.h
+++ b/src/version/service_map.h
@@ -76,8 +76,8 @@
   duration report_lag{};                    // age of a report's figures
   double loads_per_s{};                     // loads that may start per second at the weight store
   std::uint32_t concurrent_loads = 1;       // more simultaneous loads slow each other down
-  double mean_prompt_tokens{};              // mean length of a prompt
-  double mean_answer_tokens{};              // mean length of an answer
+  double mean_prompt_tokens{};              // mean length of a prompt, in tokens
+  double mean_answer_tokens{};              // mean length of an answer, in tokens
   double cross_domain_factor = 1;           // slowdown of a replica that spans fabric domains
   duration open_time{};                     // from the order to open until the head serves
   std::vector<model_spec> models;
--- a/src/version/standby.cpp
+++ b/src/version/standby.cpp
@@ -177,7 +177,7 @@
 void release_surplus(plan_draft& draft, const reservation& entry) {
   draft_replica& r = draft.replicas[entry.replica];
   while (count_present_standbys(draft, r) > entry.desired) {
-    draft.withdraw_standby(r, vm_id{r.plan.standbys.back()}, "standby no longer needed");
+    draft.withdraw_standby(r, vm_id{r.plan.standbys.back()}, "standby no longer wanted");
   }
 }
 
--- a/tests/core/config_replica_test.cpp
+++ b/tests/core/config_replica_test.cpp
@@ -333,7 +333,7 @@
   EXPECT_TRUE(fleet.all_have(60, content_of(60)));
   fleet.row = {};
   fleet.run_for(4s);
-  EXPECT_EQ(fleet.row.head->version, 60U) << "also when the row was removed";
+  EXPECT_EQ(fleet.row.head->version, 60U) << "also when the row is gone";
 }
 
 // Guards against an accepted change that is lost silently: the table is restored, an operator's
--- a/tests/core/request_keyed_test.cpp
+++ b/tests/core/request_keyed_test.cpp
@@ -190,7 +190,7 @@
 
   driven_call again(table, facts_of("n2", 1, time_point{} + 60s));
   again.start();
-  EXPECT_TRUE(again.send()) << "closed as not run, so it may be tried again immediately";
+  EXPECT_TRUE(again.send()) << "closed as not run, so it may be tried at once";
 }
 
 // Guards against callers waiting for the entire outage of the table, and against a call that runs
