--- a/src/process/config_replica.cpp
+++ b/src/process/config_replica.cpp
@@ -228,7 +228,7 @@
   if (head.version == in_force_.version) {
     requested.push_back(operator_notice{"two configurations have version " +
                                         std::to_string(head.version) + ": " + in_force_.hash +
-                                        " is replaced by " + head.hash});
+                                        " gives way to " + head.hash});
   }
   remember_content();
   in_force_ = {head.version, head.hash, now};
