--- a/src/process/replica_controller.cpp
+++ b/src/process/replica_controller.cpp
@@ -335,9 +335,9 @@
     return "a member is in another replica or gone";
   }
   std::size_t unlisted = 0;
-  std::vector<target_id> lives;
+  std::vector<target_id> incarnations;
   for (const target_view* member : replica.members) {
-    lives.push_back(member->record.id);
+    incarnations.push_back(member->record.id);
     if (member->lost) {
       return "a member is lost";
     }
@@ -351,7 +351,7 @@
     return "its head is not listed";
   }
   // A replica does not work with a member that has restarted since it was formed.
-  if (!matches_incarnations(replica.key.name, lives)) {
+  if (!matches_incarnations(replica.key.name, incarnations)) {
     return "a member started again";
   }
   const member_state state = head->record.member_of->state;
--- a/src/version/desired_replicas.cpp
+++ b/src/version/desired_replicas.cpp
@@ -17,9 +17,10 @@
 // Thresholds of load per replica, in units of one replica's capacity. Queueing grows steeply above
 // about 0.9.
 constexpr double overload_threshold = 0.9;
-// A model lends a replica only if its remaining ones stay at or below this load,
+// A model lends a replica only if its remaining ones stay at or below this load.
 constexpr double max_load_after_lending = 0.6;
-// and gets the replica back above this load. The difference is the hysteresis.
+// A model gets a lent replica back above this load. The difference to max_load_after_lending is the
+// hysteresis.
 constexpr double reclaim_threshold = 0.8;
 // An additional replica is kept while the load would exceed this without it.
 constexpr double keep_threshold = 0.7;
--- a/src/version/standby.cpp
+++ b/src/version/standby.cpp
@@ -113,7 +113,7 @@
 
 struct reservation {
   std::size_t replica;    // index in the draft
-  std::size_t desired;    // standbys
+  std::size_t desired;    // desired number of standbys
   std::size_t keep_free;  // shared spares that must remain free
 };
 
