--- a/src/base/outcome.h
+++ b/src/base/outcome.h
@@ -1,6 +1,6 @@
 // The possible outcomes of a call to another process.
 //
-// After a timeout the write or the request may still have taken effect, so that a timeout can't be
+// After a timeout the write or the request may still have taken effect, so a timeout cannot be
 // reported as a failure. `unknown` is therefore a separate case that each caller has to handle.
 #pragma once
 
--- a/src/node/call_context.h
+++ b/src/node/call_context.h
@@ -20,7 +20,7 @@
 
 namespace arbutus {
 
-// Lives as long as the node; what it refers to outlives every call.
+// Exists as long as the node. The objects that it refers to outlive every call.
 struct call_context {
   node_id self;
   std::uint64_t incarnation{};
--- a/src/node/configure.cpp
+++ b/src/node/configure.cpp
@@ -16,7 +16,7 @@
 
 using json = nlohmann::json;
 
-// After this time, a proposal whose outcome is still unknown is reported so to the operator.
+// After this time, the operator gets the answer that the outcome of the proposal is still unknown.
 constexpr duration proposal_timeout = 10s;
 constexpr duration pause_between_reads = 200ms;
 // How long to wait until an accepted version is in force on the node that proposed it.
@@ -173,8 +173,7 @@
   }
 
   // The changes made by the other operator. If the content of the base is not available, the
-  // differences to the proposed content, which show the other operator's changes among the own
-  // ones.
+  // differences to the proposed content, which mix the changes of both operators.
   json changed(const std::optional<config_head>& current) {
     if (!current) {
       return json::array();
--- a/src/node/control.h
+++ b/src/node/control.h
@@ -27,10 +27,10 @@
   std::uint64_t revision{};      // increases by one with each view
 };
 
-// Time-out of table and object store calls; the core then treats their outcome as unknown.
+// Timeout of table and object store calls; the core then treats their outcome as unknown.
 inline constexpr duration platform_timeout = 1500ms;
 // A probe without an answer after this time counts as failed. Well below the time in which a lost
-// member has to be detected, and well above a slow answer of a busy VM.
+// member has to be detected, and well above the response time of a busy VM.
 inline constexpr duration probe_timeout = 600ms;
 // Load and permissions are published at most this often; a change of the usable routes is
 // published immediately.
--- a/src/node/controller_heartbeats.cpp
+++ b/src/node/controller_heartbeats.cpp
@@ -139,9 +139,9 @@
   message.configuration_position = node_.configuration_rows.position();
   message.configuration_row = node_.configurations.newest();
   message.configuration_progress = watch_.configuration_progress();
-  const auto told = positions_.find(peer);
-  const bool follows_served =
-      message.hub && same && told != positions_.end() && !told->second.follows_records;
+  const auto peer_position = positions_.find(peer);
+  const bool follows_served = message.hub && same && peer_position != positions_.end() &&
+                              !peer_position->second.follows_records;
   if (follows_served) {
     message.lost = serving_suspects_;
   } else {
@@ -217,10 +217,10 @@
   if (message.echo_us <= 0) {
     return;
   }
-  const time_point asked{duration{message.echo_us}};
+  const time_point stamp_sent_at{duration{message.echo_us}};
   std::map<target_id, double> demand;
   for (const limit_update& update : message.limits) {
-    node_.limits.received(update.target, {update.per_second, asked - update.age});
+    node_.limits.received(update.target, {update.per_second, stamp_sent_at - update.age});
     if (update.demand > 0) {
       demand.emplace(update.target, update.demand);
     }
@@ -230,9 +230,9 @@
   if (hub && same != message.hub) {
     grants_.set_demand(now, peer, message.incarnation, message.hub, std::move(demand));
   }
-  const auto fresh =
-      granted_.take(asked, now, peer, message.incarnation, node_.incarnation, message.grants);
-  for (const auto& [target, count] : fresh) {
+  const auto new_grants = granted_.take(stamp_sent_at, now, peer, message.incarnation,
+                                        node_.incarnation, message.grants);
+  for (const auto& [target, count] : new_grants) {
     if (same) {
       node_.limits.granted(now, target, count);
     } else if (hub) {
@@ -324,8 +324,8 @@
   }
   if (same && message.hub && message.echo_us > 0) {
     // The hub's content is newer than the moment at which this node sent the echoed stamp.
-    const time_point asked{duration{message.echo_us}};
-    watch_.apply_hub_update(asked, now, message);
+    const time_point stamp_sent_at{duration{message.echo_us}};
+    watch_.apply_hub_update(stamp_sent_at, now, message);
     hub_reply_at_ = now;
     node_.fleet.apply_hub_losses(now, message.lost);
   }
--- a/src/node/controller_loop.cpp
+++ b/src/node/controller_loop.cpp
@@ -159,20 +159,20 @@
 void controller_loop::carry_out(const service_id& service, const controller_effect& desired) {
   node_.runtime.post(0, [this, service, desired] {
     replica_controller& controller = controllers_.at(service);
-    const time_point asked = monotonic_now();
-    const time_point deadline = asked + order_timeout;
-    if (const auto* question = std::get_if<report_request>(&desired)) {
+    const time_point requested_at = monotonic_now();
+    const time_point deadline = requested_at + order_timeout;
+    if (const auto* query = std::get_if<report_request>(&desired)) {
       count_query("order");
-      const auto result = node_.engines.report(question->to, question->address, deadline);
+      const auto result = node_.engines.report(query->to, query->address, deadline);
       const time_point now = monotonic_now();
       if (const auto* report = std::get_if<target_report>(&result)) {
-        take_report(asked, question->to, *report);
-        controller.on_report(now, question->to, *report);
+        take_report(requested_at, query->to, *report);
+        controller.on_report(now, query->to, *report);
       } else {
         if (std::holds_alternative<unknown>(result)) {
-          node_.fleet.probe_failed(now, question->to);
+          node_.fleet.probe_failed(now, query->to);
         }
-        controller.on_report(now, question->to, std::nullopt);
+        controller.on_report(now, query->to, std::nullopt);
       }
       return;
     }
@@ -205,7 +205,7 @@
   });
 }
 
-bool controller_loop::take_report(time_point asked, const target_id& id,
+bool controller_loop::take_report(time_point requested_at, const target_id& id,
                                   const target_report& report) {
   const target_view* view = node_.fleet.find(id);
   const service_spec* service =
@@ -214,7 +214,7 @@
       service != nullptr && service->engine ? service->engine->report_lag : duration{};
   const endpoint address = view == nullptr ? endpoint{} : view->record.address;
   const bool same = node_.fleet.reported(
-      asked, asked - lag - lag / 4, id,
+      requested_at, requested_at - lag - lag / 4, id,
       {report.incarnation, report.member_of, report.loaded, report.slowdown_factor});
   if (!same) {
     log_line(log_level::info, "fleet", "started again",
--- a/src/node/controller_loop.h
+++ b/src/node/controller_loop.h
@@ -62,7 +62,7 @@
   // `why` labels the metric, since each query to a target has a cost.
   bool probe(const target_id& id, duration timeout, std::string_view why);
   // False if another incarnation of the engine answered.
-  bool take_report(time_point asked, const target_id& id, const target_report& report);
+  bool take_report(time_point requested_at, const target_id& id, const target_report& report);
   void verify_lost_report(const target_id& id);
   [[nodiscard]] feed_update configuration_update(time_point now, const positions& at);
   void pass_on_configuration(time_point now, const node_id& peer, const positions& at,
--- a/src/node/controller_losses.cpp
+++ b/src/node/controller_losses.cpp
@@ -26,8 +26,9 @@
 // A lost engine that is alive is restored within this time; a dead one is probed some ten times
 // until the list drops it.
 constexpr duration lost_probe_interval = 400ms;
-// Longer than for lost engines, since the end of an engine that was dropped from the list usually
-// shows as a stall of its replica.
+// Interval between probes of members that were dropped from the list. Longer than for lost engines,
+// since the end of an engine that was dropped from the list usually shows as a stall of its
+// replica.
 constexpr duration unlisted_probe_interval = 800ms;
 
 }  // namespace
@@ -54,11 +55,11 @@
     return false;
   }
   const endpoint address = view->record.address;
-  const time_point asked = monotonic_now();
-  const auto result = node_.engines.report(id, address, asked + timeout);
+  const time_point requested_at = monotonic_now();
+  const auto result = node_.engines.report(id, address, requested_at + timeout);
   const time_point now = monotonic_now();
   if (const auto* report = std::get_if<target_report>(&result)) {
-    return take_report(asked, id, *report);
+    return take_report(requested_at, id, *report);
   }
   node_.fleet.probe_failed(now, id);
   return false;
--- a/src/node/error_body.cpp
+++ b/src/node/error_body.cpp
@@ -47,8 +47,8 @@
   call_error error;
   error.status = status;
   error.message = std::string(reason);
-  // A caller that half-closes its connection after a complete request ends the call, which may
-  // have reached a target by then. With type "not_run" it would send a booking again.
+  // A caller that half-closes its connection after a complete request ends the call, which may have
+  // reached a target by then. An answer of type "not_run" would make it send a booking again.
   constexpr int no_answer = 500;
   error.code = status == no_answer ? "no_answer" : "bad_request";
   error.ran = status == no_answer ? execution::unknown : execution::not_run;
--- a/src/node/hosted_buffered.cpp
+++ b/src/node/hosted_buffered.cpp
@@ -142,14 +142,14 @@
 
   void read_answer_of(time_point now, const service_instance& instance,
                       const http_response& response) {
-    const response_fields head =
+    const response_fields answer =
         read_response_fields(response.status, response.headers, call_.head.id);
-    note_limit(node_, sent_at_, instance.id, response.status, head);
-    if (head.running) {
+    note_limit(node_, sent_at_, instance.id, response.status, answer);
+    if (answer.running) {
       node_.instances.told(now, instance.id,
-                           *head.running + static_cast<double>(head.waiting.value_or(0)));
+                           *answer.running + static_cast<double>(answer.waiting.value_or(0)));
     }
-    switch (head.kind) {
+    switch (answer.kind) {
       case answer_kind::not_run:
         node_.instances.ended(now, instance.id, call_end::not_run);
         broken(instance, "the target did not run it");
--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -196,9 +196,11 @@
                 const response_fields& answer) {
   // A failure may come from a component of the target that does not report the limit, so only a
   // success without a limit removes it.
-  const bool lifts = answer.kind == answer_kind::own && status / 100 == 2;
-  const bool speaks = answer.kind == answer_kind::own || answer.kind == answer_kind::not_run;
-  if (answer.is_misdirected || !speaks || (!answer.limit.is_present && !lifts)) {
+  const bool may_clear_limit = answer.kind == answer_kind::own && status / 100 == 2;
+  const bool may_report_limit =
+      answer.kind == answer_kind::own || answer.kind == answer_kind::not_run;
+  if (answer.is_misdirected || !may_report_limit ||
+      (!answer.limit.is_present && !may_clear_limit)) {
     return;
   }
   const auto change = node.limits.told(sent_at, monotonic_now(), target, answer.limit);
--- a/src/node/hosted_node.cpp
+++ b/src/node/hosted_node.cpp
@@ -167,9 +167,9 @@
 
 hosted_node::~hosted_node() {
   // Components whose destructors post work to their worker must be destroyed before the runtime
-  // stops. If the worker stopped between the check that it runs and their turn, they would wait
-  // forever: the process would log its exit but never exit. The controller's fibers use the links,
-  // so it is stopped before them.
+  // stops. If the worker stopped after such a destructor has checked that it runs, but before it
+  // does the posted work, the destructor would wait forever: the process would log its exit but
+  // never exit. The controller's fibers use the links, so it is stopped before them.
   parts_->callers.reset();
   parts_->ready.reset();
   parts_->metrics.reset();
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -72,12 +72,12 @@
 // Sends that no target ran do not count against the route's limit of attempts. After this many the
 // service is considered unable to serve the request.
 inline constexpr std::uint32_t max_sends_per_call = 6;
-// For requests that found no target: a replica forms within about this time.
+// Sent as Retry-After if there is no target for a request: a replica forms within about this time.
 inline constexpr duration retry_after_no_target = 400ms;
-// For requests that this node refuses because the platform does not confirm its configuration. A
-// caller that retries reaches another node. If the store serves a peer of the data centre, the
-// caller may retry soon and usually still meets its deadline; if it serves none, an early retry is
-// useless.
+// Sent as Retry-After if this node refuses a request because the platform does not confirm its
+// configuration. A caller that retries reaches another node. If the store serves a peer of the data
+// centre, the caller may retry soon and usually still meets its deadline; if it serves none, an
+// early retry is useless.
 inline constexpr duration retry_after_stale_here = 50ms;
 inline constexpr duration retry_after_stale_all = 700ms;
 [[nodiscard]] duration retry_after_stale(const hosted_state& node, time_point now);
--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -59,7 +59,7 @@
   // The record of every target is known. Required to control replicas: otherwise this node would
   // dissolve replicas whose members it does not know.
   bool fleet_complete = false;
-  time_point fleet_read_at{};  // when the query of the newest answer from the list was sent
+  time_point fleet_read_at{};  // send time of the query that returned the newest list
   load_table loads;
   instance_table instances;
   std::map<service_id, retry_window> retries;
@@ -86,7 +86,7 @@
   [[nodiscard]] const std::vector<serving_replica>& replicas(const service_spec& service,
                                                              const model_id& model);
   [[nodiscard]] const std::vector<service_instance>& instances_of(const service_id& service);
-  // Whether this node has been missing a configuration version for too long.
+  // Whether this node has lacked a configuration version for longer than is allowed.
   [[nodiscard]] bool is_outdated(time_point now) const {
     return lag.is_stale(now, settings.bounds.configuration);
   }
--- a/src/node/log_outcomes.h
+++ b/src/node/log_outcomes.h
@@ -1,6 +1,6 @@
 // Counts the outcomes of requests over a period from the log lines of all nodes: by time window,
-// route, data centre and reason, together with the number of serving replicas. For analysing an
-// incident when hundreds of nodes have written more lines than can be read.
+// route, data centre and reason, together with the number of serving replicas. Meant for the
+// analysis of an incident in which hundreds of nodes wrote more lines than a person can read.
 //
 // Successful requests are logged at level "debug" only. At other levels their number is unknown and
 // the tables contain failures only.
--- a/src/node/model_attempt.cpp
+++ b/src/node/model_attempt.cpp
@@ -51,7 +51,7 @@
 }
 
 // Whether the answer carries the id of the request; otherwise it does not belong to it.
-bool names_request(const http_headers& headers, const request_id& id) {
+bool has_request_id(const http_headers& headers, const request_id& id) {
   const auto named = headers.find("x-request-id");
   return named && *named == id.str();
 }
@@ -115,7 +115,7 @@
     end.body = std::move(result.response.body);
     return end;
   }
-  if (!names_request(result.response.headers, attempt.id)) {
+  if (!has_request_id(result.response.headers, attempt.id)) {
     end.reason = "the answer names another request";
     return end;
   }
@@ -219,7 +219,7 @@
   int status = 0;
   const auto on_headers = [&](int received, const http_headers& headers) {
     status = received;
-    if (received == status_ok && !names_request(headers, attempt.id)) {
+    if (received == status_ok && !has_request_id(headers, attempt.id)) {
       end.reason = "the answer names another request";
       return false;
     }
--- a/src/node/model_attempt.h
+++ b/src/node/model_attempt.h
@@ -24,7 +24,7 @@
 struct attempt_outcome {
   execution ran = execution::unknown;
   int status = 0;      // of the engine's answer; 0: none
-  std::string reason;  // why it is not done, for logs and metrics
+  std::string reason;  // why the attempt is not done, for logs and metrics
   std::string body;    // of an answer that is not streamed
   std::string content_type;
   bool engine_error = false;  // a complete answer with an error caused by the caller (4xx)
--- a/src/node/model_call.cpp
+++ b/src/node/model_call.cpp
@@ -24,7 +24,7 @@
 
 std::optional<call_error> check_model(const call_state& call, const model_id& model) {
   if (call.view->config->desired.find_model(model) == nullptr) {
-    return invalid_request("unknown_model", "the rules know no model of this name", 404);
+    return invalid_request("unknown_model", "the rules define no model of this name", 404);
   }
   const auto& allowed = call.workspace->models;
   if (std::find(allowed.begin(), allowed.end(), model) == allowed.end()) {
@@ -33,7 +33,7 @@
   return std::nullopt;
 }
 
-// A running call. Lives in the stack frame of the request's fiber.
+// A running call, allocated in the stack frame of the request's fiber.
 class model_call {
  public:
   model_call(call_context& node, model_api api, const http_request& request,
@@ -58,12 +58,12 @@
       return;
     }
     if (entry.what == admission_outcome::kind::rejected) {
-      if (!spilled(entry.why)) {
+      if (!try_spill(entry.why)) {
         finish_with_error(rejection_error(entry.why));
       }
       return;
     }
-    const bool served = attempts();
+    const bool served = run_attempts();
     gate_->leave(facts_.id, served);
   }
 
@@ -89,28 +89,28 @@
     facts_.first_token_by = call_.arrival + call_.request_class.first_token;
     facts_.cost = std::max(min_cost, body_.max_tokens / mean_tokens);
     facts_.prefix = hash_prefix(body_.prompt, body_.model.str());
-    note_.may_retry = true;
+    attempt_context_.may_retry = true;
     return std::nullopt;
   }
 
   // Tries another data centre for a request that cannot be answered in time here. True if the
   // caller was answered.
-  bool spilled(const rejected& why) {
+  bool try_spill(const rejected& why) {
     const time_point now = monotonic_now();
     const std::shared_ptr<const node_view> view = node_.core.view();
-    const bool before = request_.headers.find(spilled_header).has_value();
+    const bool already_spilled = request_.headers.find(spilled_header).has_value();
     std::optional<duration> local_wait;
     if (why.reason != reject_reason::no_capacity) {
       local_wait = std::max(why.retry_after, gate_->expected_wait(facts_));
     }
-    const auto entry = choose_spill_entry(now, node_, *view, facts_, local_wait, before);
+    const auto entry = choose_spill_entry(now, node_, *view, facts_, local_wait, already_spilled);
     if (!entry) {
       return false;
     }
     ++call_.measured.attempts;
     const spill_outcome end = relay_call(node_, request_, writer_, *entry, call_.deadline, cancel_);
     if (!end.answered) {
-      return false;  // a model call may be repeated, so the refusal here stands
+      return false;  // a model call may be repeated, so the local rejection is sent to the caller
     }
     node_.measured.count(current_worker(), "arbutusworks_spilled_total");
     finish(end.whole ? "done" : "unknown", end.whole ? "" : "spilled");
@@ -128,7 +128,7 @@
 
   // Makes attempts until the answer is complete or no further attempt is allowed. True if the
   // request was served.
-  bool attempts() {
+  bool run_attempts() {
     answer_stream answer(call_.id);
     gate_->first_attempt(monotonic_now());
     execution worst = execution::not_run;
@@ -154,13 +154,14 @@
       if (end.ran == execution::unknown) {
         worst = execution::unknown;
       }
-      const retry_decision decision = gate_->retry(monotonic_now(), note_, end.ran, facts_);
+      const retry_decision decision =
+          gate_->retry(monotonic_now(), attempt_context_, end.ran, facts_);
       if (const auto* stop = std::get_if<arbutus::give_up>(&decision)) {
         give_up(worst, std::string(to_string(stop->why)), end.reason, duration{200ms});
         return false;
       }
       const retry_at again = std::get<retry_at>(decision);
-      note_.attempt = again.attempt;
+      attempt_context_.attempt = again.attempt;
       sleep_until(again.at);
     }
   }
@@ -283,9 +284,9 @@
     if (writer_.started()) {
       // The status was sent already; the error frame and the missing [DONE] mark the answer as
       // truncated.
-      call_error cut = error;
-      cut.ran = execution::unknown;
-      writer_.write(error_frame(cut));
+      call_error truncated = error;
+      truncated.ran = execution::unknown;
+      writer_.write(error_frame(truncated));
       writer_.finish();
     } else {
       send_error(writer_, error, call_.id);
@@ -310,7 +311,7 @@
   call_state call_;
   model_request body_;
   request_facts facts_;
-  attempt_context note_;
+  attempt_context attempt_context_;
   model_gate* gate_ = nullptr;
   admission_waiter waiter_;
   cancel_token cancel_;
--- a/src/node/model_gate.h
+++ b/src/node/model_gate.h
@@ -1,5 +1,5 @@
 // The decisions about one model's requests at this node, under one lock: admission, choice of
-// replica, retry budget, hedging. Lives as long as the process.
+// replica, retry budget, hedging. Exists as long as the process.
 //
 // A waiting request suspends its fiber; the worker that frees capacity wakes it.
 #pragma once
@@ -27,7 +27,8 @@
   rejected why;  // for rejected
 };
 
-// A request that waits in the queue. Lives in the request's stack frame until enter() has returned.
+// A request that waits in the queue. Allocated in the request's stack frame; must exist until
+// enter() has returned.
 class admission_waiter {
  public:
   // The caller has disconnected: makes enter() return. May be called from any worker.
@@ -99,7 +100,7 @@
   std::unordered_map<request_id, admission_waiter*> waiters_;
   std::shared_ptr<const node_view> view_;
   std::map<replica_id, generation> generations_;  // as last seen; removed replicas are kept
-  bool sweeping_ = false;  // a fiber periodically rejects requests that wait in vain
+  bool sweeping_ = false;  // a fiber periodically rejects waiting requests that became too late
 };
 
 // The gates of all models; created on first use and kept as long as the process runs.
@@ -117,7 +118,7 @@
   std::uint64_t seed_;
   std::mutex lock_;
   std::map<model_id, std::unique_ptr<model_gate>> gates_;
-  std::uint64_t config_version_ = 0;  // whose workspace shares were set last
+  std::uint64_t config_version_ = 0;  // configuration version whose workspace shares were set last
 };
 
 }  // namespace arbutus
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -158,7 +158,7 @@
     parts_->core.stop();
   }
   // The runtime is stopped last: components that shut down on their workers would otherwise wait
-  // for ever.
+  // forever.
   parts_->server.reset();
   parts_->limit_sender.reset();
   parts_->links.reset();
--- a/src/node/poison_state.h
+++ b/src/node/poison_state.h
@@ -1,4 +1,4 @@
-// State of a hosted node about poison requests.
+// A hosted node's state for the detection of poison requests.
 #pragma once
 
 #include <map>
@@ -21,7 +21,7 @@
   time_point broken_at;
 };
 
-// Result of querying a target whether it has ended, and the runs that wait for the result.
+// Whether a target has ended, as found by a query, and the runs that wait for the result.
 struct target_end_check {
   bool query_pending = false;
   bool ended = false;
--- a/src/node/poison_watch.cpp
+++ b/src/node/poison_watch.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// A run with events over this time clears its request; far longer than strike_window.
+// A run whose first and last events are this far apart clears its request; far longer than
+// strike_window.
 constexpr duration harmless_run_duration = 1s;
 // A connection may break shortly before the target's process has exited.
 constexpr duration process_exit_delay = 20ms;
@@ -55,8 +56,8 @@
             {"marks", std::uint64_t{strike_count(node, run.fingerprint)}}});
 }
 
-// Queries whether the target has ended: its address refuses connections, or another incarnation
-// answers there.
+// Finds out with a query whether the target has ended: its address refuses connections, or another
+// incarnation answers there.
 incarnation_state query_target(hosted_state& node, const target_id& target,
                                const endpoint& address) {
   const target_view* view = node.fleet.find(target);
@@ -67,10 +68,10 @@
   return node.engines.check_incarnation(target, address, monotonic_now() + end_query_timeout);
 }
 
-void finish_end_check(hosted_state& node, const target_id& target, incarnation_state sign) {
+void finish_end_check(hosted_state& node, const target_id& target, incarnation_state state) {
   target_end_check& end = node.poison.end_checks[target];
   end.query_pending = false;
-  end.ended = sign == incarnation_state::ended;
+  end.ended = state == incarnation_state::ended;
   const std::vector<broken_run> runs = std::move(end.waiting);
   end.waiting.clear();
   if (end.ended) {
@@ -83,19 +84,19 @@
            {{"target", target},
             {"runs", std::uint64_t{runs.size()}},
             {"reason",
-             sign == incarnation_state::alive ? "the target is alive" : "the target is silent"}});
+             state == incarnation_state::alive ? "the target is alive" : "the target is silent"}});
   node.metrics.count("arbutusworks_poison_evidence", "counts=\"target_lives\"", runs.size());
 }
 
 void query_until_known(hosted_state& node, const target_id& target, const endpoint& address) {
-  incarnation_state sign = incarnation_state::unresponsive;
-  for (std::uint32_t i = 0; i < max_end_queries && sign == incarnation_state::unresponsive; ++i) {
+  incarnation_state state = incarnation_state::unresponsive;
+  for (std::uint32_t i = 0; i < max_end_queries && state == incarnation_state::unresponsive; ++i) {
     if (!sleep_until(monotonic_now() + (i == 0 ? process_exit_delay : end_query_interval))) {
       return;
     }
-    sign = query_target(node, target, address);
+    state = query_target(node, target, address);
   }
-  finish_end_check(node, target, sign);
+  finish_end_check(node, target, state);
 }
 
 void log_quarantine(hosted_state& node, const request_fingerprint& fingerprint,
@@ -170,7 +171,7 @@
               {"print", hash_text(call.fingerprint)},
               {"marks", std::uint64_t{strike_count(node, call.fingerprint)}},
               {"for_ms", to_milliseconds(*until - now)}});
-    // The evaluation runs shortly after that time.
+    // The strikes are evaluated shortly after `until`.
     if (!sleep_until(std::min(*until + 2 * evaluation_interval, call.deadline))) {
       break;
     }
--- a/src/node/poison_watch.h
+++ b/src/node/poison_watch.h
@@ -16,7 +16,8 @@
 // the last event does not count, since the target may have ended in it without closing connections.
 [[nodiscard]] bool has_proved_harmless(time_point first_event_at, time_point last_event_at);
 
-// Queries whether the target has ended; if so, records a strike against the run's request.
+// Finds out with a query whether the target has ended; if so, records a strike against the run's
+// request.
 void check_for_strike(hosted_state& node, broken_run run);
 // A run of the call succeeded or lasted long enough: clears the request.
 void note_harmless(hosted_state& node, const hosted_request& call);
@@ -30,7 +31,7 @@
 
 // Evaluates the known strikes; called on each tick.
 void evaluate_poison(hosted_state& node, time_point now);
-// Merges a row from a peer or from the store; `reported_by` names which, for the log.
+// Merges a row from a peer or from the store; `reported_by` says which of them, for the log.
 void merge_poison_row(hosted_state& node, time_point now, const poison_row& row,
                       std::string_view reported_by);
 // Loads quarantines from the store and writes changes to it; runs in its own fiber until the
--- a/src/node/request_timeline.h
+++ b/src/node/request_timeline.h
@@ -43,7 +43,7 @@
 struct request_timeline {
   std::string request;
   std::vector<logged_line> own;      // lines of the request, ordered by time
-  std::vector<logged_line> related;  // events of its targets, and of its fingerprint as poison
+  std::vector<logged_line> related;  // events of its targets, and poison events of its fingerprint
   std::vector<last_known_state> last_known;
   std::string cause;  // explanation for people; empty if the request succeeded
 };
--- a/src/node/service_call.cpp
+++ b/src/node/service_call.cpp
@@ -99,7 +99,7 @@
     return std::nullopt;
   }
 
-  // Instances of the own data centre first, then the others; those that failed recently last.
+  // Instances of this data centre first, then the others; those with a recent failure last.
   [[nodiscard]] std::vector<endpoint> instances() const {
     struct ranked {
       int rank;
@@ -228,7 +228,8 @@
         give_up(execution::unknown, "outcome_unknown", reply.reason, reply.retry_after);
         return;
       case kind::in_progress: {
-        call_error error = make_error(409, "in_progress", "an equal call is running");
+        call_error error =
+            make_error(409, "in_progress", "a call with the same idempotency key is running");
         error.ran = execution::unknown;
         error.retry_after = reply.retry_after;
         finish_with_error(error);
--- a/src/node/service_health.h
+++ b/src/node/service_health.h
@@ -1,4 +1,4 @@
-// Tracks which instances of plain services failed recently; those are tried last.
+// Tracks recent failures of instances of plain services; such instances are tried last.
 #pragma once
 
 #include <map>
--- a/src/node/spill_call.cpp
+++ b/src/node/spill_call.cpp
@@ -90,11 +90,11 @@
       return {true, sent && status_ == status_ok, execution::done};
     }
     if (writer_.started()) {
-      call_error cut;
-      cut.ran = execution::unknown;
-      cut.code = "cut";
-      cut.message = "the other data centre's node was lost";
-      writer_.write(error_frame(cut));
+      call_error truncated;
+      truncated.ran = execution::unknown;
+      truncated.code = "cut";
+      truncated.message = "the other data centre's node was lost";
+      writer_.write(error_frame(truncated));
       writer_.finish();
       return {true, false, execution::unknown};
     }
--- a/src/node/store_nodes.cpp
+++ b/src/node/store_nodes.cpp
@@ -50,7 +50,7 @@
 // Nodes that receive updates know their hub. A hub, or a node without updates, has to know the
 // other nodes.
 bool store_watch::must_read_nodes(time_point now) const {
-  const bool fed = is_updated_by_hub(now);
+  const bool updated_by_hub = is_updated_by_hub(now);
   // A node that restarts alone finds the rows of the others in the store immediately.
   const bool all_start = node_.settings.cold_start && now - started_ < start_phase / 4;
   const bool searches = all_start || !nodes_known_;
@@ -60,12 +60,12 @@
   const std::uint32_t doublings =
       node_.peers.is_hub(now) ? 0 : std::min(nodes_reads_, max_node_doublings);
   const duration interval =
-      fed ? node_interval_with_hub
-          : (searches ? node_interval_at_start * (1U << doublings) : node_interval);
+      updated_by_hub ? node_interval_with_hub
+                     : (searches ? node_interval_at_start * (1U << doublings) : node_interval);
   const time_point read_at = nodes_reads_ == 0 ? started_ : nodes_read_at_;
   // A node that has just lost its hub may soon receive updates from the next one.
   return now - read_at >= interval &&
-         (fed || searches || now - hub_update_at_ > 2 * hub_update_validity);
+         (updated_by_hub || searches || now - hub_update_at_ > 2 * hub_update_validity);
 }
 
 void store_watch::follow_nodes(const std::function<void(const std::vector<node_record>&)>& found) {
--- a/src/node/store_targets.cpp
+++ b/src/node/store_targets.cpp
@@ -20,13 +20,14 @@
 constexpr duration target_pause_per_data_centre = 40ms;  // per data centre
 constexpr duration min_target_pause = 100ms;
 constexpr duration max_target_pause = 250ms;
-// In the first seconds replicas form, and a delay wastes time in which loads of weights are cheap.
+// In the first seconds replicas form. A delay would waste time in which loading weights is cheap.
 constexpr duration target_pause_at_start = 60ms;
 // A node that is no hub controls no replicas, so a longer pause is sufficient until another hub
 // sends it updates. Without this, when the hub of 59 nodes failed, each of them queried the store
 // ten times a second.
 constexpr duration target_pause_of_non_hubs = 500ms;
-// Longest time between two answers while the list is followed: the feed's wait, and a late answer.
+// Longest time between two answers while the list is followed: the feed's wait, plus the delay of a
+// late answer.
 constexpr duration max_followed_gap = target_wait + 1s;
 // A node that lacks records waits this long for its hub before it reads the table itself: twice the
 // time after which another node takes over from an unresponsive hub.
@@ -54,34 +55,35 @@
   return node_.fleet_complete ? node_.target_rows.position() : 0;
 }
 
-void store_watch::apply_target_update(time_point asked, time_point now, const feed_update& update) {
+void store_watch::apply_target_update(time_point requested_at, time_point now,
+                                      const feed_update& update) {
   targets_withheld_ = update.withheld;
   if (update.withheld) {
     return;  // the rows have to be read from the store
   }
   if (update.complete &&
       (update.position > node_.target_rows.position() || !node_.fleet_complete)) {
-    replace_targets(asked, update.rows, update.position);
+    replace_targets(requested_at, update.rows, update.position);
   } else if (!update.complete && node_.fleet_complete &&
              node_.target_rows.can_resume(update.after)) {
     // Rows that answer an older heartbeat may be duplicates.
     for (const feed_row& row : update.rows) {
       if (row.version > node_.target_rows.position()) {
-        apply_target_row(asked, row);
+        apply_target_row(requested_at, row);
         node_.target_rows.take(row);
       }
     }
     node_.target_rows.advance(update.position);
   }
   targets_positioned_ = targets_positioned_ || node_.fleet_known;
-  node_.fleet_read_at = std::max(node_.fleet_read_at, asked);
+  node_.fleet_read_at = std::max(node_.fleet_read_at, requested_at);
   hub_targets_update_at_ = now;
 }
 
 // Applies the serving replicas and the position in the table of targets that they correspond to. If
 // the hub fails, this node continues at the store from that position. It then gets the records of
 // changed targets only, which is sufficient.
-void store_watch::apply_serving_update(time_point asked, time_point now,
+void store_watch::apply_serving_update(time_point requested_at, time_point now,
                                        const node_heartbeat& message) {
   const feed_update& update = *message.served;
   targets_withheld_ = update.withheld;
@@ -89,8 +91,9 @@
     return;
   }
   const bool first = !node_.fleet_known;
-  const bool taken = node_.followed.take(asked, message.incarnation, update.after, update.complete,
-                                         update.position, update.rows, node_.fleet);
+  const bool taken =
+      node_.followed.take(requested_at, message.incarnation, update.after, update.complete,
+                          update.position, update.rows, node_.fleet);
   if (!taken) {
     return;
   }
@@ -102,11 +105,11 @@
   node_.fleet_complete = false;
   node_.fleet_known = true;
   targets_positioned_ = true;
-  node_.fleet_read_at = std::max(node_.fleet_read_at, asked);
+  node_.fleet_read_at = std::max(node_.fleet_read_at, requested_at);
   hub_targets_update_at_ = now;
 }
 
-void store_watch::replace_targets(time_point asked, const std::vector<feed_row>& rows,
+void store_watch::replace_targets(time_point requested_at, const std::vector<feed_row>& rows,
                                   std::uint64_t position) {
   std::vector<fleet_view::listed_row> records;
   for (const feed_row& row : rows) {
@@ -114,28 +117,28 @@
       records.push_back({std::move(*record), row.version});
     }
   }
-  node_.fleet.replace_all(asked, records, written_after(asked));
+  node_.fleet.replace_all(requested_at, records, written_after(requested_at));
   node_.target_rows.replace(rows, position);
   node_.fleet_known = true;
   node_.fleet_complete = true;
   records_missing_since_ = {};
-  node_.fleet_read_at = std::max(node_.fleet_read_at, asked);
+  node_.fleet_read_at = std::max(node_.fleet_read_at, requested_at);
   log_line(log_level::info, "fleet", "read whole",
            {{"targets", std::uint64_t{records.size()}}, {"position", position}});
 }
 
-void store_watch::apply_target_row(time_point asked, const feed_row& row) {
+void store_watch::apply_target_row(time_point requested_at, const feed_row& row) {
   const target_id known = node_.fleet.current_incarnation(row.key);
   if (row.removed) {
-    node_.fleet.unlisted(asked, known);
+    node_.fleet.unlisted(requested_at, known);
     log_line(log_level::info, "fleet", "unlisted", {{"target", known}});
     return;
   }
   auto record = read_record(row);
   if (!record) {
-    // The engine's own record was overwritten, by whatever writer. Until its next record the engine
-    // gets no new requests, as if it had left.
-    node_.fleet.unlisted(asked, known);
+    // Another writer has overwritten the engine's own record. Until its next record the engine gets
+    // no new requests, as if it had left.
+    node_.fleet.unlisted(requested_at, known);
     return;
   }
   const target_id id = record->id;
@@ -147,7 +150,8 @@
     log_line(log_level::info, "fleet", "draining", {{"target", id}});
   }
   const endpoint address = record->address;
-  if (!node_.fleet.listed(asked, std::move(*record), row.version, written_after(asked))) {
+  if (!node_.fleet.listed(requested_at, std::move(*record), row.version,
+                          written_after(requested_at))) {
     log_line(log_level::info, "fleet", "record of an ended life", {{"target", id}});
   } else if (!known.empty() && known != id) {
     log_line(log_level::info, "fleet", "started again", {{"target", id}, {"before", known}});
@@ -157,8 +161,8 @@
 
 // The earliest time at which a row after the last position can have been written. Empty without a
 // gap in following the list: such a row was written recently.
-std::optional<time_point> store_watch::written_after(time_point asked) const {
-  if (!node_.fleet_known || asked - node_.fleet_read_at <= max_followed_gap) {
+std::optional<time_point> store_watch::written_after(time_point requested_at) const {
+  if (!node_.fleet_known || requested_at - node_.fleet_read_at <= max_followed_gap) {
     return std::nullopt;
   }
   return node_.fleet_read_at;
@@ -192,7 +196,7 @@
   std::vector<feed_row> all;
   std::string from;
   std::uint64_t first_version = 0;
-  const time_point asked = monotonic_now();
+  const time_point requested_at = monotonic_now();
   for (;;) {
     const auto result = node_.store.read(target_table, from, monotonic_now() + read_timeout);
     const auto* rows = std::get_if<store_rows>(&result);
@@ -203,7 +207,7 @@
     // Pages are read one after the other. Changes made meanwhile are read again from the feed,
     // which continues from the version of the first page.
     first_version = first_version == 0 ? rows->version : first_version;
-    if (rows->more && !may_read_further_pages(asked)) {
+    if (rows->more && !may_read_further_pages(requested_at)) {
       list_left_to_hub_ = true;
       log_line(log_level::info, "fleet", "long list left to the hub",
                {{"position", rows->version}});
@@ -217,7 +221,7 @@
     }
     from = rows->rows.back().key + '\x01';
   }
-  replace_targets(asked, all, first_version);
+  replace_targets(requested_at, all, first_version);
   return true;
 }
 
@@ -247,9 +251,9 @@
 }
 
 // Returns the pause until the next query.
-duration store_watch::watch_targets(time_point asked) {
+duration store_watch::watch_targets(time_point requested_at) {
   const auto result = node_.store.watch(target_table, node_.target_rows.position(), target_wait,
-                                        asked + target_wait + answer_slack);
+                                        requested_at + target_wait + answer_slack);
   count_call("targets news", std::holds_alternative<store_rows>(result));
   if (std::holds_alternative<history_dropped>(result)) {
     targets_positioned_ = false;
@@ -259,47 +263,47 @@
   note_dependency("targets", targets_up_, rows != nullptr,
                   rows == nullptr ? "the watch failed" : "watched");
   if (rows == nullptr) {
-    return target_pause(asked);
+    return target_pause(requested_at);
   }
   for (const store_row& row : rows->rows) {
     const feed_row changed{row.key, row.value, row.version, row.removed, row.readable};
-    apply_target_row(asked, changed);
+    apply_target_row(requested_at, changed);
     node_.target_rows.take(changed);
     // The hub's next rows do not continue from this state.
     node_.followed.reset_position();
   }
   node_.target_rows.advance(rows->version);
-  node_.fleet_read_at = asked;
+  node_.fleet_read_at = requested_at;
   targets_withheld_ = false;
-  return target_pause(asked);
+  return target_pause(requested_at);
 }
 
-duration store_watch::follow_targets_once(time_point asked) {
-  node_.fleet.remove_expired(asked);
-  update_subscription(asked);
+duration store_watch::follow_targets_once(time_point requested_at) {
+  node_.fleet.remove_expired(requested_at);
+  update_subscription(requested_at);
   // While the store does not answer queries about the configuration, only those are repeated.
   if (failures_ > 0) {
     return check_interval;
   }
-  if (must_read_all_targets(asked)) {
+  if (must_read_all_targets(requested_at)) {
     targets_positioned_ = read_targets();
     note_dependency("targets", targets_up_, targets_positioned_, "whole list");
-    return targets_positioned_ ? target_pause(asked) : retry_pause;
+    return targets_positioned_ ? target_pause(requested_at) : retry_pause;
   }
-  const bool fed =
-      asked - hub_targets_update_at_ < hub_update_validity && !node_.peers.is_hub(asked);
-  const bool waits = fed || !targets_positioned_ || awaits_hub(asked);
+  const bool updated_by_hub = requested_at - hub_targets_update_at_ < hub_update_validity &&
+                              !node_.peers.is_hub(requested_at);
+  const bool waits = updated_by_hub || !targets_positioned_ || awaits_hub(requested_at);
   if (waits && !(targets_withheld_ && targets_positioned_)) {
     return check_interval;
   }
-  return watch_targets(asked);
+  return watch_targets(requested_at);
 }
 
 void store_watch::follow_targets() {
   for (;;) {
-    const time_point asked = monotonic_now();
-    const duration pause = follow_targets_once(asked);
-    if (!sleep_until(std::max(asked + pause, monotonic_now()))) {
+    const time_point requested_at = monotonic_now();
+    const duration pause = follow_targets_once(requested_at);
+    if (!sleep_until(std::max(requested_at + pause, monotonic_now()))) {
       return;
     }
   }
--- a/src/node/store_timing.h
+++ b/src/node/store_timing.h
@@ -5,9 +5,9 @@
 
 namespace arbutus {
 
-// Added to the wait of a feed, for a slow store: 240 ms if it is sixty times slower than usual.
-// After that the connection may be dead. Wait, slack and a heartbeat together leave time for the
-// first query of another hub before the nodes' proofs expire.
+// Added to the feed's wait before a query counts as failed. A store that is sixty times slower than
+// usual needs 240 ms; after more time than this the connection may be dead. Wait, slack and a
+// heartbeat together leave time for the first query of another hub before the nodes' proofs expire.
 inline constexpr duration answer_slack = 500ms;
 inline constexpr duration start_phase = 12s;
 inline constexpr duration retry_pause = 100ms;
--- a/src/node/store_watch.cpp
+++ b/src/node/store_watch.cpp
@@ -11,8 +11,9 @@
 namespace {
 
 // The feed answers immediately if there is a change, and otherwise after this time. Its answer
-// proves that the configuration is still the newest, and the age of a proof counts from its query.
-// With 700 ms a node sends 1.4 queries a second and its proof is 0.7 to 1.4 s old.
+// proves that the configuration is still the newest, and the age of this proof is counted from the
+// time of the query. With 700 ms a node sends 1.4 queries a second and its proof is 0.7 to 1.4 s
+// old.
 constexpr duration configuration_wait = 700ms;
 // Consecutive versions that are accepted within this time are read together.
 constexpr duration configuration_pause = 40ms;
@@ -100,12 +101,12 @@
   return now - hub_update_at_ < hub_update_validity && !node_.peers.is_hub(now);
 }
 
-void store_watch::apply_hub_update(time_point asked, time_point now,
+void store_watch::apply_hub_update(time_point requested_at, time_point now,
                                    const node_heartbeat& message) {
   if (message.targets) {
-    apply_target_update(asked - message.targets->age, now, *message.targets);
+    apply_target_update(requested_at - message.targets->age, now, *message.targets);
   } else if (message.served) {
-    apply_serving_update(asked - message.served->age, now, message);
+    apply_serving_update(requested_at - message.served->age, now, message);
   }
   if (!message.configuration) {
     hub_update_at_ = {};
@@ -116,19 +117,19 @@
   }
   note_newest(now, message);
   if (message.configuration_part) {
-    apply_configuration_part(asked, now, *message.configuration_part);
+    apply_configuration_part(requested_at, now, *message.configuration_part);
   }
   withheld_ = message.configuration->withheld && node_.lag.behind();
   if (node_.configurations.newest() >= message.configuration_row) {
     for (const feed_row& row : message.configuration->rows) {
-      apply_configuration_row(asked, "hub", row);
+      apply_configuration_row(requested_at, "hub", row);
     }
     node_.configuration_rows.advance(message.configuration->position);
     configuration_positioned_ = true;
     // At the time of its proof the hub had all rows up to its position, and this node has the same
     // rows now.
     if (node_.map && message.configuration->position >= node_.configuration_rows.position()) {
-      node_.lease.renew(asked - message.configuration->age);
+      node_.lease.renew(requested_at - message.configuration->age);
     }
   }
   // Updates of a hub whose own proof is old do not keep this node current.
@@ -150,7 +151,7 @@
             {"withheld", message.configuration->withheld}});
 }
 
-void store_watch::apply_configuration_part(time_point asked, time_point now,
+void store_watch::apply_configuration_part(time_point requested_at, time_point now,
                                            const config_part& part) {
   const config_progress before = receiver_.progress();
   auto text = receiver_.take(part, node_.configurations);
@@ -158,7 +159,7 @@
     part_received_at_ = now;
   }
   if (text) {
-    apply_configuration(asked, "hub",
+    apply_configuration(requested_at, "hub",
                         {std::string(configuration_key), std::move(*text), part.row, false, true});
   }
 }
@@ -223,10 +224,10 @@
 }
 
 // Logs how long it took until a version was in force on this node, by step.
-void store_watch::log_in_force(time_point asked, time_point arrived, duration behind,
+void store_watch::log_in_force(time_point requested_at, time_point arrived, duration behind,
                                std::string_view source, const feed_row& row) {
   const time_point now = monotonic_now();
-  node_.metrics.record_step("configuration_in_force", std::max(behind, now - asked));
+  node_.metrics.record_step("configuration_in_force", std::max(behind, now - requested_at));
   log_line(log_level::info, "configuration", "in force",
            {{"version", node_.map->version()},
             {"routes", std::uint64_t{node_.map->routes().size()}},
@@ -234,21 +235,21 @@
             {"source", source},
             {"bytes", std::uint64_t{row.value.size()}},
             {"behind_ms", to_milliseconds(behind)},
-            {"answer_ms", to_milliseconds(arrived - asked)},
+            {"answer_ms", to_milliseconds(arrived - requested_at)},
             {"decode_ms", to_milliseconds(now - arrived)}});
 }
 
-void store_watch::apply_configuration_row(time_point asked, std::string_view source,
+void store_watch::apply_configuration_row(time_point requested_at, std::string_view source,
                                           const feed_row& row) {
   if (row.key != configuration_key) {
     node_.configuration_rows.take(row);
   } else if (!row.removed) {
-    apply_configuration(asked, source, row);
+    apply_configuration(requested_at, source, row);
   }
 }
 
 // Ignores a row that was superseded by a newer one.
-void store_watch::apply_configuration(time_point asked, std::string_view source,
+void store_watch::apply_configuration(time_point requested_at, std::string_view source,
                                       const feed_row& row) {
   if (row.version <= node_.configurations.newest()) {
     return;
@@ -260,39 +261,40 @@
   activate_configuration(row.value);
   node_.lag.row_applied(row.version);
   if (node_.map != before) {
-    log_in_force(asked, arrived, behind, source, row);
+    log_in_force(requested_at, arrived, behind, source, row);
   }
 }
 
 // Logs a failed query. While queries fail, the proof gets older, until callers are refused.
-void store_watch::log_failed_query(time_point asked, std::string_view reason) {
+void store_watch::log_failed_query(time_point requested_at, std::string_view reason) {
   const time_point now = monotonic_now();
   log_line(log_level::warning, "configuration", "not answered",
            {{"reason", reason},
             {"failures", failures_ + 1},
-            {"waited_ms", to_milliseconds(now - asked)},
+            {"waited_ms", to_milliseconds(now - requested_at)},
             {"lease_age_ms", to_milliseconds(node_.lease.age(now).value_or(-1ms))}});
 }
 
 // Reads the full table, when there is no position to continue from.
 bool store_watch::read_configuration() {
-  const time_point asked = monotonic_now();
-  const auto result = node_.store.read(configuration_table, {}, asked + read_timeout);
+  const time_point requested_at = monotonic_now();
+  const auto result = node_.store.read(configuration_table, {}, requested_at + read_timeout);
   const auto* rows = std::get_if<store_rows>(&result);
   count_call("configuration whole", rows != nullptr);
   const bool usable = rows != nullptr && rows->version >= node_.configuration_rows.position();
   note_dependency("configuration", configuration_up_, usable,
                   rows == nullptr ? "no answer" : "whole table");
   if (!usable) {
-    log_failed_query(asked, describe_failure(result));
+    log_failed_query(requested_at, describe_failure(result));
     return false;
   }
   for (const store_row& row : rows->rows) {
-    apply_configuration_row(asked, "whole table", {row.key, row.value, row.version, row.removed});
+    apply_configuration_row(requested_at, "whole table",
+                            {row.key, row.value, row.version, row.removed});
   }
   node_.configuration_rows.advance(rows->version);
   if (node_.map) {
-    node_.lease.renew(asked);
+    node_.lease.renew(requested_at);
   }
   return true;
 }
@@ -300,15 +302,16 @@
 void store_watch::follow_configuration() {
   for (;;) {
     duration pause = check_interval;
-    const time_point asked = monotonic_now();
-    log_calls(asked);
-    if (must_query(asked)) {
+    const time_point requested_at = monotonic_now();
+    log_calls(requested_at);
+    if (must_query(requested_at)) {
       // The first query, a retry, and a query for a version known to exist need not wait for the
       // next change.
       const bool immediate =
-          failures_ > 0 || withheld_ || asked - queried_at_ > 2 * configuration_wait;
-      queried_at_ = asked;
-      const bool answered = query_configuration(asked, immediate ? 0ms : configuration_wait, pause);
+          failures_ > 0 || withheld_ || requested_at - queried_at_ > 2 * configuration_wait;
+      queried_at_ = requested_at;
+      const bool answered =
+          query_configuration(requested_at, immediate ? 0ms : configuration_wait, pause);
       note_query_result(monotonic_now(), answered);
       if (!answered) {
         pause = pause_after_failure();
@@ -321,14 +324,14 @@
 }
 
 // False if there was no usable answer. `pause` is set to the time until the next query.
-bool store_watch::query_configuration(time_point asked, duration wait, duration& pause) {
+bool store_watch::query_configuration(time_point requested_at, duration wait, duration& pause) {
   pause = 0ms;
   if (!configuration_positioned_) {
     configuration_positioned_ = read_configuration();
     return configuration_positioned_;
   }
   const auto result = node_.store.watch(configuration_table, node_.configuration_rows.position(),
-                                        wait, asked + wait + answer_slack);
+                                        wait, requested_at + wait + answer_slack);
   const auto* rows = std::get_if<store_rows>(&result);
   count_call("configuration news", rows != nullptr);
   if (std::holds_alternative<history_dropped>(result)) {
@@ -338,14 +341,14 @@
   note_dependency("configuration", configuration_up_, rows != nullptr,
                   rows == nullptr ? "the watch failed" : "watched");
   if (rows == nullptr) {
-    log_failed_query(asked, describe_failure(result));
+    log_failed_query(requested_at, describe_failure(result));
     return false;
   }
   for (const store_row& row : rows->rows) {
-    apply_configuration_row(asked, "store", {row.key, row.value, row.version, row.removed});
+    apply_configuration_row(requested_at, "store", {row.key, row.value, row.version, row.removed});
   }
   node_.configuration_rows.advance(rows->version);
-  node_.lease.renew(asked);
+  node_.lease.renew(requested_at);
   pause = rows->rows.empty() ? 0ms : configuration_pause;
   return true;
 }
--- a/src/node/store_watch.h
+++ b/src/node/store_watch.h
@@ -23,8 +23,8 @@
   // The follow_ functions run in their own fibers until the runtime stops.
   void follow_configuration();
   void follow_targets();
-  // Applies an update from the hub of this data centre; its content is newer than `asked`.
-  void apply_hub_update(time_point asked, time_point now, const node_heartbeat& message);
+  // Applies an update from the hub of this data centre; its content is newer than `requested_at`.
+  void apply_hub_update(time_point requested_at, time_point now, const node_heartbeat& message);
   // Progress of the configuration change that the hub sends in parts.
   [[nodiscard]] const config_progress& configuration_progress() const {
     return receiver_.progress();
@@ -37,31 +37,34 @@
 
  private:
   bool read_configuration();
-  bool query_configuration(time_point asked, duration wait, duration& pause);
+  bool query_configuration(time_point requested_at, duration wait, duration& pause);
   void read_nodes(const std::function<void(const std::vector<node_record>&)>& found);
-  // `asked`: when the query that returned the row was sent, or the stamp that the hub echoed.
-  void apply_configuration_row(time_point asked, std::string_view source, const feed_row& row);
-  void apply_configuration(time_point asked, std::string_view source, const feed_row& row);
-  void apply_configuration_part(time_point asked, time_point now, const config_part& part);
+  // `requested_at`: when the query that returned the row was sent, or the stamp that the hub
+  // echoed.
+  void apply_configuration_row(time_point requested_at, std::string_view source,
+                               const feed_row& row);
+  void apply_configuration(time_point requested_at, std::string_view source, const feed_row& row);
+  void apply_configuration_part(time_point requested_at, time_point now, const config_part& part);
   void activate_configuration(const std::string& text);
-  void log_in_force(time_point asked, time_point arrived, duration behind, std::string_view source,
-                    const feed_row& row);
+  void log_in_force(time_point requested_at, time_point arrived, duration behind,
+                    std::string_view source, const feed_row& row);
   void note_newest(time_point now, const node_heartbeat& message);
   // Whether this node lacks a version and has not received a part of it for some time.
   [[nodiscard]] bool is_part_overdue(time_point now) const;
-  void log_failed_query(time_point asked, std::string_view reason);
+  void log_failed_query(time_point requested_at, std::string_view reason);
   bool read_targets();
-  void apply_target_update(time_point asked, time_point now, const feed_update& update);
-  void apply_serving_update(time_point asked, time_point now, const node_heartbeat& message);
+  void apply_target_update(time_point requested_at, time_point now, const feed_update& update);
+  void apply_serving_update(time_point requested_at, time_point now, const node_heartbeat& message);
   void update_subscription(time_point now);
   [[nodiscard]] bool must_read_all_targets(time_point now);
   [[nodiscard]] bool may_read_further_pages(time_point now) const;
-  duration follow_targets_once(time_point asked);
-  duration watch_targets(time_point asked);
-  void replace_targets(time_point asked, const std::vector<feed_row>& rows, std::uint64_t position);
-  void apply_target_row(time_point asked, const feed_row& row);
+  duration follow_targets_once(time_point requested_at);
+  duration watch_targets(time_point requested_at);
+  void replace_targets(time_point requested_at, const std::vector<feed_row>& rows,
+                       std::uint64_t position);
+  void apply_target_row(time_point requested_at, const feed_row& row);
   std::optional<target_record> read_record(const feed_row& row);
-  [[nodiscard]] std::optional<time_point> written_after(time_point asked) const;
+  [[nodiscard]] std::optional<time_point> written_after(time_point requested_at) const;
   void note_dependency(std::string_view name, bool& up, bool now_up, std::string_view reason);
   void count_call(std::string_view what, bool answered);
   void log_calls(time_point now);
--- a/src/request/in_flight.h
+++ b/src/request/in_flight.h
@@ -25,7 +25,7 @@
   // Returns the attempt that ended; empty if unknown.
   std::optional<attempt> ended(time_point now, const request_id& id, const replica_id& replica);
 
-  // The replica was removed for good; does nothing while attempts on it are open.
+  // The replica was removed permanently; does nothing while attempts on it are open.
   void forget(const replica_id& replica);
 
   [[nodiscard]] std::uint32_t count(const replica_id& replica) const;
--- a/src/request/instance_choice.cpp
+++ b/src/request/instance_choice.cpp
@@ -27,8 +27,8 @@
     double cost = candidate.data_centre == home ? 0 : settings_.remote_cost;
     if (const auto found = known_.find(candidate.id); found != known_.end()) {
       const instance_stats& k = found->second;
-      const bool fresh = now - k.load_reported_at < settings_.reported_load_validity;
-      cost += std::max(k.active, fresh ? k.reported_calls : 0.0);
+      const bool is_current = now - k.load_reported_at < settings_.reported_load_validity;
+      cost += std::max(k.active, is_current ? k.reported_calls : 0.0);
       cost += settings_.failure_cost * failure_rate(now, k);
     }
     if (cost < best_cost) {
@@ -61,8 +61,8 @@
   k.load_reported_at = now;
 }
 
-void instance_table::forget(const std::vector<target_id>& gone) {
-  for (const target_id& id : gone) {
+void instance_table::forget(const std::vector<target_id>& removed) {
+  for (const target_id& id : removed) {
     known_.erase(id);
   }
 }
--- a/src/request/instance_choice.h
+++ b/src/request/instance_choice.h
@@ -59,7 +59,7 @@
   void ended(time_point now, const target_id& id, call_end end);
   // Running and waiting calls that the instance reported with a response.
   void told(time_point now, const target_id& id, double calls);
-  void forget(const std::vector<target_id>& gone);
+  void forget(const std::vector<target_id>& removed);
 
   // Calls of this node in flight at the instance.
   [[nodiscard]] double active(const target_id& id) const;
--- a/src/request/keyed.cpp
+++ b/src/request/keyed.cpp
@@ -153,7 +153,7 @@
     out.insert(out.end(), more.begin(), more.end());
     return out;
   }
-  // The record stays in `sending`: repeated calls are told that the call may have run.
+  // The record stays in `sending`: a repeated call gets the reply that it may have run.
   step_ = step::finished;
   return reply({.what = keyed_reply::kind::unknown, .reason = "no whole answer from the target"});
 }
--- a/src/request/policy_bench.h
+++ b/src/request/policy_bench.h
@@ -51,7 +51,7 @@
   double goodput{};                           // fraction of slot time spent on useful requests
   double busy{};                              // fraction of slot time in use
   std::uint64_t useful{};
-  std::uint64_t signature{};
+  std::uint64_t signature{};  // hash of the decisions made
 };
 
 [[nodiscard]] admission_figures run_admission(const admission_load& load, std::uint64_t seed);
@@ -91,8 +91,8 @@
   double p50_first_token{};  // seconds
   double p99_first_token{};
   double p99_answer{};
-  double cache_hits{};  // fraction of the prompt blocks
-  std::uint64_t signature{};
+  double cache_hits{};        // fraction of the prompt blocks
+  std::uint64_t signature{};  // hash of the decisions made
 };
 
 [[nodiscard]] routing_figures run_routing(policy_kind kind, const routing_load& load,
@@ -104,8 +104,8 @@
   std::uint64_t requests{};
   std::uint64_t attempts{};  // that reached the target
   std::uint64_t answered{};
-  double worst_ratio{};  // highest ratio of attempts to requests in one second
-  std::uint64_t signature{};
+  double worst_ratio{};       // highest ratio of attempts to requests in one second
+  std::uint64_t signature{};  // hash of the decisions made
 };
 
 // With `with_budget` false, each hop retries independently, up to max_attempts. `failing_fraction`
--- a/src/request/replica_choice.h
+++ b/src/request/replica_choice.h
@@ -54,8 +54,8 @@
                 std::map<target_id, replica_load> loads);
   void forget_peers(time_point now);
 
-  // Loads to report to peers: own and peers' loads; `all` without what `peer` reported; own and
-  // peers' loads of one data centre.
+  // Loads to report to peers. all(): of this node and its peers. all_except(): the same without
+  // those that `peer` reported. all_of(): of this node and its peers in one data centre.
   [[nodiscard]] std::map<target_id, replica_load> all() const;
   [[nodiscard]] std::map<target_id, replica_load> all_except(
       const node_id& peer, std::map<target_id, replica_load> all) const;
@@ -66,9 +66,9 @@
   [[nodiscard]] replica_load total(const target_id& head) const;
   [[nodiscard]] double own_active(const target_id& head) const;
 
-  // A peer without a report for this time is assumed to have ended, or its requests have. Twice the
-  // longest typical generation would hide free capacity; a time that a lost heartbeat exceeds would
-  // double-book it.
+  // The loads of a peer that has not reported for this time are dropped: the peer or its requests
+  // are assumed to have ended. Twice the longest typical generation would hide free capacity; a
+  // time so short that one lost heartbeat exceeds it would double-book the capacity.
   static constexpr duration peer_load_validity = 1500ms;
 
  private:
--- a/src/request/route_policy.cpp
+++ b/src/request/route_policy.cpp
@@ -13,17 +13,17 @@
 // Permitted replicas of the model; those already tried only if there is no other.
 indices permitted(time_point now, const routing_snapshot& routes, const model_id& model,
                   tried_replicas tried) {
-  indices fresh;
-  indices again;
+  indices untried;
+  indices already_tried;
   for (std::size_t i = 0; i < routes.replicas.size(); ++i) {
     const replica_route& route = routes.replicas[i];
     if (route.model != model || !may_use(now, route)) {
       continue;
     }
     const bool was_tried = std::find(tried.begin(), tried.end(), route.id) != tried.end();
-    (was_tried ? again : fresh).push_back(i);
+    (was_tried ? already_tried : untried).push_back(i);
   }
-  return fresh.empty() ? again : fresh;
+  return untried.empty() ? already_tried : untried;
 }
 
 route_choice chosen(const routing_snapshot& routes, std::size_t index) {
--- a/src/request/send_limits.cpp
+++ b/src/request/send_limits.cpp
@@ -14,14 +14,15 @@
 }  // namespace
 
 send_limits::change send_limits::told(time_point sent_at, time_point now, const target_id& target,
-                                      const announced_limit& word) {
-  if (word.is_present && !word.per_second) {
+                                      const announced_limit& response_limit) {
+  if (response_limit.is_present && !response_limit.per_second) {
     return change::unreadable;
   }
   const auto found = known_.find(target);
-  if (word.is_present) {
-    const bool is_new = found == known_.end() || found->second.per_second != word.per_second;
-    known_[target] = {word.per_second, now};
+  if (response_limit.is_present) {
+    const bool is_new =
+        found == known_.end() || found->second.per_second != response_limit.per_second;
+    known_[target] = {response_limit.per_second, now};
     return is_new ? change::announced : change::none;
   }
   const bool clears_limit =
@@ -85,8 +86,9 @@
     return true;
   }
   const auto found = own_.find(target);
-  return found != own_.end() && std::ranges::any_of(found->second.grants, [&](time_point came) {
-           return now - came < grant_validity;
+  return found != own_.end() &&
+         std::ranges::any_of(found->second.grants, [&](time_point granted_at) {
+           return now - granted_at < grant_validity;
          });
 }
 
@@ -96,7 +98,7 @@
     return;
   }
   std::vector<time_point>& grants = found->second.grants;
-  std::erase_if(grants, [&](time_point came) { return now - came >= grant_validity; });
+  std::erase_if(grants, [&](time_point granted_at) { return now - granted_at >= grant_validity; });
   if (!grants.empty()) {
     grants.erase(grants.begin());
   }
--- a/src/request/send_limits.h
+++ b/src/request/send_limits.h
@@ -37,7 +37,7 @@
   // Processes a response of the target; `sent_at`: when its request was sent. A response without a
   // limit clears one only if its request was sent after the limit was last received.
   change told(time_point sent_at, time_point now, const target_id& target,
-              const announced_limit& word);
+              const announced_limit& response_limit);
 
   // A peer reported the limit; its `seen_at` is not later than the target's response.
   void received(const target_id& target, const send_limit& limit);
@@ -57,7 +57,7 @@
     std::erase_if(own_, [&](const auto& entry) { return !is_limited(entry.first); });
   }
 
-  // A call could be sent to this limited target.
+  // Counts a call that could be sent to this limited target.
   void note_demand(time_point now, const target_id& target);
   // Recent calls per second that could have been sent to each target.
   [[nodiscard]] std::map<target_id, double> demand(time_point now) const;
--- a/tests/shell/connection_bad_http_test.cpp
+++ b/tests/shell/connection_bad_http_test.cpp
@@ -58,7 +58,7 @@
 };
 
 // Guards against a handler that runs on half a request, and against the rest of a message being
-// taken for the next request, whose response then goes to the wrong caller. A caller, or a proxy in
+// parsed as the next request, whose response then goes to the wrong caller. A caller, or a proxy in
 // front of it, sends a message with ambiguous framing, and the server guesses instead of refusing
 // it and closing.
 TEST_F(connection_bad_http, each_malformed_request_is_refused_and_closed) {
--- a/tests/shell/connection_client_test.cpp
+++ b/tests/shell/connection_client_test.cpp
@@ -301,7 +301,7 @@
   });
 }
 
-// Guards against the unread rest of an abandoned response being taken for the next response.
+// Guards against the unread rest of an abandoned response being parsed as the next response.
 TEST_F(connection_client, an_abandoned_response_closes_its_connection) {
   run_target([&] {
     auto first = target.accept();
--- a/tests/shell/connection_http_test.cpp
+++ b/tests/shell/connection_http_test.cpp
@@ -139,8 +139,8 @@
   });
 }
 
-// Guards against a caller that takes half a response for the complete one: if the handler returns
-// in the middle of a stream, the server must not end the stream properly.
+// Guards against a caller that treats half a response as complete: if the handler returns in the
+// middle of a stream, the server must not end the stream properly.
 TEST_F(connection_http, an_unfinished_stream_is_visibly_truncated) {
   http_server server(runtime, any_port, {}, [](const http_request&, response_writer& writer) {
     writer.start(200, {});
--- a/tests/shell/controller_simulation.h
+++ b/tests/shell/controller_simulation.h
@@ -44,10 +44,10 @@
     duration max_order_delay = 6s;
   };
 
-  explicit controller_simulation(std::uint64_t seed, std::size_t keepers = 1,
+  explicit controller_simulation(std::uint64_t seed, std::size_t controller_count = 1,
                                  service_spec service = two_models())
       : service_(std::move(service)), random_(seed) {
-    for (std::size_t i = 0; i < keepers; ++i) {
+    for (std::size_t i = 0; i < controller_count; ++i) {
       nodes_.push_back(std::make_unique<simulated_controller>(
           simulated_controller{{}, replica_controller({}, "k" + std::to_string(i), now_, true)}));
     }
@@ -90,7 +90,9 @@
   // The engine loses its connection to the list, which drops it, but continues to work.
   void unlist_engine(const target_id& id) { unlist_at_[id] = now_; }
   // The node receives no list updates and goes on deciding on its last view.
-  void block_list_updates(std::size_t node, bool cut) { nodes_[node]->receives_list = !cut; }
+  void block_list_updates(std::size_t node, bool blocked) {
+    nodes_[node]->receives_list = !blocked;
+  }
   // The engine restarts under its name. Orders for its previous incarnation may still arrive.
   target_id restart(const target_id& id) {
     const target_id next = incarnation_of(engine_of(id), ++newest_incarnation_);
@@ -103,9 +105,9 @@
     return next;
   }
   // The node reaches no engines and receives no list updates, but goes on deciding.
-  void set_partitioned(std::size_t node, bool cut) {
-    nodes_[node]->receives_list = !cut;
-    nodes_[node]->partitioned = cut;
+  void set_partitioned(std::size_t node, bool blocked) {
+    nodes_[node]->receives_list = !blocked;
+    nodes_[node]->partitioned = blocked;
   }
   // The node marks the engine as lost after failed probes.
   void mark_lost(std::size_t node, const target_id& id) {
@@ -205,7 +207,7 @@
  private:
   struct simulated_controller {
     fleet_view fleet;
-    replica_controller keeper;
+    replica_controller controller;
     bool receives_list = true;
     bool partitioned = false;
     // Last records received from the list.
@@ -251,7 +253,7 @@
       const replica_controller::responsibilities responsibilities{nodes_[n]->data_centres,
                                                                   nodes_.size(), requests_seen_};
       for (const controller_effect& e :
-           nodes_[n]->keeper.tick(now_, nodes_[n]->fleet, service_, responsibilities)) {
+           nodes_[n]->controller.tick(now_, nodes_[n]->fleet, service_, responsibilities)) {
         carry_out(n, e);
       }
     }
@@ -332,21 +334,21 @@
   void carry_out(std::size_t n, const controller_effect& e) {
     constexpr duration network_delay = 2ms;
     constexpr duration timeout = 300ms;
-    if (const auto* question = std::get_if<report_request>(&e)) {
-      const target_id id = question->to;
-      const time_point asked = now_;
+    if (const auto* query = std::get_if<report_request>(&e)) {
+      const target_id id = query->to;
+      const time_point requested_at = now_;
       if (dead_.contains(id) || nodes_[n]->partitioned) {
         schedule(timeout, [this, n, id] {
           nodes_[n]->fleet.probe_failed(now_, id);
-          nodes_[n]->keeper.on_report(now_, id, std::nullopt);
+          nodes_[n]->controller.on_report(now_, id, std::nullopt);
         });
         return;
       }
-      schedule(network_delay, [this, n, id, asked] {
+      schedule(network_delay, [this, n, id, requested_at] {
         const target_report report = find_engine(id).report(now_);
-        nodes_[n]->fleet.reported(asked, asked - 250ms, id,
+        nodes_[n]->fleet.reported(requested_at, requested_at - 250ms, id,
                                   {report.incarnation, report.member_of, report.loaded, 1});
-        nodes_[n]->keeper.on_report(now_, id, report);
+        nodes_[n]->controller.on_report(now_, id, report);
       });
       return;
     }
@@ -361,19 +363,19 @@
     if (late || dead_.contains(order.to) || nodes_[n]->partitioned) {
       schedule(timeout, [this, n, order] {
         nodes_[n]->fleet.probe_failed(now_, order.to);
-        nodes_[n]->keeper.on_order(now_, nodes_[n]->fleet, order, order_outcome::no_answer);
+        nodes_[n]->controller.on_order(now_, nodes_[n]->fleet, order, order_outcome::no_answer);
       });
       return;
     }
     schedule(network_delay, [this, n, order, lost] {
       const order_outcome outcome = deliver(order);
       if (!lost) {
-        nodes_[n]->keeper.on_order(now_, nodes_[n]->fleet, order, outcome);
+        nodes_[n]->controller.on_order(now_, nodes_[n]->fleet, order, outcome);
       }
     });
     if (lost) {
       schedule(timeout, [this, n, order] {
-        nodes_[n]->keeper.on_order(now_, nodes_[n]->fleet, order, order_outcome::no_answer);
+        nodes_[n]->controller.on_order(now_, nodes_[n]->fleet, order, order_outcome::no_answer);
       });
     }
   }
--- a/tests/shell/hosted_limit_test.cpp
+++ b/tests/shell/hosted_limit_test.cpp
@@ -46,7 +46,7 @@
 
   // Sets the limit, waits until both nodes have forwarded a response that announces it, and returns
   // the time half a second after that.
-  time_point name_limit(const std::string& value, const std::string& path) {
+  time_point announce_limit(const std::string& value, const std::string& path) {
     platform_.set_send_limit(value);
     EXPECT_TRUE(eventually([&] {
       return send_request(0, path, "l0").response.status == 200 &&
@@ -62,7 +62,7 @@
 
 TEST_F(HostedLimit, AllNodesTogetherRespectTheLimitOfATarget) {
   ASSERT_TRUE(serves());
-  const time_point counted = name_limit("5", "/card/1");
+  const time_point counted = announce_limit("5", "/card/1");
   const std::map<int, int> answers = send_load(8s, "/card/1");
   EXPECT_LE(max_at_a_target(counted), max_arrivals_with_limit_five);
   // Requests above the limit are refused, and have no other outcome.
@@ -72,7 +72,7 @@
 
 TEST_F(HostedLimit, AllNodesTogetherRespectTheLimitOfAReplica) {
   ASSERT_TRUE(serves());
-  const time_point counted = name_limit("5", "/llm/1");
+  const time_point counted = announce_limit("5", "/llm/1");
   const std::map<int, int> answers = send_load(8s, "/llm/1");
   EXPECT_LE(max_at_a_target(counted + 1s), max_arrivals_with_limit_five);
   EXPECT_GT(answers.at(200), 50);
@@ -80,7 +80,7 @@
 
 TEST_F(HostedLimit, RemovedLimitIsNoLongerApplied) {
   ASSERT_TRUE(serves());
-  (void)name_limit("1", "/card/1");
+  (void)announce_limit("1", "/card/1");
   platform_.set_send_limit("");
   EXPECT_TRUE(eventually([&] {
     const std::map<int, int> answers = send_load(500ms, "/card/1");
--- a/tests/shell/hosted_node_test.cpp
+++ b/tests/shell/hosted_node_test.cpp
@@ -151,9 +151,9 @@
 
 TEST_F(HostedNode, UpdateForAnEarlierIncarnationIsIgnored) {
   // Guards against a restarted node that never gets a configuration or replicas while all others
-  // serve: it starts while the store is unreachable, and its hub still answers the position that
-  // the previous incarnation had reported, with no rows but with a proof. The node must not adopt
-  // the hub's position.
+  // serve: it starts while the store is unreachable, and its hub still responds to the position
+  // that the previous incarnation had reported, with no rows but with a proof. The node must not
+  // adopt the hub's position.
   hosted_settings settings = nodes_[0]->settings;
   fiber_runtime own_runtime(1);
   hosted_state state(settings, own_runtime);
--- a/tests/shell/hosted_poison_test.cpp
+++ b/tests/shell/hosted_poison_test.cpp
@@ -11,11 +11,11 @@
 constexpr const char* poison_call = "/card/poison";
 
 // Crashes needed for a quarantine: this many on each node, if no node knows the strikes of others.
-constexpr int ends_before_quarantine = 4;
+constexpr int crashes_before_quarantine = 4;
 constexpr int nodes_of_fixture = 2;
 // The operators' bound: from 3 s after the third crash, at most three visits (repetitions of the
 // request by its caller) may reach a target.
-constexpr int ends_of_bound = 3;
+constexpr int crashes_of_bound = 3;
 constexpr int late_visits_of_bound = 3;
 constexpr auto bound_counts_after = std::chrono::seconds(3);
 
@@ -35,7 +35,7 @@
  protected:
   HostedPoison() : hosted_fixture({.engines_each = 18}) {}
 
-  int ends(const std::string& path) { return platform_.ends()[path]; }
+  int crashes(const std::string& path) { return platform_.ends()[path]; }
 
   // Sends the request once more, to the nodes in turn. Returns whether it reached a target.
   bool visit(const std::string& path) {
@@ -77,11 +77,11 @@
   }
 
   // Number of crashes within a second after every node refuses the request.
-  int ends_after_quarantine(const std::string& path) {
-    const int before = ends(path);
+  int crashes_after_quarantine(const std::string& path) {
+    const int before = crashes(path);
     const time_point from = monotonic_now();
     repeat_visits(path, [&] { return monotonic_now() - from > 1s; });
-    return ends(path) - before;
+    return crashes(path) - before;
   }
 
   void restart_all_nodes() {
@@ -103,27 +103,27 @@
   // first one; the hash of workspace, path and body links them. Without a quarantine, 22 engines
   // crashed in this test.
   ASSERT_TRUE(serves());
-  repeat_visits(poison_stream, [&] { return ends(poison_stream) >= ends_of_bound; });
+  repeat_visits(poison_stream, [&] { return crashes(poison_stream) >= crashes_of_bound; });
   const int late = late_visits(poison_stream);
   RecordProperty("late_visits", late);
   EXPECT_LE(late, late_visits_of_bound);
   EXPECT_TRUE(is_refused_everywhere(poison_stream));
-  EXPECT_EQ(ends_after_quarantine(poison_stream), 0);
-  RecordProperty("ends", ends(poison_stream));
-  EXPECT_LE(ends(poison_stream), ends_before_quarantine * nodes_of_fixture);
+  EXPECT_EQ(crashes_after_quarantine(poison_stream), 0);
+  RecordProperty("ends", crashes(poison_stream));
+  EXPECT_LE(crashes(poison_stream), crashes_before_quarantine * nodes_of_fixture);
 }
 
 TEST_F(HostedPoison, PoisonCallIsRefused) {
   // The same for a plain service, whose only instance crashed eight times without a quarantine.
   ASSERT_TRUE(serves());
-  repeat_visits(poison_call, [&] { return ends(poison_call) >= ends_of_bound; });
+  repeat_visits(poison_call, [&] { return crashes(poison_call) >= crashes_of_bound; });
   const int late = late_visits(poison_call);
   RecordProperty("late_visits", late);
   EXPECT_LE(late, late_visits_of_bound);
   EXPECT_TRUE(is_refused_everywhere(poison_call));
-  EXPECT_EQ(ends_after_quarantine(poison_call), 0);
-  RecordProperty("ends", ends(poison_call));
-  EXPECT_LE(ends(poison_call), ends_before_quarantine * nodes_of_fixture);
+  EXPECT_EQ(crashes_after_quarantine(poison_call), 0);
+  RecordProperty("ends", crashes(poison_call));
+  EXPECT_LE(crashes(poison_call), crashes_before_quarantine * nodes_of_fixture);
 }
 
 // Guards against a quarantine of harmless requests that ran together with the poison request.
@@ -184,9 +184,9 @@
   restart_all_nodes();
   ASSERT_TRUE(serves());
   ASSERT_TRUE(is_refused_everywhere(poison_stream));
-  const int before = ends(poison_stream);
+  const int before = crashes(poison_stream);
   EXPECT_TRUE(is_refused(poison_stream));
-  EXPECT_EQ(ends(poison_stream), before);
+  EXPECT_EQ(crashes(poison_stream), before);
 }
 
 // Guards against a quarantine that an operator cannot release, on the nodes and in the store.
--- a/tests/shell/replica_controller_test.cpp
+++ b/tests/shell/replica_controller_test.cpp
@@ -132,7 +132,8 @@
 }
 
 TEST(ReplicaController, ClosesAReplicaWithADrainingMember) {
-  // Guards against aborted requests when an engine stops because its replica kept serving with it.
+  // Guards against aborted requests when an engine stops: its replica must not go on serving with
+  // it.
   controller_simulation sim(4);
   sim.add_domain("d0", 9);
   ASSERT_TRUE(sim.run_until([&] { return sim.serving(large) + sim.serving(small) >= 2; }, 60s));
--- a/tests/shell/standin_engine_test.cpp
+++ b/tests/shell/standin_engine_test.cpp
@@ -302,8 +302,9 @@
   EXPECT_EQ(head().counters().cut_by_order, 1U);
 }
 
-// Guards against handles that restart with each batch: a request is cut by a new generation, a new
-// request starts, and closing the old connection would end it or expose its tokens.
+// Guards against handles whose numbering restarts with each batch: a request is cut by a new
+// generation, a new request starts, and closing the old connection would end it or expose its
+// tokens.
 TEST_F(standin_engine, never_reuses_a_handle) {
   add_group();
   const batch_handle old = submit(make_request("a", 100));
--- a/tests/shell/standin_http_test.cpp
+++ b/tests/shell/standin_http_test.cpp
@@ -390,7 +390,7 @@
 }
 
 // The stand-in has to show a job card that is written twice: the first instance writes it and its
-// connection breaks before the response, and the caller, which takes the missing response for a
+// connection breaks before the response, and the caller, which treats the missing response as a
 // failure, retries on the second instance.
 TEST_F(standin_http, records_calls_over_all_instances_of_a_service) {
   service_faults faults;
