--- a/src/node/call_context.cpp
+++ b/src/node/call_context.cpp
@@ -103,8 +103,8 @@
     const auto max_ms = static_cast<std::uint64_t>(to_milliseconds(call.request_class.deadline));
     call.deadline = call.arrival + std::chrono::milliseconds(std::min(*requested, max_ms));
   }
-  const limit_result verdict = node.limits.take(call.arrival, call.workspace->id);
-  if (const auto* exceeded = std::get_if<limit_exceeded>(&verdict)) {
+  const limit_result result = node.limits.take(call.arrival, call.workspace->id);
+  if (const auto* exceeded = std::get_if<limit_exceeded>(&result)) {
     return over_limit(exceeded->retry_after);
   }
   return std::nullopt;
--- a/src/node/controller_loop.h
+++ b/src/node/controller_loop.h
@@ -41,10 +41,10 @@
   // Positions in the watched tables that a peer reported.
   struct positions {
     bool follows_records = true;
-    std::uint64_t targets{};
+    std::uint64_t targets{};  // in the table of targets
     serving_follower::position serving;
-    std::uint64_t configuration{};
-    std::uint64_t configuration_row{};
+    std::uint64_t configuration{};      // in the configuration table
+    std::uint64_t configuration_row{};  // version of the peer's newest configuration row
     config_progress configuration_progress;
   };
 
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -32,9 +32,9 @@
   std::uint32_t sends = 0;         // sends that may have reached a target
   std::uint32_t may_have_run = 0;  // of those, sends that no target reported as not run
   std::string targets;             // targets tried, in order
-  time_point first_event{};
-  std::uint64_t events = 0;
-  bool logged = true;  // whether log lines of this call are written: all or none
+  time_point first_event{};        // when it was received; zero: none
+  std::uint64_t events = 0;        // forwarded to the caller
+  bool logged = true;              // whether log lines of this call are written: all or none
 };
 
 // Ends the call with a response of this node. A status that promises "not run" is replaced by one
--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -95,8 +95,8 @@
   void forget_connections(const endpoint& address);
 
  private:
-  std::uint64_t cached_revision_ = 0;
-  std::uint64_t cached_version_ = 0;
+  std::uint64_t cached_revision_ = 0;  // of the fleet, when the caches were filled
+  std::uint64_t cached_version_ = 0;   // of the configuration, when the caches were filled
   void drop_outdated_caches();
 
   std::map<model_id, std::vector<serving_replica>> cached_;
--- a/src/node/limit_exchange.h
+++ b/src/node/limit_exchange.h
@@ -49,8 +49,8 @@
   std::vector<node_id> lease_peers_;  // peers that leases are exchanged with
   std::set<node_id>
       piggybacked_;  // of these, sent a message by piggyback_message() since the last tell()
-  bool has_limits_ = false;  // some workspace has a limit; otherwise nothing is sent
-  std::uint64_t config_version_ = 0;
+  bool has_limits_ = false;           // some workspace has a limit; otherwise nothing is sent
+  std::uint64_t config_version_ = 0;  // of the configuration that the limits are from
 };
 
 }  // namespace arbutus
--- a/src/node/request_timeline.cpp
+++ b/src/node/request_timeline.cpp
@@ -160,20 +160,20 @@
      "more."},
     {"the target failed", "The target answered with an error of its own."},
     {"the target's own failure",
-     "The target answered with an error of its own, which was forwarded unchanged."},
+     "The target answered with an error of its own, which was passed on unchanged."},
     {"the stream ended inside an event", "The target's stream ended in the middle of an event."},
-    {"events out of order", "The ids of the target's events were not ascending."},
+    {"events out of order", "The target's events did not follow on one another."},
     {"the answer was not this request's",
      "The target sent an answer without its signature, or the answer to another request."},
     {"no configuration is known yet", "The node had just started and reached no store yet."},
     {"the configuration may be out of date",
      "The node could not confirm that its configuration is current, so it may not report that a "
-     "route does not exist. See its store lines below."},
+     "route is not there. See its store lines below."},
     {"keys cannot be checked: the configuration is stale",
      "The node had no recent proof that its configuration is the newest: a key might have "
      "been withdrawn. See its store lines below, and the link to its hub."},
     {"the key cannot be confirmed",
-     "The proof that the configuration is the newest expired while the request waited."},
+     "The proof that the configuration is the newest ran out while the request waited."},
     {"the key was withdrawn", "A newer configuration no longer has the caller's key."},
     {"the key is not known", "No workspace of the configuration in force has the caller's key."},
     {"no route has this host and path",
@@ -189,8 +189,7 @@
 std::string cause_of(const std::vector<logged_line>& own) {
   const auto end = std::find_if(own.rbegin(), own.rend(), is_end);
   if (end == own.rend()) {
-    return "No line says that it ended: it is still running, its lines were suppressed, or the "
-           "node "
+    return "No line says that it ended: it is still running, its lines were left out, or the node "
            "ended before.";
   }
   if (end->field("result") == "done") {
--- a/src/node/store_watch.h
+++ b/src/node/store_watch.h
@@ -91,9 +91,9 @@
   bool list_left_to_hub_ = false;  // the list is longer than a page, so the hub's updates are used
   record_subscription record_subscription_;
   time_point hub_targets_update_at_{};  // the hub's last update of targets or serving replicas
-  time_point records_missing_since_{};  // since when this node lacks records that it needs; zero:
-                                        // it does not
-  time_point hub_update_at_{};
+  time_point records_missing_since_{};  // when this node began to lack needed records; zero: it
+                                        // has all of them
+  time_point hub_update_at_{};  // the hub's last update with a recent proof of the configuration
   time_point queried_at_{};     // last query about the configuration
   std::uint32_t failures_ = 0;  // consecutive failures of such queries
   bool withheld_ = false;       // the hub has a newer configuration than it sends
--- a/src/request/keyed.h
+++ b/src/request/keyed.h
@@ -45,9 +45,9 @@
   record_owner owner;
   std::string body_hash;  // content_hash of method, path and body
   record_phase phase = record_phase::reserved;
-  wall_time changed;
+  wall_time changed;    // when the record was last written
   wall_time answer_by;  // the owner's call has ended by then, with any outcome
-  wall_time expires;
+  wall_time expires;    // another record may replace this one afterwards
   // Response of a done call. Of a body that is too large, only the hash is kept.
   std::uint32_t status{};
   std::string content_type;
@@ -71,7 +71,7 @@
   duration record_timeout = 10min;  // how long writing the outcome is retried
   duration first_backoff = 50ms;    // between attempts to reach the table
   duration max_backoff = 1s;
-  std::size_t max_body = 16'384;
+  std::size_t max_body = 16'384;  // bytes; of a larger response only the hash is recorded
 };
 
 // ---- effects to be executed by the caller of keyed_call ----
--- a/src/request/limits.h
+++ b/src/request/limits.h
@@ -76,21 +76,21 @@
 
  private:
   struct lease {
-    double amount{};
+    double amount{};  // requests per second
     time_point until;
   };
   struct peer_usage {
-    double demand{};
-    double planned{};         // to lend with the next message
+    double demand{};          // requests per second, as the peer last reported
+    double planned{};         // requests per second to lend with the next message
     std::vector<lease> lent;  // sent and not expired; the peer uses one of them
     lease borrowed;
   };
   struct bucket {
     rate_limit limit;
-    double tokens{};
+    double tokens{};  // requests that may be admitted now
     time_point refilled_at;
-    double demand{};     // moving average
-    double requested{};  // since demand was last updated
+    double demand{};     // requests per second, moving average
+    double requested{};  // requests since `demand` was last updated
     time_point demand_updated_at;
     std::map<node_id, peer_usage> peers;
   };
--- a/src/request/prefix_index.h
+++ b/src/request/prefix_index.h
@@ -59,7 +59,7 @@
   };
   struct entry {
     entry_key key;
-    time_point seen;
+    time_point seen;        // when the entry was last confirmed
     std::uint32_t epoch{};  // of the replica when the entry was confirmed
   };
   struct replica_state {
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -82,11 +82,11 @@
                                           duration needed, retry_budget& budget, rng& random);
 
 struct hedge_settings {
-  double quantile = 0.95;   // of the class's latency, after which a request is hedged
-  double max_ratio = 0.05;  // hedges per request
-  double reserve = 5;       // maximum of the budget, in hedges
-  std::uint32_t min_samples = 50;
-  duration min_delay = 10ms;
+  double quantile = 0.95;          // of the class's latency, after which a request is hedged
+  double max_ratio = 0.05;         // hedges per request
+  double reserve = 5;              // maximum of the budget, in hedges
+  std::uint32_t min_samples = 50;  // latencies of a class before its requests are hedged
+  duration min_delay = 10ms;       // from the first send to a hedge
 };
 
 // Second attempts of repeatable requests whose first token takes unusually long. The caller of this
--- a/src/request/send_limits.h
+++ b/src/request/send_limits.h
@@ -75,8 +75,8 @@
 
  private:
   struct local_usage {
-    double demand = 0;  // calls, decaying exponentially
-    time_point demand_at{};
+    double demand = 0;               // calls, decaying exponentially
+    time_point demand_at{};          // time up to which `demand` has decayed
     std::vector<time_point> grants;  // when each was received, oldest first
   };
   [[nodiscard]] static double decayed_demand(time_point now, const local_usage& use);
--- a/src/request/spill.h
+++ b/src/request/spill.h
@@ -27,7 +27,7 @@
 struct spill_settings {
   duration max_summary_age = 10s;  // older summaries of other data centres are ignored
   double margin = 1.5;             // local wait over remote wait: the remote one is less certain
-  duration min_gain = 100ms;
+  duration min_gain = 100ms;       // the local wait must exceed the weighted remote one by this
 };
 
 // Round-trip time to another data centre, measured by this node's links.
