--- a/src/node/controller_loop.h
+++ b/src/node/controller_loop.h
@@ -41,10 +41,10 @@
   // Positions in the watched tables that a peer reported.
   struct positions {
     bool follows_records = true;
-    std::uint64_t targets{};
+    std::uint64_t targets{};  // in the table of targets
     serving_follower::position serving;
-    std::uint64_t configuration{};
-    std::uint64_t configuration_row{};
+    std::uint64_t configuration{};      // in the configuration table
+    std::uint64_t configuration_row{};  // version of the peer's newest configuration row
     config_progress configuration_progress;
   };
 
@@ -62,7 +62,7 @@
   // `why` labels the metric, since each query to a target has a cost.
   bool probe(const target_id& id, duration timeout, std::string_view why);
   // False if another incarnation of the engine answered.
-  bool take_report(time_point asked, const target_id& id, const target_report& report);
+  bool take_report(time_point requested_at, const target_id& id, const target_report& report);
   void verify_lost_report(const target_id& id);
   [[nodiscard]] feed_update configuration_update(time_point now, const positions& at);
   void pass_on_configuration(time_point now, const node_id& peer, const positions& at,
--- a/src/node/request_timeline.cpp
+++ b/src/node/request_timeline.cpp
@@ -174,7 +174,7 @@
      "been withdrawn. See its store lines below, and the link to its hub."},
     {"the key cannot be confirmed",
      "The proof that the configuration is the newest ran out while the request waited."},
-    {"the key was withdrawn", "A newer configuration took the caller's key away."},
+    {"the key was withdrawn", "A newer configuration no longer has the caller's key."},
     {"the key is not known", "No workspace of the configuration in force has the caller's key."},
     {"no route has this host and path",
      "No route of the configuration in force matches the host and path."},
