--- a/spec/assignment.pml
+++ b/spec/assignment.pml
@@ -101,9 +101,9 @@
 byte highest[VMS]; /* order with the highest token */
 short role_token[VMS]; /* derived */
 byte ticks_in_role[VMS];   /* ticks in the role, up to SETTLE */
-byte prev[VMS];    /* settled role that was left within the permission time */
+byte prev[VMS];    /* settled role that the VM left within the permission time */
 byte prev_group[VMS];
-byte ticks_since_left[VMS];    /* ticks since it was left */
+byte ticks_since_left[VMS];    /* ticks since the VM left `prev` */
 bool vm_restarted;
 
 /* Nodes. An activation is 16 | lost mask, for the row that the node knows; 0: none. */
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -2,7 +2,7 @@
  *
  * One head row {version, content, recent proposals} is changed by conditional writes; contents are kept in the object
  * store. There are two nodes and three proposals, made through either node, the last two concurrently. A write may be
- * refused, lose its reply, or be applied later than its caller waits. The table may be restored once from an old copy.
+ * refused, lose its reply, or be applied after its caller has given up. The table may be restored once from an old copy.
  * One node may be replaced by one without any state. Nodes may be paused at any step.
  *
  * A content is identified by its proposal. `lineage[c]` is the set of proposals that c was built on, including c.
--- a/spec/keyed.pml
+++ b/spec/keyed.pml
@@ -2,8 +2,8 @@
  *
  * Several attempts carry the same workspace and idempotency key: retries of a caller whose first attempt was not
  * answered, or accidental duplicates. Attempts 0 and 1 reach the same node, attempt 2 another one. The record is
- * inserted conditionally before anything is sent. The table may be slow (a write is applied later than its caller
- * waits), and its replies may be lost. A process that is never scheduled again models a dead node, one that is
+ * inserted conditionally before anything is sent. The table may be slow (a write is applied after its caller
+ * has given up), and its replies may be lost. A process that is never scheduled again models a dead node, one that is
  * scheduled late a paused node.
  *
  * Time is counted in ticks. Only the ratios of these bounds matter, not their lengths:
@@ -150,7 +150,7 @@
 #endif
 
 claim:
-  /* Conditional insert; the reply may be lost, or the write may be applied later than its caller waits. */
+  /* Conditional insert; the reply may be lost, or the write may be applied after its caller has given up. */
   atomic {
     if
     :: row == absent -> table_insert(id); goto owner
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -2,9 +2,9 @@
  * version is still the newest.
  *
  * The store accepts a second version that withdraws a key. A hub follows the store. A node queries the store itself, or
- * gets updates from its hub, which replies to the position and the timestamp that the node last reported to it. Every
- * message may be in transit for any time, one of each kind at a time. The node may restart once and then has no state,
- * while its hub still has what the earlier incarnation reported.
+ * gets updates from its hub. An update starts at the position and echoes the timestamp that the node last reported to
+ * the hub. Every message may be in transit for any time, one of each kind at a time. The node may restart once and then
+ * has no state, while its hub still has what the earlier incarnation reported.
  *
  * Properties
  *   !late    the node does not use the key BOUND ticks or more after it was withdrawn
--- a/spec/replica.pml
+++ b/spec/replica.pml
@@ -20,11 +20,11 @@
  *   NO_COUNT        orders are obeyed regardless of their count
  *   MEMBER_FIRST    the member joins before its head
  *   OLD_OUTSIDE     a head counts as outside of a replica if it was ever seen outside, also before it joined
- *   NO_RECHECK      a replica is formed further although a member has left the replica that it was chosen from
- *   ROW_IS_PROOF    a row according to which a head is outside frees its members
+ *   NO_RECHECK      forming a replica continues although a member has left the replica that it was chosen from
+ *   ROW_IS_PROOF    a row that shows a head outside of its replica is enough to reuse the replica's members
  *   NO_EPOCH        an engine joins under a lower epoch than the highest it knows
- *   NO_LIVES        a replica is formed further with a restarted member, and a restarted head counts as outside
- *   OLD_LIFE        an order in time may be based on the count of an earlier incarnation
+ *   NO_LIVES        forming a replica continues with a restarted member, and a restarted head counts as outside
+ *   OLD_LIFE        an order that is not late may be based on the count of an earlier incarnation
  *
  * The search is complete with two engines, two replica names and six orders, and with four orders if there is one
  * restart or if there are rows. With three engines and five orders it was stopped after 16 million states (32 s)
@@ -53,7 +53,7 @@
 byte highest_epoch[ENGINES];  /* known to this incarnation */
 byte incarnation[ENGINES];
 byte restarts;
-byte head_incarnation[GROUPS], member_incarnation[GROUPS]; /* named in the replica's name */
+byte head_incarnation[GROUPS], member_incarnation[GROUPS]; /* part of the replica's name */
 #else
 byte order_count[ENGINES];
 #endif
@@ -63,9 +63,9 @@
 byte joined[ENGINES];
 bit serves[ENGINES];
 byte head[GROUPS], member[GROUPS];
-bit was_member[GROUPS];   /* the member was in it */
-byte formed;       /* replicas named so far */
-byte orders;       /* sent so far */
+bit was_member[GROUPS];   /* the member has been in this replica */
+byte formed;       /* number of replicas named so far */
+byte orders;       /* number of orders sent so far */
 bool two, partial;
 
 #ifdef WITNESS
@@ -143,7 +143,7 @@
 #if RESTARTS > 0
   byte seen_incarnation[ENGINES];
 #endif
-  bit observed[GROUPS];  /* an engine was observed in it ... */
+  bit observed[GROUPS];  /* an engine was observed in this replica ... */
   bit head_outside[GROUPS];      /* ... and later its head outside of it */
   byte g = 0, h, m, head_from, member_from, e, x;
   byte step = 0;        /* of the replica being formed: 1 head joins, 2 member joins, 3 opens */
--- a/src/cli/apply.cpp
+++ b/src/cli/apply.cpp
@@ -126,8 +126,8 @@
       }
     }
     return fail(exit_code::unknown,
-                "no reply in time; the change may have been accepted. Find out "
-                "with --proposal " +
+                "no reply in time; the change may have been accepted. To find out, "
+                "run the command again with --proposal " +
                     proposal_ + " --base " + std::to_string(base));
   }
 
@@ -155,9 +155,11 @@
 
   void print_accepted(const json& body) {
     out_ << "accepted as version " << number_in(body, "version")
-         << (body.value("in_force_here", false) ? ", in force on the node that took it\n"
-                                                : ", not yet in force on the node that took it\n");
-    // To standard error: a repeated proposal prints the same result but has no changes to list.
+         << (body.value("in_force_here", false)
+                 ? ", in force on the node that accepted it\n"
+                 : ", not yet in force on the node that accepted it\n");
+    // The list goes to standard error, so that standard output is the same for a repeated proposal,
+    // whose response lists no changes.
     for (const json& line : body.value("changed", json::array())) {
       std::cerr << "  " << line.get<std::string>() << '\n';
     }
@@ -167,7 +169,7 @@
     std::ostringstream text;
     const json current = body.value("current", json{});
     text << "another configuration was accepted meanwhile: version "
-         << number_in(current, "version") << ". Nothing of yours was applied.";
+         << number_in(current, "version") << ". Your change was not applied.";
     for (const json& line : body.value("changed", json::array())) {
       text << "\n  " << line.get<std::string>();
     }
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -56,7 +56,7 @@
 };
 
 struct outcomes_options {
-  std::vector<std::string> files;  // none: standard input
+  std::vector<std::string> files;  // empty: standard input
   std::chrono::seconds window{2};
 };
 
@@ -80,7 +80,7 @@
 struct bench_options {
   std::string filter;    // part of a benchmark's name; empty: all
   bool full = false;     // also print the long tables
-  duration length = 1s;  // of each connection measurement in the long tables
+  duration length = 1s;  // duration of each connection measurement in the long tables
   std::uint64_t seed = 1;
 };
 
@@ -106,7 +106,8 @@
   std::uint64_t seed = 1;
 };
 
-// Each returns the exit status. Results are printed to `out`, failures to standard error.
+// Each function runs one subcommand and returns the exit status. Results are printed to `out`,
+// failures to standard error.
 int run_check(const check_options& options, std::ostream& out);
 int run_node(const node_options& options, std::ostream& out);
 int run_hosted(const hosted_options& options, std::ostream& out);
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -30,8 +30,8 @@
 endpoint endpoint_from(const std::string& text, std::string_view option) {
   const auto parsed = parse_endpoint(text);
   if (!parsed) {
-    throw usage_error("--" + std::string(option) + ": " + in_quotes(text) + " is no endpoint; " +
-                      std::string(endpoint_expected));
+    throw usage_error("--" + std::string(option) + ": " + in_quotes(text) +
+                      " is not an endpoint; " + std::string(endpoint_expected));
   }
   return *parsed;
 }
@@ -100,10 +100,10 @@
 void add_platform(po::options_description& add) {
   add.add_options()("data-centre", po::value<strings>()->required()->value_name("NAME"),
                     "data centres of the engines; the first has the plain service")(
-      "engines", count_value(9)->value_name("N"), "engines of each data centre")(
-      "store-port", count_value(0)->value_name("PORT"), "of the store; 0: any")(
+      "engines", count_value(9)->value_name("N"), "number of engines in each data centre")(
+      "store-port", count_value(0)->value_name("PORT"), "port of the store; 0: any free port")(
       "control-port", count_value(0)->value_name("PORT"),
-      "of commands that inject faults, for tests; 0: none");
+      "port for commands that inject faults, for tests; 0: none");
 }
 
 command make_platform(const po::variables_map& values) {
@@ -159,7 +159,7 @@
 void add_check(po::options_description& add) {
   add.add_options()("path", po::value<strings>()->required()->value_name("DIR|FILE"),
                     "configuration directories, or files")(
-      "strict", po::bool_switch(), "warnings make the exit status 3 as well");
+      "strict", po::bool_switch(), "treat warnings as errors (exit status 3)");
 }
 
 command make_check(const po::variables_map& values) {
@@ -184,9 +184,9 @@
                                                  "the operators' key; else from ARBUTUSWORKS_KEY")(
       "base", count_value(0)->value_name("N"),
       "version the change was made on; 0: the one in force")(
-      "proposal", text()->value_name("ID"), "resolve an earlier try instead of a new one")(
-      "dry-run", po::bool_switch(), "show what would change, change nothing")(
-      "timeout", number(30, "30")->value_name("SECONDS"), "give up after that");
+      "proposal", text()->value_name("ID"), "id of an earlier attempt whose outcome is unknown")(
+      "dry-run", po::bool_switch(), "show what would change without changing anything")(
+      "timeout", number(30, "30")->value_name("SECONDS"), "time limit of the command");
 }
 
 command make_apply(const po::variables_map& values) {
@@ -203,10 +203,10 @@
 
 void add_status(po::options_description& add) {
   add.add_options()("node", po::value<strings>()->required()->value_name("IP:PORT"),
-                    "nodes to ask, at their callers' endpoints")(
+                    "nodes to query, by their endpoints for callers")(
       "key", text()->value_name("KEY"), "the operators' key; else from ARBUTUSWORKS_KEY")(
       "json", po::bool_switch(), "print JSON")("timeout", number(2, "2")->value_name("SECONDS"),
-                                               "for each node");
+                                               "time limit for each node");
 }
 
 command make_status(const po::variables_map& values) {
@@ -215,11 +215,12 @@
 }
 
 void add_bench(po::options_description& add) {
-  add.add_options()("filter", text()->value_name("TEXT"), "only parts with this in the name")(
+  add.add_options()("filter", text()->value_name("TEXT"),
+                    "run only parts whose names contain this text")(
       "full", po::bool_switch(), "print all figures and the long tables")(
       "seconds", number(1, "1")->value_name("SECONDS"),
-      "for each measurement of connections, with --full")("seed", count_value(1)->value_name("N"),
-                                                          "of the random numbers");
+      "duration of each connection measurement, with --full")(
+      "seed", count_value(1)->value_name("N"), "seed of the random numbers");
 }
 
 command make_bench(const po::variables_map& values) {
@@ -228,11 +229,13 @@
 }
 
 void add_load(po::options_description& add) {
-  add.add_options()("experiment", text()->required()->value_name("FILE"), "what to run")(
-      "out", text()->value_name("DIR"), "write the results there: text, JSON and a page")(
+  add.add_options()("experiment", text()->required()->value_name("FILE"),
+                    "experiment to run (TOML)")("out", text()->value_name("DIR"),
+                                                "directory for the results: text, JSON and HTML")(
       "variant", po::value<strings>()->value_name("NAME"), "run only these variants")(
-      "seed", count_value(0)->value_name("N"), "of the random numbers; 0: as the file says")(
-      "json", po::bool_switch(), "print JSON");
+      "seed", count_value(0)->value_name("N"),
+      "seed of the random numbers; 0: the seed in the file")("json", po::bool_switch(),
+                                                             "print JSON");
 }
 
 command make_load(const po::variables_map& values) {
@@ -248,7 +251,8 @@
 }
 
 void add_trial(po::options_description& add) {
-  add.add_options()("keep-up", po::bool_switch(), "stay for calls of your own until interrupted");
+  add.add_options()("keep-up", po::bool_switch(),
+                    "keep the fleet running for your own calls until interrupted");
 }
 
 command make_trial(const po::variables_map& values) {
@@ -257,11 +261,11 @@
 
 void add_standin(po::options_description& add) {
   add.add_options()("directory", text()->required()->value_name("DIR"),
-                    "configuration whose targets to stand in for")(
+                    "configuration whose targets to simulate")(
       "settings", text()->required()->value_name("FILE"),
       "settings of any node, for the platform's endpoints")("only", text()->value_name("PART"),
                                                             "one of platform, engines, services")(
-      "seed", count_value(1)->value_name("N"), "of the random numbers");
+      "seed", count_value(1)->value_name("N"), "seed of the random numbers");
 }
 
 command make_standin(const po::variables_map& values) {
@@ -283,7 +287,7 @@
 struct command_spec {
   std::string_view name;
   std::string_view summary;
-  std::string_view arguments;   // as shown after the name
+  std::string_view arguments;   // as shown after the subcommand's name in the help
   std::string_view positional;  // name of the option that takes the positional arguments
   int positional_count;         // -1: any number
   void (*add)(po::options_description&);
@@ -355,7 +359,7 @@
 po::options_description options_of(const command_spec& spec) {
   po::options_description options("Options");
   spec.add(options);
-  options.add_options()("help,h", "print this");
+  options.add_options()("help,h", "print this help");
   return options;
 }
 
--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -107,7 +107,7 @@
   return shape;
 }
 
-// Sends the same job card three times at once, through two nodes.
+// Sends the same job card three times simultaneously, through two nodes.
 void send_job_card(fleet& f, trial_reporter& s) {
   const std::string key = "card-4711";
   std::atomic<int> answered{0};
@@ -136,7 +136,7 @@
 void kill_member(fleet& f, trial_reporter& s, std::size_t centre, const std::string& suffix) {
   const fleet::member lost = f.find_member(centre);
   if (lost.vm.empty()) {
-    s.fail("no serving replica to take a member from");
+    s.fail("no serving replica whose member could be killed");
     return;
   }
   s.print("killing " + lost.vm.str() + ", a member of " + lost.replica.str() + suffix);
@@ -145,7 +145,7 @@
   const bool repaired = s.wait("repaired and serving again",
                                [&] { return f.serves_without(lost.node, lost.replica, lost.vm); });
   if (!repaired) {
-    s.print("what the node knows: " + status_json(f.nodes()[lost.node]->status(), monotonic_now()));
+    s.print("status of the node: " + status_json(f.nodes()[lost.node]->status(), monotonic_now()));
   }
 }
 
@@ -154,7 +154,7 @@
   s.print("stopping a node gracefully under load");
   load.exclude_node(index);
   const bool clean = f.nodes()[index]->stop();
-  s.check("the stopped node cut off no request", clean);
+  s.check("the stopped node interrupted no request", clean);
 }
 
 void run_steps(fleet& f, trial_load& load, trial_reporter& s) {
@@ -178,13 +178,13 @@
   s.print("the platform's table is down");
   kill_member(f, s, 1, ", with the table down");
   f.standins().table_outage(false);
-  s.print("the table is back");
+  s.print("the table is available again");
   stop_one_node(f, load, s);
   load.stop();
 }
 
 void keep_fleet_running(fleet& f) {
-  std::cout << "The fleet stays up. In another terminal:\n\n  curl -N http://127.0.0.1:"
+  std::cout << "The fleet keeps running. In another terminal:\n\n  curl -N http://127.0.0.1:"
             << f.caller_address(0).port
             << "/v1/completions -H 'Authorization: Bearer key-dispatch' \\\n    -d "
                "'{\"model\":\"dispatch-llm\",\"prompt\":\"Flooded cellar\",\"max_tokens\":20,"
@@ -211,11 +211,12 @@
             << counts.no_response << ", wrong " << counts.wrong << "\n\n";
   s.check("no answer was swapped, truncated or duplicated", counts.wrong == 0);
   s.check("every request got an answer", counts.no_response == 0);
-  std::cout << (s.failed() ? "\nThe trial FAILED.\n" : "\nEvery promise held.\n");
+  std::cout << (s.failed() ? "\nThe trial FAILED.\n" : "\nAll guarantees held.\n");
   if (options.keep_up && !s.failed()) {
     keep_fleet_running(f);
   } else if (!s.failed()) {
-    std::cout << "Keep it up for calls of your own: build/release/arbutusworks trial --keep-up\n";
+    std::cout << "To keep the fleet running for your own calls: build/release/arbutusworks trial "
+                 "--keep-up\n";
   }
   return s.failed() ? 1 : 0;
 }
--- a/src/cli/trial_callers.cpp
+++ b/src/cli/trial_callers.cpp
@@ -62,7 +62,8 @@
     case caller_outcome::unknown:
       count(who.name, &trial_counts::unknown);
       return;
-    // No node of the trial is killed, so one that cannot be reached is a fault, too.
+    // No node of the trial is killed, so a node that cannot be reached is counted like a call
+    // without a response.
     case caller_outcome::unreached:
     case caller_outcome::no_response:
       count(who.name, &trial_counts::no_response);
--- a/src/cli/trial_callers.h
+++ b/src/cli/trial_callers.h
@@ -17,7 +17,7 @@
   std::uint64_t complete{};  // complete and correct
   std::uint64_t wrong{};     // the answer to another request, or a truncated one sent as complete
   std::uint64_t not_run{};   // refused as not run
-  std::uint64_t unknown{};   // reported that it may have run
+  std::uint64_t unknown{};   // answered with an error that says that the request may have run
   std::uint64_t no_response{};  // connection ended without an answer
 };
 
--- a/src/connection/bench_connections.cpp
+++ b/src/connection/bench_connections.cpp
@@ -244,17 +244,17 @@
     out << "requests, " << r.workers << " + " << r.workers << " workers, " << r.callers
         << " callers: " << static_cast<std::uint64_t>(r.per_second) << "/s, p50 " << r.p50.count()
         << " us, p99 " << r.p99.count() << " us, processor " << r.processor_per_request.count()
-        << " us each, " << r.failed << " failed\n";
+        << " us per request, " << r.failed << " failed\n";
   }
   out << "chunks, " << figures.streams.streams
       << " streams: " << static_cast<std::uint64_t>(figures.streams.chunks_per_second)
       << "/s, processor " << figures.streams.processor_per_thousand_chunks.count()
-      << " us a thousand\n";
+      << " us per thousand\n";
   out << "frames, 1 link: " << static_cast<std::uint64_t>(figures.frames.per_second) << "/s, "
-      << figures.frames.dropped << " dropped before the kernel\n";
+      << figures.frames.dropped << " dropped from the queue\n";
   out << "memory, " << figures.memory.connections
-      << " connections, both ends: " << figures.memory.busy_bytes_each << " bytes each busy, "
-      << figures.memory.idle_bytes_each << " idle\n";
+      << " connections, both ends: " << figures.memory.busy_bytes_each << " bytes each while busy, "
+      << figures.memory.idle_bytes_each << " while idle\n";
 }
 
 }  // namespace arbutus
--- a/src/connection/cancel_token.h
+++ b/src/connection/cancel_token.h
@@ -22,8 +22,8 @@
   void cancel() const;
   [[nodiscard]] bool cancelled() const;
 
-  // For clients: registers the connection to close, for the lifetime of the scope. Used on the
-  // worker of the stream.
+  // Used by clients: cancel() closes this stream while the scope exists. Must be created and
+  // destroyed on the stream's worker.
   class scope {
    public:
     scope(const cancel_token& token, fiber_stream& stream);
--- a/src/connection/http_call.cpp
+++ b/src/connection/http_call.cpp
@@ -140,8 +140,9 @@
   }
 }
 
-// Without this, a response that the link cannot transfer before the deadline would never be read
-// completely: each new call would start from its beginning.
+// Extends the deadline while bytes of the body arrive. Without this, a response that the link
+// cannot transfer before the deadline would never be read completely: each new call would start
+// from its beginning.
 void http_call::extend_deadline(time_point headers_at, const http_client_limits& limits) {
   const time_point last = headers_at + limits.max_body_duration;
   const time_point next = std::min(monotonic_now() + limits.body_stall_timeout, last);
--- a/src/connection/http_exchange.cpp
+++ b/src/connection/http_exchange.cpp
@@ -24,7 +24,7 @@
 constexpr std::size_t max_rejected_connections = 256;
 
 struct refusal {
-  int status{};  // zero: the caller is gone, so no response is sent
+  int status{};  // zero: the caller has disconnected, so no response is sent
   std::string_view reason;
 };
 
@@ -215,7 +215,7 @@
          core_.error_body()(500, "the request was not answered"));
   }
   // An unfinished stream must not look complete: the connection is closed without the last chunk,
-  // which the caller detects. A pipelined request is not run for a caller that is gone.
+  // which the caller detects. A pipelined request is not run for a caller that has left.
   keep_alive_ = keep_alive_ && phase_ == phase::complete && !caller_gone_;
   core_.request_finished();
 }
@@ -317,8 +317,8 @@
   return caller_gone_;
 }
 
-void http_exchange::on_caller_gone(std::function<void()> notice) {
-  caller_gone_handler_ = std::move(notice);
+void http_exchange::on_caller_gone(std::function<void()> callback) {
+  caller_gone_handler_ = std::move(callback);
   if (!caller_gone_handler_) {
     return;
   }
--- a/src/connection/http_exchange.h
+++ b/src/connection/http_exchange.h
@@ -62,7 +62,7 @@
   boost::fibers::condition_variable empty_;
 };
 
-// One connection and its current request. Lives on the stack of its fiber.
+// One connection and its current request. Allocated on the stack of its fiber.
 class http_exchange {
  public:
   http_exchange(server_core& core, boost::asio::ip::tcp::socket socket);
@@ -83,7 +83,7 @@
   bool finish();
   [[nodiscard]] bool started() const { return phase_ != phase::waiting; }
   [[nodiscard]] bool caller_gone();
-  void on_caller_gone(std::function<void()> notice);
+  void on_caller_gone(std::function<void()> callback);
 
  private:
   // State of the response.
--- a/src/connection/http_server.cpp
+++ b/src/connection/http_server.cpp
@@ -120,8 +120,8 @@
   return exchange_.caller_gone();
 }
 
-void response_writer::on_caller_gone(std::function<void()> notice) {
-  exchange_.on_caller_gone(std::move(notice));
+void response_writer::on_caller_gone(std::function<void()> callback) {
+  exchange_.on_caller_gone(std::move(callback));
 }
 
 std::string default_error_body(int status, std::string_view reason) {
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -34,14 +34,14 @@
   [[nodiscard]] bool started() const;
 
   // Whether the caller has closed its end. Checks the socket without suspending. A caller that
-  // closes only its sending side counts as gone, but can still be written to.
+  // closes only its sending side counts as disconnected, but can still be written to.
   [[nodiscard]] bool caller_gone();
 
-  // Calls `notice` as soon as the caller closes its end, even while this fiber waits for something
-  // else. `notice` runs on this worker between fibers and must not suspend; it is meant to cancel
-  // upstream calls. It is removed when the request handler returns, or earlier by passing an empty
-  // function.
-  void on_caller_gone(std::function<void()> notice);
+  // Calls `callback` as soon as the caller closes its end, even while this fiber waits for
+  // something else. `callback` runs on this worker between fibers and must not suspend; it is meant
+  // to cancel upstream calls. It is removed when the request handler returns, or earlier by passing
+  // an empty function.
+  void on_caller_gone(std::function<void()> callback);
 
  private:
   http_exchange& exchange_;
--- a/src/connection/link_client.cpp
+++ b/src/connection/link_client.cpp
@@ -199,7 +199,7 @@
   rng random;
   bool running{true};  // true from the start, because the constructor posts the fiber
   bool closing{false};
-  bool broken{false};  // of the current link
+  bool broken{false};  // the current link has failed
   fiber_stream* current{nullptr};
   boost::fibers::condition_variable_any changed;
 
--- a/src/connection/link_wire.cpp
+++ b/src/connection/link_wire.cpp
@@ -93,7 +93,8 @@
   return payload;
 }
 
-// Reads until at least `desired` bytes are buffered at begin_. False if the stream ends before.
+// Reads until at least `desired` bytes are buffered from begin_ on. False if the stream ends before
+// that.
 bool frame_reader::fill(std::size_t desired) {
   make_room(desired);
   while (end_ - begin_ < desired) {
--- a/src/connection/listener.cpp
+++ b/src/connection/listener.cpp
@@ -15,16 +15,16 @@
 namespace {
 
 // Without file descriptors or memory, accept() fails immediately and repeatedly. Without a pause,
-// the retries would occupy the worker until something else has closed descriptors.
+// the retries would occupy the worker until other code has closed descriptors.
 constexpr duration pause_after_failed_accept = 50ms;
 
 }  // namespace
 
 listener::listener(fiber_runtime& runtime, const socket_address& address, int receive_buffer,
-                   worker_selector choose_worker, connection_handler take)
+                   worker_selector choose_worker, connection_handler on_connection)
     : runtime_(runtime),
       choose_worker_(std::move(choose_worker)),
-      take_(std::move(take)),
+      take_(std::move(on_connection)),
       acceptor_(runtime.worker(0).io) {
   const tcp::endpoint local(asio::ip::make_address(address.ip), address.port);
   acceptor_.open(local.protocol());
--- a/src/connection/listener.h
+++ b/src/connection/listener.h
@@ -22,7 +22,7 @@
   // port. A positive `receive_buffer` sets the kernel's receive buffer of each connection, in
   // bytes. Throws boost::system::system_error.
   listener(fiber_runtime& runtime, const socket_address& address, int receive_buffer,
-           worker_selector choose_worker, connection_handler take);
+           worker_selector choose_worker, connection_handler on_connection);
   ~listener();
   listener(const listener&) = delete;
   listener& operator=(const listener&) = delete;
--- a/src/load/checker.cpp
+++ b/src/load/checker.cpp
@@ -98,7 +98,7 @@
   } else if (seen.done > 0 && executions == 0) {
     report_violation(guarantee::at_most_once, ran + ", but was reported as done");
   } else if (seen.done == 0 && seen.other == 0 && executions > 0) {
-    report_violation(guarantee::not_run, ran + ", but every caller was told that it did not run");
+    report_violation(guarantee::not_run, ran + ", but was reported to every caller as not run");
   }
 }
 
--- a/src/load/checker.h
+++ b/src/load/checker.h
@@ -31,7 +31,7 @@
   wrong,        // marked complete, but not the correct answer
   not_run,      // reported as not run
   unreached,    // nothing could be sent
-  unknown,      // reported that it may have run, or visibly truncated
+  unknown,      // an error that says that the call may have run, or a visibly truncated answer
   no_response,  // no status received
 };
 
@@ -74,7 +74,8 @@
   [[nodiscard]] std::uint64_t violations() const;
   // Descriptions of the first few violations.
   [[nodiscard]] const std::vector<std::string>& samples() const { return samples_; }
-  // Calls reported as not run whose id is known, so that the stand-ins can be asked about them.
+  // Number of calls reported as not run whose request id is known, which is needed to look them up
+  // at the stand-ins.
   [[nodiscard]] std::uint64_t not_run_checked() const { return not_run_.size(); }
   [[nodiscard]] std::uint64_t bookings_checked() const { return bookings_.size(); }
 
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -105,7 +105,8 @@
       if (const auto parsed = parse_endpoint(text.value)) {
         result_.nodes.push_back(*parsed);
       } else {
-        problems_.push_back({severity::error, text.at, in_quotes(text.value) + " is no endpoint",
+        problems_.push_back({severity::error, text.at,
+                             in_quotes(text.value) + " is not an endpoint",
                              std::string(endpoint_expected)});
       }
     }
@@ -200,7 +201,8 @@
       table.read_ms("latency_ms", f.latency, presence::optional, any_ms);
       table.read("count", f.count, presence::optional, {1, 1'000'000});
       if (!result_.nodes.empty()) {
-        table.problem("kind", "existing nodes have no stand-ins here to set faults of");
+        table.problem("kind",
+                      "existing nodes have no stand-ins in this process to inject faults into");
       }
       table.finish();
       result_.faults.push_back(f);
@@ -239,7 +241,7 @@
     table.read_choice("check_self", check, checker_test_names);
     v.checker_test = static_cast<checker_test_kind>(check);
     if (v.target != call_target::nodes && !result_.nodes.empty()) {
-      table.problem("target", "existing nodes have no stand-ins here to call directly");
+      table.problem("target", "existing nodes have no stand-ins in this process to call directly");
     }
     table.finish();
     return v;
@@ -248,7 +250,7 @@
   void read_workspace_name(table_reader& table, std::string_view key, std::string& name) {
     table.read_name(key, name, presence::optional);
     if (!name.empty() && !find_workspace(name)) {
-      table.problem(key, "no [[workspace]] is called " + in_quotes(name));
+      table.problem(key, "no [[workspace]] is named " + in_quotes(name));
     }
   }
 
--- a/src/load/experiment.h
+++ b/src/load/experiment.h
@@ -22,7 +22,7 @@
 
 struct load_class {
   class_rule rule;
-  double fraction = 1.0;  // weight among the calls
+  double fraction = 1.0;  // relative weight of the class among the model calls
 };
 
 struct load_workspace {
@@ -81,7 +81,7 @@
   nodes,   // round robin over the nodes that are not stopping
   direct,  // round robin over the first members of the replicas: shows what a node adds
   direct_random,
-  direct_least,  // the first member that reports the lowest load; reports lag
+  direct_least,  // the first member with the lowest load in its last report, which may be outdated
 };
 
 inline constexpr std::string_view target_names[] = {"nodes", "direct", "direct_random",
@@ -102,11 +102,11 @@
   std::string name;
   call_target target = call_target::nodes;
   double rate_factor = 1.0;
-  std::string only_workspace;  // if set, only this workspace calls
+  std::string only_workspace;  // if set, only this workspace makes calls
   std::string without_workspace;
   std::string workspace;  // arrivals of this workspace are multiplied by the factor below
   double workspace_factor = 1.0;
-  std::uint32_t node_workers = 0;  // 0: as given for the fleet
+  std::uint32_t node_workers = 0;  // 0: as in the fleet's settings
   bool with_faults = true;
   checker_test_kind checker_test = checker_test_kind::none;
 };
--- a/src/load/fault_injector.h
+++ b/src/load/fault_injector.h
@@ -28,6 +28,7 @@
   // Undoes all remaining faults and waits for planned stops.
   void finish(duration elapsed);
 
+  // The faults injected and undone so far, with their times.
   [[nodiscard]] const std::vector<fault_mark>& marks() const { return marks_; }
   // Planned stops that interrupted requests.
   [[nodiscard]] std::size_t unclean_stops() const { return unclean_stops_; }
@@ -42,7 +43,7 @@
     std::size_t node{};
     duration exclude_at{};
     bool excluded = false;
-    bool clean = false;  // read after the join
+    bool clean = false;  // no request was interrupted; set by `thread`, read after joining it
     std::thread thread;
   };
 
@@ -56,7 +57,7 @@
                      std::function<void()> run);
 
   fleet& fleet_;
-  std::vector<scheduled_fault> faults_;  // by time; those before next_ were injected
+  std::vector<scheduled_fault> faults_;  // by time; those before index next_ have been injected
   std::size_t next_ = 0;
   std::function<void(std::size_t)> exclude_node_;
   std::vector<undo> undos_;
--- a/src/load/fleet.h
+++ b/src/load/fleet.h
@@ -72,7 +72,7 @@
   struct member {
     vm_id vm;
     replica_id replica;
-    std::size_t node = 0;  // a node of its data centre
+    std::size_t node = 0;  // index of a node in the same data centre
   };
   // The last member of the last serving replica of the data centre; `vm` is empty if none serves.
   [[nodiscard]] member find_member(std::size_t data_centre);
--- a/src/load/report_text.cpp
+++ b/src/load/report_text.cpp
@@ -50,20 +50,20 @@
     out << "  NOT MEASURED: " << problem << '\n';
   }
   if (v.violations() == 0 && v.problems.empty()) {
-    out << "  no promise broken; " << v.not_run_checked << " refused calls and "
-        << v.bookings_checked << " booking keys looked up at the targets\n";
+    out << "  no guarantee violated; " << v.not_run_checked << " refused calls and "
+        << v.bookings_checked << " booking keys checked at the targets\n";
   }
   if (v.expected_violation) {
-    out << (v.passed()
-                ? "  (a safeguard was off: the checker noticed)\n"
-                : "  FAILED: a safeguard was off and the checker did not report just that\n");
+    out << (v.passed() ? "  (a safeguard was disabled; the checker detected it)\n"
+                       : "  FAILED: a safeguard was disabled and the checker did not report "
+                         "exactly that\n");
   }
 }
 
 void print_variant(std::ostream& out, const variant_result& v) {
   out << "\n"
       << v.name << " (" << v.rounds << (v.rounds == 1 ? " round" : " rounds") << ", "
-      << v.measured_seconds << " s; calls began late by p50 " << v.late_start.quantile(0.5)
+      << v.measured_seconds << " s; calls started late by p50 " << v.late_start.quantile(0.5)
       << ", p99 " << v.late_start.quantile(0.99) << " ms)\n";
   for (const fault_mark& mark : v.marks) {
     out << "  " << std::setw(6) << mark.at_seconds << " s  " << mark.text << '\n';
@@ -96,7 +96,7 @@
   for (const variant_result& v : report.variants) {
     print_variant(out, v);
   }
-  out << (report.passed() ? "\nEvery promise held.\n" : "\nThe experiment FAILED.\n");
+  out << (report.passed() ? "\nAll guarantees held.\n" : "\nThe experiment FAILED.\n");
   out.flags(flags);
   out.precision(precision);
 }
--- a/src/load/results.h
+++ b/src/load/results.h
@@ -25,11 +25,12 @@
   duration ended_at{};     // since the start of the run
 };
 
+// Results of the measured calls of one workspace and class.
 struct load_cell {
   latency_histogram first_token;  // of streamed answers
   latency_histogram total;
   latency_histogram per_token;
-  std::array<std::uint64_t, caller_outcome_names.size()> ends{};
+  std::array<std::uint64_t, caller_outcome_names.size()> ends{};  // number of calls by outcome
   std::uint64_t useful{};
 
   void add(const call_timing& timing, caller_outcome end);
@@ -40,12 +41,14 @@
   }
 };
 
+// Number of calls that ended within one second of the run, by outcome.
 struct second_counts {
   std::uint32_t complete{};
   std::uint32_t refused{};  // not run or unreached
   std::uint32_t failed{};   // unknown, wrong or no response
 };
 
+// A fault that was injected or undone, to be shown in the report.
 struct fault_mark {
   double at_seconds{};
   std::string text;
@@ -61,14 +64,14 @@
   double measured_seconds{};
   std::map<cell_name, load_cell> cells;
   latency_histogram late_start;
-  std::map<std::string, std::uint64_t> reasons;  // why calls were not complete, by error code
+  std::map<std::string, std::uint64_t> reasons;  // number of incomplete calls by error code
   std::vector<second_counts> timeline;           // of all rounds, by second of the run
   std::vector<fault_mark> marks;                 // of the last round
   std::array<std::uint64_t, guarantee_names.size()> violation_counts{};
   std::vector<std::string> samples;
   std::uint64_t not_run_checked{};
   std::uint64_t bookings_checked{};
-  // Set if a safeguard was disabled: it has to be violated, and nothing else.
+  // Set if the variant disables a safeguard: this guarantee has to be violated, and no other.
   std::optional<guarantee> expected_violation;
   std::vector<std::string> problems;  // failures of the run itself
 
--- a/src/standin/engine_requests.cpp
+++ b/src/standin/engine_requests.cpp
@@ -151,7 +151,7 @@
   return step;
 }
 
-// The request never had a slot, so that the response may say that it did not run.
+// The request never had a slot, so the response may say that it did not run.
 stream_step engine_standin::expire(open_stream& stream, batch_handle handle) {
   ++counters_.not_run;
   --counters_.accepted;
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -126,7 +126,8 @@
   batch_.reset(desired.batch);
 }
 
-// Running requests are cut: only a drained engine can leave its replica without losing requests.
+// Truncates the running requests: only a drained engine can leave its replica without losing
+// requests.
 void engine_standin::leave_group_by_order(time_point now) {
   const std::uint64_t before = counters_.cut;
   leave_group(now);
--- a/src/standin/engine_standin.h
+++ b/src/standin/engine_standin.h
@@ -53,7 +53,8 @@
   std::uint64_t accepted{};
   std::uint64_t completed{};
   std::uint64_t cancelled{};  // by the caller
-  std::uint64_t cut{};        // by the loss of a member, including cut_by_order
+  std::uint64_t cut{};        // truncated by the loss of a member; includes cut_by_order
+  // Truncated because an order made the engine leave its replica.
   std::uint64_t cut_by_order{};
   std::uint64_t not_run{};
   std::uint64_t orders_done{};
@@ -75,7 +76,7 @@
 enum class stream_state {
   open,
   finished,  // all tokens have been taken
-  cut,       // truncated here
+  cut,       // the answer was truncated and has no further tokens
   expired,   // dropped from the queue, not run
 };
 
@@ -83,7 +84,7 @@
   stream_state state = stream_state::open;
   request_id response_id;  // the id to answer under
   std::vector<standin_token> tokens;
-  std::optional<time_point> next_at;  // when more tokens are due; none: not known
+  std::optional<time_point> next_at;  // when the next tokens are due; none: not known
 };
 
 class engine_standin {
@@ -106,7 +107,8 @@
 
   [[nodiscard]] std::variant<batch_handle, not_run> submit(time_point now,
                                                            const generation_request& request);
-  // The tokens that can be sent now. `complete_only`: none until the answer is complete.
+  // Returns and removes the tokens that can be sent now. `complete_only`: returns none until the
+  // answer is complete.
   [[nodiscard]] stream_step take(time_point now, batch_handle handle, bool complete_only);
   // The caller has read the answer or disconnected; cancels a request that still runs.
   void close(time_point now, batch_handle handle);
--- a/src/standin/fleet.h
+++ b/src/standin/fleet.h
@@ -21,7 +21,8 @@
 namespace arbutus::standin {
 
 struct fleet_settings {
-  // Which stand-ins run in this process; the platform's VM list has all VMs in any case.
+  // Whether the engines and services run in this process; the platform's VM list has all VMs in any
+  // case.
   bool engines = true;
   bool services = true;
   engine_settings engine;              // checks_tokens comes from the inventory
@@ -64,7 +65,8 @@
   void lose_replies(std::uint64_t writes);  // of the table, after the write took effect
   void set_table_faults(const std::function<void(store_faults&)>& change);
   void set_object_faults(const std::function<void(store_faults&)>& change);
-  void cut_off(const data_centre_id& dc, bool cut);  // from the whole platform
+  // `cut`: the data centre cannot reach any service of the platform.
+  void cut_off(const data_centre_id& dc, bool cut);
   [[nodiscard]] table_copy table_snapshot();
   void restore_table(table_copy old);
 
--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -39,7 +39,7 @@
           {"state", std::string(to_string(own->state))}};
 }
 
-// The start stamp that is part of the incarnation's id, as an integer; ids without one add none.
+// Adds the start stamp from the incarnation's id, as an integer, if the id has one.
 void add_start_stamp(json& document, const target_id& incarnation) {
   const std::string& text = incarnation.str();
   if (const auto at = text.find(incarnation_separator); at != std::string::npos) {
@@ -537,15 +537,15 @@
 
   fiber_runtime& runtime;
   hosted_platform_settings settings;
-  mutable std::mutex mutex;  // guards all below; never held across a wait
+  mutable std::mutex mutex;  // guards the data below; never held across a wait
   std::map<std::string, std::map<std::string, stored_row>> tables;
   std::uint64_t version = 0;
   std::uint64_t config_version = 0;
   std::map<std::string, std::unique_ptr<engine_process>> engines;
   std::map<std::string, int> runs;
   std::map<std::string, std::string> engine_of_run;
-  std::map<std::string, int> ends;                          // by path
-  std::map<std::string, std::vector<time_point>> arrivals;  // by target
+  std::map<std::string, int> ends;                          // crashes by path of the request
+  std::map<std::string, std::vector<time_point>> arrivals;  // of requests, by target
   std::string send_limit;
   std::vector<process_crash> process_crashes;
   int leaked = 0;
--- a/src/standin/hosted_platform.h
+++ b/src/standin/hosted_platform.h
@@ -21,10 +21,10 @@
 
 struct hosted_platform_settings {
   std::vector<std::string> data_centres = {"lab-a"};
-  std::size_t engines_each = 9;  // for each data centre, in one fabric domain
+  std::size_t engines_each = 9;  // those of one data centre form one fabric domain
   std::string ip = "127.0.0.1";
   std::uint16_t store_port = 0;  // 0: any
-  int events = 10;               // in each streamed answer
+  int events = 10;               // number of events in each streamed answer
   duration event_gap = 20ms;
   duration crash_delay = 15ms;     // from the start of a poison request to the crash
   duration restart_delay = 600ms;  // from a crash to the restart
@@ -84,7 +84,7 @@
   [[nodiscard]] std::map<std::string, int> runs() const;
   // How often each poison path has crashed an engine or the plain service.
   [[nodiscard]] std::map<std::string, int> ends() const;
-  // Number of requests whose headers carried a caller's key, or no workspace.
+  // Number of requests whose headers contained a caller's key or lacked the workspace.
   [[nodiscard]] int leaked() const;
 
  private:
--- a/src/standin/service_server.h
+++ b/src/standin/service_server.h
@@ -36,7 +36,7 @@
   void call(const http_request& request, response_writer& writer);
 
   shared_service& shared_;
-  restartable_server server_;  // last: its handlers use the other
+  restartable_server server_;  // last: its handlers use the members above
 };
 
 }  // namespace arbutus::standin
--- a/src/standin/standin_answer.h
+++ b/src/standin/standin_answer.h
@@ -19,7 +19,7 @@
   std::uint32_t max_tokens = 16;
   std::uint32_t resume_offset{};   // number of tokens the caller already has
   std::uint32_t priority{};        // 0 first
-  std::optional<duration> expiry;  // from arrival; dropped if still queued then
+  std::optional<duration> expiry;  // time from arrival after which a queued request is dropped
   replica_id replica;              // the replica the caller expects here; empty: not specified
   std::string gen;                 // its expected generation, as text; empty: not specified
 };
--- a/src/standin/store_fault_model.h
+++ b/src/standin/store_fault_model.h
@@ -14,7 +14,7 @@
 
 struct store_faults {
   bool down = false;
-  time_point down_until;             // also down before that time
+  time_point down_until;             // the store is also down before this time
   duration latency{};                // of every response
   double writes_per_second = 0;      // 0: no limit
   double reads_per_second = 0;       // 0: no limit
--- a/src/standin/weight_standin.h
+++ b/src/standin/weight_standin.h
@@ -10,7 +10,7 @@
 
 class weight_standin {
  public:
-  // 0: no limit.
+  // `bytes_per_second` is shared by all loads; 0: no limit.
   explicit weight_standin(double bytes_per_second = 0) : bytes_per_second_(bytes_per_second) {}
 
   void set_rate(double bytes_per_second) { bytes_per_second_ = bytes_per_second; }
--- a/tests/process/repair_test.py
+++ b/tests/process/repair_test.py
@@ -125,7 +125,8 @@
         self.repair_without_the_table(position=1)
 
     def test_head_lost_without_the_table(self):
-        # The same for the member that answers requests: its streams break and continue elsewhere.
+        # The same for the member that answers requests: its streams break and continue on another
+        # replica.
         self.repair_without_the_table(position=0)
 
     def test_second_node_killed_without_the_table(self):
--- a/tests/process/soak.py
+++ b/tests/process/soak.py
@@ -16,7 +16,7 @@
   private   no caller's key reaches a target
   alive     no node ends on its own; a stopped node ends with status 0 within its grace period
   back      every node serves soon after the last fault
-  contained a poison request, which has ended three targets, reaches targets at most three more
+  contained a poison request that has crashed three targets reaches targets at most three more
             times once the faults are over
   accused   no other request is refused as a poison request
   limited   once the faults are over, all nodes together send a target with a rate limit at most one
@@ -186,7 +186,7 @@
         self.calls = []  # (id, path, sent_at, ended_at, status or None, body, headers)
         self.lock = threading.Lock()
         self.ending = threading.Event()
-        self.key_rejected_from, self.key_rejected_until = None, None  # when the key must not work
+        self.key_rejected_from, self.key_rejected_until = None, None  # while the key must be rejected
         self.began = time.monotonic()
         self.visits = 0
         ports = free_ports(2 + 4 * len(DATA_CENTRES))
@@ -392,7 +392,7 @@
         self.command("POST", "/limit?value=")
 
     def visit(self, path):
-        """Sends a request that ends its targets to some node; returns its id."""
+        """Sends a request that crashes its targets to some node; returns its id."""
         with self.lock:
             self.visits += 1
             request_id = f"v-{self.visits}"
--- a/tests/process/soak_test.py
+++ b/tests/process/soak_test.py
@@ -10,8 +10,8 @@
 # Seeds that once failed, with the fault that they found; they must not change.
 REGRESSIONS = (
     9, 10, 12, 16,  # a restarted node accepted updates for its previous incarnation
-    20,             # a stopping node waited for ever for a worker that had ended
-    407,            # ends of an instance that restarted within a second were counted as one
+    20,             # a stopping node waited indefinitely for a worker that had ended
+    407,            # crashes of an instance that restarted within a second were counted as one
     300, 315, 344,  # streams stalled behind a restarted member, also while a node stopped
 )
 FIXED = (1, 601)
--- a/tests/process/stop_test.py
+++ b/tests/process/stop_test.py
@@ -134,7 +134,7 @@
     def test_all_nodes_stop_at_once(self):
         # Guards against a process that logs its stop but never ends: all nodes, each with several
         # workers, are stopped together, the workers end before the links that run on them, and the
-        # links wait for them for ever.
+        # links wait for them indefinitely.
         for node in self.fleet.nodes:
             node.send(signal.SIGTERM)
         for node in self.fleet.nodes:
