--- a/src/cli/explain.cpp
+++ b/src/cli/explain.cpp
@@ -22,7 +22,7 @@
     unreadable += reader.read(file, options.request);
   }
   if (unreadable > 0) {
-    std::cerr << "explain: skipped " << unreadable << " lines that are not log lines of a node\n";
+    std::cerr << "explain: skipped " << unreadable << " lines that are no log lines of a node\n";
   }
   const auto timeline = reader.timeline_of(options.request);
   if (!timeline) {
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -87,7 +87,7 @@
   log_line(log_level::info, "node", "stopping: readiness fails, requests in flight finish");
   const bool clean = running.stop();
   log_line(clean ? log_level::info : log_level::error, "node",
-           clean ? "stopped, no request was interrupted" : "stopped, requests were interrupted");
+           clean ? "stopped, nothing was cut off" : "stopped, requests were cut off");
   return to_status(clean ? exit_code::ok : exit_code::failure);
 }
 
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -31,7 +31,7 @@
   const auto parsed = parse_endpoint(text);
   if (!parsed) {
     throw usage_error("--" + std::string(option) + ": " + in_quotes(text) +
-                      " is not an endpoint; " + std::string(endpoint_expected));
+                      " is no valid endpoint; " + std::string(endpoint_expected));
   }
   return *parsed;
 }
@@ -185,8 +185,8 @@
       "base", count_value(0)->value_name("N"),
       "version the change was made on; 0: the one in force")(
       "proposal", text()->value_name("ID"), "id of an earlier attempt whose outcome is unknown")(
-      "dry-run", po::bool_switch(), "show what would change without changing anything")(
-      "timeout", number(30, "30")->value_name("SECONDS"), "time limit of the command");
+      "dry-run", po::bool_switch(), "show what would change, change nothing")(
+      "timeout", number(30, "30")->value_name("SECONDS"), "give up after this time");
 }
 
 command make_apply(const po::variables_map& values) {
@@ -216,10 +216,10 @@
 
 void add_bench(po::options_description& add) {
   add.add_options()("filter", text()->value_name("TEXT"),
-                    "run only parts whose names contain this text")(
+                    "run only parts with this text in the name")(
       "full", po::bool_switch(), "print all figures and the long tables")(
       "seconds", number(1, "1")->value_name("SECONDS"),
-      "duration of each connection measurement, with --full")(
+      "duration of each measurement of connections, with --full")(
       "seed", count_value(1)->value_name("N"), "seed of the random numbers");
 }
 
@@ -230,8 +230,8 @@
 
 void add_load(po::options_description& add) {
   add.add_options()("experiment", text()->required()->value_name("FILE"),
-                    "experiment to run (TOML)")("out", text()->value_name("DIR"),
-                                                "directory for the results: text, JSON and HTML")(
+                    "what to run: an experiment (TOML)")(
+      "out", text()->value_name("DIR"), "write the results there: text, JSON and HTML")(
       "variant", po::value<strings>()->value_name("NAME"), "run only these variants")(
       "seed", count_value(0)->value_name("N"),
       "seed of the random numbers; 0: the seed in the file")("json", po::bool_switch(),
--- a/src/cli/outcomes.cpp
+++ b/src/cli/outcomes.cpp
@@ -22,7 +22,7 @@
     unreadable += outcomes.read(file);
   }
   if (unreadable > 0) {
-    std::cerr << "outcomes: skipped " << unreadable << " lines that are not log lines of a node\n";
+    std::cerr << "outcomes: skipped " << unreadable << " lines that are no log lines of a node\n";
   }
   if (outcomes.empty()) {
     std::cerr << "outcomes: no log line of a node was found\n";
--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -145,7 +145,7 @@
   const bool repaired = s.wait("repaired and serving again",
                                [&] { return f.serves_without(lost.node, lost.replica, lost.vm); });
   if (!repaired) {
-    s.print("status of the node: " + status_json(f.nodes()[lost.node]->status(), monotonic_now()));
+    s.print("what the node knows: " + status_json(f.nodes()[lost.node]->status(), monotonic_now()));
   }
 }
 
@@ -154,7 +154,7 @@
   s.print("stopping a node gracefully under load");
   load.exclude_node(index);
   const bool clean = f.nodes()[index]->stop();
-  s.check("the stopped node interrupted no request", clean);
+  s.check("the stopped node cut off no request", clean);
 }
 
 void run_steps(fleet& f, trial_load& load, trial_reporter& s) {
@@ -178,7 +178,7 @@
   s.print("the platform's table is down");
   kill_member(f, s, 1, ", with the table down");
   f.standins().table_outage(false);
-  s.print("the table is available again");
+  s.print("the table is back");
   stop_one_node(f, load, s);
   load.stop();
 }
--- a/src/connection/bench_connections.cpp
+++ b/src/connection/bench_connections.cpp
@@ -251,7 +251,7 @@
       << "/s, processor " << figures.streams.processor_per_thousand_chunks.count()
       << " us per thousand\n";
   out << "frames, 1 link: " << static_cast<std::uint64_t>(figures.frames.per_second) << "/s, "
-      << figures.frames.dropped << " dropped from the queue\n";
+      << figures.frames.dropped << " dropped before they were sent\n";
   out << "memory, " << figures.memory.connections
       << " connections, both ends: " << figures.memory.busy_bytes_each << " bytes each while busy, "
       << figures.memory.idle_bytes_each << " while idle\n";
--- a/src/connection/http_client.cpp
+++ b/src/connection/http_client.cpp
@@ -265,7 +265,7 @@
     case call_failure::malformed:
       return "malformed";
     case call_failure::not_permitted:
-      return "no longer permitted";
+      return "not permitted any more";
     case call_failure::too_large:
       return "too large";
   }
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -106,7 +106,7 @@
         result_.nodes.push_back(*parsed);
       } else {
         problems_.push_back({severity::error, text.at,
-                             in_quotes(text.value) + " is not an endpoint",
+                             in_quotes(text.value) + " is no valid endpoint",
                              std::string(endpoint_expected)});
       }
     }
@@ -250,7 +250,7 @@
   void read_workspace_name(table_reader& table, std::string_view key, std::string& name) {
     table.read_name(key, name, presence::optional);
     if (!name.empty() && !find_workspace(name)) {
-      table.problem(key, "no [[workspace]] is named " + in_quotes(name));
+      table.problem(key, "no [[workspace]] is called " + in_quotes(name));
     }
   }
 
--- a/src/load/report_text.cpp
+++ b/src/load/report_text.cpp
@@ -50,7 +50,7 @@
     out << "  NOT MEASURED: " << problem << '\n';
   }
   if (v.violations() == 0 && v.problems.empty()) {
-    out << "  no guarantee violated; " << v.not_run_checked << " refused calls and "
+    out << "  no guarantee broken; " << v.not_run_checked << " refused calls and "
         << v.bookings_checked << " booking keys checked at the targets\n";
   }
   if (v.expected_violation) {
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -170,7 +170,7 @@
     send_fault_result(writer, result);
     return;
   }
-  send_error(writer, 404, "invalid", "no VM or service of that name");
+  send_error(writer, 404, "invalid", "nothing of that name");
 }
 
 void standin_fleet::state::vm_faults(const vm_id& vm, const http_request& request,
