--- a/src/cli/apply.cpp
+++ b/src/cli/apply.cpp
@@ -169,7 +169,7 @@
     std::ostringstream text;
     const json current = body.value("current", json{});
     text << "another configuration was accepted meanwhile: version "
-         << number_in(current, "version") << ". Your change was not applied.";
+         << number_in(current, "version") << ". None of your changes was applied.";
     for (const json& line : body.value("changed", json::array())) {
       text << "\n  " << line.get<std::string>();
     }
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -103,7 +103,7 @@
       "engines", count_value(9)->value_name("N"), "number of engines in each data centre")(
       "store-port", count_value(0)->value_name("PORT"), "port of the store; 0: any free port")(
       "control-port", count_value(0)->value_name("PORT"),
-      "port for commands that inject faults, for tests; 0: none");
+      "port of the interface for commands that inject faults, for tests; 0: none");
 }
 
 command make_platform(const po::variables_map& values) {
--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -136,7 +136,7 @@
 void kill_member(fleet& f, trial_reporter& s, std::size_t centre, const std::string& suffix) {
   const fleet::member lost = f.find_member(centre);
   if (lost.vm.empty()) {
-    s.fail("no serving replica whose member could be killed");
+    s.fail("no serving replica to take a member from");
     return;
   }
   s.print("killing " + lost.vm.str() + ", a member of " + lost.replica.str() + suffix);
@@ -211,7 +211,7 @@
             << counts.no_response << ", wrong " << counts.wrong << "\n\n";
   s.check("no answer was swapped, truncated or duplicated", counts.wrong == 0);
   s.check("every request got an answer", counts.no_response == 0);
-  std::cout << (s.failed() ? "\nThe trial FAILED.\n" : "\nAll guarantees held.\n");
+  std::cout << (s.failed() ? "\nThe trial FAILED.\n" : "\nEvery promise held.\n");
   if (options.keep_up && !s.failed()) {
     keep_fleet_running(f);
   } else if (!s.failed()) {
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -201,8 +201,7 @@
       table.read_ms("latency_ms", f.latency, presence::optional, any_ms);
       table.read("count", f.count, presence::optional, {1, 1'000'000});
       if (!result_.nodes.empty()) {
-        table.problem("kind",
-                      "existing nodes have no stand-ins in this process to inject faults into");
+        table.problem("kind", "existing nodes have no stand-ins here to set faults of");
       }
       table.finish();
       result_.faults.push_back(f);
@@ -241,7 +240,7 @@
     table.read_choice("check_self", check, checker_test_names);
     v.checker_test = static_cast<checker_test_kind>(check);
     if (v.target != call_target::nodes && !result_.nodes.empty()) {
-      table.problem("target", "existing nodes have no stand-ins in this process to call directly");
+      table.problem("target", "existing nodes have no stand-ins here to call directly");
     }
     table.finish();
     return v;
--- a/src/load/report_html.cpp
+++ b/src/load/report_html.cpp
@@ -102,7 +102,7 @@
 void section(std::ostream& out, const variant_result& v) {
   out << "<h2>" << html_escape(v.name) << "</h2>\n<p"
       << (v.passed() ? ">passed" : " class=\"bad\">FAILED") << ", " << v.violations()
-      << " broken guarantees" << (v.expected_violation ? " (a safeguard was disabled)" : "")
+      << " broken promises" << (v.expected_violation ? " (a safeguard was disabled)" : "")
       << "</p>\n";
   for (const std::string& sample : v.samples) {
     out << "<p class=\"bad\">" << html_escape(sample) << "</p>\n";
--- a/src/load/report_text.cpp
+++ b/src/load/report_text.cpp
@@ -50,7 +50,7 @@
     out << "  NOT MEASURED: " << problem << '\n';
   }
   if (v.violations() == 0 && v.problems.empty()) {
-    out << "  no guarantee broken; " << v.not_run_checked << " refused calls and "
+    out << "  no promise broken; " << v.not_run_checked << " refused calls and "
         << v.bookings_checked << " booking keys checked at the targets\n";
   }
   if (v.expected_violation) {
@@ -96,7 +96,7 @@
   for (const variant_result& v : report.variants) {
     print_variant(out, v);
   }
-  out << (report.passed() ? "\nAll guarantees held.\n" : "\nThe experiment FAILED.\n");
+  out << (report.passed() ? "\nEvery promise held.\n" : "\nThe experiment FAILED.\n");
   out.flags(flags);
   out.precision(precision);
 }
