--- a/tests/process/soak.py
+++ b/tests/process/soak.py
@@ -186,7 +186,7 @@
         self.calls = []  # (id, path, sent_at, ended_at, status or None, body, headers)
         self.lock = threading.Lock()
         self.ending = threading.Event()
-        self.key_rejected_from, self.key_rejected_until = None, None  # while the key must be rejected
+        self.key_rejected_from, self.key_rejected_until = None, None  # the key must fail then
         self.began = time.monotonic()
         self.visits = 0
         ports = free_ports(2 + 4 * len(DATA_CENTRES))
