--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -544,7 +544,7 @@
   std::map<std::string, std::unique_ptr<engine_process>> engines;
   std::map<std::string, int> runs;
   std::map<std::string, std::string> engine_of_run;
-  std::map<std::string, int> ends;                          // crashes by path of the request
+  std::map<std::string, int> ends;                          // by path of the request
   std::map<std::string, std::vector<time_point>> arrivals;  // of requests, by target
   std::string send_limit;
   std::vector<process_crash> process_crashes;
