--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -107,7 +107,7 @@
   return shape;
 }
 
-// Sends the same job card three times at once, through two nodes.
+// Sends the same job card three times simultaneously, through two nodes.
 void send_job_card(fleet& f, trial_reporter& s) {
   const std::string key = "card-4711";
   std::atomic<int> answered{0};
@@ -184,7 +184,7 @@
 }
 
 void keep_fleet_running(fleet& f) {
-  std::cout << "The fleet stays up. In another terminal:\n\n  curl -N http://127.0.0.1:"
+  std::cout << "The fleet keeps running. In another terminal:\n\n  curl -N http://127.0.0.1:"
             << f.caller_address(0).port
             << "/v1/completions -H 'Authorization: Bearer key-dispatch' \\\n    -d "
                "'{\"model\":\"dispatch-llm\",\"prompt\":\"Flooded cellar\",\"max_tokens\":20,"
@@ -215,7 +215,8 @@
   if (options.keep_up && !s.failed()) {
     keep_fleet_running(f);
   } else if (!s.failed()) {
-    std::cout << "Keep it up for calls of your own: build/release/arbutusworks trial --keep-up\n";
+    std::cout << "To keep the fleet running for your own calls: build/release/arbutusworks trial "
+                 "--keep-up\n";
   }
   return s.failed() ? 1 : 0;
 }
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -105,7 +105,8 @@
       if (const auto parsed = parse_endpoint(text.value)) {
         result_.nodes.push_back(*parsed);
       } else {
-        problems_.push_back({severity::error, text.at, in_quotes(text.value) + " is no endpoint",
+        problems_.push_back({severity::error, text.at,
+                             in_quotes(text.value) + " is no valid endpoint",
                              std::string(endpoint_expected)});
       }
     }
