--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -44,9 +44,9 @@
 // A stand-in for such a platform, with some engines and a plain service, on loopback.
 struct platform_options {
   std::vector<std::string> data_centres;
-  std::uint32_t engines_each = 9;  // engines in each data centre
-  std::uint16_t store_port = 0;    // 0: any
-  std::uint16_t control_port = 0;  // for commands that inject faults; 0: none
+  std::uint32_t engines_per_data_centre = 9;  // engines in each data centre
+  std::uint16_t store_port = 0;               // 0: any
+  std::uint16_t control_port = 0;             // for commands that inject faults; 0: none
 };
 
 // Shows the timeline of one request, from the log lines of all nodes.
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -17,7 +17,7 @@
   runtime.run();
   standin::hosted_platform_settings settings;
   settings.data_centres = options.data_centres;
-  settings.engines_each = options.engines_each;
+  settings.engines_per_data_centre = options.engines_per_data_centre;
   settings.store_port = options.store_port;
   try {
     standin::hosted_platform platform(runtime, settings);
--- a/src/cli/trial_callers.cpp
+++ b/src/cli/trial_callers.cpp
@@ -75,7 +75,7 @@
   std::uint64_t serial = index * 1'000'000;
   while (!stopping_) {
     std::size_t target = (index + serial) % fleet_.nodes().size();
-    if (target == excluded_nodes_) {
+    if (target == excluded_node_) {
       target = (target + 1) % fleet_.nodes().size();
     }
     call_once(target, workspace, serial, serial % 2 == 0);
--- a/src/cli/trial_callers.h
+++ b/src/cli/trial_callers.h
@@ -43,7 +43,7 @@
   [[nodiscard]] trial_counts sum() const;
 
   // Sends no more requests to this node, as a load balancer would for a node that stops.
-  void exclude_node(std::size_t node) { excluded_nodes_ = node; }
+  void exclude_node(std::size_t node) { excluded_node_ = node; }
 
  private:
   void caller(std::size_t workspace, std::size_t index);
@@ -53,7 +53,7 @@
   fleet& fleet_;
   std::atomic<bool> stopping_{false};
   std::atomic<std::size_t> running_{0};
-  std::atomic<std::size_t> excluded_nodes_{static_cast<std::size_t>(-1)};
+  std::atomic<std::size_t> excluded_node_{static_cast<std::size_t>(-1)};
   mutable std::mutex lock_;  // guards results_
   std::map<std::string, workspace_result> results_;
 };
--- a/src/connection/http_exchange.cpp
+++ b/src/connection/http_exchange.cpp
@@ -202,7 +202,7 @@
 
 void http_exchange::handle(const http_request& request) {
   core_.request_started();
-  caller_gone_ = false;
+  caller_disconnected_ = false;
   response_writer writer(*this);
   try {
     core_.handler()(request, writer);
@@ -216,7 +216,7 @@
   }
   // An unfinished stream must not look complete: the connection is closed without the last chunk,
   // which the caller detects. A pipelined request is not run for a caller that has left.
-  keep_alive_ = keep_alive_ && phase_ == phase::complete && !caller_gone_;
+  keep_alive_ = keep_alive_ && phase_ == phase::complete && !caller_disconnected_;
   core_.request_finished();
 }
 
@@ -234,7 +234,7 @@
 
 template <class Write>
 bool http_exchange::put(phase after, Write&& write) {
-  if (caller_gone_ && stream_.aborted()) {
+  if (caller_disconnected_ && stream_.aborted()) {
     phase_ = phase::failed;
   }
   if (phase_ == phase::failed) {
@@ -310,20 +310,20 @@
   });
 }
 
-bool http_exchange::caller_gone() {
-  if (!caller_gone_) {
-    caller_gone_ = stream_.aborted() || stream_.peek() == peek_state::closed;
+bool http_exchange::caller_disconnected() {
+  if (!caller_disconnected_) {
+    caller_disconnected_ = stream_.aborted() || stream_.peek() == peek_state::closed;
   }
-  return caller_gone_;
+  return caller_disconnected_;
 }
 
-void http_exchange::on_caller_gone(std::function<void()> callback) {
-  caller_gone_handler_ = std::move(callback);
-  if (!caller_gone_handler_) {
+void http_exchange::on_caller_disconnect(std::function<void()> callback) {
+  disconnect_handler_ = std::move(callback);
+  if (!disconnect_handler_) {
     return;
   }
-  if (caller_gone()) {
-    std::exchange(caller_gone_handler_, nullptr)();
+  if (caller_disconnected()) {
+    std::exchange(disconnect_handler_, nullptr)();
     return;
   }
   watch();
@@ -346,7 +346,7 @@
 // A caller may send its next request early and then close. The close can only be detected after
 // those bytes, so they are read, up to the size limit for a header.
 void http_exchange::check_for_end() {
-  if (!caller_gone_handler_) {
+  if (!disconnect_handler_) {
     return;
   }
   constexpr std::size_t step = 4096;
@@ -354,15 +354,15 @@
   const auto count = stream_.socket().read_some(input_.prepare(step), error);
   input_.commit(count);
   if (error && error != asio::error::would_block) {
-    caller_gone_ = true;
-    std::exchange(caller_gone_handler_, nullptr)();
+    caller_disconnected_ = true;
+    std::exchange(disconnect_handler_, nullptr)();
   } else if (input_.size() < core_.limits().header_bytes) {
     watch();
   }
 }
 
 void http_exchange::stop_watching() {
-  caller_gone_handler_ = nullptr;
+  disconnect_handler_ = nullptr;
   if (watching_) {
     stream_.interrupt();
   }
@@ -378,9 +378,9 @@
 
 void http_exchange::close_now() {
   stream_.abort();
-  caller_gone_ = true;
-  if (caller_gone_handler_) {
-    std::exchange(caller_gone_handler_, nullptr)();
+  caller_disconnected_ = true;
+  if (disconnect_handler_) {
+    std::exchange(disconnect_handler_, nullptr)();
   }
 }
 
--- a/src/connection/http_exchange.h
+++ b/src/connection/http_exchange.h
@@ -82,8 +82,8 @@
   bool write(std::string_view chunk);
   bool finish();
   [[nodiscard]] bool started() const { return phase_ != phase::waiting; }
-  [[nodiscard]] bool caller_gone();
-  void on_caller_gone(std::function<void()> callback);
+  [[nodiscard]] bool caller_disconnected();
+  void on_caller_disconnect(std::function<void()> callback);
 
  private:
   // State of the response.
@@ -117,8 +117,8 @@
   unsigned version_{11};
   phase phase_{phase::waiting};
 
-  std::function<void()> caller_gone_handler_;
-  bool caller_gone_{false};
+  std::function<void()> disconnect_handler_;
+  bool caller_disconnected_{false};
   bool watching_{false};  // a wait for the caller to close is pending; its handler refers to this
   boost::fibers::condition_variable_any watch_ended_;
 };
--- a/src/connection/http_server.cpp
+++ b/src/connection/http_server.cpp
@@ -15,10 +15,11 @@
         core(r.workers(), limits, std::move(handler), std::move(error_body)),
         acceptor(
             r, address, 0, [this] { return core.registry().least_loaded(); },
-            [this](fiber_worker& worker, tcp::socket socket) { take(worker, std::move(socket)); }) {
-  }
+            [this](fiber_worker& worker, tcp::socket socket) {
+              accept_connection(worker, std::move(socket));
+            }) {}
 
-  void take(fiber_worker& worker, tcp::socket socket) {
+  void accept_connection(fiber_worker& worker, tcp::socket socket) {
     core.registry().opened(worker.index);
     spawn_on(worker, [this, socket = std::move(socket)]() mutable {
       serve_connection(core, std::move(socket));
@@ -116,12 +117,12 @@
   return exchange_.started();
 }
 
-bool response_writer::caller_gone() {
-  return exchange_.caller_gone();
+bool response_writer::caller_disconnected() {
+  return exchange_.caller_disconnected();
 }
 
-void response_writer::on_caller_gone(std::function<void()> callback) {
-  exchange_.on_caller_gone(std::move(callback));
+void response_writer::on_caller_disconnect(std::function<void()> callback) {
+  exchange_.on_caller_disconnect(std::move(callback));
 }
 
 std::string default_error_body(int status, std::string_view reason) {
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -35,13 +35,13 @@
 
   // Whether the caller has closed its end. Checks the socket without suspending. A caller that
   // closes only its sending side counts as disconnected, but can still be written to.
-  [[nodiscard]] bool caller_gone();
+  [[nodiscard]] bool caller_disconnected();
 
   // Calls `callback` as soon as the caller closes its end, even while this fiber waits for
   // something else. `callback` runs on this worker between fibers and must not suspend; it is meant
   // to cancel upstream calls. It is removed when the request handler returns, or earlier by passing
   // an empty function.
-  void on_caller_gone(std::function<void()> callback);
+  void on_caller_disconnect(std::function<void()> callback);
 
  private:
   http_exchange& exchange_;
@@ -70,7 +70,7 @@
               const http_server_limits& limits, http_handler handler,
               http_error_body error_body = default_error_body);
   // Closes every connection and waits for its handler to return. Handlers that wait for upstream
-  // calls are notified through on_caller_gone().
+  // calls are notified through on_caller_disconnect().
   ~http_server();
   http_server(const http_server&) = delete;
   http_server& operator=(const http_server&) = delete;
--- a/src/connection/link_server.cpp
+++ b/src/connection/link_server.cpp
@@ -22,10 +22,11 @@
         registry(r.workers()),
         acceptor(
             r, address, link_kernel_buffer, [this] { return registry.least_loaded(); },
-            [this](fiber_worker& worker, tcp::socket socket) { take(worker, std::move(socket)); }) {
-  }
+            [this](fiber_worker& worker, tcp::socket socket) {
+              accept_connection(worker, std::move(socket));
+            }) {}
 
-  void take(fiber_worker& worker, tcp::socket socket) {
+  void accept_connection(fiber_worker& worker, tcp::socket socket) {
     registry.opened(worker.index);
     spawn_on(worker, [this, socket = std::move(socket)]() mutable {
       {
--- a/src/connection/listener.cpp
+++ b/src/connection/listener.cpp
@@ -24,7 +24,7 @@
                    worker_selector choose_worker, connection_handler on_connection)
     : runtime_(runtime),
       choose_worker_(std::move(choose_worker)),
-      take_(std::move(on_connection)),
+      on_connection_(std::move(on_connection)),
       acceptor_(runtime.worker(0).io) {
   const tcp::endpoint local(asio::ip::make_address(address.ip), address.port);
   acceptor_.open(local.protocol());
@@ -53,7 +53,7 @@
     auto [error] = await_result<error_code>(
         [&](auto handler) { acceptor_.async_accept(socket, std::move(handler)); });
     if (!error) {
-      take_(worker, std::move(socket));
+      on_connection_(worker, std::move(socket));
     } else if (acceptor_.is_open()) {
       sleep_until(monotonic_now() + pause_after_failed_accept);
     }
--- a/src/connection/listener.h
+++ b/src/connection/listener.h
@@ -39,7 +39,7 @@
 
   fiber_runtime& runtime_;
   worker_selector choose_worker_;
-  connection_handler take_;
+  connection_handler on_connection_;
   boost::asio::ip::tcp::acceptor acceptor_;  // used on worker 0
   std::uint16_t port_{};
   bool accepting_{true};  // until accept_all() has ended; accessed on worker 0
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -101,7 +101,7 @@
   }
 
   void read_existing_nodes(table_reader& table) {
-    for (const located_value<std::string>& text : table.texts("existing_nodes")) {
+    for (const located_value<std::string>& text : table.read_strings("existing_nodes")) {
       if (const auto parsed = parse_endpoint(text.value)) {
         result_.nodes.push_back(*parsed);
       } else {
--- a/src/load/experiment.h
+++ b/src/load/experiment.h
@@ -56,7 +56,7 @@
   table_slow,    // each call of the table takes `latency`
   lose_replies,  // the replies of the next `count` writes to the table are lost
   cut_off,       // a data centre is cut off from the platform
-  crossed,       // the next `count` pairs of answers of each replica are swapped
+  swapped,       // the next `count` pairs of answers of each replica are swapped
   late,          // the next `count` answers of each replica are delayed by `latency`
   truncated,     // the next `count` answers of each replica are truncated
   service_cut,   // the next `count` calls of the service run, but their answers are lost
@@ -81,7 +81,8 @@
   nodes,   // round robin over the nodes that are not stopping
   direct,  // round robin over the first members of the replicas: shows what a node adds
   direct_random,
-  direct_least,  // the first member with the lowest load in its last report, which may be outdated
+  direct_min_load,  // the first member with the lowest load in its last report, which may be
+                    // outdated
 };
 
 inline constexpr std::string_view target_names[] = {"nodes", "direct", "direct_random",
@@ -90,7 +91,7 @@
 // Tests of the checker itself: a safeguard is disabled, and the checker has to detect it.
 enum class checker_test_kind {
   none,
-  crossed,     // stand-ins called directly swap answers
+  swapped,     // stand-ins called directly swap answers
   duplicated,  // stand-ins called directly send a token twice
   repeated,    // bookings are sent to the service directly
 };
--- a/src/load/fault_injector.cpp
+++ b/src/load/fault_injector.cpp
@@ -20,7 +20,7 @@
   }
 }
 
-void fault_injector::play(duration elapsed) {
+void fault_injector::apply_due(duration elapsed) {
   while (next_ < faults_.size() && faults_[next_].at <= elapsed) {
     begin(faults_[next_], elapsed);
     ++next_;
@@ -33,7 +33,7 @@
     const undo due = std::move(undos_[i]);
     undos_.erase(undos_.begin() + static_cast<std::ptrdiff_t>(i));
     due.run();
-    mark(elapsed, due.text);
+    record_event(elapsed, due.text);
   }
   for (const auto& stop : stops_) {
     if (!stop->excluded && stop->exclude_at <= elapsed) {
@@ -46,7 +46,7 @@
 void fault_injector::finish(duration elapsed) {
   for (const undo& last : undos_) {
     last.run();
-    mark(elapsed, last.text);
+    record_event(elapsed, last.text);
   }
   undos_.clear();
   for (const auto& stop : stops_) {
@@ -57,8 +57,8 @@
   }
 }
 
-void fault_injector::mark(duration elapsed, std::string text) {
-  marks_.push_back({to_seconds(elapsed), std::move(text)});
+void fault_injector::record_event(duration elapsed, std::string text) {
+  events_.push_back({to_seconds(elapsed), std::move(text)});
 }
 
 void fault_injector::schedule_undo(const scheduled_fault& fault, duration elapsed, std::string text,
@@ -81,7 +81,7 @@
     case fault_kind::cut_off:
       begin_on_table(fault, elapsed);
       return;
-    case fault_kind::crossed:
+    case fault_kind::swapped:
     case fault_kind::late:
     case fault_kind::truncated:
     case fault_kind::service_cut:
@@ -96,23 +96,23 @@
 void fault_injector::begin_on_member(const scheduled_fault& fault, duration elapsed) {
   const vm_id vm = fleet_.find_member(fault.data_centre).vm;
   if (vm.empty()) {
-    mark(elapsed, "no serving replica to inject the fault into");
+    record_event(elapsed, "no serving replica to inject the fault into");
     return;
   }
   standin_fleet& standins = fleet_.standins();
   if (fault.kind == fault_kind::kill_member) {
     standins.kill_vm(vm);
-    mark(elapsed, "killed " + vm.str());
+    record_event(elapsed, "killed " + vm.str());
     schedule_undo(fault, elapsed, "restarted " + vm.str(),
                   [&standins, vm] { standins.restart_vm(vm); });
   } else if (fault.kind == fault_kind::straggler) {
     standins.set_straggler(vm, fault.speed);
-    mark(elapsed, "straggler " + vm.str());
+    record_event(elapsed, "straggler " + vm.str());
     schedule_undo(fault, elapsed, "normal again " + vm.str(),
                   [&standins, vm] { standins.set_straggler(vm, 1.0); });
   } else {
     standins.set_leaving(vm, true);
-    mark(elapsed, "leaving " + vm.str());
+    record_event(elapsed, "leaving " + vm.str());
     schedule_undo(fault, elapsed, "staying " + vm.str(),
                   [&standins, vm] { standins.set_leaving(vm, false); });
   }
@@ -122,22 +122,22 @@
   standin_fleet& standins = fleet_.standins();
   if (fault.kind == fault_kind::table_down) {
     standins.table_outage(true);
-    mark(elapsed, "table down");
+    record_event(elapsed, "table down");
     schedule_undo(fault, elapsed, "table up", [&standins] { standins.table_outage(false); });
   } else if (fault.kind == fault_kind::table_slow) {
     const auto set = [&standins](duration latency) {
       standins.set_table_faults([latency](standin::store_faults& f) { f.latency = latency; });
     };
     set(fault.latency);
-    mark(elapsed, "table slow");
+    record_event(elapsed, "table slow");
     schedule_undo(fault, elapsed, "table at normal speed", [set] { set(duration{}); });
   } else if (fault.kind == fault_kind::lose_replies) {
     standins.lose_replies(fault.count);
-    mark(elapsed, "table loses " + std::to_string(fault.count) + " replies");
+    record_event(elapsed, "table loses " + std::to_string(fault.count) + " replies");
   } else {
     const data_centre_id centre = fleet_.data_centre(fault.data_centre);
     standins.cut_off(centre, true);
-    mark(elapsed, centre.str() + " cut off from the platform");
+    record_event(elapsed, centre.str() + " cut off from the platform");
     schedule_undo(fault, elapsed, centre.str() + " connected again",
                   [&standins, centre] { standins.cut_off(centre, false); });
   }
@@ -145,7 +145,7 @@
 
 void fault_injector::begin_on_answers(const scheduled_fault& fault, duration elapsed) {
   const std::string kind(fault_names[static_cast<std::size_t>(fault.kind)]);
-  mark(elapsed, std::to_string(fault.count) + ' ' + kind);
+  record_event(elapsed, std::to_string(fault.count) + ' ' + kind);
   standin_fleet& standins = fleet_.standins();
   if (fault.kind == fault_kind::service_cut) {
     standin::service_faults faults;
@@ -154,7 +154,7 @@
     return;
   }
   standin::pending_answer_faults faults;
-  faults.crossed = fault.kind == fault_kind::crossed ? fault.count : 0;
+  faults.swapped = fault.kind == fault_kind::swapped ? fault.count : 0;
   faults.late = fault.kind == fault_kind::late ? fault.count : 0;
   faults.late_by = fault.latency;
   faults.truncated = fault.kind == fault_kind::truncated ? fault.count : 0;
@@ -171,7 +171,7 @@
   stop->exclude_at = elapsed + fleet_.shape().balancer_lag / 2;
   planned_stop& begun = *stop;
   begun.thread = std::thread([this, &begun] { begun.clean = fleet_.nodes()[begun.node]->stop(); });
-  mark(elapsed, "node stops in " + fleet_.data_centre(fault.data_centre).str());
+  record_event(elapsed, "node stops in " + fleet_.data_centre(fault.data_centre).str());
   stops_.push_back(std::move(stop));
 }
 
--- a/src/load/fault_injector.h
+++ b/src/load/fault_injector.h
@@ -24,12 +24,12 @@
   fault_injector& operator=(const fault_injector&) = delete;
 
   // Injects the faults that are due and undoes those whose duration has passed.
-  void play(duration elapsed);
+  void apply_due(duration elapsed);
   // Undoes all remaining faults and waits for planned stops.
   void finish(duration elapsed);
 
   // The faults injected and undone so far, with their times.
-  [[nodiscard]] const std::vector<fault_mark>& marks() const { return marks_; }
+  [[nodiscard]] const std::vector<fault_event>& events() const { return events_; }
   // Planned stops that interrupted requests.
   [[nodiscard]] std::size_t unclean_stops() const { return unclean_stops_; }
 
@@ -52,7 +52,7 @@
   void begin_on_table(const scheduled_fault& fault, duration elapsed);
   void begin_on_answers(const scheduled_fault& fault, duration elapsed);
   void start_planned_stop(const scheduled_fault& fault, duration elapsed);
-  void mark(duration elapsed, std::string text);
+  void record_event(duration elapsed, std::string text);
   void schedule_undo(const scheduled_fault& fault, duration elapsed, std::string text,
                      std::function<void()> run);
 
@@ -62,7 +62,7 @@
   std::function<void(std::size_t)> exclude_node_;
   std::vector<undo> undos_;
   std::vector<std::unique_ptr<planned_stop>> stops_;
-  std::vector<fault_mark> marks_;
+  std::vector<fault_event> events_;
   std::size_t unclean_stops_ = 0;
 };
 
--- a/src/load/report_html.cpp
+++ b/src/load/report_html.cpp
@@ -62,8 +62,8 @@
     failed.points.emplace_back(x, v.timeline[i].failed);
   }
   c.lines = {complete, refused, failed};
-  for (const fault_mark& mark : v.marks) {
-    c.marks.push_back({mark.at_seconds, mark.text});
+  for (const fault_event& event : v.events) {
+    c.events.push_back({event.at_seconds, event.text});
   }
   return c;
 }
--- a/src/load/report_json.cpp
+++ b/src/load/report_json.cpp
@@ -43,9 +43,9 @@
   for (const second_counts& s : v.timeline) {
     timeline.push_back({{"whole", s.complete}, {"refused", s.refused}, {"failed", s.failed}});
   }
-  json marks = json::array();
-  for (const fault_mark& mark : v.marks) {
-    marks.push_back({{"at_seconds", mark.at_seconds}, {"text", mark.text}});
+  json events = json::array();
+  for (const fault_event& event : v.events) {
+    events.push_back({{"at_seconds", event.at_seconds}, {"text", event.text}});
   }
   return {{"name", v.name},
           {"rounds", v.rounds},
@@ -63,7 +63,7 @@
           {"not_run_checked", v.not_run_checked},
           {"bookings_checked", v.bookings_checked},
           {"timeline", timeline},
-          {"faults", marks}};
+          {"faults", events}};
 }
 
 }  // namespace
--- a/src/load/report_text.cpp
+++ b/src/load/report_text.cpp
@@ -37,7 +37,7 @@
   out << '\n';
 }
 
-void print_promises(std::ostream& out, const variant_result& v) {
+void print_guarantees(std::ostream& out, const variant_result& v) {
   for (std::size_t i = 0; i < v.violation_counts.size(); ++i) {
     if (v.violation_counts[i] > 0) {
       out << "  BROKEN " << v.violation_counts[i] << " times: " << guarantee_names[i] << '\n';
@@ -65,8 +65,8 @@
       << v.name << " (" << v.rounds << (v.rounds == 1 ? " round" : " rounds") << ", "
       << v.measured_seconds << " s; calls started late by p50 " << v.late_start.quantile(0.5)
       << ", p99 " << v.late_start.quantile(0.99) << " ms)\n";
-  for (const fault_mark& mark : v.marks) {
-    out << "  " << std::setw(6) << mark.at_seconds << " s  " << mark.text << '\n';
+  for (const fault_event& event : v.events) {
+    out << "  " << std::setw(6) << event.at_seconds << " s  " << event.text << '\n';
   }
   out << "  workspace       class           calls   whole  useful refused unknown  wrong   whole/s"
          "   first token ms 50/95/99    whole answer ms 50/95/99       ms a token 50/95/99\n";
@@ -83,7 +83,7 @@
   for (const auto& [reason, count] : v.reasons) {
     out << "  not whole: " << count << " x " << reason << '\n';
   }
-  print_promises(out, v);
+  print_guarantees(out, v);
 }
 
 }  // namespace
--- a/src/load/results.cpp
+++ b/src/load/results.cpp
@@ -89,8 +89,8 @@
     timeline[i].refused += other.timeline[i].refused;
     timeline[i].failed += other.timeline[i].failed;
   }
-  if (!other.marks.empty()) {
-    marks = other.marks;
+  if (!other.events.empty()) {
+    events = other.events;
   }
   for (std::size_t i = 0; i < violation_counts.size(); ++i) {
     violation_counts[i] += other.violation_counts[i];
--- a/src/load/results.h
+++ b/src/load/results.h
@@ -49,7 +49,7 @@
 };
 
 // A fault that was injected or undone, to be shown in the report.
-struct fault_mark {
+struct fault_event {
   double at_seconds{};
   std::string text;
 };
@@ -66,7 +66,7 @@
   latency_histogram late_start;
   std::map<std::string, std::uint64_t> reasons;  // number of incomplete calls by error code
   std::vector<second_counts> timeline;           // of all rounds, by second of the run
-  std::vector<fault_mark> marks;                 // of the last round
+  std::vector<fault_event> events;               // of the last round
   std::array<std::uint64_t, guarantee_names.size()> violation_counts{};
   std::vector<std::string> samples;
   std::uint64_t not_run_checked{};
--- a/src/load/svg.cpp
+++ b/src/load/svg.cpp
@@ -135,10 +135,10 @@
 
   void draw_marks() {
     double y = top + line_height;
-    for (const chart_mark& mark : chart_.marks) {
-      const double x = std::clamp(to_pixel_x(mark.x), left, width - right);
+    for (const chart_event& event : chart_.events) {
+      const double x = std::clamp(to_pixel_x(event.x), left, width - right);
       line(x, top, x, height - bottom, "#a00", "stroke-dasharray=\"3 3\"");
-      text(x + 3, y, mark.text, "fill=\"#a00\" font-size=\"9\"");
+      text(x + 3, y, event.text, "fill=\"#a00\" font-size=\"9\"");
       y = y + line_height > height - bottom ? top + line_height : y + line_height;
     }
   }
--- a/src/load/svg.h
+++ b/src/load/svg.h
@@ -12,7 +12,7 @@
   std::vector<std::pair<double, double>> points;  // in ascending order of x
 };
 
-struct chart_mark {
+struct chart_event {
   double x{};
   std::string text;
 };
@@ -23,7 +23,7 @@
   std::string y_label;
   bool log_x = false;  // logarithmic; points with x <= 0 are omitted
   std::vector<chart_line> lines;
-  std::vector<chart_mark> marks;  // vertical lines
+  std::vector<chart_event> events;  // vertical lines
 };
 
 [[nodiscard]] std::string render_svg(const chart& c);
--- a/src/load/variant_run.cpp
+++ b/src/load/variant_run.cpp
@@ -32,7 +32,7 @@
   switch (check) {
     case checker_test_kind::none:
       break;
-    case checker_test_kind::crossed:
+    case checker_test_kind::swapped:
     case checker_test_kind::duplicated:
       return guarantee::own_answer;
     case checker_test_kind::repeated:
@@ -142,7 +142,7 @@
 // checker detects it.
 void variant_run::disable_safeguard() {
   standin::pending_answer_faults faults;
-  faults.crossed = variant_.checker_test == checker_test_kind::crossed ? unlimited_faults : 0;
+  faults.swapped = variant_.checker_test == checker_test_kind::swapped ? unlimited_faults : 0;
   faults.duplicated = variant_.checker_test == checker_test_kind::duplicated ? unlimited_faults : 0;
   for (const vm_id& vm : target_vms_) {
     fleet_->standins().set_answer_faults(vm, faults);
@@ -208,7 +208,7 @@
 }
 
 std::size_t variant_run::pick_target() {
-  if (variant_.target == call_target::direct_least) {
+  if (variant_.target == call_target::direct_min_load) {
     return least_loaded_target();
   }
   if (variant_.target == call_target::direct_random) {
@@ -293,7 +293,7 @@
   while (generators_ > 0 || ended_ < begun_) {
     const time_point now = monotonic_now();
     if (faults) {
-      faults->play(now - start_);
+      faults->apply_due(now - start_);
     }
     report_progress(on_progress, now - start_);
     if (now > latest) {
@@ -305,7 +305,7 @@
   result_.measured_seconds = to_seconds(experiment_.work.length);
   if (faults) {
     faults->finish(monotonic_now() - start_);
-    result_.marks = faults->marks();
+    result_.events = faults->events();
     for (std::size_t i = 0; i < faults->unclean_stops(); ++i) {
       checker_.report_violation(guarantee::clean_stop,
                                 "a planned stop of a node interrupted requests");
--- a/src/node/call_context.cpp
+++ b/src/node/call_context.cpp
@@ -90,7 +90,7 @@
     call_error error;
     error.status = 400;
     error.code = "unknown_class";
-    error.message = "the rules define no such class";
+    error.message = "the rules know no such class";
     return error;
   }
   if (request_class != nullptr) {
--- a/src/node/controller_heartbeats.cpp
+++ b/src/node/controller_heartbeats.cpp
@@ -34,12 +34,12 @@
           false};
 }
 
-void controller_loop::pass_on_configuration(time_point now, const node_id& peer,
+void controller_loop::forward_configuration(time_point now, const node_id& peer,
                                             const positions& at, node_heartbeat& message) {
   const config_distributor::recipient to{at.configuration_row, at.configuration_progress,
                                          node_.peers.is_refused_by_store(peer)};
   auto next =
-      config_distributor_.next_for(node_.configurations, to, node_.peers.alive_count(now) + 1);
+      config_distributor_.next_part_for(node_.configurations, to, node_.peers.alive_count(now) + 1);
   // A node of an earlier release reports no row and cannot read parts. It would advance its
   // position without applying the configuration.
   const bool reads_no_parts = at.configuration_row == 0 && at.configuration > 0 &&
@@ -51,7 +51,7 @@
 
 // A full list that exceeds the budget of this round is sent in a later one.
 void controller_loop::withhold_beyond_budget(feed_update& update) {
-  update.withheld = update.complete && !list_budget_.take(bytes_of(update.rows));
+  update.withheld = update.complete && !list_budget_.try_spend(bytes_of(update.rows));
   if (update.withheld) {
     update.rows.clear();
   }
@@ -91,7 +91,7 @@
     message.served = serving_update(now, at.serving);
   }
   if (node_.lease.age(now)) {
-    pass_on_configuration(now, peer, at, message);
+    forward_configuration(now, peer, at, message);
   }
 }
 
@@ -188,7 +188,7 @@
   grants_.round(now, random_, issued);
   const grant_update own = grants_.update_for(now, self);
   for (const auto& [target, count] :
-       granted_.take(now, now, self, node_.incarnation, node_.incarnation, own)) {
+       granted_.receive(now, now, self, node_.incarnation, node_.incarnation, own)) {
     node_.limits.granted(now, target, count);
   }
 }
@@ -230,8 +230,8 @@
   if (hub && same != message.hub) {
     grants_.set_demand(now, peer, message.incarnation, message.hub, std::move(demand));
   }
-  const auto new_grants = granted_.take(stamp_sent_at, now, peer, message.incarnation,
-                                        node_.incarnation, message.grants);
+  const auto new_grants = granted_.receive(stamp_sent_at, now, peer, message.incarnation,
+                                           node_.incarnation, message.grants);
   for (const auto& [target, count] : new_grants) {
     if (same) {
       node_.limits.granted(now, target, count);
@@ -301,13 +301,13 @@
   }
   for (const node_id& peer : peers) {
     links_.send(link_channel::coordination, {peer, encode(heartbeat_for(now, peer)), false});
-    node_.peers.told(now, peer);
+    node_.peers.note_sent(now, peer);
   }
 }
 
 void controller_loop::received(time_point now, const node_id& peer, const node_heartbeat& message) {
   if (message.link != endpoint{}) {
-    node_.peers.learn({peer, message.data_centre, message.link, {}, message.strength});
+    node_.peers.add_peer({peer, message.data_centre, message.link, {}, message.strength});
   }
   node_.peers.received(now, peer,
                        {message.hub, message.leaving, message.refused_by_store, message.stamp_us});
@@ -320,7 +320,7 @@
   // A hub accepts loads from the nodes of its data centre and from other hubs, other nodes accept
   // them from their hub.
   if (hub ? (same ? !message.hub : message.hub) : (same && message.hub)) {
-    node_.loads.received(peer, message.data_centre, now, message.loads);
+    node_.loads.set_peer_loads(peer, message.data_centre, now, message.loads);
   }
   if (same && message.hub && message.echo_us > 0) {
     // The hub's content is newer than the moment at which this node sent the echoed stamp.
@@ -331,7 +331,7 @@
   }
   apply_poison_updates(now, peer, message);
   take_limits(now, peer, message);
-  node_.lost_reports.told(now, peer, message.hub, message.lost);
+  node_.lost_reports.store_report(now, peer, message.hub, message.lost);
   for (const target_id& id : message.lost) {
     const target_view* view = node_.fleet.find(id);
     const bool own = view != nullptr && responsibilities_.contains(view->record.data_centre);
--- a/src/node/controller_loop.cpp
+++ b/src/node/controller_loop.cpp
@@ -200,7 +200,7 @@
     // expires, and each time the other members wait for it.
     if (outcome == order_outcome::other_target) {
       log_line(log_level::info, "fleet", "ended", {{"target", order.to}, {"told_by", "order"}});
-      node_.fleet.ended(order.to);
+      node_.fleet.mark_ended(order.to);
     }
   });
 }
@@ -213,7 +213,7 @@
   const duration lag =
       service != nullptr && service->engine ? service->engine->report_lag : duration{};
   const endpoint address = view == nullptr ? endpoint{} : view->record.address;
-  const bool same = node_.fleet.reported(
+  const bool same = node_.fleet.apply_answer(
       requested_at, requested_at - lag - lag / 4, id,
       {report.incarnation, report.member_of, report.loaded, report.slowdown_factor});
   if (!same) {
--- a/src/node/controller_loop.h
+++ b/src/node/controller_loop.h
@@ -65,7 +65,7 @@
   bool take_report(time_point requested_at, const target_id& id, const target_report& report);
   void verify_lost_report(const target_id& id);
   [[nodiscard]] feed_update configuration_update(time_point now, const positions& at);
-  void pass_on_configuration(time_point now, const node_id& peer, const positions& at,
+  void forward_configuration(time_point now, const node_id& peer, const positions& at,
                              node_heartbeat& message);
   void withhold_beyond_budget(feed_update& update);
   [[nodiscard]] feed_update targets_update(time_point now, std::uint64_t after);
@@ -76,7 +76,7 @@
   void grant_sends(time_point now);
   void add_limits(time_point now, const node_id& peer, node_heartbeat& message);
   void take_limits(time_point now, const node_id& peer, const node_heartbeat& message);
-  void choose_probed(const target_id& head, std::vector<target_id>& members);
+  void sample_members(const target_id& head, std::vector<target_id>& members);
   void send_peer_heartbeats(time_point now);
   void update_links(const std::vector<node_id>& peers);
   void begin_round(time_point now);
--- a/src/node/controller_losses.cpp
+++ b/src/node/controller_losses.cpp
@@ -67,7 +67,7 @@
 
 // Of a large replica only some members are probed: every node with a stream there probes some, and
 // the first that finds the dead member reports it to the hub, which notifies all nodes.
-void controller_loop::choose_probed(const target_id& head, std::vector<target_id>& members) {
+void controller_loop::sample_members(const target_id& head, std::vector<target_id>& members) {
   if (members.size() <= max_probed_members) {
     return;
   }
@@ -159,7 +159,7 @@
     node_.stalls.found_healthy(monotonic_now(), head);
     return;
   }
-  choose_probed(head, members);
+  sample_members(head, members);
   struct shared {
     std::size_t pending = 0;
     bool failed = false;
--- a/src/node/front_end.cpp
+++ b/src/node/front_end.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-front_end::front_end(call_context& node, operator_paths operators)
+front_end::front_end(call_context& node, operator_handlers operators)
     : node_(node), operators_(std::move(operators)) {}
 
 void front_end::serve(const http_request& request, response_writer& writer) {
--- a/src/node/front_end.h
+++ b/src/node/front_end.h
@@ -11,7 +11,7 @@
 namespace arbutus {
 
 // Handlers for the paths of operators and of the platform's balancer.
-struct operator_paths {
+struct operator_handlers {
   std::function<std::string()> status;  // JSON
   std::function<std::string()> gauges;  // Prometheus text
   // Proposes a configuration; writes the answer itself.
@@ -22,7 +22,7 @@
 
 class front_end {
  public:
-  front_end(call_context& node, operator_paths operators);
+  front_end(call_context& node, operator_handlers operators);
 
   void serve(const http_request& request, response_writer& writer);
 
@@ -35,7 +35,7 @@
   [[nodiscard]] bool is_operator(const http_request& request) const;
 
   call_context& node_;
-  operator_paths operators_;
+  operator_handlers operators_;
   std::atomic<bool> draining_{false};
 };
 
--- a/src/node/hosted_buffered.cpp
+++ b/src/node/hosted_buffered.cpp
@@ -18,20 +18,20 @@
   buffered_call(hosted_state& node, hosted_request& call) : node_(node), call_(call) {}
 
   void run() {
-    call_.writer.on_caller_gone([this] {
-      caller_gone_ = true;
+    call_.writer.on_caller_disconnect([this] {
+      caller_disconnected_ = true;
       cancel_.cancel();
     });
     while (!ended_) {
       next_attempt();
     }
-    call_.writer.on_caller_gone({});
+    call_.writer.on_caller_disconnect({});
   }
 
  private:
   void end_locally(int status, duration retry_after, std::string_view reason) {
     ended_ = true;
-    if (caller_gone_) {
+    if (caller_disconnected_) {
       finish_call(node_, call_, "caller_gone", reason, 0);
     } else {
       respond_locally(node_, call_, status, retry_after, reason);
@@ -46,7 +46,7 @@
       return;
     }
     const time_point now = monotonic_now();
-    if (caller_gone_) {
+    if (caller_disconnected_) {
       end_locally(0, {}, "the caller has gone");
       return;
     }
@@ -121,17 +121,17 @@
     }
     if (result.outcome == call_outcome::not_sent) {
       node_.instances.ended(now, instance.id,
-                            caller_gone_ ? call_end::withdrawn : call_end::failed);
+                            caller_disconnected_ ? call_end::withdrawn : call_end::failed);
       --call_.sends;
       last_reason_ = "could not be sent";
       return;
     }
     if (!result.ok()) {
-      const bool own_reason = caller_gone_ || result.failure == call_failure::cancelled;
+      const bool own_reason = caller_disconnected_ || result.failure == call_failure::cancelled;
       node_.instances.ended(now, instance.id, own_reason ? call_end::withdrawn : call_end::failed);
       ++call_.may_have_run;
       if (result.failure == call_failure::connection_lost && !own_reason) {
-        check_for_strike(node_, {call_.head.id, call_.fingerprint, instance.id, instance.address,
+        check_for_strike(node_, {call_.fields.id, call_.fingerprint, instance.id, instance.address,
                                  sent_at_, now});
       }
       broken(instance, to_string(result.failure));
@@ -143,11 +143,11 @@
   void read_answer_of(time_point now, const service_instance& instance,
                       const http_response& response) {
     const response_fields answer =
-        read_response_fields(response.status, response.headers, call_.head.id);
+        read_response_fields(response.status, response.headers, call_.fields.id);
     note_limit(node_, sent_at_, instance.id, response.status, answer);
     if (answer.running) {
-      node_.instances.told(now, instance.id,
-                           *answer.running + static_cast<double>(answer.waiting.value_or(0)));
+      node_.instances.note_reported_load(
+          now, instance.id, *answer.running + static_cast<double>(answer.waiting.value_or(0)));
     }
     switch (answer.kind) {
       case answer_kind::not_run:
@@ -160,7 +160,7 @@
         ++call_.may_have_run;
         broken(instance, "the answer was not this request's");
         return;
-      case answer_kind::own:
+      case answer_kind::target_response:
         node_.instances.ended(now, instance.id, call_end::answered);
         node_.poison.tracker.first_event_received(now - sent_at_);
         note_harmless(node_, call_);
@@ -173,7 +173,7 @@
     last_reason_ = reason;
     if (call_.logged) {
       log_line(log_level::info, "request", "attempt ended",
-               {{"request", call_.head.id},
+               {{"request", call_.fields.id},
                 {"target", instance.id},
                 {"reason", reason},
                 {"print", hash_text(call_.fingerprint)},
@@ -210,7 +210,7 @@
   std::vector<target_id> avoided_;
   std::string_view last_reason_ = "no instance is known";
   time_point sent_at_{};  // of the running attempt
-  bool caller_gone_ = false;
+  bool caller_disconnected_ = false;
   bool ended_ = false;
 };
 
--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -17,7 +17,7 @@
 
   // False if the call has been answered already.
   bool run() {
-    if (call_.head.id.empty()) {
+    if (call_.fields.id.empty()) {
       return end(400, {}, "the request has no id");
     }
     if (!node_.map) {
@@ -28,7 +28,7 @@
                  "a newer configuration is accepted, and not here yet");
     }
     call_.map = node_.map;
-    call_.matched_route = call_.map->find_route(call_.head.host, call_.head.path);
+    call_.matched_route = call_.map->find_route(call_.fields.host, call_.fields.path);
     const bool current = node_.lease.valid(call_.arrived);
     if (call_.matched_route == nullptr) {
       // Only a confirmed version proves that there is no such route; another node may have a newer
@@ -59,7 +59,7 @@
                  "keys cannot be checked: the configuration is stale");
     }
     const workspace_spec* workspace =
-        call_.head.key.empty() ? nullptr : call_.map->find_workspace(call_.head.key);
+        call_.fields.key.empty() ? nullptr : call_.map->find_workspace(call_.fields.key);
     if (workspace == nullptr) {
       return end(401, {}, "the key is not known");
     }
@@ -70,8 +70,8 @@
 
   void set_deadline() {
     duration wait = std::min(call_.matched_route->timeout, max_call_timeout);
-    if (call_.head.time_left) {
-      wait = std::min(wait, *call_.head.time_left);
+    if (call_.fields.time_left) {
+      wait = std::min(wait, *call_.fields.time_left);
     }
     call_.deadline = call_.arrived + wait;
     if (!call_.urgency) {
@@ -80,7 +80,7 @@
   }
 
   bool find_service() {
-    const service_id* id = pick_service(*call_.matched_route, call_.head.id.str());
+    const service_id* id = pick_service(*call_.matched_route, call_.fields.id.str());
     call_.service = id == nullptr ? nullptr : call_.map->find_service(*id);
     if (call_.service == nullptr) {
       return end(503, retry_after_no_target, "the route's service is not configured");
@@ -105,7 +105,7 @@
   }
   // Checked against the newest version: the key may have been revoked while the call waited.
   const time_point now = monotonic_now();
-  return node.lease.valid(now) && node.map->find_workspace(call.head.key) != nullptr;
+  return node.lease.valid(now) && node.map->find_workspace(call.fields.key) != nullptr;
 }
 
 bool may_send_again(hosted_state& node, const hosted_request& call, time_point now) {
@@ -135,7 +135,7 @@
   } else if (promises_not_run) {
     answer.retry_after = retry_after;
   }
-  const bool sent = call.writer.send(answer.status, local_response_headers(answer, call.head.id),
+  const bool sent = call.writer.send(answer.status, local_response_headers(answer, call.fields.id),
                                      local_response_body(answer));
   finish_call(node, call, sent ? (call.may_have_run > 0 ? "failed" : "refused") : "caller_gone",
               reason, answer.status);
@@ -161,7 +161,7 @@
   }
   log_line(
       result == "done" ? log_level::debug : log_level::info, "request", "ended",
-      {{"request", call.head.id},
+      {{"request", call.fields.id},
        {"route", call.matched_route == nullptr ? std::string_view("-") : call.matched_route->name},
        {"result", result},
        {"reason", reason},
@@ -196,14 +196,14 @@
                 const response_fields& answer) {
   // A failure may come from a component of the target that does not report the limit, so only a
   // success without a limit removes it.
-  const bool may_clear_limit = answer.kind == answer_kind::own && status / 100 == 2;
+  const bool may_clear_limit = answer.kind == answer_kind::target_response && status / 100 == 2;
   const bool may_report_limit =
-      answer.kind == answer_kind::own || answer.kind == answer_kind::not_run;
+      answer.kind == answer_kind::target_response || answer.kind == answer_kind::not_run;
   if (answer.is_misdirected || !may_report_limit ||
       (!answer.limit.is_present && !may_clear_limit)) {
     return;
   }
-  const auto change = node.limits.told(sent_at, monotonic_now(), target, answer.limit);
+  const auto change = node.limits.on_response(sent_at, monotonic_now(), target, answer.limit);
   if (change == send_limits::change::none) {
     return;
   }
@@ -221,7 +221,7 @@
                       0,       {},      {},
                       0};
   call.arrived = monotonic_now();
-  call.logged = log_accepts_request(call.arrived, call.head.id.str());
+  call.logged = log_accepts_request(call.arrived, call.fields.id.str());
   node.requests_seen = true;
   call_preparation start(node, call);
   if (!start.run()) {
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -18,7 +18,7 @@
 struct hosted_request {
   const http_request& raw_request;
   response_writer& writer;
-  request_fields head;
+  request_fields fields;
   std::shared_ptr<const service_map> map;  // the configuration version when the call arrived
   const route* matched_route = nullptr;
   const service_spec* service = nullptr;
--- a/src/node/hosted_state.cpp
+++ b/src/node/hosted_state.cpp
@@ -74,18 +74,19 @@
 const std::vector<serving_replica>& hosted_state::replicas(const service_spec& service,
                                                            const model_id& model) {
   drop_outdated_caches();
-  const auto found = cached_.find(model);
-  if (found != cached_.end()) {
+  const auto found = cached_replicas_.find(model);
+  if (found != cached_replicas_.end()) {
     return found->second;
   }
   const model_spec* spec = service.engine->find_model(model);
-  return cached_[model] = spec == nullptr ? std::vector<serving_replica>{}
-                                          : serving_replicas(fleet, service.id, model, spec->size);
+  return cached_replicas_[model] = spec == nullptr
+                                       ? std::vector<serving_replica>{}
+                                       : serving_replicas(fleet, service.id, model, spec->size);
 }
 
 void hosted_state::drop_outdated_caches() {
   if (cached_revision_ != fleet.revision() || cached_version_ != map->version()) {
-    cached_.clear();
+    cached_replicas_.clear();
     cached_instances_.clear();
     cached_revision_ = fleet.revision();
     cached_version_ = map->version();
--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -99,7 +99,7 @@
   std::uint64_t cached_version_ = 0;   // of the configuration, when the caches were filled
   void drop_outdated_caches();
 
-  std::map<model_id, std::vector<serving_replica>> cached_;
+  std::map<model_id, std::vector<serving_replica>> cached_replicas_;
   std::map<service_id, std::vector<service_instance>> cached_instances_;
 };
 
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -21,16 +21,16 @@
   stream_call(hosted_state& node, hosted_request& call)
       : node_(node),
         call_(call),
-        model_(call.service->engine->find_model(call.head.model)),
-        relay_(call.head.resume_after) {}
+        model_(call.service->engine->find_model(call.fields.model)),
+        relay_(call.fields.resume_after) {}
 
   void run() {
     if (model_ == nullptr) {
       respond_locally(node_, call_, 503, retry_after_no_target, "no such model is configured");
       return;
     }
-    call_.writer.on_caller_gone([this] {
-      caller_gone_ = true;
+    call_.writer.on_caller_disconnect([this] {
+      caller_disconnected_ = true;
       if (running_ != nullptr) {
         running_->cancel.cancel();
       }
@@ -38,7 +38,7 @@
     while (!ended_) {
       next_attempt();
     }
-    call_.writer.on_caller_gone({});
+    call_.writer.on_caller_disconnect({});
   }
 
  private:
@@ -53,7 +53,7 @@
 
   void end_locally(int status, duration retry_after, std::string_view reason) {
     ended_ = true;
-    if (caller_gone_) {
+    if (caller_disconnected_) {
       finish_call(node_, call_, "caller_gone", reason, 0);
     } else if (started_) {
       // The connection closes without the last chunk, so the caller detects the truncation.
@@ -71,7 +71,7 @@
       return;
     }
     const time_point now = monotonic_now();
-    if (caller_gone_) {
+    if (caller_disconnected_) {
       end_locally(0, {}, "the caller has gone");
       return;
     }
@@ -87,7 +87,7 @@
     const std::vector<target_id> suspects = suspected_heads(now, replicas);
     const std::vector<target_id> avoided = avoided_heads(now, replicas);
     const choice_request desired{
-        node_.settings.data_centre, call_.head.size, call_.deadline - now, avoided, suspects,
+        node_.settings.data_centre, call_.fields.size, call_.deadline - now, avoided, suspects,
         node_.random.unit()};
     const replica_choice choice =
         choose_replica(*call_.service->engine, *model_, replicas, node_.loads, desired);
@@ -150,7 +150,7 @@
     avoided_.push_back(replica.head);
     if (call_.logged) {
       log_line(log_level::info, "request", "attempt ended",
-               {{"request", call_.head.id},
+               {{"request", call_.fields.id},
                 {"target", replica.head},
                 {"reason", last_reason_},
                 {"ran", how == attempt_result::broken ? "perhaps" : "no"},
@@ -175,8 +175,8 @@
       note_harmless(node_, call_);
     } else if (how == attempt_result::broken && connection_lost_ &&
                is_within_strike_window(now, first_event_at_)) {
-      check_for_strike(
-          node_, {call_.head.id, call_.fingerprint, replica.head, replica.address, sent_at_, now});
+      check_for_strike(node_, {call_.fields.id, call_.fingerprint, replica.head, replica.address,
+                               sent_at_, now});
     }
   }
 
@@ -212,7 +212,7 @@
     const time_point sent_at = monotonic_now();
     node_.limits.sent(sent_at, replica.head);
     node_.poison.tracker.run_sent(sent_at, replica.head);
-    node_.loads.sent(head_, call_.head.size);
+    node_.loads.sent(head_, call_.fields.size);
     sent_at_ = sent_at;
     node_.stalls.sent(sent_at, head_, model_->id, expected.to_first_event);
     const call_result result = node_.targets.stream(
@@ -222,24 +222,24 @@
         [this](std::string_view bytes) { return on_bytes(bytes); }, own.cancel,
         [this] { return key_usable(node_, call_); });
     const time_point now = monotonic_now();
-    node_.loads.ended(head_, call_.head.size, had_first_event_);
+    node_.loads.ended(head_, call_.fields.size, had_first_event_);
     node_.stalls.ended(now, head_, had_first_event_);
     running_ = nullptr;
     return read_end(result, own);
   }
 
   bool on_head(int status, const http_headers& headers) {
-    answer_ = read_response_fields(status, headers, call_.head.id);
+    answer_ = read_response_fields(status, headers, call_.fields.id);
     note_limit(node_, sent_at_, head_, status, answer_);
     status_ = status;
-    if (answer_.kind == answer_kind::own) {
+    if (answer_.kind == answer_kind::target_response) {
       headers_ = headers;
     }
-    return answer_.kind == answer_kind::own || answer_.kind == answer_kind::not_run;
+    return answer_.kind == answer_kind::target_response || answer_.kind == answer_kind::not_run;
   }
 
   bool on_bytes(std::string_view bytes) {
-    if (answer_.kind != answer_kind::own || status_ != 200) {
+    if (answer_.kind != answer_kind::target_response || status_ != 200) {
       constexpr std::size_t max_failure_bytes = 64UL * 1024;
       failure_body_.append(bytes);
       return failure_body_.size() < max_failure_bytes;
@@ -259,7 +259,7 @@
       had_first_event_ = true;
       first_event_at_ = now;
       node_.poison.tracker.first_event_received(now - sent_at_);
-      node_.loads.first_event(head_, call_.head.size);
+      node_.loads.first_event(head_, call_.fields.size);
       node_.stalls.first_event(head_, now - sent_at_, expected_.to_first_event);
       if (call_.first_event == time_point{}) {
         call_.first_event = now;
@@ -275,12 +275,12 @@
     if (!started_) {
       started_ = true;
       if (!call_.writer.start(200, caller_headers(headers_))) {
-        caller_gone_ = true;
+        caller_disconnected_ = true;
         return false;
       }
     }
     if (!call_.writer.write(events)) {
-      caller_gone_ = true;
+      caller_disconnected_ = true;
       return false;
     }
     return true;
@@ -308,14 +308,14 @@
       }
       return attempt_result::not_run;
     }
-    if (result.ok() && answer_.kind == answer_kind::own && status_ == 200) {
+    if (result.ok() && answer_.kind == answer_kind::target_response && status_ == 200) {
       if (relay_.inside_event()) {
         last_reason_ = "the stream ended inside an event";
         return attempt_result::broken;
       }
       return finish_stream();
     }
-    if (result.ok() && answer_.kind == answer_kind::own) {
+    if (result.ok() && answer_.kind == answer_kind::target_response) {
       return pass_failure();
     }
     last_reason_ = relay_.out_of_order()                       ? "events out of order"
@@ -357,7 +357,7 @@
   std::vector<target_id> avoided_;
   attempt_registry::attempt* running_ = nullptr;
   std::string_view last_reason_ = "no attempt was made";
-  bool caller_gone_ = false;
+  bool caller_disconnected_ = false;
   bool started_ = false;  // the header of the response was sent to the caller
   bool ended_ = false;
 
--- a/src/node/limit_exchange.cpp
+++ b/src/node/limit_exchange.cpp
@@ -101,10 +101,10 @@
   if (!has_limits_ || !partner || !piggybacked_.insert(peer).second) {
     return std::nullopt;
   }
-  return peer_send{peer, encode(limits_.tell(now, peer)), false};
+  return peer_send{peer, encode(limits_.make_message(now, peer)), false};
 }
 
-std::vector<peer_send> limit_exchange::tell(time_point now) {
+std::vector<peer_send> limit_exchange::take_messages(time_point now) {
   const std::lock_guard guard(lock_);
   std::vector<peer_send> messages;
   if (!has_limits_) {
@@ -113,7 +113,7 @@
   limits_.update(now);
   for (const node_id& peer : lease_peers_) {
     if (!piggybacked_.contains(peer)) {
-      messages.push_back({peer, encode(limits_.tell(now, peer)), false});
+      messages.push_back({peer, encode(limits_.make_message(now, peer)), false});
     }
   }
   piggybacked_.clear();
--- a/src/node/limit_exchange.h
+++ b/src/node/limit_exchange.h
@@ -34,11 +34,11 @@
   [[nodiscard]] limit_result take(time_point now, const workspace_id& workspace);
 
   // A message to send to `peer` together with another one that is about to be sent. Empty if there
-  // is nothing to send, or if the peer got such a message since the last tell().
+  // is nothing to send, or if the peer got such a message since the last take_messages().
   [[nodiscard]] std::optional<peer_send> piggyback_message(time_point now, const node_id& peer);
   // Messages to the peers that got none by piggyback_message() since the last call. To be called
   // once every limit_settings::message_interval.
-  [[nodiscard]] std::vector<peer_send> tell(time_point now);
+  [[nodiscard]] std::vector<peer_send> take_messages(time_point now);
   // Handles a message of `peer`. Damaged bytes are ignored, as the next message comes in a second.
   void received(time_point now, const node_id& peer, std::string_view bytes);
 
@@ -47,9 +47,9 @@
   std::mutex lock_;  // guards all below
   rate_limits limits_;
   std::vector<node_id> lease_peers_;  // peers that leases are exchanged with
-  std::set<node_id>
-      piggybacked_;  // of these, sent a message by piggyback_message() since the last tell()
-  bool has_limits_ = false;           // some workspace has a limit; otherwise nothing is sent
+  std::set<node_id> piggybacked_;  // of these, sent a message by piggyback_message() since the last
+                                   // take_messages()
+  bool has_limits_ = false;        // some workspace has a limit; otherwise nothing is sent
   std::uint64_t config_version_ = 0;  // of the configuration that the limits are from
 };
 
--- a/src/node/model_call.cpp
+++ b/src/node/model_call.cpp
@@ -24,7 +24,7 @@
 
 std::optional<call_error> check_model(const call_state& call, const model_id& model) {
   if (call.view->config->desired.find_model(model) == nullptr) {
-    return invalid_request("unknown_model", "the rules define no model of this name", 404);
+    return invalid_request("unknown_model", "the rules know no model of this name", 404);
   }
   const auto& allowed = call.workspace->models;
   if (std::find(allowed.begin(), allowed.end(), model) == allowed.end()) {
@@ -46,14 +46,14 @@
       return;
     }
     cancel_ = cancel_token::make();
-    writer_.on_caller_gone([this] {
-      waiter_.caller_gone();
+    writer_.on_caller_disconnect([this] {
+      waiter_.caller_disconnected();
       cancel_.cancel();
     });
     gate_ = &node_.gates.of(body_.model);
     const admission_outcome entry = gate_->enter(*call_.view, facts_, waiter_);
     call_.measured.queued = monotonic_now() - call_.arrival;
-    if (entry.what == admission_outcome::kind::caller_gone) {
+    if (entry.what == admission_outcome::kind::caller_disconnected) {
       finish("caller_gone", "while waiting");
       return;
     }
@@ -113,7 +113,7 @@
       return false;  // a model call may be repeated, so the local rejection is sent to the caller
     }
     node_.measured.count(current_worker(), "arbutusworks_spilled_total");
-    finish(end.whole ? "done" : "unknown", end.whole ? "" : "spilled");
+    finish(end.complete ? "done" : "unknown", end.complete ? "" : "spilled");
     return true;
   }
 
@@ -143,7 +143,7 @@
         deliver(end);
         return true;
       }
-      if (writer_.caller_gone() || end.reason == "caller gone") {
+      if (writer_.caller_disconnected() || end.reason == "caller gone") {
         finish("caller_gone", "while running");
         return false;
       }
@@ -180,7 +180,7 @@
       if (choice) {
         return view->routes.replicas[choice->index];
       }
-      if (writer_.caller_gone() ||
+      if (writer_.caller_disconnected() ||
           now + route_poll_interval >= std::min(call_.deadline, facts_.first_token_by)) {
         return std::nullopt;
       }
@@ -324,7 +324,7 @@
                       response_writer& writer) {
   model_call call(node, api, request, writer);
   call.run();
-  writer.on_caller_gone({});
+  writer.on_caller_disconnect({});
 }
 
 }  // namespace arbutus
--- a/src/node/model_gate.cpp
+++ b/src/node/model_gate.cpp
@@ -77,17 +77,17 @@
     if (result.displaced) {
       refuse(*result.displaced);
     }
-    if (std::holds_alternative<admitted>(result.verdict)) {
+    if (std::holds_alternative<admitted>(result.decision)) {
       return {admission_outcome::kind::admitted, {}};
     }
-    if (const auto* why = std::get_if<rejected>(&result.verdict)) {
+    if (const auto* why = std::get_if<rejected>(&result.decision)) {
       return {admission_outcome::kind::rejected, *why};
     }
     waiters_.emplace(facts.id, &waiter);
     start_queue_sweep();
   }
   const admission_outcome end = waiter.wait();
-  if (end.what == admission_outcome::kind::caller_gone) {
+  if (end.what == admission_outcome::kind::caller_disconnected) {
     const std::lock_guard guard(lock_);
     waiters_.erase(facts.id);
     start(admission_.abandon(monotonic_now(), facts.id));
--- a/src/node/model_gate.h
+++ b/src/node/model_gate.h
@@ -23,7 +23,7 @@
 
 // How a request's wait for admission ended.
 struct admission_outcome {
-  enum class kind { admitted, rejected, caller_gone } what = kind::admitted;
+  enum class kind { admitted, rejected, caller_disconnected } what = kind::admitted;
   rejected why;  // for rejected
 };
 
@@ -32,7 +32,7 @@
 class admission_waiter {
  public:
   // The caller has disconnected: makes enter() return. May be called from any worker.
-  void caller_gone() { finish({admission_outcome::kind::caller_gone, {}}); }
+  void caller_disconnected() { finish({admission_outcome::kind::caller_disconnected, {}}); }
 
  private:
   friend class model_gate;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -51,8 +51,8 @@
                 measured},
         callers(context, paths()) {}
 
-  operator_paths paths() {
-    operator_paths result;
+  operator_handlers paths() {
+    operator_handlers result;
     result.key_hash = options.operator_key_hash;
     result.status = [this] { return status_json(status(), monotonic_now()); };
     result.gauges = [this] { return gauges(); };
@@ -176,7 +176,7 @@
 
 // Sends the leases of the workspaces' rate limits to the peers.
 void node::parts::send_limit_leases() {
-  for (const peer_send& message : limits.tell(monotonic_now())) {
+  for (const peer_send& message : limits.take_messages(monotonic_now())) {
     links->send(link_channel::limits, message);
   }
 }
--- a/src/node/poison_state.h
+++ b/src/node/poison_state.h
@@ -25,7 +25,7 @@
 struct target_end_check {
   bool query_pending = false;
   bool ended = false;
-  time_point asked_at{};
+  time_point queries_started_at{};
   std::vector<broken_run> waiting;
 };
 
--- a/src/node/poison_watch.cpp
+++ b/src/node/poison_watch.cpp
@@ -42,7 +42,7 @@
 
 void record_strike(hosted_state& node, const broken_run& run) {
   const bool is_new =
-      node.poison.tracker.strike(run.fingerprint, {run.target, run.sent_at, run.broken_at});
+      node.poison.tracker.record_strike(run.fingerprint, {run.target, run.sent_at, run.broken_at});
   node.metrics.count("arbutusworks_poison_evidence", is_new ? "counts=\"yes\"" : "counts=\"no\"");
   // The field is not named "request", so that the line is associated with all requests that have
   // this fingerprint, not only with the one that ran.
@@ -127,7 +127,7 @@
 void check_for_strike(hosted_state& node, broken_run run) {
   std::erase_if(node.poison.end_checks, [&](const auto& entry) {
     return !entry.second.query_pending &&
-           run.broken_at - entry.second.asked_at > end_check_retention;
+           run.broken_at - entry.second.queries_started_at > end_check_retention;
   });
   const target_id target = run.target;
   target_end_check& end = node.poison.end_checks[target];
@@ -141,7 +141,7 @@
     return;
   }
   end.query_pending = true;
-  end.asked_at = monotonic_now();
+  end.queries_started_at = monotonic_now();
   node.runtime.post(0, [&node, target, address] { query_until_known(node, target, address); });
 }
 
@@ -151,7 +151,7 @@
   }
   node.metrics.count("arbutusworks_poison_acquitted", "by=\"run\"");
   log_line(log_level::info, "poison", "acquitted",
-           {{"request", call.head.id},
+           {{"request", call.fields.id},
             {"print", hash_text(call.fingerprint)},
             {"workspace", workspace_label(call.fingerprint)},
             {"reason", "a run of it did no harm"}});
@@ -167,7 +167,7 @@
     }
     node.metrics.count("arbutusworks_poison_held");
     log_line(log_level::info, "poison", "held",
-             {{"request", call.head.id},
+             {{"request", call.fields.id},
               {"print", hash_text(call.fingerprint)},
               {"marks", std::uint64_t{strike_count(node, call.fingerprint)}},
               {"for_ms", to_milliseconds(*until - now)}});
@@ -181,7 +181,7 @@
   }
   node.metrics.count("arbutusworks_poison_refused");
   log_line(log_level::info, "poison", "refused",
-           {{"request", call.head.id},
+           {{"request", call.fields.id},
             {"print", hash_text(call.fingerprint)},
             {"workspace", workspace_label(call.fingerprint)},
             {"marks", std::uint64_t{strike_count(node, call.fingerprint)}}});
--- a/src/node/service_call.cpp
+++ b/src/node/service_call.cpp
@@ -73,7 +73,7 @@
     }
     cancel_ = cancel_token::make();
     if (is_idempotent(*service_, request_.method, path_of(request_.target))) {
-      writer_.on_caller_gone([this] { cancel_.cancel(); });
+      writer_.on_caller_disconnect([this] { cancel_.cancel(); });
       run_repeatable();
     } else {
       run_keyed();
@@ -153,7 +153,7 @@
       node_.services.note_success(instance);
     } else if (result.failure != call_failure::cancelled &&
                result.failure != call_failure::not_permitted) {
-      node_.services.failed(monotonic_now(), instance);
+      node_.services.note_failure(monotonic_now(), instance);
     }
     return result;
   }
@@ -176,7 +176,7 @@
         break;
       }
     }
-    if (writer_.caller_gone()) {
+    if (writer_.caller_disconnected()) {
       finish("caller_gone", "while running");
       return;
     }
@@ -228,8 +228,7 @@
         give_up(execution::unknown, "outcome_unknown", reply.reason, reply.retry_after);
         return;
       case kind::in_progress: {
-        call_error error =
-            make_error(409, "in_progress", "a call with the same idempotency key is running");
+        call_error error = make_error(409, "in_progress", "an equal call is running");
         error.ran = execution::unknown;
         error.retry_after = reply.retry_after;
         finish_with_error(error);
@@ -315,7 +314,7 @@
 void serve_service_call(call_context& node, const http_request& request, response_writer& writer) {
   service_call call(node, request, writer);
   call.run();
-  writer.on_caller_gone({});
+  writer.on_caller_disconnect({});
 }
 
 }  // namespace arbutus
--- a/src/node/service_health.cpp
+++ b/src/node/service_health.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void service_health::failed(time_point now, const endpoint& instance) {
+void service_health::note_failure(time_point now, const endpoint& instance) {
   const std::lock_guard guard(lock_);
   failed_at_[instance] = now;
 }
--- a/src/node/service_health.h
+++ b/src/node/service_health.h
@@ -12,7 +12,7 @@
 // One per node, shared by all calls. Thread-safe.
 class service_health {
  public:
-  void failed(time_point now, const endpoint& instance);
+  void note_failure(time_point now, const endpoint& instance);
   void note_success(const endpoint& instance);
   [[nodiscard]] bool failed_recently(time_point now, const endpoint& instance) const;
 
--- a/src/node/spill_call.h
+++ b/src/node/spill_call.h
@@ -25,7 +25,7 @@
 
 struct spill_outcome {
   bool answered = false;  // the caller has an answer, complete or marked as truncated
-  bool whole = false;
+  bool complete = false;
   execution ran = execution::not_run;  // when not answered
 };
 
--- a/src/node/store_targets.cpp
+++ b/src/node/store_targets.cpp
@@ -70,7 +70,7 @@
     for (const feed_row& row : update.rows) {
       if (row.version > node_.target_rows.position()) {
         apply_target_row(requested_at, row);
-        node_.target_rows.take(row);
+        node_.target_rows.apply(row);
       }
     }
     node_.target_rows.advance(update.position);
@@ -92,8 +92,8 @@
   }
   const bool first = !node_.fleet_known;
   const bool taken =
-      node_.followed.take(requested_at, message.incarnation, update.after, update.complete,
-                          update.position, update.rows, node_.fleet);
+      node_.followed.apply(requested_at, message.incarnation, update.after, update.complete,
+                           update.position, update.rows, node_.fleet);
   if (!taken) {
     return;
   }
@@ -130,7 +130,7 @@
 void store_watch::apply_target_row(time_point requested_at, const feed_row& row) {
   const target_id known = node_.fleet.current_incarnation(row.key);
   if (row.removed) {
-    node_.fleet.unlisted(requested_at, known);
+    node_.fleet.mark_unlisted(requested_at, known);
     log_line(log_level::info, "fleet", "unlisted", {{"target", known}});
     return;
   }
@@ -138,7 +138,7 @@
   if (!record) {
     // Another writer has overwritten the engine's own record. Until its next record the engine gets
     // no new requests, as if it had left.
-    node_.fleet.unlisted(requested_at, known);
+    node_.fleet.mark_unlisted(requested_at, known);
     return;
   }
   const target_id id = record->id;
@@ -150,8 +150,8 @@
     log_line(log_level::info, "fleet", "draining", {{"target", id}});
   }
   const endpoint address = record->address;
-  if (!node_.fleet.listed(requested_at, std::move(*record), row.version,
-                          written_after(requested_at))) {
+  if (!node_.fleet.apply_record(requested_at, std::move(*record), row.version,
+                                written_after(requested_at))) {
     log_line(log_level::info, "fleet", "record of an ended life", {{"target", id}});
   } else if (!known.empty() && known != id) {
     log_line(log_level::info, "fleet", "started again", {{"target", id}, {"before", known}});
@@ -268,7 +268,7 @@
   for (const store_row& row : rows->rows) {
     const feed_row changed{row.key, row.value, row.version, row.removed, row.readable};
     apply_target_row(requested_at, changed);
-    node_.target_rows.take(changed);
+    node_.target_rows.apply(changed);
     // The hub's next rows do not continue from this state.
     node_.followed.reset_position();
   }
--- a/src/node/store_watch.cpp
+++ b/src/node/store_watch.cpp
@@ -154,7 +154,7 @@
 void store_watch::apply_configuration_part(time_point requested_at, time_point now,
                                            const config_part& part) {
   const config_progress before = receiver_.progress();
-  auto text = receiver_.take(part, node_.configurations);
+  auto text = receiver_.receive(part, node_.configurations);
   if (text || receiver_.progress() != before) {
     part_received_at_ = now;
   }
@@ -242,7 +242,7 @@
 void store_watch::apply_configuration_row(time_point requested_at, std::string_view source,
                                           const feed_row& row) {
   if (row.key != configuration_key) {
-    node_.configuration_rows.take(row);
+    node_.configuration_rows.apply(row);
   } else if (!row.removed) {
     apply_configuration(requested_at, source, row);
   }
@@ -257,7 +257,7 @@
   const time_point arrived = monotonic_now();
   const auto before = node_.map;
   const duration behind = node_.lag.age(arrived);
-  node_.configurations.take(row.version, row.value);
+  node_.configurations.add(row.version, row.value);
   activate_configuration(row.value);
   node_.lag.row_applied(row.version);
   if (node_.map != before) {
--- a/src/process/config_distributor.h
+++ b/src/process/config_distributor.h
@@ -33,7 +33,8 @@
     std::optional<config_part> part;
   };
   // `recipients`: number of nodes that the hub sends to, this one included.
-  [[nodiscard]] answer next_for(config_history& from, const recipient& to, std::size_t recipients) {
+  [[nodiscard]] answer next_part_for(config_history& from, const recipient& to,
+                                     std::size_t recipients) {
     if (to.held >= from.newest()) {
       return {};
     }
@@ -42,7 +43,7 @@
     if (too_long && !to.refused_by_store) {
       return {true, std::nullopt};
     }
-    if (!budget_.take(std::min(bytes, max_part_bytes))) {
+    if (!budget_.try_spend(std::min(bytes, max_part_bytes))) {
       return {};
     }
     return {false, from.part_for(to.held, to.progress, max_part_bytes)};
--- a/src/process/config_replica.cpp
+++ b/src/process/config_replica.cpp
@@ -321,7 +321,7 @@
   requested.push_back(restore_object{in_force_.hash, content_});
 }
 
-config_effects config_replica::stored(const outcome<std::monostate>& result, time_point) {
+config_effects config_replica::object_stored(const outcome<std::monostate>& result, time_point) {
   if (!pending_repair_ || !is_ok(result)) {
     return {};
   }
--- a/src/process/config_replica.h
+++ b/src/process/config_replica.h
@@ -92,7 +92,7 @@
   [[nodiscard]] config_effects object_read(std::string_view name,
                                            const outcome<std::string>& result, time_point now);
   // Result of restore_object.
-  [[nodiscard]] config_effects stored(const outcome<std::monostate>& result, time_point now);
+  [[nodiscard]] config_effects object_stored(const outcome<std::monostate>& result, time_point now);
   // Result of repair_head; the head is read again in any case.
   [[nodiscard]] config_effects head_written(const outcome<std::uint64_t>& row_version,
                                             time_point now);
--- a/src/process/config_transfer.cpp
+++ b/src/process/config_transfer.cpp
@@ -7,7 +7,7 @@
 
 namespace arbutus {
 
-void config_history::take(std::uint64_t row, std::string text) {
+void config_history::add(std::uint64_t row, std::string text) {
   if (row <= newest()) {
     return;
   }
@@ -46,8 +46,8 @@
   return config_part{newest(), base, delta.size(), offset, delta.substr(offset, most)};
 }
 
-std::optional<std::string> config_receiver::take(const config_part& part,
-                                                 const config_history& held) {
+std::optional<std::string> config_receiver::receive(const config_part& part,
+                                                    const config_history& held) {
   const std::string* base = held.find(part.base);
   if (part.row <= held.newest() || (part.base != 0 && base == nullptr)) {
     return std::nullopt;
--- a/src/process/config_transfer.h
+++ b/src/process/config_transfer.h
@@ -43,7 +43,7 @@
 class config_history {
  public:
   // Ignores rows that are not newer than the newest.
-  void take(std::uint64_t row, std::string text);
+  void add(std::uint64_t row, std::string text);
   // 0: no row yet.
   [[nodiscard]] std::uint64_t newest() const { return rows_.empty() ? 0 : rows_.back().row; }
   // Null if the row is not kept.
@@ -73,7 +73,7 @@
 class config_receiver {
  public:
   // The text of the row when its last part has arrived. Parts that are out of order are ignored.
-  std::optional<std::string> take(const config_part& part, const config_history& held);
+  std::optional<std::string> receive(const config_part& part, const config_history& held);
   [[nodiscard]] const config_progress& progress() const { return progress_; }
 
  private:
--- a/src/process/control_plane_cost.cpp
+++ b/src/process/control_plane_cost.cpp
@@ -143,7 +143,7 @@
     sender.peers->announce_config(message, to, 7600, "00112233445566778899aabbccddeeff");
     message.assignment_version = 1234;
     message.table_reachable = true;
-    sender.observations->take_deltas(message, to, sender.peers->echoed(to), now_);
+    sender.observations->append_deltas(message, to, sender.peers->echoed(to), now_);
     const std::string bytes = encode(gossip_message{std::move(message)});
     ++messages_;
     bytes_ += bytes.size();
--- a/src/process/control_timing.h
+++ b/src/process/control_timing.h
@@ -54,12 +54,12 @@
   // A probe without a result is abandoned after this time.
   duration probe_timeout = 2s;
   // A target that only one prober fails to reach counts as lost after this time.
-  duration suspicion = 2s;
+  duration single_prober_loss_timeout = 2s;
   // The condition of a target is unknown after this time without an observation.
   duration unknown_after = 4s;
   // A lost target counts as working after this time without a failed probe, doubled with each
   // repeated loss.
-  duration recovery = 1s;
+  duration recovery_duration = 1s;
 
   // Intervals at which the designated readers and the other nodes read the configuration head.
   duration head_reader_interval = 1s;
--- a/src/process/coordinator_decide.cpp
+++ b/src/process/coordinator_decide.cpp
@@ -233,8 +233,8 @@
       in.in_force.push_back(activations.in_force(*replica));
     }
   }
-  const auto empty = drains.emptied(now, drain_inputs(now));
-  in.emptied.assign(empty.begin(), empty.end());
+  const auto empty = drains.removable_replicas(now, drain_inputs(now));
+  in.drained_replicas.assign(empty.begin(), empty.end());
   in.acknowledged = peers->acknowledged_by_all(rows.row().version, now);
   for (const auto& [model, busy] : demand) {
     in.demand.push_back({model, busy});
--- a/src/process/coordinator_inputs.cpp
+++ b/src/process/coordinator_inputs.cpp
@@ -55,7 +55,7 @@
 }
 
 void coordinator::parts::on(time_point now, const object_put_result& r) {
-  apply_config_effects(now, configs.stored(r.result, now));
+  apply_config_effects(now, configs.object_stored(r.result, now));
 }
 
 void coordinator::parts::on(time_point now, const vm_list_result& r) {
@@ -192,7 +192,7 @@
 
 // A restarted peer may have echoed messages with short forms that it could not decode, because
 // they refer to messages sent to its previous process.
-void coordinator::parts::handle_peer_restart(const node_id& from, const struct heard& h) {
+void coordinator::parts::handle_peer_restart(const node_id& from, const struct receive_result& h) {
   if (h.restarted) {
     observations.forget_peer(from);
   }
@@ -265,7 +265,7 @@
 }
 
 void coordinator::parts::receive(time_point now, const node_id& from, const summary& m) {
-  board.heard(now, m);
+  board.receive(now, m);
   apply_config_effects(now, configs.peer_reported(from, m.config_version, m.config_hash, now));
 }
 
--- a/src/process/coordinator_parts.h
+++ b/src/process/coordinator_parts.h
@@ -77,7 +77,7 @@
   void receive(time_point now, const node_id& from, const leaving_notice& m);
   void receive(time_point now, const node_id& from, const summary& m);
 
-  void handle_peer_restart(const node_id& from, const struct heard& h);
+  void handle_peer_restart(const node_id& from, const struct receive_result& h);
   void apply_config_effects(time_point now, const config_effects& requested);
   void adopt_configuration(time_point now);
   // Call when a newer observation of `vm` may have arrived.
--- a/src/process/coordinator_tick.cpp
+++ b/src/process/coordinator_tick.cpp
@@ -54,7 +54,7 @@
         message.in_use.push_back(id);
       }
     }
-    observations.take_deltas(message, peer, peers->echoed(peer), now);
+    observations.append_deltas(message, peer, peers->echoed(peer), now);
     emit(peer_send{peer, encode(gossip_message{message}), false});
   }
 }
--- a/src/process/domain_layout.cpp
+++ b/src/process/domain_layout.cpp
@@ -107,8 +107,8 @@
       without_one += cost_without_domain(totals, d);
     }
     without_one /= static_cast<double>(std::max<std::size_t>(replicas_.size(), 1));
-    return (1 - settings_.domain_loss) * cost_without_domain(totals, replicas_.size()) +
-           settings_.domain_loss * without_one;
+    return (1 - settings_.domain_loss_weight) * cost_without_domain(totals, replicas_.size()) +
+           settings_.domain_loss_weight * without_one;
   }
 
   bool improve_domain(std::size_t d) {
--- a/src/process/domain_layout.h
+++ b/src/process/domain_layout.h
@@ -33,7 +33,7 @@
   std::uint32_t losses = 3;
   // Weight of the cost averaged over the loss of each single domain. A whole domain can be down for
   // 7 to 8 s out of 34 s.
-  double domain_loss = 0.25;
+  double domain_loss_weight = 0.25;
   // Cost of switching a ready engine to another model, as a fraction of the total cost. The gain
   // has to outweigh losing the engine for 12 to 16 s out of about 30 s.
   double change_cost_weight = 0.06;
--- a/src/process/drain_tracker.cpp
+++ b/src/process/drain_tracker.cpp
@@ -41,7 +41,8 @@
   return found;
 }
 
-std::set<replica_id> drain_tracker::emptied(time_point now, const drain_context& context) {
+std::set<replica_id> drain_tracker::removable_replicas(time_point now,
+                                                       const drain_context& context) {
   std::set<replica_id> result;
   for (auto& [id, d] : drains_) {
     const replica_plan* replica = context.row.find(id);
--- a/src/process/drain_tracker.h
+++ b/src/process/drain_tracker.h
@@ -39,7 +39,8 @@
   // Call on every change of the row.
   void rebase(const assignment& row);
   // Replicas that may be removed from the row.
-  [[nodiscard]] std::set<replica_id> emptied(time_point now, const drain_context& context);
+  [[nodiscard]] std::set<replica_id> removable_replicas(time_point now,
+                                                        const drain_context& context);
   [[nodiscard]] std::vector<drain_status> status(const drain_context& context) const;
 
  private:
--- a/src/process/feed_log.h
+++ b/src/process/feed_log.h
@@ -27,7 +27,7 @@
 class feed_log {
  public:
   // Applies a row of the feed or of a read of the whole table.
-  void take(const feed_row& row) {
+  void apply(const feed_row& row) {
     feed_row& known = rows_[row.key];
     if (row.version >= known.version) {
       known = row;
@@ -46,7 +46,7 @@
       }
     }
     for (const feed_row& row : rows) {
-      take(row);
+      apply(row);
     }
     advance(position);
     complete_from_ = position;
--- a/src/process/fleet_view.cpp
+++ b/src/process/fleet_view.cpp
@@ -27,21 +27,21 @@
 
 bool fleet_view::accept_incarnation(time_point now, const target_id& incarnation) {
   engine_incarnations& known = incarnations_by_engine_[std::string(engine_of(incarnation))];
-  if (known.now == incarnation) {
+  if (known.current == incarnation) {
     return true;
   }
   if (std::find(known.ended.begin(), known.ended.end(), incarnation) != known.ended.end()) {
     return false;
   }
-  if (!known.now.empty()) {
-    targets_.erase(known.now);
-    known.ended.push_back(known.now);
+  if (!known.current.empty()) {
+    targets_.erase(known.current);
+    known.ended.push_back(known.current);
     if (known.ended.size() > max_ended_incarnations) {
       known.ended.erase(known.ended.begin());
     }
     ++revision_;
   }
-  known.now = incarnation;
+  known.current = incarnation;
   targets_[incarnation].incarnation_seen_at = now;
   return true;
 }
@@ -66,8 +66,8 @@
   view.ambiguous = view.ambiguous || differs;
 }
 
-bool fleet_view::listed(time_point observed_at, target_record record, std::uint64_t row_version,
-                        std::optional<time_point> written_after) {
+bool fleet_view::apply_record(time_point observed_at, target_record record,
+                              std::uint64_t row_version, std::optional<time_point> written_after) {
   if (!accept_address(record, row_version) || !accept_incarnation(observed_at, record.id)) {
     return false;
   }
@@ -123,16 +123,16 @@
   ++revision_;
 }
 
-void fleet_view::unlisted_engine(time_point now, std::string_view engine) {
-  unlisted(now, current_incarnation(engine));
+void fleet_view::mark_engine_unlisted(time_point now, std::string_view engine) {
+  mark_unlisted(now, current_incarnation(engine));
 }
 
 target_id fleet_view::current_incarnation(std::string_view engine) const {
   const auto found = incarnations_by_engine_.find(engine);
-  return found == incarnations_by_engine_.end() ? target_id{} : found->second.now;
+  return found == incarnations_by_engine_.end() ? target_id{} : found->second.current;
 }
 
-void fleet_view::unlisted(time_point now, const target_id& id) {
+void fleet_view::mark_unlisted(time_point now, const target_id& id) {
   const auto found = targets_.find(id);
   if (found == targets_.end() || !found->second.listed) {
     return;
@@ -151,18 +151,18 @@
     const bool is_new_row = known == targets_.end() || !known->second.listed ||
                             known->second.row_version < version || version == 0;
     if (is_new_row) {
-      listed(now, record, version, written_after);
+      apply_record(now, record, version, written_after);
     }
   }
   for (const auto& [id, view] : targets_) {
     if (!present.contains(id)) {
-      unlisted(now, id);
+      mark_unlisted(now, id);
     }
   }
 }
 
-bool fleet_view::reported(time_point queried_at, time_point as_of, const target_id& id,
-                          const target_answer& answer) {
+bool fleet_view::apply_answer(time_point queried_at, time_point as_of, const target_id& id,
+                              const target_answer& answer) {
   if (answer.incarnation != id) {
     replace_incarnation(queried_at, as_of, id, answer);
     return false;
@@ -225,8 +225,8 @@
   }
 }
 
-void fleet_view::ordered(time_point now, const target_id& id,
-                         const std::optional<membership>& member_of) {
+void fleet_view::apply_order(time_point now, const target_id& id,
+                             const std::optional<membership>& member_of) {
   const auto found = targets_.find(id);
   if (found == targets_.end()) {
     return;
@@ -283,7 +283,7 @@
     return !entry.second.listed && now - entry.second.unlisted_at > unlisted_retention;
   });
   std::erase_if(incarnations_by_engine_,
-                [this](const auto& entry) { return !targets_.contains(entry.second.now); });
+                [this](const auto& entry) { return !targets_.contains(entry.second.current); });
   std::erase_if(owners_, [this](const auto& entry) { return !targets_.contains(entry.second); });
 }
 
--- a/src/process/fleet_view.h
+++ b/src/process/fleet_view.h
@@ -96,11 +96,11 @@
   // `observed_at`, which is right for a list that is watched without a gap.
   // Returns false if the record was dropped, because its incarnation has ended or because a newer
   // row (by row_version) gives its address to another target.
-  bool listed(time_point observed_at, target_record record, std::uint64_t row_version = 0,
-              std::optional<time_point> written_after = std::nullopt);
-  void unlisted(time_point now, const target_id& id);
+  bool apply_record(time_point observed_at, target_record record, std::uint64_t row_version = 0,
+                    std::optional<time_point> written_after = std::nullopt);
+  void mark_unlisted(time_point now, const target_id& id);
   // The list has no usable record of this engine, for any incarnation.
-  void unlisted_engine(time_point now, std::string_view engine);
+  void mark_engine_unlisted(time_point now, std::string_view engine);
   struct listed_row {
     target_record record;
     std::uint64_t version{};
@@ -114,13 +114,13 @@
   // state at `as_of`: reports lag behind, so newer state from the list or from an order is kept.
   // Returns false if another incarnation than `id` answered; if that one is newer, it replaces
   // `id`.
-  bool reported(time_point queried_at, time_point as_of, const target_id& id,
-                const target_answer& answer);
+  bool apply_answer(time_point queried_at, time_point as_of, const target_id& id,
+                    const target_answer& answer);
   // Another target answers at this target's address, so this one has ended. Its row may stay in the
   // list until it expires; a newer row of it adds it again.
-  void ended(const target_id& id) { remove_target(id); }
+  void mark_ended(const target_id& id) { remove_target(id); }
   // The target has carried out an order of this node.
-  void ordered(time_point now, const target_id& id, const std::optional<membership>& member_of);
+  void apply_order(time_point now, const target_id& id, const std::optional<membership>& member_of);
   // The target did not answer a probe in time. It is lost after `probes_until_lost` consecutive
   // failures.
   void probe_failed(time_point now, const target_id& id);
@@ -157,7 +157,7 @@
 
  private:
   struct engine_incarnations {
-    target_id now;
+    target_id current;
     std::vector<target_id> ended;  // newest last
   };
 
--- a/src/process/hosted_settings.cpp
+++ b/src/process/hosted_settings.cpp
@@ -38,7 +38,7 @@
     }
     table->read("id", settings_.id);
     table->read("data_centre", settings_.data_centre);
-    for (const auto& name : table->texts("data_centres")) {
+    for (const auto& name : table->read_strings("data_centres")) {
       settings_.data_centres.emplace_back(name.value);
     }
     table->read("cold_start", settings_.cold_start);
--- a/src/process/hub_cost.cpp
+++ b/src/process/hub_cost.cpp
@@ -80,7 +80,7 @@
     own_.all_data_centres = size.data_centres;
     own_.requests_seen = true;
     for (const target_record& record : records_) {
-      fleet_.listed(now_, record);
+      fleet_.apply_record(now_, record);
     }
     constexpr int settle_ticks = 20;  // every report request has been answered by then
     for (int i = 0; i < settle_ticks; ++i) {
@@ -95,7 +95,7 @@
       if (with_changes) {
         target_record& record = records_[static_cast<std::size_t>(i) % records_.size()];
         record.slots += 1;
-        fleet_.listed(now_, record);
+        fleet_.apply_record(now_, record);
       }
       tick();
     }
--- a/src/process/list_budget.h
+++ b/src/process/list_budget.h
@@ -21,7 +21,7 @@
 
   // Whether a list of this size may be sent in this round. At least one list is sent per round. The
   // other nodes get theirs in later rounds, or read the changes from the store.
-  [[nodiscard]] bool take(std::size_t bytes) {
+  [[nodiscard]] bool try_spend(std::size_t bytes) {
     if (sent_bytes_ > 0 && sent_bytes_ + bytes > max_bytes_) {
       return false;
     }
--- a/src/process/lost_target_reports.h
+++ b/src/process/lost_target_reports.h
@@ -21,7 +21,8 @@
 class lost_target_reports {
  public:
   // Stores the newest report of a peer, which replaces its previous one.
-  void told(time_point now, const node_id& peer, bool hub, const std::vector<target_id>& lost) {
+  void store_report(time_point now, const node_id& peer, bool hub,
+                    const std::vector<target_id>& lost) {
     if (lost.empty()) {
       reports_.erase(peer);
       return;
--- a/src/process/membership.cpp
+++ b/src/process/membership.cpp
@@ -183,8 +183,8 @@
 
 // ---- receiving ----
 
-std::optional<heard> membership::receive(const node_id& from, const message_stamp& stamp,
-                                         time_point now) {
+std::optional<receive_result> membership::receive(const node_id& from, const message_stamp& stamp,
+                                                  time_point now) {
   const auto found = peers_.find(from);
   if (found == peers_.end()) {
     return std::nullopt;
@@ -197,7 +197,7 @@
   if (std::ranges::count(p.past_incarnations, stamp.incarnation) != 0) {
     return std::nullopt;
   }
-  heard result;
+  receive_result result;
   if (!same_process) {
     accept_process(p, stamp, result, now);
   }
@@ -214,7 +214,7 @@
   return result;
 }
 
-void membership::accept_process(peer& p, const message_stamp& stamp, heard& result,
+void membership::accept_process(peer& p, const message_stamp& stamp, receive_result& result,
                                 time_point now) {
   result.restarted = p.incarnation != 0;
   if (result.restarted) {
@@ -230,7 +230,8 @@
   p.composed_at = now;
 }
 
-void membership::accept_echo(peer& p, const message_stamp& stamp, heard& result, time_point now) {
+void membership::accept_echo(peer& p, const message_stamp& stamp, receive_result& result,
+                             time_point now) {
   if (stamp.echo_of != 0 && stamp.echo_tag == echo_tag(incarnation_)) {
     if (const auto sent_at = p.sent.sent_at(stamp.echo_of)) {
       result.composed = composed_after(*sent_at, stamp.echo_held, now, timing_.clock_drift);
@@ -242,9 +243,9 @@
   result.echoed = p.echoed;
 }
 
-std::optional<heard> membership::receive(const heartbeat& message, std::uint64_t own,
-                                         time_point now) {
-  std::optional<heard> result = receive(message.from, message.stamp, now);
+std::optional<receive_result> membership::receive(const heartbeat& message, std::uint64_t own,
+                                                  time_point now) {
+  std::optional<receive_result> result = receive(message.from, message.stamp, now);
   if (!result) {
     return result;
   }
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -24,7 +24,7 @@
 enum class peer_state { unknown, alive, suspect, dead };
 
 // Result of processing a received stamp.
-struct heard {
+struct receive_result {
   bool restarted = false;  // the peer has a new process
   // Lower bound of the time at which the message was composed. Empty until the peer has echoed a
   // message of this process; until then, its messages cannot renew a permission.
@@ -71,12 +71,12 @@
 
   // Empty if `from` is not a peer or the message is not newer than those received before (duplicate
   // or reordered).
-  [[nodiscard]] std::optional<heard> receive(const node_id& from, const message_stamp& stamp,
-                                             time_point now);
+  [[nodiscard]] std::optional<receive_result> receive(const node_id& from,
+                                                      const message_stamp& stamp, time_point now);
   // As above, and stores the state that the heartbeat reports. An empty config_hash stands for the
   // last one received. `own` is the assignment version that this node knows.
-  [[nodiscard]] std::optional<heard> receive(const heartbeat& message, std::uint64_t own,
-                                             time_point now);
+  [[nodiscard]] std::optional<receive_result> receive(const heartbeat& message, std::uint64_t own,
+                                                      time_point now);
 
   [[nodiscard]] peer_state state(const node_id& peer, time_point now) const;
   // Alive and suspect nodes including self, ordered by id.
@@ -168,8 +168,8 @@
   [[nodiscard]] duration unresponsive_time(const peer& p, time_point now) const;
   [[nodiscard]] duration damping(const peer& p, time_point now) const;
   [[nodiscard]] std::size_t total_votes() const;
-  void accept_process(peer& p, const message_stamp& stamp, heard& result, time_point now);
-  void accept_echo(peer& p, const message_stamp& stamp, heard& result, time_point now);
+  void accept_process(peer& p, const message_stamp& stamp, receive_result& result, time_point now);
+  void accept_echo(peer& p, const message_stamp& stamp, receive_result& result, time_point now);
   [[nodiscard]] duration interval_to(const node_id& id);
   void schedule_response(const node_id& from, time_point now);
   void learn_from_majority(std::uint64_t own);
--- a/src/process/observation_deltas.cpp
+++ b/src/process/observation_deltas.cpp
@@ -61,8 +61,8 @@
   return d;
 }
 
-void observation_table::take_deltas(heartbeat& message, const node_id& peer, std::uint64_t echoed,
-                                    time_point now) {
+void observation_table::append_deltas(heartbeat& message, const node_id& peer, std::uint64_t echoed,
+                                      time_point now) {
   std::map<vm_id, sent_state>& known = sent_states_[peer];
   std::erase_if(known, [this](const auto& entry) { return !own_.contains(entry.first); });
   for (const auto& [vm, own] : own_) {
--- a/src/process/observations.cpp
+++ b/src/process/observations.cpp
@@ -138,7 +138,7 @@
   return true;
 }
 
-void observation_table::merge(const heartbeat& message, const heard& h, time_point now) {
+void observation_table::merge(const heartbeat& message, const receive_result& h, time_point now) {
   received_slots& slots = received_slots_[message.from];
   for (const observation_delta& d : message.observations) {
     std::optional<engine_report> report = restore(slots, d);
@@ -152,14 +152,14 @@
   }
 }
 
-void observation_table::merge(const node_id& from, const lost_notice& notice, const heard& h,
-                              time_point now) {
+void observation_table::merge(const node_id& from, const lost_notice& notice,
+                              const receive_result& h, time_point now) {
   merge(from, notice.failure, h, now);
 }
 
 // Failures without a bound on their age are ignored, as successes are; the probers report again.
-void observation_table::merge(const node_id& from, const probe_failure& failure, const heard& h,
-                              time_point now) {
+void observation_table::merge(const node_id& from, const probe_failure& failure,
+                              const receive_result& h, time_point now) {
   const auto found = targets_.find(failure.vm);
   if (found == targets_.end() || !h.composed) {
     return;
@@ -265,7 +265,8 @@
       continue;
     }
     ++reporters;
-    const bool persistent = f.count >= 2 && f.newest - f.first >= timing_.suspicion;
+    const bool persistent =
+        f.count >= 2 && f.newest - f.first >= timing_.single_prober_loss_timeout;
     if (reporters >= 2 || persistent) {
       return true;
     }
@@ -277,7 +278,7 @@
 duration observation_table::recovery_time(const target& t, time_point now) const {
   const double losses = decayed(t.losses, now - t.losses_at, timing_.damping_half_life);
   const double seconds =
-      to_seconds(timing_.recovery) * std::exp2(std::clamp(losses - 1.0, 0.0, 16.0));
+      to_seconds(timing_.recovery_duration) * std::exp2(std::clamp(losses - 1.0, 0.0, 16.0));
   return std::min(from_seconds(seconds), timing_.damping_limit);
 }
 
--- a/src/process/observations.h
+++ b/src/process/observations.h
@@ -57,8 +57,9 @@
   [[nodiscard]] std::optional<probe_failure> failure_of(const vm_id& vm, time_point now) const;
 
   // Merges observations and failures of a heartbeat; `h` is the result of membership::receive.
-  void merge(const heartbeat& message, const heard& h, time_point now);
-  void merge(const node_id& from, const lost_notice& notice, const heard& h, time_point now);
+  void merge(const heartbeat& message, const receive_result& h, time_point now);
+  void merge(const node_id& from, const lost_notice& notice, const receive_result& h,
+             time_point now);
   // The target is leaving, by the platform's list (`incarnation` 0) or a leaving_notice. True if
   // that was not known and should be passed on.
   bool mark_leaving(const vm_id& vm, std::uint64_t incarnation);
@@ -71,10 +72,11 @@
 
   // Adds this node's own observations that `peer` does not have yet to `message`, whose stamp must
   // be set. `echoed`: newest own sequence that the peer is known to have (membership::echoed).
-  void take_deltas(heartbeat& message, const node_id& peer, std::uint64_t echoed, time_point now);
+  void append_deltas(heartbeat& message, const node_id& peer, std::uint64_t echoed, time_point now);
 
-  // To be called when the peer has left the data centre or has a new process (heard::restarted). A
-  // new process could echo messages whose short forms it was not able to decode.
+  // To be called when the peer has left the data centre or has a new process
+  // (receive_result::restarted). A new process could echo messages whose short forms it was not
+  // able to decode.
   void forget_peer(const node_id& peer);
 
   [[nodiscard]] target_condition condition(const vm_id& vm, time_point now) const;
@@ -130,7 +132,8 @@
   };
 
   void accept(const node_id& by, const observation& seen, time_point now);
-  void merge(const node_id& from, const probe_failure& failure, const heard& h, time_point now);
+  void merge(const node_id& from, const probe_failure& failure, const receive_result& h,
+             time_point now);
   void refute(target& t, const node_id& by, time_point seen_at, time_point now);
   // `probes`: for an own failure, the number of failed probes that it adds (one, or none for a
   // connection error); for a peer's failure, its number of consecutive failed probes.
--- a/src/process/peer_table.cpp
+++ b/src/process/peer_table.cpp
@@ -33,7 +33,7 @@
   sort_peers();
 }
 
-void peer_table::learn(const node_record& record) {
+void peer_table::add_peer(const node_record& record) {
   if (record.id == self_ || peers_.contains(record.id)) {
     return;
   }
@@ -60,7 +60,7 @@
   return strength_ != p.strength ? strength_ > p.strength : self_ < id;
 }
 
-void peer_table::told(time_point now, const node_id& id) {
+void peer_table::note_sent(time_point now, const node_id& id) {
   const auto found = peers_.find(id);
   if (found == peers_.end()) {
     return;
--- a/src/process/peer_table.h
+++ b/src/process/peer_table.h
@@ -37,10 +37,10 @@
   void set_records(const std::vector<node_record>& nodes);
 
   // Adds a peer known by its heartbeat, which may not have been in the rows when they were read.
-  void learn(const node_record& peer);
+  void add_peer(const node_record& peer);
 
   // A heartbeat was sent to the peer.
-  void told(time_point now, const node_id& peer);
+  void note_sent(time_point now, const node_id& peer);
   // The state that a peer reports in its heartbeat.
   struct heartbeat_info {
     bool hub = false;
--- a/src/process/poison_tracker.cpp
+++ b/src/process/poison_tracker.cpp
@@ -105,7 +105,8 @@
   return true;
 }
 
-bool poison_tracker::strike(const request_fingerprint& fingerprint, const poison_strike& strike) {
+bool poison_tracker::record_strike(const request_fingerprint& fingerprint,
+                                   const poison_strike& strike) {
   const cleared_run& cleared = cleared_runs_[fingerprint.hash % cleared_slots];
   if (cleared.fingerprint == fingerprint && cleared.at != time_point{} &&
       strike.ended_at <= cleared.at + settings_.cleared_duration) {
--- a/src/process/poison_tracker.h
+++ b/src/process/poison_tracker.h
@@ -119,7 +119,7 @@
   // Records that a target ended before or shortly after the first event of a run that this node
   // sent. False if the strike is known already, the crash is attributed to a quarantined request,
   // the request was cleared, or there is no room.
-  bool strike(const request_fingerprint& fingerprint, const poison_strike& strike);
+  bool record_strike(const request_fingerprint& fingerprint, const poison_strike& strike);
   // A run succeeded, or delivered events for a long time. True if the request was a suspect.
   bool clear_request(time_point now, const request_fingerprint& fingerprint);
   // An operator releases the request; strikes from now on count again. True if there was an entry.
--- a/src/process/replica_controller_orders.cpp
+++ b/src/process/replica_controller_orders.cpp
@@ -71,14 +71,14 @@
     local.replica_at_count = order.replica;
     const bool is_head = order.members.front() == order.to;
     if (outcome == order_outcome::accepted && view != nullptr) {
-      fleet.ordered(now, order.to,
-                    membership{order.replica, is_head ? 0U : 1U, member_state::joining});
+      fleet.apply_order(now, order.to,
+                        membership{order.replica, is_head ? 0U : 1U, member_state::joining});
     }
   }
   if (has_left) {
     local.replica_at_count.reset();
     local.next_attempt_at = now;
-    fleet.ordered(now, order.to, std::nullopt);
+    fleet.apply_order(now, order.to, std::nullopt);
   }
 }
 
--- a/src/process/send_grants.cpp
+++ b/src/process/send_grants.cpp
@@ -131,11 +131,11 @@
   return known_incarnations.emplace_back(sender_totals{incarnation, {}});
 }
 
-std::map<target_id, std::uint64_t> grant_receiver::take(time_point valid_from, time_point now,
-                                                        const node_id& from,
-                                                        const std::string& sender_incarnation,
-                                                        const std::string& own_incarnation,
-                                                        const grant_update& update) {
+std::map<target_id, std::uint64_t> grant_receiver::receive(time_point valid_from, time_point now,
+                                                           const node_id& from,
+                                                           const std::string& sender_incarnation,
+                                                           const std::string& own_incarnation,
+                                                           const grant_update& update) {
   std::map<target_id, std::uint64_t> new_grants;
   if (update.receiver_incarnation != own_incarnation) {
     return new_grants;
--- a/src/process/send_grants.h
+++ b/src/process/send_grants.h
@@ -100,11 +100,11 @@
   // The grants that are new in this update. `valid_from`: the content of the heartbeat is not older
   // than this. Grants that may be too old are dropped, since they belong to an earlier second of
   // the limit.
-  std::map<target_id, std::uint64_t> take(time_point valid_from, time_point now,
-                                          const node_id& from,
-                                          const std::string& sender_incarnation,
-                                          const std::string& own_incarnation,
-                                          const grant_update& update);
+  std::map<target_id, std::uint64_t> receive(time_point valid_from, time_point now,
+                                             const node_id& from,
+                                             const std::string& sender_incarnation,
+                                             const std::string& own_incarnation,
+                                             const grant_update& update);
 
   static constexpr duration max_transit_time = 1s;
 
--- a/src/process/serving_feed.cpp
+++ b/src/process/serving_feed.cpp
@@ -119,7 +119,7 @@
     members.push_back(member.id);
   }
   rows_.advance(rows_.position() + 1);
-  rows_.take({key, known, rows_.position(), false});
+  rows_.apply({key, known, rows_.position(), false});
 }
 
 void serving_feed::update(const fleet_view& fleet, const service_map& services) {
@@ -154,7 +154,7 @@
       continue;
     }
     rows_.advance(rows_.position() + 1);
-    rows_.take({known->first, {}, rows_.position(), true});
+    rows_.apply({known->first, {}, rows_.position(), true});
     members_.erase(known->first);
     known = encoded_.erase(known);
   }
@@ -179,9 +179,9 @@
   return result;
 }
 
-bool serving_follower::take(time_point queried_at, const std::string& incarnation,
-                            std::uint64_t after, bool whole, std::uint64_t at,
-                            const std::vector<feed_row>& rows, fleet_view& fleet) {
+bool serving_follower::apply(time_point queried_at, const std::string& incarnation,
+                             std::uint64_t after, bool whole, std::uint64_t at,
+                             const std::vector<feed_row>& rows, fleet_view& fleet) {
   if (whole) {
     // A late answer to an older heartbeat: positions of one incarnation only increase.
     if (incarnation == position_.incarnation && at < position_.at) {
@@ -243,7 +243,7 @@
         next != nullptr && std::any_of(next->members.begin(), next->members.end(),
                                        [&](const target_record& m) { return m.id == member.id; });
     if (!stays && view != nullptr && still_belongs_to_row(*view, member)) {
-      fleet.unlisted(queried_at, member.id);
+      fleet.mark_unlisted(queried_at, member.id);
     }
   }
 }
@@ -256,7 +256,7 @@
     return;
   }
   for (const target_record& member : entry->members) {
-    fleet.listed(queried_at, member);
+    fleet.apply_record(queried_at, member);
   }
   fleet.set_slowdown_factor(entry->members.front().id, entry->slowdown_factor);
   entries_[row.key] = *entry;
--- a/src/process/serving_feed.h
+++ b/src/process/serving_feed.h
@@ -78,8 +78,8 @@
 
   // Applies rows that describe the state at `queried_at` or later. Returns false and ignores them
   // if they do not continue from this node's position.
-  bool take(time_point queried_at, const std::string& incarnation, std::uint64_t after, bool whole,
-            std::uint64_t at, const std::vector<feed_row>& rows, fleet_view& fleet);
+  bool apply(time_point queried_at, const std::string& incarnation, std::uint64_t after, bool whole,
+             std::uint64_t at, const std::vector<feed_row>& rows, fleet_view& fleet);
 
   [[nodiscard]] const position& at() const { return position_; }
   // To be called when the fleet view was updated from another source: all rows are needed next.
--- a/src/process/simulated_data_centre.cpp
+++ b/src/process/simulated_data_centre.cpp
@@ -169,7 +169,7 @@
   for (const auto& [id, c] : activated_) {
     in.in_force.push_back(c);
   }
-  in.emptied.assign(emptied_.begin(), emptied_.end());
+  in.drained_replicas.assign(emptied_.begin(), emptied_.end());
   in.acknowledged = acknowledged_;
   for (const auto& [id, f] : formations_) {
     if (f.weights_loaded && f.complete) {
--- a/src/process/summaries.cpp
+++ b/src/process/summaries.cpp
@@ -46,7 +46,7 @@
   return result;
 }
 
-void summary_board::heard(time_point now, const summary& s) {
+void summary_board::receive(time_point now, const summary& s) {
   if (s.data_centre != own_) {
     entries_[s.data_centre] = {s.models, now};
   }
--- a/src/process/summaries.h
+++ b/src/process/summaries.h
@@ -36,7 +36,7 @@
 
   // Nodes of other data centres to which a summary is due now.
   [[nodiscard]] std::vector<node_id> due(time_point now, const inventory& assets);
-  void heard(time_point now, const summary& s);
+  void receive(time_point now, const summary& s);
   [[nodiscard]] std::vector<remote_capacity> remote_capacities(time_point now,
                                                                const inventory& assets) const;
   [[nodiscard]] time_point next_due() const { return next_; }
--- a/src/request/admission.h
+++ b/src/request/admission.h
@@ -51,7 +51,7 @@
 };
 
 struct submission {
-  admission_result verdict;
+  admission_result decision;
   std::optional<rejection> displaced;  // a waiting request that is refused in its place
 };
 
--- a/src/request/expected_completion.cpp
+++ b/src/request/expected_completion.cpp
@@ -167,7 +167,7 @@
   for (candidate& c : all) {
     const auto found = stats_.find(c.route->id);
     const bool failed = found != stats_.end() && found->second.failed_at &&
-                        now - *found->second.failed_at < settings_.failure_memory;
+                        now - *found->second.failed_at < settings_.failure_retention;
     const bool slow =
         c.speed > settings_.straggler_factor * median && !c.route->crosses_fabric_domains;
     if (failed || slow) {
@@ -199,7 +199,7 @@
       continue;
     }
     replica_stats& known = stats_[c.route->id];
-    const bool failed_now = known.failed_at && now - *known.failed_at < settings_.failure_memory;
+    const bool failed_now = known.failed_at && now - *known.failed_at < settings_.failure_retention;
     if (failed_now ||
         (known.probed_at && now - *known.probed_at < settings_.straggler_probe_interval)) {
       continue;
--- a/src/request/expected_completion.h
+++ b/src/request/expected_completion.h
@@ -28,7 +28,7 @@
   duration straggler_probe_interval = 2s;  // one repeatable request each, to detect recovery
   duration slow_start = 10s;               // ramp-up time of the load after a repair
   double cross_domain_slowdown = 3.0;      // assumed until observed
-  duration failure_memory = 2s;            // how long a replica is avoided after a failed attempt
+  duration failure_retention = 2s;         // how long a replica is avoided after a failed attempt
 };
 
 class expected_completion {
--- a/src/request/instance_choice.cpp
+++ b/src/request/instance_choice.cpp
@@ -25,7 +25,7 @@
       continue;
     }
     double cost = candidate.data_centre == home ? 0 : settings_.remote_cost;
-    if (const auto found = known_.find(candidate.id); found != known_.end()) {
+    if (const auto found = stats_.find(candidate.id); found != stats_.end()) {
       const instance_stats& k = found->second;
       const bool is_current = now - k.load_reported_at < settings_.reported_load_validity;
       cost += std::max(k.active, is_current ? k.reported_calls : 0.0);
@@ -40,11 +40,11 @@
 }
 
 void instance_table::sent(const target_id& id) {
-  known_[id].active += 1;
+  stats_[id].active += 1;
 }
 
 void instance_table::ended(time_point now, const target_id& id, call_end end) {
-  instance_stats& k = known_[id];
+  instance_stats& k = stats_[id];
   k.active = std::max(0.0, k.active - 1);
   if (end == call_end::withdrawn) {
     return;
@@ -55,21 +55,21 @@
   k.failures_at = now;
 }
 
-void instance_table::told(time_point now, const target_id& id, double calls) {
-  instance_stats& k = known_[id];
+void instance_table::note_reported_load(time_point now, const target_id& id, double calls) {
+  instance_stats& k = stats_[id];
   k.reported_calls = calls;
   k.load_reported_at = now;
 }
 
 void instance_table::forget(const std::vector<target_id>& removed) {
   for (const target_id& id : removed) {
-    known_.erase(id);
+    stats_.erase(id);
   }
 }
 
 double instance_table::active(const target_id& id) const {
-  const auto found = known_.find(id);
-  return found == known_.end() ? 0 : found->second.active;
+  const auto found = stats_.find(id);
+  return found == stats_.end() ? 0 : found->second.active;
 }
 
 }  // namespace arbutus
--- a/src/request/instance_choice.h
+++ b/src/request/instance_choice.h
@@ -58,7 +58,7 @@
   void sent(const target_id& id);
   void ended(time_point now, const target_id& id, call_end end);
   // Running and waiting calls that the instance reported with a response.
-  void told(time_point now, const target_id& id, double calls);
+  void note_reported_load(time_point now, const target_id& id, double calls);
   void forget(const std::vector<target_id>& removed);
 
   // Calls of this node in flight at the instance.
@@ -76,7 +76,7 @@
   [[nodiscard]] double failure_rate(time_point now, const instance_stats& k) const;
 
   instance_settings settings_;
-  std::map<target_id, instance_stats> known_;
+  std::map<target_id, instance_stats> stats_;
 };
 
 }  // namespace arbutus
--- a/src/request/keyed.cpp
+++ b/src/request/keyed.cpp
@@ -66,7 +66,7 @@
   }
   row_version_ = row->version;
   if (row->version == 0) {
-    return found_none(now, wall);
+    return on_no_record(now, wall);
   }
   const outcome<keyed_record> found = decode_keyed_record(row->value);
   if (!is_ok(found)) {
@@ -79,9 +79,9 @@
   }
   const auto& stored_record = std::get<keyed_record>(found);
   if (stored_record.owner == facts_.owner) {
-    return found_own(now, wall, stored_record.phase);
+    return on_own_record(now, wall, stored_record.phase);
   }
-  return found_other(now, wall, stored_record);
+  return on_other_record(now, wall, stored_record);
 }
 
 keyed_effects keyed_call::tick(time_point now, wall_time wall) {
@@ -225,7 +225,7 @@
   }
 }
 
-keyed_effects keyed_call::found_none(time_point now, wall_time wall) {
+keyed_effects keyed_call::on_no_record(time_point now, wall_time wall) {
   if (step_ == step::marking) {
     // The table was restored from an older copy: its records of other calls may be stale, too.
     return abort_unsent(now, wall, "the record is gone from the table");
@@ -237,11 +237,12 @@
   return write(now, wall, record_.phase);
 }
 
-keyed_effects keyed_call::found_own(time_point now, wall_time wall, record_phase phase) {
+keyed_effects keyed_call::on_own_record(time_point now, wall_time wall, record_phase phase) {
   return phase == record_.phase ? record_confirmed(now, wall) : write(now, wall, record_.phase);
 }
 
-keyed_effects keyed_call::found_other(time_point now, wall_time wall, const keyed_record& other) {
+keyed_effects keyed_call::on_other_record(time_point now, wall_time wall,
+                                          const keyed_record& other) {
   if (step_ == step::recording) {
     step_ = step::finished;
     return {};
--- a/src/request/keyed.h
+++ b/src/request/keyed.h
@@ -157,10 +157,10 @@
   [[nodiscard]] keyed_effects read();
   void retry_later(time_point now);
   [[nodiscard]] keyed_effects record_confirmed(time_point now, wall_time wall);
-  [[nodiscard]] keyed_effects found_none(time_point now, wall_time wall);
-  [[nodiscard]] keyed_effects found_own(time_point now, wall_time wall, record_phase phase);
-  [[nodiscard]] keyed_effects found_other(time_point now, wall_time wall,
-                                          const keyed_record& other);
+  [[nodiscard]] keyed_effects on_no_record(time_point now, wall_time wall);
+  [[nodiscard]] keyed_effects on_own_record(time_point now, wall_time wall, record_phase phase);
+  [[nodiscard]] keyed_effects on_other_record(time_point now, wall_time wall,
+                                              const keyed_record& other);
   [[nodiscard]] keyed_effects reply_from_record(wall_time wall, const keyed_record& other);
   [[nodiscard]] keyed_effects abort_unsent(time_point now, wall_time wall, std::string reason);
   [[nodiscard]] keyed_effects record_outcome(time_point now, wall_time wall, record_phase phase);
--- a/src/request/limits.cpp
+++ b/src/request/limits.cpp
@@ -80,7 +80,7 @@
   }
 }
 
-limit_message rate_limits::tell(time_point now, const node_id& peer) {
+limit_message rate_limits::make_message(time_point now, const node_id& peer) {
   limit_message message;
   message.stamp = now;
   const auto clock = clocks_.find(peer);
@@ -220,7 +220,7 @@
 
 bool rate_limits::is_peer_current(time_point now, const node_id& peer) const {
   const auto found = clocks_.find(peer);
-  return found != clocks_.end() && now - found->second.heard_at <= settings_.lease;
+  return found != clocks_.end() && now - found->second.received_at <= settings_.lease;
 }
 
 }  // namespace arbutus
--- a/src/request/limits.h
+++ b/src/request/limits.h
@@ -65,10 +65,10 @@
   [[nodiscard]] limit_result take(time_point now, const workspace_id& workspace,
                                   double amount = 1.0);
 
-  // Updates the demand and plans what to lend; call every `message_interval`, then tell() for each
-  // peer.
+  // Updates the demand and plans what to lend; call every `message_interval`, then make_message()
+  // for each peer.
   void update(time_point now);
-  [[nodiscard]] limit_message tell(time_point now, const node_id& peer);
+  [[nodiscard]] limit_message make_message(time_point now, const node_id& peer);
   void received(time_point now, const node_id& peer, const limit_message& message);
 
   // Requests per second that this node may admit now.
@@ -95,7 +95,7 @@
     std::map<node_id, peer_usage> peers;
   };
   struct peer_clock {
-    time_point heard_at;
+    time_point received_at;
     time_point stamp;  // by the peer's clock
   };
 
--- a/src/request/policy_bench_admission.cpp
+++ b/src/request/policy_bench_admission.cpp
@@ -95,9 +95,9 @@
     if (result.displaced) {
       refuse(now, result.displaced->id);
     }
-    if (std::holds_alternative<admitted>(result.verdict)) {
+    if (std::holds_alternative<admitted>(result.decision)) {
       start(now, {id});
-    } else if (std::holds_alternative<rejected>(result.verdict)) {
+    } else if (std::holds_alternative<rejected>(result.decision)) {
       refuse(now, id);
     }
   }
--- a/src/request/policy_bench_budgets.cpp
+++ b/src/request/policy_bench_budgets.cpp
@@ -122,7 +122,7 @@
     for (std::size_t to = 0; to < limit_nodes; ++to) {
       if (to != from) {
         messages_in_transit_.push_back(
-            {now_ + gossip_lag, from, to, nodes_[from].tell(now_, names_[to])});
+            {now_ + gossip_lag, from, to, nodes_[from].make_message(now_, names_[to])});
       }
     }
   }
--- a/src/request/replica_choice.cpp
+++ b/src/request/replica_choice.cpp
@@ -139,8 +139,8 @@
   }
 }
 
-void load_table::received(const node_id& peer, const data_centre_id& data_centre, time_point now,
-                          std::map<target_id, replica_load> loads) {
+void load_table::set_peer_loads(const node_id& peer, const data_centre_id& data_centre,
+                                time_point now, std::map<target_id, replica_load> loads) {
   peers_[peer] = {now, data_centre, std::move(loads)};
 }
 
@@ -184,7 +184,7 @@
 
 void load_table::forget_peers(time_point now) {
   std::erase_if(peers_, [now](const auto& entry) {
-    return now - entry.second.heard_at > peer_load_validity;
+    return now - entry.second.received_at > peer_load_validity;
   });
 }
 
@@ -257,7 +257,7 @@
     if (misses_deadline(engine, expected, request)) {
       cost += to_seconds(settings.deadline_miss_penalty);
     }
-    if (contains(request.suspected, replica.head)) {
+    if (contains(request.suspected_heads, replica.head)) {
       cost += 10;  // chosen only if there is no other
     }
     usable.push_back({i, expected, cost});
--- a/src/request/replica_choice.h
+++ b/src/request/replica_choice.h
@@ -50,8 +50,8 @@
   void ended(const target_id& head, const generation_size& size, bool had_first_event);
 
   // Sets the last load per head that a peer reported, for itself and the nodes that it represents.
-  void received(const node_id& peer, const data_centre_id& data_centre, time_point now,
-                std::map<target_id, replica_load> loads);
+  void set_peer_loads(const node_id& peer, const data_centre_id& data_centre, time_point now,
+                      std::map<target_id, replica_load> loads);
   void forget_peers(time_point now);
 
   // Loads to report to peers. all(): of this node and its peers. all_except(): the same without
@@ -73,7 +73,7 @@
 
  private:
   struct peer_loads {
-    time_point heard_at;
+    time_point received_at;
     data_centre_id data_centre;
     std::map<target_id, replica_load> loads;
   };
@@ -123,9 +123,9 @@
   data_centre_id home;
   generation_size size;
   duration time_left{};
-  std::span<const target_id> avoided;    // heads tried already
-  std::span<const target_id> suspected;  // unresponsive heads
-  double random_sample = 0;              // uniform in [0, 1); 0: always the best
+  std::span<const target_id> avoided;          // heads tried already
+  std::span<const target_id> suspected_heads;  // unresponsive heads
+  double random_sample = 0;                    // uniform in [0, 1); 0: always the best
 };
 
 [[nodiscard]] replica_choice choose_replica(const engine_parameters& engine,
--- a/src/request/send_limits.h
+++ b/src/request/send_limits.h
@@ -36,25 +36,25 @@
 
   // Processes a response of the target; `sent_at`: when its request was sent. A response without a
   // limit clears one only if its request was sent after the limit was last received.
-  change told(time_point sent_at, time_point now, const target_id& target,
-              const announced_limit& response_limit);
+  change on_response(time_point sent_at, time_point now, const target_id& target,
+                     const announced_limit& response_limit);
 
   // A peer reported the limit; its `seen_at` is not later than the target's response.
   void received(const target_id& target, const send_limit& limit);
 
   // Null if none is known.
   [[nodiscard]] const send_limit* find(const target_id& target) const;
-  [[nodiscard]] const std::map<target_id, send_limit>& all() const { return known_; }
+  [[nodiscard]] const std::map<target_id, send_limit>& all() const { return limits_by_target_; }
   [[nodiscard]] bool is_limited(const target_id& target) const;
-  // Erases limits not seen for `memory`. `keep`: whether the target may still be alive.
+  // Erases limits not seen for `retention`. `keep`: whether the target may still be alive.
   template <class Keep>
   void forget(time_point now, Keep&& keep) {
-    std::erase_if(known_, [&](const auto& entry) {
+    std::erase_if(limits_by_target_, [&](const auto& entry) {
       const auto& [target, limit] = entry;
-      const bool settled = now - limit.seen_at > memory;
+      const bool settled = now - limit.seen_at > retention;
       return settled && (!limit.per_second || !keep(target));
     });
-    std::erase_if(own_, [&](const auto& entry) { return !is_limited(entry.first); });
+    std::erase_if(local_usage_, [&](const auto& entry) { return !is_limited(entry.first); });
   }
 
   // Counts a call that could be sent to this limited target.
@@ -71,7 +71,7 @@
   // Unused grants expire after this time, which bounds a burst to the requests that the limit
   // allows in it.
   static constexpr duration grant_validity = 1200ms;
-  static constexpr duration memory = 10s;
+  static constexpr duration retention = 10s;
 
  private:
   struct local_usage {
@@ -81,8 +81,8 @@
   };
   [[nodiscard]] static double decayed_demand(time_point now, const local_usage& use);
 
-  std::map<target_id, send_limit> known_;
-  std::map<target_id, local_usage> own_;
+  std::map<target_id, send_limit> limits_by_target_;
+  std::map<target_id, local_usage> local_usage_;
 };
 
 [[nodiscard]] std::string_view to_string(send_limits::change change);
--- a/src/standin/engine_completions.cpp
+++ b/src/standin/engine_completions.cpp
@@ -120,7 +120,7 @@
                            response_writer& writer) {
   request_closer closer(mutex_, engine_, handle);
   answer_sender sender(call, writer);
-  writer.on_caller_gone([&closer] { closer.close(); });
+  writer.on_caller_disconnect([&closer] { closer.close(); });
   while (wait_until_responsive(writer)) {
     std::unique_lock lock(mutex_);
     const stream_step step = engine_.take(monotonic_now(), handle, !call.stream);
--- a/src/standin/engine_fabric.cpp
+++ b/src/standin/engine_fabric.cpp
@@ -51,7 +51,8 @@
 }
 
 void engine_fabric::on_member_left(time_point now, const vm_id& vm) {
-  for_each_engine_with_member(vm, [now](engine_standin& engine) { engine.cut_requests(now); });
+  for_each_engine_with_member(vm,
+                              [now](engine_standin& engine) { engine.interrupt_requests(now); });
 }
 
 }  // namespace arbutus::standin
--- a/src/standin/engine_requests.cpp
+++ b/src/standin/engine_requests.cpp
@@ -87,7 +87,7 @@
   job.tokens = stream.answer.total();
   const batch_handle handle = batch_.add(job);
   streams_.emplace(handle, std::move(stream));
-  swap_if_requested(now, handle);
+  swap_with_other_answer(now, handle);
   record_load(now);
   return handle;
 }
@@ -102,8 +102,8 @@
   return faults;
 }
 
-void engine_standin::swap_if_requested(time_point now, batch_handle handle) {
-  if (faults_.crossed == 0) {
+void engine_standin::swap_with_other_answer(time_point now, batch_handle handle) {
+  if (faults_.swapped == 0) {
     return;
   }
   open_stream& own = streams_.at(handle);
@@ -111,7 +111,7 @@
     if (other_handle != handle && !other.answer.has_sent_tokens() && !other.cut &&
         !other.finished) {
       standin_answer::swap_answers(own.answer, other.answer);
-      --faults_.crossed;
+      --faults_.swapped;
       return;
     }
   }
@@ -199,7 +199,7 @@
   return false;
 }
 
-void engine_standin::cut_requests(time_point now) {
+void engine_standin::interrupt_requests(time_point now) {
   for (auto& [handle, stream] : streams_) {
     if (!stream.cut && !stream.finished) {
       ++counters_.cut;
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -135,7 +135,7 @@
 }
 
 void engine_standin::leave_group(time_point now) {
-  cut_requests(now);
+  interrupt_requests(now);
   fabric_.on_member_left(now, vm_);
   group_ = {};
   model_ = {};
--- a/src/standin/engine_standin.h
+++ b/src/standin/engine_standin.h
@@ -42,7 +42,7 @@
 
 // Number of upcoming answers that get each fault; counted down with each answer.
 struct pending_answer_faults {
-  std::uint32_t crossed{};  // pairs of requests that get each other's answer and request id
+  std::uint32_t swapped{};  // pairs of requests that get each other's answer and request id
   std::uint32_t late{};
   duration late_by{};
   std::uint32_t truncated{};
@@ -141,7 +141,7 @@
   [[nodiscard]] bool serves_in(time_point now, const composition& group) const;
   [[nodiscard]] double speed() const { return up_ && !paused() ? speed_ : 0.0; }
   void advance(time_point now);
-  void cut_requests(time_point now);
+  void interrupt_requests(time_point now);
 
  private:
   struct open_stream {
@@ -169,7 +169,7 @@
 
   [[nodiscard]] std::optional<not_run> refusal(time_point now, const generation_request& r) const;
   [[nodiscard]] answer_faults next_faults(time_point now);
-  void swap_if_requested(time_point now, batch_handle handle);
+  void swap_with_other_answer(time_point now, batch_handle handle);
   [[nodiscard]] stream_step expire(open_stream& stream, batch_handle handle);
   void cache_prompt(time_point now, open_stream& stream);
   void record_load(time_point now);
--- a/src/standin/fault_commands.cpp
+++ b/src/standin/fault_commands.cpp
@@ -73,7 +73,7 @@
                 {"leaving", [&](const json& v) { engine.set_leaving(v.get<bool>()); }},
                 {"silent", [&](const json& v) { engine.set_unresponsive(v.get<bool>()); }},
                 {"checks_tokens", [&](const json& v) { engine.set_checks_tokens(v.get<bool>()); }},
-                {"crossed", assign_to(answers.crossed)},
+                {"crossed", assign_to(answers.swapped)},
                 {"late", assign_to(answers.late)},
                 {"late_ms", assign_milliseconds_to(answers.late_by)},
                 {"truncated", assign_to(answers.truncated)},
--- a/src/standin/hosted_control.cpp
+++ b/src/standin/hosted_control.cpp
@@ -20,8 +20,8 @@
   nlohmann::json answer = nlohmann::json::object();
   if (path == "/counts") {
     answer = {{"runs", platform_.runs()},
-              {"ends", platform_.ends()},
-              {"leaked", platform_.leaked()},
+              {"ends", platform_.crashes()},
+              {"leaked", platform_.header_violations()},
               {"serving", platform_.serving()}};
   } else if (path == "/arrivals") {
     const time_point now = monotonic_now();
--- a/src/standin/hosted_engine.cpp
+++ b/src/standin/hosted_engine.cpp
@@ -7,7 +7,7 @@
 
 namespace arbutus::standin {
 
-order_outcome hosted_engine::take(time_point now, const replica_order& order) {
+order_outcome hosted_engine::execute(time_point now, const replica_order& order) {
   advance(now);
   if (order.expected_orders != orders_) {
     return order_outcome::conflict;
@@ -112,7 +112,7 @@
   return result;
 }
 
-void hosted_engine::start_again(const target_id& incarnation) {
+void hosted_engine::restart_as(const target_id& incarnation) {
   target_record fresh = record_;
   fresh.id = incarnation;
   fresh.loaded = {};
--- a/src/standin/hosted_engine.h
+++ b/src/standin/hosted_engine.h
@@ -31,7 +31,7 @@
       : settings_(settings), record_(std::move(record)) {}
 
   // Carries out an order that arrives at `now`.
-  order_outcome take(time_point now, const replica_order& order);
+  order_outcome execute(time_point now, const replica_order& order);
 
   // Completes joins and openings that are due by `now`.
   void advance(time_point now);
@@ -53,7 +53,7 @@
   void set_draining() { record_.draining = true; }
 
   // Restarts as another incarnation: everything is lost except the weights on its host.
-  void start_again(const target_id& incarnation);
+  void restart_as(const target_id& incarnation);
 
  private:
   struct snapshot {
--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -242,9 +242,9 @@
     return document.dump();
   }
 
-  order_outcome take(engine_process& e, const replica_order& o) {
+  order_outcome execute(engine_process& e, const replica_order& o) {
     const std::lock_guard guard(mutex);
-    return e.engine.take(monotonic_now(), o);
+    return e.engine.execute(monotonic_now(), o);
   }
 
   target_id incarnation_of_process(const engine_process& e) {
@@ -276,7 +276,7 @@
                                                           {order_outcome::already_done, 200},
                                                           {order_outcome::conflict, 409},
                                                           {order_outcome::outdated, 412}};
-    const auto found = statuses.find(take(e, o));
+    const auto found = statuses.find(execute(e, o));
     send_json(writer, found == statuses.end() ? 400 : found->second, "{}");
   }
 
@@ -296,7 +296,8 @@
   void count_run(const http_request& request) {
     const std::lock_guard guard(mutex);
     ++runs[header_text(request, "X-Request-Id")];
-    leaked += request.headers.find("Authorization") || !request.headers.find("X-Tenant") ? 1 : 0;
+    header_violations +=
+        request.headers.find("Authorization") || !request.headers.find("X-Tenant") ? 1 : 0;
   }
 
   void record_arrival(const std::string& at) {
@@ -370,7 +371,7 @@
     if (already_crashing) {
       return;
     }
-    ++ends[path];
+    ++crashes[path];
     const time_point now = monotonic_now();
     if (engine != nullptr) {
       engine->dead = true;
@@ -422,7 +423,7 @@
       }
       if (p.engine != nullptr) {
         hosted_engine& engine = p.engine->engine;
-        engine.start_again(incarnation_of(engine_of(engine.record().id), ++last_start_stamp));
+        engine.restart_as(incarnation_of(engine_of(engine.record().id), ++last_start_stamp));
         p.engine->dead = false;
       } else {
         list_plain_service(++last_start_stamp);
@@ -544,11 +545,11 @@
   std::map<std::string, std::unique_ptr<engine_process>> engines;
   std::map<std::string, int> runs;
   std::map<std::string, std::string> engine_of_run;
-  std::map<std::string, int> ends;                          // by path of the request
+  std::map<std::string, int> crashes;                       // by path of the request
   std::map<std::string, std::vector<time_point>> arrivals;  // of requests, by target
   std::string send_limit;
   std::vector<process_crash> process_crashes;
-  int leaked = 0;
+  int header_violations = 0;
   std::uint64_t last_start_stamp = first_start_stamp;
   std::atomic<bool> down{false};
   std::atomic<std::size_t> bytes_per_s{0};  // of each response of the store; 0: no limit
@@ -567,7 +568,7 @@
       runtime, socket_address{settings.ip, 0},
       [&s](const http_request& r, response_writer& w) { s.serve_plain(r, w); });
   for (const std::string& data_centre : settings.data_centres) {
-    for (std::size_t i = 0; i < settings.engines_each; ++i) {
+    for (std::size_t i = 0; i < settings.engines_per_data_centre; ++i) {
       target_record record;
       record.id = incarnation_of("i-" + data_centre + "-" + std::to_string(i), first_start_stamp);
       record.service = service_id{"llm"};
@@ -647,7 +648,7 @@
 void hosted_platform::restart_engine(const std::string& id) {
   const std::lock_guard guard(state_->mutex);
   hosted_engine& engine = state_->engines.at(id)->engine;
-  engine.start_again(incarnation_of(id, ++state_->last_start_stamp));
+  engine.restart_as(incarnation_of(id, ++state_->last_start_stamp));
 }
 
 void hosted_platform::write_entry(const std::string& key, const std::string& value) {
@@ -686,9 +687,9 @@
                     [](const auto& row) { return !row.second.removed; }));
 }
 
-std::map<std::string, int> hosted_platform::ends() const {
+std::map<std::string, int> hosted_platform::crashes() const {
   const std::lock_guard guard(state_->mutex);
-  return state_->ends;
+  return state_->crashes;
 }
 
 void hosted_platform::set_send_limit(const std::string& value) {
@@ -701,9 +702,9 @@
   return state_->arrivals;
 }
 
-int hosted_platform::leaked() const {
+int hosted_platform::header_violations() const {
   const std::lock_guard guard(state_->mutex);
-  return state_->leaked;
+  return state_->header_violations;
 }
 
 }  // namespace arbutus::standin
--- a/src/standin/hosted_platform.h
+++ b/src/standin/hosted_platform.h
@@ -21,7 +21,7 @@
 
 struct hosted_platform_settings {
   std::vector<std::string> data_centres = {"lab-a"};
-  std::size_t engines_each = 9;  // those of one data centre form one fabric domain
+  std::size_t engines_per_data_centre = 9;  // those of one data centre form one fabric domain
   std::string ip = "127.0.0.1";
   std::uint16_t store_port = 0;  // 0: any
   int events = 10;               // number of events in each streamed answer
@@ -83,9 +83,9 @@
   // How often each request has started to run, by its id.
   [[nodiscard]] std::map<std::string, int> runs() const;
   // How often each poison path has crashed an engine or the plain service.
-  [[nodiscard]] std::map<std::string, int> ends() const;
+  [[nodiscard]] std::map<std::string, int> crashes() const;
   // Number of requests whose headers contained a caller's key or lacked the workspace.
-  [[nodiscard]] int leaked() const;
+  [[nodiscard]] int header_violations() const;
 
  private:
   struct state;
--- a/src/standin/standin_http.cpp
+++ b/src/standin/standin_http.cpp
@@ -37,11 +37,11 @@
 
 bool wait_until(response_writer& writer, time_point until) {
   for (time_point now = monotonic_now(); now < until; now = monotonic_now()) {
-    if (writer.caller_gone() || !sleep_until(std::min(until, now + fault_poll_interval))) {
+    if (writer.caller_disconnected() || !sleep_until(std::min(until, now + fault_poll_interval))) {
       return false;
     }
   }
-  return !writer.caller_gone();
+  return !writer.caller_disconnected();
 }
 
 bool wait_for(response_writer& writer, duration d) {
--- a/src/version/desired_replicas.cpp
+++ b/src/version/desired_replicas.cpp
@@ -28,7 +28,7 @@
 bool keeps_extra(const plan_draft& draft, const model_rule& rule) {
   const std::uint32_t count = draft.count_active(rule.id);
   return count > draft.configured_replicas(rule) && count > 1 &&
-         draft.busy_replicas(rule.id) > keep_threshold * (count - 1);
+         draft.load_in_replicas(rule.id) > keep_threshold * (count - 1);
 }
 
 bool any_model_borrows(const plan_draft& draft) {
@@ -40,7 +40,7 @@
 std::uint32_t desired_count(const plan_draft& draft, const model_rule& rule, bool lending) {
   const std::uint32_t base = draft.configured_replicas(rule);
   const std::uint32_t count = draft.count_active(rule.id);
-  const double busy = draft.busy_replicas(rule.id);
+  const double busy = draft.load_in_replicas(rule.id);
   if (count > base && base > 0) {
     return keeps_extra(draft, rule) ? count : base;
   }
@@ -90,7 +90,7 @@
     return false;
   }
   const std::uint32_t count = draft.count_active(r.plan.model);
-  return count > 1 && draft.busy_replicas(r.plan.model) <= max_load_after_lending * (count - 1);
+  return count > 1 && draft.load_in_replicas(r.plan.model) <= max_load_after_lending * (count - 1);
 }
 
 // The domain in which a replica of the borrowing model fits once `r` is removed.
@@ -104,7 +104,7 @@
   if (after(any_domain) < rule.vms_per_replica + keep_free) {
     return std::nullopt;
   }
-  for (domain_index d = 0; d < draft.pool.domains(); ++d) {
+  for (domain_index d = 0; d < draft.pool.domain_count(); ++d) {
     if (after(d) >= rule.vms_per_replica) {
       return d;
     }
@@ -153,14 +153,14 @@
   const std::uint32_t accelerators = rule.accelerators_per_vm;
   const std::size_t soon = draft.pool.free_count(any_domain, accelerators) +
                            draft.pool.pending_count(any_domain, accelerators);
-  for (domain_index d = 0; d < draft.pool.domains(); ++d) {
+  for (domain_index d = 0; d < draft.pool.domain_count(); ++d) {
     const std::size_t free =
         std::min<std::size_t>(draft.pool.free_count(d, accelerators), rule.vms_per_replica);
     const std::size_t lacking = rule.vms_per_replica - free;
     const bool spares_remain = soon >= rule.vms_per_replica + keep_free;
     const shortage need{&rule, d, free, lacking, nullptr, standbys_kept};
     const bool pending = spares_remain && draft.pool.pending_count(d, accelerators) >= lacking;
-    if ((pending || keep_free == 0) && reclaim_vms(draft, need, sources::standbys)) {
+    if ((pending || keep_free == 0) && reclaim_vms(draft, need, reclaim_scope::standbys)) {
       return true;
     }
   }
@@ -181,7 +181,7 @@
 bool is_overloaded(const plan_draft& draft, const model_rule& rule) {
   const std::uint32_t count = draft.count_active(rule.id);
   return count > 0 && count >= draft.configured_replicas(rule) && !draft.is_changing(rule.id) &&
-         draft.busy_replicas(rule.id) > overload_threshold * count;
+         draft.load_in_replicas(rule.id) > overload_threshold * count;
 }
 
 std::vector<std::uint32_t> desired_replicas(const plan_draft& draft) {
--- a/src/version/import_rules.cpp
+++ b/src/version/import_rules.cpp
@@ -27,7 +27,7 @@
 template <class Id>
 void read_ids(table_reader& table, std::string_view key, const std::string& path,
               std::vector<Id>& ids, rules_import& result) {
-  for (located_value<std::string>& text : table.texts(key)) {
+  for (located_value<std::string>& text : table.read_strings(key)) {
     if (!is_name(text.value)) {
       result.problems.push_back({severity::error, text.at,
                                  std::string(key) + ": " + in_quotes(text.value) + " is no name",
@@ -49,7 +49,7 @@
 
 void read_placements(table_reader& table, const std::string& path, model_rule& model,
                      rules_import& result) {
-  for (const auto& [entry, at] : table.counts("replicas", count_range)) {
+  for (const auto& [entry, at] : table.read_counts("replicas", count_range)) {
     const auto& [data_centre, count] = entry;
     result.places.add_place(record_path(path + "/placements", model.placements.size()), at);
     model.placements.push_back({data_centre_id{data_centre}, count});
@@ -100,7 +100,7 @@
 
 void read_calls(table_reader& table, const std::string& path, service_rule& service,
                 rules_import& result) {
-  for (const located_value<std::string>& text : table.texts("idempotent_calls")) {
+  for (const located_value<std::string>& text : table.read_strings("idempotent_calls")) {
     auto call = parse_call(text.value);
     if (!call) {
       result.problems.push_back({severity::error, text.at,
@@ -133,7 +133,7 @@
 
 void read_key_hashes(table_reader& table, const std::string& path, workspace_rule& workspace,
                      rules_import& result) {
-  auto hashes = table.texts("key_hashes");
+  auto hashes = table.read_strings("key_hashes");
   if (hashes.empty()) {
     result.problems.push_back({severity::warning, table.place_of("key_hashes"),
                                "[[workspace]] key_hashes: " + in_quotes(workspace.id.str()) +
--- a/src/version/placement.cpp
+++ b/src/version/placement.cpp
@@ -82,7 +82,7 @@
   const std::uint32_t accelerators = r.rule->accelerators_per_vm;
   std::optional<domain_index> best;
   std::size_t best_kept = 0;
-  for (domain_index d = 0; d < draft.pool.domains(); ++d) {
+  for (domain_index d = 0; d < draft.pool.domain_count(); ++d) {
     const std::size_t kept = draft.usable_in(r, d, accelerators);
     const bool fits = kept + draft.pool.free_count(d, accelerators) >= r.rule->vms_per_replica;
     if (fits && (!best || kept > best_kept)) {
@@ -109,7 +109,8 @@
   return true;
 }
 
-bool wait_for_repair(plan_draft& draft, draft_replica& r, domain_index domain, sources allowed) {
+bool wait_for_repair(plan_draft& draft, draft_replica& r, domain_index domain,
+                     reclaim_scope allowed) {
   std::vector<vm_id> members = with_gaps(draft, r.plan.members);
   fill_gaps_from_standbys(members, usable_standbys(draft, r));
   const std::size_t needed = gaps(members);
@@ -134,17 +135,17 @@
   if (relocate(draft, r)) {
     return;
   }
-  if (in_place && wait_for_repair(draft, r, main_domain, sources::standbys)) {
+  if (in_place && wait_for_repair(draft, r, main_domain, reclaim_scope::standbys)) {
     return;
   }
   if (cross && repair_from(draft, r, any_domain)) {
     return;
   }
-  if (in_place && wait_for_repair(draft, r, main_domain, sources::all)) {
+  if (in_place && wait_for_repair(draft, r, main_domain, reclaim_scope::all)) {
     return;
   }
   if (cross) {
-    wait_for_repair(draft, r, any_domain, sources::all);
+    wait_for_repair(draft, r, any_domain, reclaim_scope::all);
   }
 }
 
@@ -166,7 +167,7 @@
   const std::uint32_t accelerators = rule.accelerators_per_vm;
   domain_index best = any_domain;
   std::size_t best_free = 0;
-  for (domain_index d = 0; d < draft.pool.domains(); ++d) {
+  for (domain_index d = 0; d < draft.pool.domain_count(); ++d) {
     const std::size_t free = draft.pool.free_count(d, accelerators);
     if (free < rule.vms_per_replica) {
       continue;
@@ -198,7 +199,7 @@
 
 // Domains by number of free and pending VMs, most first.
 std::vector<domain_index> domains_by_availability(const plan_draft& draft, const model_rule& rule) {
-  std::vector<domain_index> order(draft.pool.domains());
+  std::vector<domain_index> order(draft.pool.domain_count());
   for (domain_index d = 0; d < order.size(); ++d) {
     order[d] = d;
   }
@@ -211,13 +212,13 @@
 }
 
 bool wait_for_new_replica(plan_draft& draft, const model_rule& rule, domain_index domain,
-                          sources allowed) {
+                          reclaim_scope allowed) {
   const std::size_t free = draft.pool.free_count(domain, rule.accelerators_per_vm);
   const std::size_t used = std::min<std::size_t>(free, rule.vms_per_replica);
   return reclaim_vms(draft, {&rule, domain, used, rule.vms_per_replica - used, nullptr}, allowed);
 }
 
-bool wait_in_domain(plan_draft& draft, const model_rule& rule, sources allowed) {
+bool wait_in_domain(plan_draft& draft, const model_rule& rule, reclaim_scope allowed) {
   return std::ranges::any_of(domains_by_availability(draft, rule), [&](domain_index d) {
     return wait_for_new_replica(draft, rule, d, allowed);
   });
@@ -268,10 +269,10 @@
 }
 
 bool create_replica_or_wait(plan_draft& draft, const model_rule& rule) {
-  return create_replica(draft, rule, 0) || wait_in_domain(draft, rule, sources::standbys) ||
-         create_across_domains(draft, rule) || wait_in_domain(draft, rule, sources::all) ||
+  return create_replica(draft, rule, 0) || wait_in_domain(draft, rule, reclaim_scope::standbys) ||
+         create_across_domains(draft, rule) || wait_in_domain(draft, rule, reclaim_scope::all) ||
          (rule.may_cross_fabric_domains &&
-          wait_for_new_replica(draft, rule, any_domain, sources::all));
+          wait_for_new_replica(draft, rule, any_domain, reclaim_scope::all));
 }
 
 void repair_and_fill(plan_draft& draft, const std::vector<std::uint32_t>& desired) {
--- a/src/version/plan_draft.cpp
+++ b/src/version/plan_draft.cpp
@@ -118,9 +118,9 @@
   return sum;
 }
 
-double plan_draft::busy_replicas(const model_id& model) const {
+double plan_draft::load_in_replicas(const model_id& model) const {
   const auto found = std::ranges::find(in_.demand, model, &replica_demand::model);
-  return found == in_.demand.end() ? 0.0 : found->busy_replicas;
+  return found == in_.demand.end() ? 0.0 : found->load_in_replicas;
 }
 
 bool plan_draft::outdated(const draft_replica& r) const {
--- a/src/version/plan_draft.h
+++ b/src/version/plan_draft.h
@@ -30,13 +30,13 @@
  public:
   explicit plan_draft(const planner_input& in);
 
-  [[nodiscard]] const planner_input& in() const { return in_; }
+  [[nodiscard]] const planner_input& input() const { return in_; }
   [[nodiscard]] const rules& desired() const { return in_.config->desired; }
   // Models of the rules in order of repair.
   [[nodiscard]] const std::vector<const model_rule*>& models() const { return models_; }
   // Replicas that the placements of the rule give this data centre.
   [[nodiscard]] std::uint32_t configured_replicas(const model_rule& rule) const;
-  [[nodiscard]] double busy_replicas(const model_id& model) const;
+  [[nodiscard]] double load_in_replicas(const model_id& model) const;
 
   [[nodiscard]] bool outdated(const draft_replica& r) const;
   [[nodiscard]] std::uint32_t count_active(const model_id& model) const;
--- a/src/version/planner.cpp
+++ b/src/version/planner.cpp
@@ -30,12 +30,12 @@
 
 // A draining replica that lost a member runs no requests, so dissolving it interrupts none.
 void end_drains(plan_draft& draft) {
-  const auto& emptied = draft.in().emptied;
+  const auto& drained_replicas = draft.input().drained_replicas;
   for (draft_replica& r : draft.replicas) {
     if (!r.draining()) {
       continue;
     }
-    if (std::ranges::find(emptied, r.plan.id) != emptied.end()) {
+    if (std::ranges::find(drained_replicas, r.plan.id) != drained_replicas.end()) {
       draft.release(r);
     } else if (r.broken()) {
       draft.dissolve(r, "lost a member while it drained");
@@ -55,7 +55,7 @@
 
 bool fits_in_one_domain(const plan_draft& draft, const draft_replica& r) {
   const std::uint32_t accelerators = r.rule->accelerators_per_vm;
-  for (domain_index d = 0; d < draft.pool.domains(); ++d) {
+  for (domain_index d = 0; d < draft.pool.domain_count(); ++d) {
     const std::size_t there =
         draft.usable_in(r, d, accelerators) + draft.pool.free_count(d, accelerators);
     if (there >= r.rule->vms_per_replica) {
@@ -73,7 +73,7 @@
     return;
   }
   const std::uint32_t others = draft.count_serving(rule.id) - 1;
-  if (others == 0 || draft.busy_replicas(rule.id) <= others) {
+  if (others == 0 || draft.load_in_replicas(rule.id) <= others) {
     draft.drain(r, "to be laid down anew as the rules say");
   }
 }
@@ -93,7 +93,7 @@
     }
     const std::uint32_t others = std::max(1U, draft.count_serving(rule->id)) - 1;
     const bool load_permits =
-        others > 0 && draft.busy_replicas(rule->id) <= max_improvement_load * others;
+        others > 0 && draft.load_in_replicas(rule->id) <= max_improvement_load * others;
     const auto crossing = std::ranges::find_if(draft.replicas, [&](const draft_replica& r) {
       return r.active() && r.rule == rule && r.plan.crosses_fabric_domains &&
              fits_in_one_domain(draft, r);
--- a/src/version/planner.h
+++ b/src/version/planner.h
@@ -16,17 +16,17 @@
 // Load of a model in this data centre, in units of one replica's capacity, smoothed by the caller.
 struct replica_demand {
   model_id model;
-  double busy_replicas{};
+  double load_in_replicas{};
 };
 
 struct planner_input {
   const configuration* config = nullptr;  // not null
   const assignment* current = nullptr;    // not null; the last known row
   data_centre_id data_centre;
-  std::vector<vm_health> health;      // VMs that are not listed count as lost
-  std::vector<composition> in_force;  // known activations, the newest of each replica
-  std::vector<replica_id> emptied;    // draining replicas that are proven empty
-  std::uint64_t acknowledged{};       // highest row version acknowledged by every live node
+  std::vector<vm_health> health;             // VMs that are not listed count as lost
+  std::vector<composition> in_force;         // known activations, the newest of each replica
+  std::vector<replica_id> drained_replicas;  // draining replicas that are proven empty
+  std::uint64_t acknowledged{};              // highest row version acknowledged by every live node
   std::vector<replica_demand> demand;
   // Replicas of which every member reports that it is ready. A planned stop requires other replicas
   // of the model in this list, so that one that is still loading does not count.
--- a/src/version/planner_bench.cpp
+++ b/src/version/planner_bench.cpp
@@ -108,7 +108,7 @@
     in.acknowledged = row_.version;
     for (const replica_plan& replica : row_.replicas) {
       if (replica.phase == replica_phase::draining) {
-        in.emptied.push_back(replica.id);
+        in.drained_replicas.push_back(replica.id);
       } else if (is_complete(replica)) {
         in.serving.push_back(replica.id);
       }
--- a/src/version/shortage.cpp
+++ b/src/version/shortage.cpp
@@ -105,7 +105,7 @@
   return std::tie(rank_a, a.missing, a.plan.id) < std::tie(rank_b, b.missing, b.plan.id);
 }
 
-bool reclaim_vms(plan_draft& draft, const shortage& need, sources allowed) {
+bool reclaim_vms(plan_draft& draft, const shortage& need, reclaim_scope allowed) {
   const std::uint32_t accelerators = need.rule->accelerators_per_vm;
   const std::size_t pending =
       std::min(need.lacking, draft.pool.pending_count(need.domain, accelerators));
@@ -118,7 +118,7 @@
   }
   std::vector<draft_replica*> dissolved;
   draft_replica* drained = nullptr;
-  if (lacking > 0 && allowed == sources::all) {
+  if (lacking > 0 && allowed == reclaim_scope::all) {
     for (draft_replica* donor : broken_replicas_to_dissolve(draft, need)) {
       const std::size_t gives = usable_members(draft, need, *donor);
       dissolved.push_back(donor);
--- a/src/version/shortage.h
+++ b/src/version/shortage.h
@@ -17,14 +17,14 @@
   std::size_t standbys_kept = 0;        // number of standbys that each other replica keeps
 };
 
-enum class sources {
+enum class reclaim_scope {
   standbys,  // VMs that are already pending, and standbys of other replicas
   all,       // also broken replicas, and serving ones of a lower rank or beyond the placements
 };
 
 // Arranges for `lacking` VMs to become free. If there are not enough, changes nothing and returns
 // false.
-[[nodiscard]] bool reclaim_vms(plan_draft& draft, const shortage& need, sources allowed);
+[[nodiscard]] bool reclaim_vms(plan_draft& draft, const shortage& need, reclaim_scope allowed);
 
 // Order of repair: by rank, then fewest missing members, then id.
 [[nodiscard]] bool precedes_in_repair(const draft_replica& a, const draft_replica& b);
--- a/src/version/standby.cpp
+++ b/src/version/standby.cpp
@@ -82,8 +82,8 @@
 standby_inputs standby_inputs_for(const plan_draft& draft, const model_rule& rule) {
   const rules& desired = draft.desired();
   const double fleet =
-      std::max<double>(1, static_cast<double>(draft.in().config->assets.vms.size()));
-  const double domains = std::max<double>(1, draft.pool.domains());
+      std::max<double>(1, static_cast<double>(draft.input().config->assets.vms.size()));
+  const double domains = std::max<double>(1, draft.pool.domain_count());
   double replicas = 0;
   for (const model_rule* other : draft.models()) {
     replicas += draft.configured_replicas(*other);
--- a/src/version/toml_reader.cpp
+++ b/src/version/toml_reader.cpp
@@ -73,7 +73,7 @@
       {severity::error, place_of(key), path(key) + ": " + std::move(message), std::move(expected)});
 }
 
-const toml_field* table_reader::take(std::string_view key, presence need) {
+const toml_field* table_reader::lookup_field(std::string_view key, presence need) {
   known_.emplace(key);
   const toml_field* field = find(key);
   if (field == nullptr && need == presence::required) {
@@ -83,8 +83,9 @@
 }
 
 template <class T>
-const T* table_reader::take_as(std::string_view key, presence need, std::string_view expected) {
-  const toml_field* field = take(key, need);
+const T* table_reader::lookup_field_as(std::string_view key, presence need,
+                                       std::string_view expected) {
+  const toml_field* field = lookup_field(key, need);
   if (field == nullptr) {
     return nullptr;
   }
@@ -96,20 +97,20 @@
 }
 
 void table_reader::read(std::string_view key, bool& value, presence need) {
-  if (const bool* found = take_as<bool>(key, need, "true or false")) {
+  if (const bool* found = lookup_field_as<bool>(key, need, "true or false")) {
     value = *found;
   }
 }
 
 void table_reader::read(std::string_view key, std::string& value, presence need) {
-  if (const auto* found = take_as<std::string>(key, need, "a text")) {
+  if (const auto* found = lookup_field_as<std::string>(key, need, "a text")) {
     value = *found;
   }
 }
 
 void table_reader::read(std::string_view key, std::uint32_t& value, presence need,
                         integer_range range) {
-  if (const toml_field* field = take(key, need)) {
+  if (const toml_field* field = lookup_field(key, need)) {
     value = integer_of(*field, range).value_or(value);
   }
 }
@@ -128,7 +129,7 @@
 }
 
 void table_reader::read(std::string_view key, double& value, presence need, real_range range) {
-  const toml_field* field = take(key, need);
+  const toml_field* field = lookup_field(key, need);
   if (field == nullptr) {
     return;
   }
@@ -147,7 +148,7 @@
 }
 
 void table_reader::read(std::string_view key, endpoint& value, presence need) {
-  const auto* found = take_as<std::string>(key, need, endpoint_expected);
+  const auto* found = lookup_field_as<std::string>(key, need, endpoint_expected);
   if (found == nullptr) {
     return;
   }
@@ -161,7 +162,7 @@
 
 void table_reader::read_ms(std::string_view key, duration& value, presence need,
                            integer_range range) {
-  const toml_field* field = take(key, need);
+  const toml_field* field = lookup_field(key, need);
   if (field == nullptr) {
     return;
   }
@@ -171,7 +172,7 @@
 }
 
 void table_reader::read_name(std::string_view key, std::string& value, presence need) {
-  const auto* found = take_as<std::string>(key, need, name_expected);
+  const auto* found = lookup_field_as<std::string>(key, need, name_expected);
   if (found == nullptr) {
     return;
   }
@@ -182,9 +183,10 @@
   value = *found;
 }
 
-std::vector<located_value<std::string>> table_reader::texts(std::string_view key) {
+std::vector<located_value<std::string>> table_reader::read_strings(std::string_view key) {
   std::vector<located_value<std::string>> result;
-  const auto* list = take_as<std::vector<toml_value>>(key, presence::optional, "a list of texts");
+  const auto* list =
+      lookup_field_as<std::vector<toml_value>>(key, presence::optional, "a list of texts");
   if (list == nullptr) {
     return result;
   }
@@ -199,10 +201,11 @@
   return result;
 }
 
-std::vector<located_value<std::pair<std::string, std::uint32_t>>> table_reader::counts(
+std::vector<located_value<std::pair<std::string, std::uint32_t>>> table_reader::read_counts(
     std::string_view key, integer_range range) {
   std::vector<located_value<std::pair<std::string, std::uint32_t>>> result;
-  const auto* table = take_as<toml_table>(key, presence::optional, "a table such as { a = 1 }");
+  const auto* table =
+      lookup_field_as<toml_table>(key, presence::optional, "a table such as { a = 1 }");
   if (table == nullptr) {
     return result;
   }
@@ -216,7 +219,7 @@
 
 void table_reader::read_choice(std::string_view key, std::size_t& position,
                                std::span<const std::string_view> words) {
-  const auto* found = take_as<std::string>(key, presence::optional, "a text");
+  const auto* found = lookup_field_as<std::string>(key, presence::optional, "a text");
   if (found == nullptr) {
     return;
   }
@@ -231,7 +234,7 @@
 std::optional<table_reader> table_reader::table(std::string_view key, presence need) {
   const std::string name = '[' + std::string(key) + ']';
   const std::string expected = "a table, as " + name;
-  const auto* found = take_as<toml_table>(key, presence::optional, expected);
+  const auto* found = lookup_field_as<toml_table>(key, presence::optional, expected);
   if (found != nullptr) {
     return table_reader(*found, name, *problems_);
   }
@@ -245,7 +248,7 @@
   std::vector<table_reader> result;
   const std::string name = "[[" + std::string(key) + "]]";
   const auto* list =
-      take_as<std::vector<toml_value>>(key, presence::optional, "tables, as " + name);
+      lookup_field_as<std::vector<toml_value>>(key, presence::optional, "tables, as " + name);
   if (list == nullptr) {
     return result;
   }
--- a/src/version/toml_reader.h
+++ b/src/version/toml_reader.h
@@ -98,10 +98,10 @@
     id = name_id<Tag>{std::move(text)};
   }
   // The strings of a list; entries of another type are findings and not returned.
-  [[nodiscard]] std::vector<located_value<std::string>> texts(std::string_view key);
+  [[nodiscard]] std::vector<located_value<std::string>> read_strings(std::string_view key);
   // Integers of a table with arbitrary keys, such as `replicas = { hall-a = 3 }`, each with the
   // place of its key.
-  [[nodiscard]] std::vector<located_value<std::pair<std::string, std::uint32_t>>> counts(
+  [[nodiscard]] std::vector<located_value<std::pair<std::string, std::uint32_t>>> read_counts(
       std::string_view key, integer_range range);
   // Reads one of `words` and stores its index in `position`.
   void read_choice(std::string_view key, std::size_t& position,
@@ -121,9 +121,9 @@
 
  private:
   const toml_field* find(std::string_view key) const;
-  const toml_field* take(std::string_view key, presence need);
+  const toml_field* lookup_field(std::string_view key, presence need);
   template <class T>
-  const T* take_as(std::string_view key, presence need, std::string_view expected);
+  const T* lookup_field_as(std::string_view key, presence need, std::string_view expected);
   std::optional<std::uint32_t> integer_of(const toml_field& field, integer_range range);
   std::string path(std::string_view key) const;
 
--- a/src/version/vm_pool.cpp
+++ b/src/version/vm_pool.cpp
@@ -55,7 +55,7 @@
   return e == nullptr ? any_domain : e->domain;
 }
 
-domain_index vm_pool::domains() const {
+domain_index vm_pool::domain_count() const {
   return static_cast<domain_index>(free_.size());
 }
 
--- a/src/version/vm_pool.h
+++ b/src/version/vm_pool.h
@@ -29,7 +29,7 @@
   [[nodiscard]] bool usable(const vm_id& vm, std::uint32_t accelerators) const;
   // any_domain if the VM is not in the inventory.
   [[nodiscard]] domain_index domain_of(const vm_id& vm) const;
-  [[nodiscard]] domain_index domains() const;
+  [[nodiscard]] domain_index domain_count() const;
   // All VMs of the inventory in this data centre, ordered by id.
   [[nodiscard]] const std::vector<const vm_record*>& vms() const { return vms_; }
 
--- a/tests/core/config_replica_test.cpp
+++ b/tests/core/config_replica_test.cpp
@@ -169,7 +169,7 @@
       objects[w.name] = w.content;
       r = std::monostate{};
     }
-    reply(id, [=, this](config_replica& c) { return c.stored(r, now); });
+    reply(id, [=, this](config_replica& c) { return c.object_stored(r, now); });
   }
 
   void carry(const node_id& id, const repair_head& w) {
@@ -375,7 +375,7 @@
   names.head = head_of(7, content_of(7));
   (void)r.peer_sent(holder, names, now);
   (void)r.head_read(old, now + 1s);
-  const config_effects write = r.stored(std::monostate{}, now + 1s);
+  const config_effects write = r.object_stored(std::monostate{}, now + 1s);
   EXPECT_EQ(write, (config_effects{repair_head{names.head, 5}}));
 }
 
--- a/tests/core/config_transfer_test.cpp
+++ b/tests/core/config_transfer_test.cpp
@@ -57,20 +57,20 @@
   constexpr std::size_t most = 1000;
   config_history hub;
   config_history node;
-  hub.take(5, text_with(1, 10));
-  node.take(5, text_with(1, 10));
-  hub.take(6, text_with(2, 60));
+  hub.add(5, text_with(1, 10));
+  node.add(5, text_with(1, 10));
+  hub.add(6, text_with(2, 60));
   config_receiver receiver;
   const auto first = hub.part_for(5, receiver.progress(), most);
   ASSERT_TRUE(first);
-  EXPECT_FALSE(receiver.take(*first, node));
+  EXPECT_FALSE(receiver.receive(*first, node));
   EXPECT_EQ(receiver.progress().bytes, most);
-  hub.take(8, text_with(3, 90));
+  hub.add(8, text_with(3, 90));
   std::optional<std::string> text;
   for (int i = 0; i < 100 && !text; ++i) {
     const auto part = hub.part_for(5, receiver.progress(), most);
     ASSERT_TRUE(part);
-    text = receiver.take(*part, node);
+    text = receiver.receive(*part, node);
   }
   EXPECT_EQ(text, text_with(3, 90));
 }
@@ -78,14 +78,14 @@
 TEST(ConfigTransfer, ALaggingHubNeverRevertsANode) {
   config_history lagging;
   config_history node;
-  lagging.take(5, text_with(1, 10));
-  node.take(9, text_with(2, 20));
+  lagging.add(5, text_with(1, 10));
+  node.add(9, text_with(2, 20));
   config_receiver receiver;
   EXPECT_FALSE(lagging.part_for(9, receiver.progress(), 1000));
   const auto old = lagging.part_for(0, receiver.progress(), 100'000);
   ASSERT_TRUE(old);
-  EXPECT_FALSE(receiver.take(*old, node));
-  node.take(5, text_with(1, 10));
+  EXPECT_FALSE(receiver.receive(*old, node));
+  node.add(5, text_with(1, 10));
   EXPECT_EQ(node.newest(), 9U);
 }
 
@@ -106,17 +106,17 @@
   explicit distribution_simulation(const setup& s)
       : setup_(s), distributor_(s.hub_mbps), random_(s.seed) {
     nodes_.resize(s.nodes);
-    hub_.take(1, text_with(1, 2450));
+    hub_.add(1, text_with(1, 2450));
     for (node& n : nodes_) {
       if (s.base_known) {
-        n.held.take(1, text_with(1, 2450));
+        n.held.add(1, text_with(1, 2450));
       }
     }
   }
 
   // Time from the moment at which the change is at the store until all nodes have it.
   duration time_until_all_have(const std::string& text) {
-    hub_.take(2, text);
+    hub_.add(2, text);
     if (setup_.hub_mbps == setup_.node_mbps) {
       now_ += read_time(text);  // the hub's own read from the store
     }
@@ -150,14 +150,14 @@
       if (random_.unit() < setup_.lost) {
         continue;
       }
-      const auto next = distributor_.next_for(
+      const auto next = distributor_.next_part_for(
           hub_, {n.held.newest(), n.receiver.progress(), setup_.refused_by_store},
           nodes_.size() + 1);
       n.lag.row_reported(now_, hub_.newest());
       if (next.part) {
         bytes += next.part->bytes.size();
-        if (auto whole = n.receiver.take(*next.part, n.held)) {
-          n.held.take(next.part->row, std::move(*whole));
+        if (auto whole = n.receiver.receive(*next.part, n.held)) {
+          n.held.add(next.part->row, std::move(*whole));
         }
       }
       if (next.withheld && n.has_read_at == time_point::max()) {
@@ -165,7 +165,7 @@
         ++reads_;
       }
       if (n.has_read_at <= now_) {
-        n.held.take(2, text);
+        n.held.add(2, text);
       }
     }
     max_bytes_ = std::max(max_bytes_, bytes);
--- a/tests/core/drain_tracker_test.cpp
+++ b/tests/core/drain_tracker_test.cpp
@@ -45,7 +45,7 @@
         .latest_observation = [this](const vm_id&) { return &seen_; },
         .lost = [this](const vm_id&) { return lost_; },
     };
-    return tracker_.emptied(now_, context).contains(r);
+    return tracker_.removable_replicas(now_, context).contains(r);
   }
 
   assignment row_;
--- a/tests/core/fake_data_centre.h
+++ b/tests/core/fake_data_centre.h
@@ -156,7 +156,7 @@
       heartbeat heartbeat_message = n.peers->prepare(peer, now);
       heartbeat_message.assignment_version = n.row;
       heartbeat_message.table_reachable = n.can_read_table;
-      n.seen->take_deltas(heartbeat_message, peer, n.peers->echoed(peer), now);
+      n.seen->append_deltas(heartbeat_message, peer, n.peers->echoed(peer), now);
       send(n.id, peer, heartbeat_message);
     }
     for (const condition_change& change : n.seen->take_changes(now)) {
--- a/tests/core/hosted_values_test.cpp
+++ b/tests/core/hosted_values_test.cpp
@@ -126,8 +126,8 @@
 TEST(Suspicions, ExpireUnlessRepeated) {
   lost_target_reports suspected;
   const node_id hub{"b1"};
-  suspected.told(start, node_id{"a2"}, false, {target_id{"x"}});
-  suspected.told(start, hub, true, {target_id{"y"}});
+  suspected.store_report(start, node_id{"a2"}, false, {target_id{"x"}});
+  suspected.store_report(start, hub, true, {target_id{"y"}});
   EXPECT_TRUE(suspected.contains(start, target_id{"x"}));
   EXPECT_TRUE(suspected.contains_any(start, {target_id{"z"}, target_id{"y"}}));
   EXPECT_FALSE(suspected.contains(start, target_id{"z"}));
@@ -135,7 +135,7 @@
   // would keep each other's reports alive.
   EXPECT_EQ(suspected.reported_by_hubs(start), std::set<target_id>{target_id{"y"}});
   // The hub withdraws its report.
-  suspected.told(start + 200ms, hub, true, {});
+  suspected.store_report(start + 200ms, hub, true, {});
   EXPECT_FALSE(suspected.contains(start + 200ms, target_id{"y"}));
   // A report that is not repeated expires, as that of a peer that has ended.
   EXPECT_FALSE(suspected.contains(start + lost_target_reports::retention, target_id{"x"}));
@@ -216,7 +216,7 @@
 TEST(InstanceChoice, UsesTheReportedLoad) {
   instance_table table;
   const std::vector<service_instance> two = {instance("x"), instance("y")};
-  table.told(start, two[0].id, 5);
+  table.note_reported_load(start, two[0].id, 5);
   EXPECT_EQ(table.choose(start, two, data_centre_id{"a"}, {}), std::size_t{1});
   EXPECT_EQ(table.choose(start + 2s, two, data_centre_id{"a"}, {}), std::size_t{0});
 }
@@ -292,8 +292,8 @@
 TEST(FeedLog, ReturnsRowsAfterAPosition) {
   feed_log log;
   log.replace({{"a", "1", 5, false}, {"b", "1", 7, false}}, 10);
-  log.take({"b", "2", 12, false});
-  log.take({"a", "", 13, true});
+  log.apply({"b", "2", 12, false});
+  log.apply({"a", "", 13, true});
   log.advance(13);
   const auto rows = log.since(10);
   ASSERT_EQ(rows.size(), 2U);
@@ -387,7 +387,7 @@
   peer_table peers(node_id{"a2"}, data_centre_id{"a"});
   peers.set_records(six_nodes());
   EXPECT_FALSE(peers.is_hub(start));
-  peers.told(start, node_id{"a1"});
+  peers.note_sent(start, node_id{"a1"});
   // a1 never responds.
   EXPECT_FALSE(peers.is_hub(start + 1s));
   EXPECT_TRUE(peers.is_hub(start + 2s));
@@ -407,7 +407,7 @@
   for (duration at = 0ms; at < 5s; at += 200ms) {
     const std::vector<node_id> recipients = peers.recipients(start + at);
     for (const node_id& id : recipients) {
-      peers.told(start + at, id);
+      peers.note_sent(start + at, id);
     }
     EXPECT_EQ(std::count(recipients.begin(), recipients.end(), node_id{"a1"}), 1) << at.count();
     peers.received(start + at, node_id{"a2"}, {true, false, false, 1});
@@ -423,7 +423,7 @@
   b.set_records(six_nodes());
   for (peer_table* p : {&a, &b}) {
     for (const char* name : {"a1", "a2", "a3", "b1", "b2", "c1"}) {
-      p->told(start, node_id{name});
+      p->note_sent(start, node_id{name});
     }
   }
   const time_point now = start + 2s;
@@ -530,10 +530,10 @@
   target_record record;
   record.id = target_id{"x"};
   record.member_of = membership{{"r", 1}, 0, member_state::open};
-  fleet.listed(start, record);
-  fleet.reported(start + 100ms, start - 100ms, record.id, {record.id, std::nullopt, {}, 1});
+  fleet.apply_record(start, record);
+  fleet.apply_answer(start + 100ms, start - 100ms, record.id, {record.id, std::nullopt, {}, 1});
   EXPECT_TRUE(fleet.find(record.id)->record.member_of.has_value());
-  fleet.reported(start + 500ms, start + 300ms, record.id, {record.id, std::nullopt, {}, 1});
+  fleet.apply_answer(start + 500ms, start + 300ms, record.id, {record.id, std::nullopt, {}, 1});
   EXPECT_FALSE(fleet.find(record.id)->record.member_of.has_value());
 }
 
@@ -546,20 +546,20 @@
   target_record record;
   record.id = target_id{"x"};
   record.member_of = membership{{"s.m.x", 1}, 0, member_state::ready};
-  fleet.listed(start, record, 40);
+  fleet.apply_record(start, record, 40);
   const membership formed{{"r", 2}, 0, member_state::joining};
-  fleet.ordered(start + 3s, record.id, formed);
+  fleet.apply_order(start + 3s, record.id, formed);
   fleet.replace_all(start + 8s, {{record, 40}});
   EXPECT_EQ(fleet.find(record.id)->record.member_of, formed);
   // A newer row that was written before the order is ambiguous; one written after it is accepted.
   record.slots = 7;
-  fleet.listed(start + 8s, record, 41, start + 1s);
+  fleet.apply_record(start + 8s, record, 41, start + 1s);
   EXPECT_EQ(fleet.find(record.id)->record.member_of, formed);
   EXPECT_EQ(fleet.find(record.id)->record.slots, 7U);
   EXPECT_TRUE(fleet.find(record.id)->ambiguous);
-  fleet.reported(start + 8500ms, start + 8250ms, record.id, {record.id, formed, {}, 1});
+  fleet.apply_answer(start + 8500ms, start + 8250ms, record.id, {record.id, formed, {}, 1});
   EXPECT_FALSE(fleet.find(record.id)->ambiguous);
-  fleet.listed(start + 9s, record, 42);
+  fleet.apply_record(start + 9s, record, 42);
   EXPECT_EQ(fleet.find(record.id)->record.member_of, record.member_of);
 }
 
@@ -568,12 +568,12 @@
   target_record record;
   record.id = target_id{"x"};
   record.member_of = membership{{"r", 1}, 0, member_state::open};
-  fleet.listed(start, record, 1);
+  fleet.apply_record(start, record, 1);
   EXPECT_EQ(fleet.find(record.id)->reported_at, time_point{});
-  fleet.reported(start + 1s, start + 750ms, record.id, {record.id, std::nullopt, {}, 1});
+  fleet.apply_answer(start + 1s, start + 750ms, record.id, {record.id, std::nullopt, {}, 1});
   EXPECT_EQ(fleet.find(record.id)->reported_at, start + 750ms);
   EXPECT_FALSE(fleet.find(record.id)->last_reported_replica);
-  fleet.listed(start + 2s, record, 2);
+  fleet.apply_record(start + 2s, record, 2);
   EXPECT_FALSE(fleet.find(record.id)->last_reported_replica);
 }
 
@@ -581,7 +581,7 @@
   fleet_view fleet;
   target_record record;
   record.id = target_id{"x"};
-  fleet.listed(start, record);
+  fleet.apply_record(start, record);
   fleet.probe_failed(start, record.id);
   EXPECT_FALSE(fleet.find(record.id)->lost);
   fleet.probe_failed(start, record.id);
@@ -603,14 +603,14 @@
     record.loaded = model_id{"m"};
     record.member_of =
         membership{{"r", 1}, rank, rank == 0 ? member_state::open : member_state::ready};
-    fleet.listed(start, record);
+    fleet.apply_record(start, record);
   }
   const auto serving = [&] {
     return serving_replicas(fleet, service_id{"s"}, model_id{"m"}, 3).size();
   };
   EXPECT_EQ(serving(), 1U);
   // The list dropped a member: the replica serves as long as the member responds.
-  fleet.unlisted(start, target_id{"i2"});
+  fleet.mark_unlisted(start, target_id{"i2"});
   EXPECT_EQ(serving(), 1U);
   fleet.probe_failed(start, target_id{"i2"});
   fleet.probe_failed(start, target_id{"i2"});
@@ -629,12 +629,12 @@
   record.service = service_id{"s"};
   record.loaded = model_id{"m"};
   record.member_of = membership{{"r", 1}, 0, member_state::open};
-  fleet.listed(start, record);
+  fleet.apply_record(start, record);
   const auto serving = [&] {
     return serving_replicas(fleet, service_id{"s"}, model_id{"m"}, 1).size();
   };
   EXPECT_EQ(serving(), 1U);
-  fleet.unlisted(start, record.id);
+  fleet.mark_unlisted(start, record.id);
   EXPECT_EQ(serving(), 0U);
 }
 
--- a/tests/core/hub_order_test.cpp
+++ b/tests/core/hub_order_test.cpp
@@ -36,11 +36,11 @@
 
 TEST(HubOrder, OtherStrongNodesFollowBeforeWeakNodes) {
   peer_table second = table_of("a9", strong);
-  second.told(start, node_id{"a8"});
+  second.note_sent(start, node_id{"a8"});
   EXPECT_TRUE(second.is_hub(start + 2s));
   peer_table weakest = table_of("a2", weak);
-  weakest.told(start, node_id{"a8"});
-  weakest.told(start, node_id{"a9"});
+  weakest.note_sent(start, node_id{"a8"});
+  weakest.note_sent(start, node_id{"a9"});
   EXPECT_EQ(weakest.hub_of(start + 2s, here), node_id{"a1"});
 }
 
@@ -73,7 +73,7 @@
   }
   peers.set_refused_by_store(start, true);
   for (const node_record& n : many) {
-    peers.told(start, n.id);
+    peers.note_sent(start, n.id);
   }
   // The other nodes were sent heartbeats when they were assumed to be next, and respond now.
   for (const node_record& n : many) {
@@ -105,7 +105,7 @@
   peer_table hub(node_id{"a1"}, here, weak);
   hub.set_records(many);
   for (const node_record& n : many) {
-    hub.told(start, n.id);
+    hub.note_sent(start, n.id);
   }
   EXPECT_LE(hub.recipients(start + 1h).size(),
             peer_table::max_unresponsive + peer_table::candidates);
@@ -136,7 +136,7 @@
   // the store refuses it.
   peer_table hub = table_of("a8", strong);
   const node_record joined{node_id{"a7"}, here, {"10.0.0.7", 7000}, {}, weak};
-  hub.learn(joined);
+  hub.add_peer(joined);
   hub.received(start, joined.id, {.stamp_us = 1});
   EXPECT_TRUE(hub.is_alive(start, joined.id));
   const auto sent_to = hub.recipients(start);
--- a/tests/core/list_budget_test.cpp
+++ b/tests/core/list_budget_test.cpp
@@ -11,7 +11,7 @@
   list_budget budget(20);
   budget.begin_round();
   for (int node = 0; node < 6; ++node) {
-    EXPECT_TRUE(budget.take(25'000));
+    EXPECT_TRUE(budget.try_spend(25'000));
   }
 }
 
@@ -24,7 +24,7 @@
     budget.begin_round();
     int sent = 0;
     for (int node = 0; node < 59; ++node) {
-      sent += budget.take(1'300'000) ? 1 : 0;
+      sent += budget.try_spend(1'300'000) ? 1 : 0;
     }
     EXPECT_EQ(sent, 1);
   }
@@ -37,7 +37,7 @@
   for (int round = 0; round < 5; ++round) {
     budget.begin_round();
     for (int node = 0; node < 100; ++node) {
-      sent += budget.take(120'000) ? 1 : 0;
+      sent += budget.try_spend(120'000) ? 1 : 0;
     }
   }
   EXPECT_GE(sent, 100);
--- a/tests/core/observations_test.cpp
+++ b/tests/core/observations_test.cpp
@@ -50,7 +50,7 @@
   return message;
 }
 
-heard composed(time_point at) {
+receive_result composed(time_point at) {
   return {false, at, 1};
 }
 
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -65,7 +65,7 @@
       vm->second = random.below(2) == 0 ? vm_condition::suspect : vm_condition::leaving;
       break;
     case 5:
-      w.demand[random.below(w.demand.size())].busy_replicas = random.unit() * 4;
+      w.demand[random.below(w.demand.size())].load_in_replicas = random.unit() * 4;
       break;
     case 6:
       rule.version = "v" + std::to_string(1 + random.below(2));
@@ -100,7 +100,7 @@
   for (const auto& [vm, owner] : owners(next)) {
     const auto found = before.find(vm);
     if (found != before.end() && found->second != owner) {
-      EXPECT_TRUE(std::ranges::count(in.emptied, found->second) > 0)
+      EXPECT_TRUE(std::ranges::count(in.drained_replicas, found->second) > 0)
           << vm << " passes from " << found->second << " to " << owner << " undrained";
     }
     for (const withdrawal& w : in.current->withdrawals) {
@@ -124,8 +124,8 @@
       continue;
     }
     if (r.phase == replica_phase::draining) {
-      const bool emptied = w.finish_drains;
-      EXPECT_TRUE(after != nullptr || emptied) << r.id << " removed before it was empty";
+      const bool drained_replicas = w.finish_drains;
+      EXPECT_TRUE(after != nullptr || drained_replicas) << r.id << " removed before it was empty";
     } else {
       ASSERT_NE(after, nullptr) << r.id << " removed while it served";
       EXPECT_EQ(after->members, r.members) << r.id;
--- a/tests/core/planner_simulation.h
+++ b/tests/core/planner_simulation.h
@@ -86,7 +86,7 @@
     in.acknowledged = acknowledge ? row.version : 0;
     for (const replica_plan& r : row.replicas) {
       if (r.phase == replica_phase::draining && finish_drains) {
-        in.emptied.push_back(r.id);
+        in.drained_replicas.push_back(r.id);
       }
       if (r.phase == replica_phase::active && is_complete(r)) {
         in.serving.push_back(r.id);
--- a/tests/core/poison_simulation.h
+++ b/tests/core/poison_simulation.h
@@ -270,7 +270,7 @@
       if (e.known_at > now_) {
         return false;
       }
-      nodes_[e.at_node]->tracker.strike(e.fingerprint, e.strike);
+      nodes_[e.at_node]->tracker.record_strike(e.fingerprint, e.strike);
       return true;
     });
   }
--- a/tests/core/poison_tracker_test.cpp
+++ b/tests/core/poison_tracker_test.cpp
@@ -27,7 +27,7 @@
                  int to) {
   for (int i = from; i < to; ++i) {
     tracker.run_sent(strike_at(i).sent_at, target(i));
-    tracker.strike(fingerprint, strike_at(i));
+    tracker.record_strike(fingerprint, strike_at(i));
   }
 }
 
@@ -58,7 +58,7 @@
 TEST(PoisonTracker, CrashesUnderConcurrentRunsAreOneEvent) {
   poison_tracker tracker;
   for (int i = 0; i < 8; ++i) {
-    tracker.strike(poison, {target(i), start, start + 300ms + i * 1ms});
+    tracker.record_strike(poison, {target(i), start, start + 300ms + i * 1ms});
   }
   EXPECT_TRUE(tracker.evaluate(start + 10s).empty());
 }
@@ -70,9 +70,9 @@
   tracker.run_sent(start, target(0));
   for (int i = 0; i < 4; ++i) {
     const poison_strike strike{target(0), start + i * 1s, start + i * 1s + 300ms};
-    EXPECT_TRUE(tracker.strike(poison, strike));
-    EXPECT_FALSE(
-        tracker.strike(poison, {strike.target, strike.sent_at + 1ms, strike.ended_at + 1ms}));
+    EXPECT_TRUE(tracker.record_strike(poison, strike));
+    EXPECT_FALSE(tracker.record_strike(
+        poison, {strike.target, strike.sent_at + 1ms, strike.ended_at + 1ms}));
   }
   EXPECT_EQ(tracker.evaluate(start + 10s).size(), 1U);
 }
@@ -153,8 +153,8 @@
   add_strikes(tracker, poison, 0, 4);
   for (int i = 100; i < 140; ++i) {
     const time_point end = start + (i - 100) * 100ms;
-    tracker.strike({workspace_id{"desk"}, static_cast<std::uint64_t>(i)},
-                   {target(i), end - 1s, end});
+    tracker.record_strike({workspace_id{"desk"}, static_cast<std::uint64_t>(i)},
+                          {target(i), end - 1s, end});
   }
   EXPECT_TRUE(tracker.evaluate(start + 10s).empty());
 }
@@ -174,7 +174,7 @@
   const request_fingerprint other{workspace_id{"clerks"}, 1};
   add_strikes(tracker, other, 0, 1);
   for (std::uint64_t i = 0; i < 5000; ++i) {
-    tracker.strike({workspace_id{"desk"}, 1000 + i}, strike_at(50));
+    tracker.record_strike({workspace_id{"desk"}, 1000 + i}, strike_at(50));
   }
   EXPECT_LE(tracker.all().size(), 130U);
   EXPECT_EQ(tracker.all().at(poison).strikes.size(), 2U);
--- a/tests/core/replica_choice_test.cpp
+++ b/tests/core/replica_choice_test.cpp
@@ -79,7 +79,7 @@
   auto choice = choose_replica(engine(), model, two, loads, request);
   EXPECT_EQ(std::get<chosen_replica>(choice).index, 1U);
   request.avoided = {};
-  request.suspected = x;
+  request.suspected_heads = x;
   choice = choose_replica(engine(), model, two, loads, request);
   EXPECT_EQ(std::get<chosen_replica>(choice).index, 1U);
 }
@@ -133,7 +133,7 @@
   std::map<std::size_t, int> sends;
   for (int node = 0; node < 70; ++node) {
     load_table loads;
-    loads.received(node_id{"hub"}, data_centre_id{"a"}, time_point{1s}, told);
+    loads.set_peer_loads(node_id{"hub"}, data_centre_id{"a"}, time_point{1s}, told);
     choice_request request = desired();
     request.random_sample = random.unit();
     ++sends[std::get<chosen_replica>(choose_replica(engine(), model, six, loads, request)).index];
@@ -176,8 +176,8 @@
   // empty. Home has 24 of 26 slots taken and the other one 12; the time of a pass hardly differs.
   load_table loads;
   const std::vector<serving_replica> two = {replica("home", "a"), replica("away", "b")};
-  loads.received(node_id{"p"}, data_centre_id{"a"}, time_point{1s},
-                 {{target_id{"home"}, {24, 0}}, {target_id{"away"}, {12, 0}}});
+  loads.set_peer_loads(node_id{"p"}, data_centre_id{"a"}, time_point{1s},
+                       {{target_id{"home"}, {24, 0}}, {target_id{"away"}, {12, 0}}});
   const auto choice = choose_replica(engine(), model, two, loads, desired());
   EXPECT_EQ(std::get<chosen_replica>(choice).index, 1U);
 }
@@ -185,7 +185,7 @@
 TEST(LoadTable, CountsPeersUntilTheirReportsExpire) {
   load_table loads;
   const time_point now{10s};
-  loads.received(node_id{"p"}, data_centre_id{"a"}, now, {{target_id{"x"}, {5, 1000}}});
+  loads.set_peer_loads(node_id{"p"}, data_centre_id{"a"}, now, {{target_id{"x"}, {5, 1000}}});
   EXPECT_EQ(loads.total(target_id{"x"}).active, 5);
   loads.forget_peers(now + 2s);
   EXPECT_EQ(loads.total(target_id{"x"}).active, 0);
@@ -194,8 +194,10 @@
 TEST(LoadTable, DoesNotReportAPeersOwnLoadBackToIt) {
   load_table loads;
   loads.sent(target_id{"x"}, {100, 10});
-  loads.received(node_id{"p"}, data_centre_id{"a"}, time_point{1s}, {{target_id{"x"}, {5, 0}}});
-  loads.received(node_id{"q"}, data_centre_id{"b"}, time_point{1s}, {{target_id{"x"}, {2, 0}}});
+  loads.set_peer_loads(node_id{"p"}, data_centre_id{"a"}, time_point{1s},
+                       {{target_id{"x"}, {5, 0}}});
+  loads.set_peer_loads(node_id{"q"}, data_centre_id{"b"}, time_point{1s},
+                       {{target_id{"x"}, {2, 0}}});
   EXPECT_EQ(loads.all_except(node_id{"p"}, loads.all())[target_id{"x"}].active, 3);
   EXPECT_EQ(loads.all_of(data_centre_id{"a"})[target_id{"x"}].active, 6);
 }
--- a/tests/core/request_admission_test.cpp
+++ b/tests/core/request_admission_test.cpp
@@ -24,16 +24,16 @@
 admission with_one_busy_slot(const admission_settings& settings = {}) {
   admission a(settings);
   EXPECT_TRUE(a.on_capacity(start, {1, 1, 0us}).empty());
-  EXPECT_TRUE(std::holds_alternative<admitted>(a.submit(start, request("running")).verdict));
+  EXPECT_TRUE(std::holds_alternative<admitted>(a.submit(start, request("running")).decision));
   return a;
 }
 
 bool is_queued(const submission& s) {
-  return std::holds_alternative<queued>(s.verdict);
+  return std::holds_alternative<queued>(s.decision);
 }
 
 const rejected* refusal(const submission& s) {
-  return std::get_if<rejected>(&s.verdict);
+  return std::get_if<rejected>(&s.decision);
 }
 
 std::string start_order(admission& a, int count) {
@@ -189,7 +189,7 @@
     request_facts facts = request(std::to_string(i));
     facts.deadline = now + 10s;
     EXPECT_TRUE(a.on_capacity(now, {4, 4, 0us}).empty());
-    if (std::holds_alternative<admitted>(a.submit(now, facts).verdict)) {
+    if (std::holds_alternative<admitted>(a.submit(now, facts).decision)) {
       now += takes;
       EXPECT_TRUE(a.finished(now, facts.id).empty());
       ++served;
--- a/tests/core/request_limits_test.cpp
+++ b/tests/core/request_limits_test.cpp
@@ -68,9 +68,9 @@
   }
   (void)borrower.take(t + 1s, w, 100);
   borrower.update(t + 1s);
-  lender.received(t + 1s, b, borrower.tell(t + 1s, a));
+  lender.received(t + 1s, b, borrower.make_message(t + 1s, a));
   lender.update(t + 2s);
-  const limit_message message = lender.tell(t + 2s, b);
+  const limit_message message = lender.make_message(t + 2s, b);
   EXPECT_LT(lender.share(t + 2s, w), 10) << "the share drops before the borrower uses it";
   EXPECT_DOUBLE_EQ(lender.share(t + 6s, w), 10);
   rate_limits paused = borrower;
@@ -133,7 +133,7 @@
           if (i == j) {
             continue;
           }
-          const limit_message told = nodes[i].tell(now, names[j]);
+          const limit_message told = nodes[i].make_message(now, names[j]);
           if (hears[i * 6 + j] && random.unit() < 0.1) {
             late.push_back({i, j, told});
           } else if (hears[i * 6 + j]) {
--- a/tests/core/send_limits_test.cpp
+++ b/tests/core/send_limits_test.cpp
@@ -27,10 +27,12 @@
 TEST(SendLimits, ResponseToAnEarlierRequestRemovesNoLimit) {
   send_limits limits;
   EXPECT_TRUE(limits.may_send(start, target));
-  EXPECT_EQ(limits.told(start, start + 1s, target, announced(2)), send_limits::change::announced);
-  EXPECT_EQ(limits.told(start + 500ms, start + 2s, target, {}), send_limits::change::none);
+  EXPECT_EQ(limits.on_response(start, start + 1s, target, announced(2)),
+            send_limits::change::announced);
+  EXPECT_EQ(limits.on_response(start + 500ms, start + 2s, target, {}), send_limits::change::none);
   EXPECT_FALSE(limits.may_send(start + 2s, target));
-  EXPECT_EQ(limits.told(start + 1500ms, start + 3s, target, {}), send_limits::change::removed);
+  EXPECT_EQ(limits.on_response(start + 1500ms, start + 3s, target, {}),
+            send_limits::change::removed);
   EXPECT_TRUE(limits.may_send(start + 3s, target));
   // An older observation of a peer does not restore the limit.
   limits.received(target, {2.0, start + 1s});
@@ -40,17 +42,17 @@
 TEST(SendLimits, AnUnreadableValueChangesNothing) {
   send_limits limits;
   const announced_limit unreadable{true, false, std::nullopt};
-  EXPECT_EQ(limits.told(start, start, target, unreadable), send_limits::change::unreadable);
+  EXPECT_EQ(limits.on_response(start, start, target, unreadable), send_limits::change::unreadable);
   EXPECT_TRUE(limits.may_send(start, target));
-  limits.told(start, start, target, announced(2));
-  EXPECT_EQ(limits.told(start + 1s, start + 2s, target, unreadable),
+  limits.on_response(start, start, target, announced(2));
+  EXPECT_EQ(limits.on_response(start + 1s, start + 2s, target, unreadable),
             send_limits::change::unreadable);
   EXPECT_FALSE(limits.may_send(start + 2s, target));
 }
 
 TEST(SendLimits, EachSendUsesAGrantAndUnusedGrantsExpire) {
   send_limits limits;
-  limits.told(start, start, target, announced(2));
+  limits.on_response(start, start, target, announced(2));
   limits.granted(start, target, 2);
   limits.sent(start, target);
   EXPECT_TRUE(limits.may_send(start, target));
@@ -62,11 +64,11 @@
 
 TEST(SendLimits, RemovedTargetIsForgotten) {
   send_limits limits;
-  limits.told(start, start, target, announced(2));
+  limits.on_response(start, start, target, announced(2));
   const auto removed = [](const target_id&) { return false; };
   limits.forget(start + 1s, removed);
   EXPECT_TRUE(limits.is_limited(target));
-  limits.forget(start + send_limits::memory + 1s, removed);
+  limits.forget(start + send_limits::retention + 1s, removed);
   EXPECT_FALSE(limits.is_limited(target));
 }
 
@@ -74,23 +76,23 @@
   grant_receiver receiver;
   const node_id hub{"hub"};
   const grant_update three{"me", {{target, 3}}};
-  EXPECT_EQ(receiver.take(start, start, hub, "a", "me", three).at(target), 3U);
-  EXPECT_TRUE(receiver.take(start, start, hub, "a", "me", three).empty());
-  EXPECT_TRUE(receiver.take(start, start, hub, "a", "me", {"me", {{target, 2}}}).empty());
-  EXPECT_TRUE(receiver.take(start, start, hub, "a", "me-again", three).empty());
+  EXPECT_EQ(receiver.receive(start, start, hub, "a", "me", three).at(target), 3U);
+  EXPECT_TRUE(receiver.receive(start, start, hub, "a", "me", three).empty());
+  EXPECT_TRUE(receiver.receive(start, start, hub, "a", "me", {"me", {{target, 2}}}).empty());
+  EXPECT_TRUE(receiver.receive(start, start, hub, "a", "me-again", three).empty());
   // Grants in a heartbeat that was in transit for too long have expired.
   const grant_update five{"me", {{target, 5}}};
-  EXPECT_TRUE(receiver.take(start, start + 2s, hub, "a", "me", five).empty());
-  EXPECT_TRUE(receiver.take(start + 2s, start + 2s, hub, "a", "me", five).empty());
+  EXPECT_TRUE(receiver.receive(start, start + 2s, hub, "a", "me", five).empty());
+  EXPECT_TRUE(receiver.receive(start + 2s, start + 2s, hub, "a", "me", five).empty());
   // Another incarnation of the hub has its own totals.
-  EXPECT_EQ(receiver.take(start, start, hub, "b", "me", {"me", {{target, 1}}}).at(target), 1U);
+  EXPECT_EQ(receiver.receive(start, start, hub, "b", "me", {"me", {{target, 1}}}).at(target), 1U);
 }
 
 TEST(GrantReceiver, LateHeartbeatOfAnEndedHubIsNotCountedAgain) {
   grant_receiver receiver;
   const node_id hub{"hub"};
   const auto take = [&](const std::string& incarnation, std::uint64_t total) {
-    return receiver.take(start, start, hub, incarnation, "me", {"me", {{target, total}}});
+    return receiver.receive(start, start, hub, incarnation, "me", {"me", {{target, total}}});
   };
   EXPECT_EQ(take("a", 3).at(target), 3U);
   EXPECT_EQ(take("b", 1).at(target), 1U);
@@ -243,8 +245,8 @@
     n.grants.set_demand(now_, name_of(i), n.incarnation, false, n.limits.demand(now_));
     n.grants.round(now_, random_, issued);
     for (const auto& [id, count] :
-         n.receiver.take(now_, now_, name_of(i), n.incarnation, n.incarnation,
-                         n.grants.update_for(now_, name_of(i)))) {
+         n.receiver.receive(now_, now_, name_of(i), n.incarnation, n.incarnation,
+                            n.grants.update_for(now_, name_of(i)))) {
       n.limits.granted(now_, id, count);
     }
   }
@@ -288,8 +290,8 @@
     if (is_hub(m.to) && same != m.hub) {
       n.grants.set_demand(now_, name_of(m.from), m.incarnation, m.hub, demand);
     }
-    for (const auto& [id, count] : n.receiver.take(m.sent_at, now_, name_of(m.from), m.incarnation,
-                                                   n.incarnation, m.grants)) {
+    for (const auto& [id, count] : n.receiver.receive(m.sent_at, now_, name_of(m.from),
+                                                      m.incarnation, n.incarnation, m.grants)) {
       if (same) {
         n.limits.granted(now_, id, count);
       } else {
@@ -320,7 +322,7 @@
         n.limits.sent(now_, target);
         n.own_sends.push_back(now_);
         sends_.push_back(now_);
-        n.limits.told(now_, now_, target, announced(setup_.limit));
+        n.limits.on_response(now_, now_, target, announced(setup_.limit));
       }
     }
   }
--- a/tests/core/serving_feed_test.cpp
+++ b/tests/core/serving_feed_test.cpp
@@ -53,7 +53,7 @@
   for (std::uint32_t i = 0; i < size; ++i) {
     target_record record = engine(first + static_cast<int>(i));
     record.member_of = membership{key, i, i == 0 ? member_state::open : member_state::ready};
-    fleet.listed(start, record);
+    fleet.apply_record(start, record);
   }
 }
 
@@ -73,8 +73,8 @@
     for (const feed_row& row : rows) {
       bytes += row.key.size() + row.value.size();
     }
-    EXPECT_TRUE(follower.take(start, "hub", after, feed.rows().needs_snapshot(after),
-                              feed.rows().position(), rows, follower_fleet));
+    EXPECT_TRUE(follower.apply(start, "hub", after, feed.rows().needs_snapshot(after),
+                               feed.rows().position(), rows, follower_fleet));
     return bytes;
   }
   [[nodiscard]] std::vector<serving_replica> hub_replicas() const {
@@ -102,8 +102,8 @@
 TEST(ServingFeed, NodeSeesTheReplicasOfItsHub) {
   hub_and_follower both{12};
   add_replica(both.hub_fleet, 0, 12, 7);
-  add_replica(both.hub_fleet, 20, 12, 8);    // spans two domains
-  both.hub_fleet.listed(start, engine(70));  // a spare
+  add_replica(both.hub_fleet, 20, 12, 8);          // spans two domains
+  both.hub_fleet.apply_record(start, engine(70));  // a spare
   both.hub_fleet.set_slowdown_factor(engine(3).id, 1.5);
   both.send_heartbeat();
   expect_same(both);
@@ -117,14 +117,14 @@
   target_record instance = engine(1);
   instance.service = tablets;
   instance.slots = 6;
-  both.hub_fleet.listed(start, instance);
+  both.hub_fleet.apply_record(start, instance);
   both.send_heartbeat();
   const target_view* known = both.follower_fleet.find(instance.id);
   ASSERT_NE(known, nullptr);
   EXPECT_EQ(known->record.service, tablets);
   EXPECT_EQ(known->record.slots, 6U);
   instance.draining = true;
-  both.hub_fleet.listed(start, instance);
+  both.hub_fleet.apply_record(start, instance);
   both.send_heartbeat();
   EXPECT_FALSE(both.follower_fleet.find(instance.id)->listed);
 }
@@ -138,7 +138,7 @@
   ASSERT_EQ(both.follower_replicas().size(), 1U);
   target_record leaving = both.hub_fleet.find(engine(2).id)->record;
   leaving.draining = true;
-  both.hub_fleet.listed(start + 1s, leaving);
+  both.hub_fleet.apply_record(start + 1s, leaving);
   both.send_heartbeat();
   EXPECT_TRUE(both.follower_replicas().empty());
 }
@@ -153,7 +153,7 @@
   both.send_heartbeat();
   ASSERT_EQ(both.follower_replicas().size(), 2U);
   // Engine 10 ends; 11 to 13 join a replica with engine 5 as its head, which sorts before them.
-  both.hub_fleet.unlisted(start + 1s, engine(10).id);
+  both.hub_fleet.mark_unlisted(start + 1s, engine(10).id);
   std::vector<target_id> members = {engine(5).id, engine(11).id, engine(12).id, engine(13).id};
   const replica_key key{replica_name(large, "0a1b2c3d", members), 3};
   for (const int n : {5, 11, 12, 13}) {
@@ -161,7 +161,7 @@
     const bool head = n == 5;
     record.member_of = membership{key, head ? 0U : static_cast<std::uint32_t>(n - 10),
                                   head ? member_state::open : member_state::ready};
-    both.hub_fleet.listed(start + 1s, record);
+    both.hub_fleet.apply_record(start + 1s, record);
   }
   both.send_heartbeat();
   EXPECT_EQ(both.follower_replicas().size(), 2U);
@@ -197,10 +197,10 @@
   fleet_view seen_by_other;
   add_replica(seen_by_other, 40, 4, 9);
   other.update(seen_by_other, services(4));
-  EXPECT_FALSE(both.follower.take(start, "other", both.follower.at().at, false,
-                                  other.rows().position(), {}, both.follower_fleet));
-  EXPECT_TRUE(both.follower.take(start, "other", 0, true, other.rows().position(),
-                                 other.rows().since(0), both.follower_fleet));
+  EXPECT_FALSE(both.follower.apply(start, "other", both.follower.at().at, false,
+                                   other.rows().position(), {}, both.follower_fleet));
+  EXPECT_TRUE(both.follower.apply(start, "other", 0, true, other.rows().position(),
+                                  other.rows().since(0), both.follower_fleet));
   ASSERT_EQ(both.follower_replicas().size(), 1U);
   EXPECT_EQ(both.follower_replicas()[0].head, engine(40).id);
 }
@@ -211,10 +211,10 @@
   both.feed.update(both.hub_fleet, services(4));
   const auto first = both.feed.rows().since(0);
   const std::uint64_t first_at = both.feed.rows().position();
-  both.hub_fleet.unlisted(start, engine(0).id);
+  both.hub_fleet.mark_unlisted(start, engine(0).id);
   add_replica(both.hub_fleet, 10, 4, 2);
   both.send_heartbeat();
-  EXPECT_TRUE(both.follower.take(start, "hub", 0, true, first_at, first, both.follower_fleet));
+  EXPECT_TRUE(both.follower.apply(start, "hub", 0, true, first_at, first, both.follower_fleet));
   ASSERT_EQ(both.follower_replicas().size(), 1U);
   EXPECT_EQ(both.follower_replicas()[0].head, engine(10).id);
 }
@@ -247,7 +247,7 @@
   std::size_t served = 0;
   for (int round = 0; round < 5; ++round) {
     budget.begin_round();
-    for (; served < nodes && budget.take(whole); ++served) {
+    for (; served < nodes && budget.try_spend(whole); ++served) {
     }
   }
   EXPECT_EQ(served, nodes);
@@ -256,7 +256,7 @@
   std::size_t changes = 0;
   for (int second = 0; second < 10; ++second) {
     const int first = second * static_cast<int>(size);
-    both.hub_fleet.unlisted(start, engine(first).id);
+    both.hub_fleet.mark_unlisted(start, engine(first).id);
     changes += both.send_heartbeat();
     add_replica(both.hub_fleet, first, size, 2);
     changes += both.send_heartbeat();
--- a/tests/core/summaries_test.cpp
+++ b/tests/core/summaries_test.cpp
@@ -65,7 +65,7 @@
     summary s;
     s.data_centre = data_centre(1);
     s.models = {{model_id{"m"}, 4, 0ms}};
-    board.heard(start, s);
+    board.receive(start, s);
     const duration interval = summary_interval_for(assets);
     EXPECT_EQ(board.remote_capacities(start + 3 * interval, assets).size(), 1U) << data_centres;
     EXPECT_TRUE(board.remote_capacities(start + 6 * interval, assets).empty()) << data_centres;
