--- a/tests/core/target_incarnation_test.cpp
+++ b/tests/core/target_incarnation_test.cpp
@@ -41,12 +41,12 @@
   // Guards against a restarted engine that stays marked as lost for seconds, because the loss is
   // stored by engine name and not by incarnation.
   fleet_view fleet;
-  fleet.listed(start, record_of(first));
+  fleet.apply_record(start, record_of(first));
   fleet.probe_failed(start, first);
   fleet.probe_failed(start, first);
   ASSERT_TRUE(fleet.find(first)->lost);
   const std::uint64_t before = fleet.revision();
-  EXPECT_TRUE(fleet.listed(start + 1s, record_of(second)));
+  EXPECT_TRUE(fleet.apply_record(start + 1s, record_of(second)));
   EXPECT_EQ(fleet.find(first), nullptr);
   ASSERT_NE(fleet.find(second), nullptr);
   EXPECT_FALSE(fleet.find(second)->lost);
@@ -58,15 +58,15 @@
   // Guards against routing to a replica that no longer exists: a late record of the previous
   // incarnation arrives after the record of the new one.
   fleet_view fleet;
-  fleet.listed(start, record_of(first));
-  fleet.listed(start + 1s, record_of(second));
+  fleet.apply_record(start, record_of(first));
+  fleet.apply_record(start + 1s, record_of(second));
   target_record late = record_of(first);
   late.member_of = membership{{"r", 1}, 0, member_state::open};
-  EXPECT_FALSE(fleet.listed(start + 2s, late));
+  EXPECT_FALSE(fleet.apply_record(start + 2s, late));
   EXPECT_EQ(fleet.current_incarnation("i-7"), second);
   EXPECT_TRUE(serving_replicas(fleet, service_id{"s"}, model_id{"m"}, 1).empty());
   // Responses of the ended incarnation and failed probes of it have no effect either.
-  EXPECT_FALSE(fleet.reported(start + 3s, start + 3s, second, {first, late.member_of, {}, 1}));
+  EXPECT_FALSE(fleet.apply_answer(start + 3s, start + 3s, second, {first, late.member_of, {}, 1}));
   fleet.probe_failed(start + 3s, first);
   fleet.probe_failed(start + 3s, first);
   EXPECT_EQ(fleet.current_incarnation("i-7"), second);
@@ -78,8 +78,8 @@
   fleet_view fleet;
   target_record record = record_of(first);
   record.member_of = membership{{"r", 1}, 0, member_state::open};
-  fleet.listed(start, record);
-  EXPECT_FALSE(fleet.reported(start + 1s, start + 800ms, first, {second, std::nullopt, {}, 1}));
+  fleet.apply_record(start, record);
+  EXPECT_FALSE(fleet.apply_answer(start + 1s, start + 800ms, first, {second, std::nullopt, {}, 1}));
   ASSERT_NE(fleet.find(second), nullptr);
   EXPECT_EQ(fleet.find(second)->record.address, record.address);
   EXPECT_FALSE(fleet.find(second)->record.member_of);
@@ -91,10 +91,10 @@
   // responds as its second incarnation, but the record of its third arrives before that response.
   // An unknown incarnation is not necessarily the newest.
   fleet_view fleet;
-  fleet.listed(start, record_of(first));
+  fleet.apply_record(start, record_of(first));
   const time_point queried_at = start + 1s;
-  fleet.listed(start + 1100ms, record_of(third));
-  EXPECT_FALSE(fleet.reported(queried_at, queried_at, third, {second, std::nullopt, {}, 1}));
+  fleet.apply_record(start + 1100ms, record_of(third));
+  EXPECT_FALSE(fleet.apply_answer(queried_at, queried_at, third, {second, std::nullopt, {}, 1}));
   EXPECT_EQ(fleet.current_incarnation("i-7"), third);
 }
 
@@ -116,7 +116,7 @@
   const auto list = [&](const target_id& incarnation, std::uint32_t rank, member_state state) {
     target_record record = record_of(incarnation);
     record.member_of = membership{key, rank, state};
-    fleet.listed(start, record);
+    fleet.apply_record(start, record);
   };
   const auto serving = [&] {
     return serving_replicas(fleet, service_id{"s"}, model_id{"m"}, 2).size();
@@ -159,11 +159,12 @@
   fleet_view fleet;
   const target_record before = at_address("i-1", 8000);
   const target_record after = at_address("i-2", 8000);
-  fleet.listed(time_point{1s}, before, 5);
-  fleet.listed(time_point{2s}, after, 9);
+  fleet.apply_record(time_point{1s}, before, 5);
+  fleet.apply_record(time_point{2s}, after, 9);
   EXPECT_EQ(fleet.find(before.id), nullptr);
   const membership other{{"r.large.0.0.i-3", 4}, 1, member_state::ready};
-  fleet.reported(time_point{3s}, time_point{3s}, before.id, {before.id, other, model_id{"large"}});
+  fleet.apply_answer(time_point{3s}, time_point{3s}, before.id,
+                     {before.id, other, model_id{"large"}});
   EXPECT_EQ(fleet.find(before.id), nullptr);
   // The row of the ended engine expires later; until then it is in the list.
   fleet.replace_all(time_point{4s}, {{before, 5}, {after, 9}});
@@ -178,11 +179,11 @@
   // refuses the orders.
   fleet_view fleet;
   const target_record record = at_address("i-1", 8000);
-  fleet.listed(time_point{1s}, record, 5);
-  fleet.ended(record.id);
+  fleet.apply_record(time_point{1s}, record, 5);
+  fleet.mark_ended(record.id);
   EXPECT_EQ(fleet.find(record.id), nullptr);
-  fleet.unlisted(time_point{2s}, record.id);
-  EXPECT_TRUE(fleet.listed(time_point{3s}, record, 8));
+  fleet.mark_unlisted(time_point{2s}, record.id);
+  EXPECT_TRUE(fleet.apply_record(time_point{3s}, record, 8));
   ASSERT_NE(fleet.find(record.id), nullptr);
   EXPECT_TRUE(fleet.find(record.id)->listed);
 }
@@ -197,12 +198,12 @@
 
 TEST(TargetAddress, NewestRowDecidesWhoOwnsTheAddress) {
   fleet_view fleet;
-  fleet.listed(time_point{1s}, at_address("i-2", 8000), 9);
-  EXPECT_FALSE(fleet.listed(time_point{2s}, at_address("i-1", 8000), 5));
+  fleet.apply_record(time_point{1s}, at_address("i-2", 8000), 9);
+  EXPECT_FALSE(fleet.apply_record(time_point{2s}, at_address("i-1", 8000), 5));
   EXPECT_EQ(fleet.find(target_id{"i-1"}), nullptr);
   // A target that moved to another address no longer owns the previous one.
-  fleet.listed(time_point{3s}, at_address("i-2", 8001), 11);
-  EXPECT_TRUE(fleet.listed(time_point{4s}, at_address("i-1", 8000), 12));
+  fleet.apply_record(time_point{3s}, at_address("i-2", 8001), 11);
+  EXPECT_TRUE(fleet.apply_record(time_point{4s}, at_address("i-1", 8000), 12));
   EXPECT_NE(fleet.find(target_id{"i-2"}), nullptr);
 }
 
--- a/tests/shell/connection_http_test.cpp
+++ b/tests/shell/connection_http_test.cpp
@@ -165,9 +165,9 @@
   http_server server(runtime, any_port, {}, [&](const http_request&, response_writer& writer) {
     ++handled;
     const auto token = cancel_token::make();
-    writer.on_caller_gone([&token] { token.cancel(); });
+    writer.on_caller_disconnect([&token] { token.cancel(); });
     const auto result = client.fetch(local(upstream.port()), {}, test_deadline(), token);
-    EXPECT_TRUE(writer.caller_gone());
+    EXPECT_TRUE(writer.caller_disconnected());
     EXPECT_EQ(result.outcome, call_outcome::unknown);
     EXPECT_EQ(result.failure, call_failure::cancelled);
   });
@@ -189,16 +189,16 @@
 }
 
 // Guards against a crash, or the cancellation of another caller's call, some time after a request
-// has ended: a handler registers a callback with on_caller_gone() and returns, and the connection
-// ends later. The callback must not outlive what it refers to.
+// has ended: a handler registers a callback with on_caller_disconnect() and returns, and the
+// connection ends later. The callback must not outlive what it refers to.
 TEST_F(connection_http, a_caller_gone_handler_does_not_outlive_its_request) {
   std::atomic<int> notices{0};
-  auto server = std::make_unique<http_server>(runtime, any_port, http_server_limits{},
-                                              [&](const http_request&, response_writer& writer) {
-                                                writer.on_caller_gone([&notices] { ++notices; });
-                                                EXPECT_FALSE(writer.caller_gone());
-                                                writer.send(200, {}, "");
-                                              });
+  auto server = std::make_unique<http_server>(
+      runtime, any_port, http_server_limits{}, [&](const http_request&, response_writer& writer) {
+        writer.on_caller_disconnect([&notices] { ++notices; });
+        EXPECT_FALSE(writer.caller_disconnected());
+        writer.send(200, {}, "");
+      });
   auto caller = raw_connection::to(server->port());
   for (int i = 0; i < 3; ++i) {
     caller.send("GET / HTTP/1.1\r\n\r\n");
@@ -253,7 +253,7 @@
   bool notified = false;
   auto other = std::make_unique<http_server>(
       runtime, any_port, http_server_limits{}, [&](const http_request&, response_writer& writer) {
-        writer.on_caller_gone([&notified] { notified = true; });
+        writer.on_caller_disconnect([&notified] { notified = true; });
         waiting.set(1);
         EXPECT_TRUE(fiber_wait_until([&notified] { return notified; }));
         EXPECT_FALSE(writer.send(200, {}, "late"));
--- a/tests/shell/controller_simulation.h
+++ b/tests/shell/controller_simulation.h
@@ -97,7 +97,7 @@
   target_id restart(const target_id& id) {
     const target_id next = incarnation_of(engine_of(id), ++newest_incarnation_);
     auto node = engines_.extract(id);
-    node.mapped().start_again(next);
+    node.mapped().restart_as(next);
     node.key() = next;
     engines_.insert(std::move(node));
     dead_.erase(id);
@@ -268,11 +268,11 @@
       for (const auto& [id, engine] : engines_) {
         const auto dropped = unlist_at_.find(id);
         if (dropped != unlist_at_.end() && now_ >= dropped->second) {
-          n->fleet.unlisted(now_, id);
+          n->fleet.mark_unlisted(now_, id);
         } else if (!n->received_records.contains(id) ||
                    n->received_records[id] != engine.record()) {
           n->received_records[id] = engine.record();
-          n->fleet.listed(now_, engine.record(), ++row_version_);
+          n->fleet.apply_record(now_, engine.record(), ++row_version_);
         }
       }
     }
@@ -286,7 +286,7 @@
         const bool dropped = view != nullptr && !view->listed && view->record.member_of;
         if (const auto* other = at_address_of(id); dropped && other != nullptr) {
           const target_report report = other->report(now_);
-          n->fleet.reported(now_, now_ - 250ms, id, {id, report.member_of, report.loaded, 1});
+          n->fleet.apply_answer(now_, now_ - 250ms, id, {id, report.member_of, report.loaded, 1});
           continue;
         }
         for (std::uint32_t i = 0;
@@ -327,8 +327,8 @@
       return;
     }
     const target_report report = engine->second.report(now_);
-    nodes_[n]->fleet.reported(now_, now_ - 250ms, id,
-                              {report.incarnation, report.member_of, report.loaded, 1});
+    nodes_[n]->fleet.apply_answer(now_, now_ - 250ms, id,
+                                  {report.incarnation, report.member_of, report.loaded, 1});
   }
 
   void carry_out(std::size_t n, const controller_effect& e) {
@@ -346,8 +346,8 @@
       }
       schedule(network_delay, [this, n, id, requested_at] {
         const target_report report = find_engine(id).report(now_);
-        nodes_[n]->fleet.reported(requested_at, requested_at - 250ms, id,
-                                  {report.incarnation, report.member_of, report.loaded, 1});
+        nodes_[n]->fleet.apply_answer(requested_at, requested_at - 250ms, id,
+                                      {report.incarnation, report.member_of, report.loaded, 1});
         nodes_[n]->controller.on_report(now_, id, report);
       });
       return;
@@ -387,7 +387,7 @@
     }
     const auto before = engine.record().member_of;
     const auto members = engine.members();
-    const order_outcome outcome = engine.take(now_, order);
+    const order_outcome outcome = engine.execute(now_, order);
     // No engine joins another replica while the head of its own serves.
     if (order.action == order_action::join && outcome == order_outcome::accepted && before &&
         before->replica != order.replica) {
--- a/tests/shell/explain_test.cpp
+++ b/tests/shell/explain_test.cpp
@@ -46,7 +46,7 @@
 // One replica of the model with 16 slots and room for 2 more requests; answers take 2 s.
 class ExplainLoad : public Explain {
  protected:
-  ExplainLoad() : Explain({.engines_each = 3, .events = 40, .event_gap = 50ms}) {}
+  ExplainLoad() : Explain({.engines_per_data_centre = 3, .events = 40, .event_gap = 50ms}) {}
 };
 
 TEST_F(ExplainLoad, ARefusalUnderLoad) {
--- a/tests/shell/hosted_node_test.cpp
+++ b/tests/shell/hosted_node_test.cpp
@@ -17,7 +17,7 @@
   const call_result card = send_request(0, "/card/1", "c1");
   EXPECT_EQ(card.response.body, "card c1");
   EXPECT_EQ(platform_.runs()["c1"], 1);
-  EXPECT_EQ(platform_.leaked(), 0);
+  EXPECT_EQ(platform_.header_violations(), 0);
 }
 
 TEST_F(HostedNode, RefusesUnknownKeysAndPaths) {
--- a/tests/shell/hosted_poison_test.cpp
+++ b/tests/shell/hosted_poison_test.cpp
@@ -33,9 +33,9 @@
 
 class HostedPoison : public hosted_fixture {
  protected:
-  HostedPoison() : hosted_fixture({.engines_each = 18}) {}
+  HostedPoison() : hosted_fixture({.engines_per_data_centre = 18}) {}
 
-  int crashes(const std::string& path) { return platform_.ends()[path]; }
+  int crashes(const std::string& path) { return platform_.crashes()[path]; }
 
   // Sends the request once more, to the nodes in turn. Returns whether it reached a target.
   bool visit(const std::string& path) {
--- a/tests/shell/limit_exchange_test.cpp
+++ b/tests/shell/limit_exchange_test.cpp
@@ -46,16 +46,17 @@
   ASSERT_TRUE(with_heartbeat);
   EXPECT_EQ(with_heartbeat->to, near_peer);
   EXPECT_FALSE(exchange->piggyback_message(start + 600ms, near_peer));
-  EXPECT_EQ(receivers(exchange->tell(start + 1s)), (std::vector<node_id>{far_peer}));
+  EXPECT_EQ(receivers(exchange->take_messages(start + 1s)), (std::vector<node_id>{far_peer}));
   // Without a heartbeat in the meantime, both peers get a separate message.
-  EXPECT_EQ(receivers(exchange->tell(start + 2s)), (std::vector<node_id>{near_peer, far_peer}));
+  EXPECT_EQ(receivers(exchange->take_messages(start + 2s)),
+            (std::vector<node_id>{near_peer, far_peer}));
   EXPECT_TRUE(exchange->piggyback_message(start + 2500ms, near_peer));
 }
 
 TEST(limit_exchange, sends_nothing_without_limits_or_to_unknown_peers) {
   const auto none = make(0);
   EXPECT_FALSE(none->piggyback_message(start, near_peer));
-  EXPECT_TRUE(none->tell(start + 1s).empty());
+  EXPECT_TRUE(none->take_messages(start + 1s).empty());
   const auto some = make(10);
   EXPECT_FALSE(some->piggyback_message(start, node_id{"stranger"}));
 }
--- a/tests/shell/standin_engine_test.cpp
+++ b/tests/shell/standin_engine_test.cpp
@@ -359,7 +359,7 @@
 // caller gets the complete, well-formed answer of the other.
 TEST_F(standin_engine, swaps_two_answers_with_their_ids) {
   add_group();
-  head().faults().crossed = 1;
+  head().faults().swapped = 1;
   const generation_request a = make_request("a");
   const generation_request b = make_request("b");
   const batch_handle first = submit(a);
