--- a/src/load/fault_injector.cpp
+++ b/src/load/fault_injector.cpp
@@ -130,7 +130,7 @@
     };
     set(fault.latency);
     record_event(elapsed, "table slow");
-    schedule_undo(fault, elapsed, "table at normal speed", [set] { set(duration{}); });
+    schedule_undo(fault, elapsed, "table fast", [set] { set(duration{}); });
   } else if (fault.kind == fault_kind::lose_replies) {
     standins.lose_replies(fault.count);
     record_event(elapsed, "table loses " + std::to_string(fault.count) + " replies");
