--- a/src/process/activation.cpp
+++ b/src/process/activation.cpp
@@ -1,4 +1,4 @@
-// Choice of the lost mask and timing of activations.
+// Decides which standbys replace lost members of a replica, and when a node starts this repair.
 #include "process/activation.h"
 
 #include <algorithm>
@@ -29,7 +29,7 @@
 std::optional<lost_mask> extend_mask(const replica_plan& replica, std::uint64_t row_version,
                                      lost_mask mask,
                                      const std::function<bool(const vm_id&)>& lost) {
-  // Terminates because each round marks at least one more position.
+  // Terminates because each iteration marks at least one more position of the replica as lost.
   while (true) {
     const auto candidate = activate(replica, row_version, mask);
     if (!candidate) {
@@ -65,7 +65,8 @@
   }
   const auto seen = activate(*plan, row.version, gen.lost);
   if (!seen || seen->gen != gen) {
-    return false;  // no correct node produces such a generation
+    // The row and this lost mask yield no such generation, so no correct node sent it.
+    return false;
   }
   active_[replica] = gen;
   return true;
--- a/src/process/assignment_writer.cpp
+++ b/src/process/assignment_writer.cpp
@@ -1,4 +1,4 @@
-// Reads, proposals and repairs of the assignment row.
+// Reads, proposes and repairs the assignment row in the table.
 #include "process/assignment_writer.h"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Minimum time between reads that peers' reports cause: with a restored copy in the table every
-// heartbeat reports a newer version.
+// Minimum time between reads of the row that peers' reports cause. After the table was restored
+// from a backup, every heartbeat reports a newer version than the table has.
 constexpr duration read_pause = 300ms;
 
 // Maximum number of remembered writes with unknown outcome; older ones have long been superseded.
@@ -85,7 +85,8 @@
   }
   row_ = copy;
   raise_highest_known(now, row_.version);
-  // The table may have been read before this copy existed, so read it again before comparing.
+  // The table may have been read before this copy of the row existed. Read the table again before
+  // comparing the two.
   in_table_.reset();
   repair_since_.reset();
   read_soon(now);
@@ -204,7 +205,7 @@
     }
     const bool superseded = copy.version > w.expected;
     counters_.lost += superseded ? 1 : 0;
-    return superseded;  // otherwise it may still take effect
+    return superseded;  // a write that is not superseded may still take effect
   });
   while (unresolved_.size() > max_unresolved) {
     unresolved_.erase(unresolved_.begin());
@@ -232,8 +233,8 @@
     apply_copy(now, {written->version, content->version, content->proposal}, *content);
     return {};
   }
-  // A refusal may also mean that a lower layer repeated the write and its first copy took effect.
-  // Read back in any case: the row names the proposal that it came from.
+  // A refused write may also mean that a lower layer repeated it and its first copy took effect.
+  // Read the row back in any case: it names the proposal that it came from.
   const bool no_answer = std::holds_alternative<unknown>(r.result);
   counters_.unknown_replies += no_answer ? 1 : 0;
   write_failed_ = no_answer;
@@ -274,8 +275,8 @@
   if (!repair_since_ || write_ || unreadable_since_ || now < write_after_) {
     return {};
   }
-  // An answer that arrives after a later write also looks like a restored copy. Act only after a
-  // second read, sent after the first one showed it.
+  // The answer to a read that was served before a later write also looks like a table restored from
+  // a backup. Repair only after a second read, sent after the first one showed an old row.
   if (last_read_ <= *repair_since_) {
     read_soon(now);
     return {};
--- a/src/process/config_delta.cpp
+++ b/src/process/config_delta.cpp
@@ -1,5 +1,5 @@
-// Deltas are MessagePack: the hash of the resulting text, then the parts in order, each either a
-// span of the base or literal text.
+// A configuration delta is encoded as MessagePack: the hash of the resulting text, then the parts
+// in order, each either a span (offset and size) of the base text or literal text.
 #include "process/config_delta.h"
 
 #include <cstdint>
@@ -16,7 +16,8 @@
 using nlohmann::json;
 
 constexpr std::size_t delta_depth = 4;
-// Limit of the resulting text: a damaged delta may repeat the same span of its base many times.
+// Size limit of the text that a delta results in: a damaged delta may repeat the same span of its
+// base text many times.
 constexpr std::size_t max_text_bytes = 16UL * 1024 * 1024;
 
 // Cuts `text` behind each closing brace. Calls `take` with each piece and its offset.
@@ -73,7 +74,8 @@
   std::size_t size_ = 0;
 };
 
-// Appends the text of one part. False if it lies outside the base or exceeds max_text_bytes.
+// Appends the text of one part of a delta. False if its span lies outside the base or the text
+// exceeds max_text_bytes.
 bool append_part(std::string& text, std::string_view base, const json& part) {
   if (part.is_string()) {
     text += part.get_ref<const std::string&>();
--- a/src/process/config_distributor.h
+++ b/src/process/config_distributor.h
@@ -1,9 +1,9 @@
 // How much of the configuration a hub sends in one round of heartbeats, and to which nodes.
 //
-// Without a bound, versions in quick succession that are sent to two dozen nodes saturate the link
-// of the hub; its probes then fail, and it marks the whole fleet as failed. A change that would
-// take too long to send to all nodes is withheld from those that can read it from the store
-// themselves.
+// Without a limit, configuration versions in quick succession that are sent to two dozen nodes
+// saturate the link of the hub; its probes then fail, and the hub marks the whole fleet as failed.
+// A change that would take too long to send to all nodes is withheld from those that can read the
+// configuration from the store themselves.
 #pragma once
 
 #include <algorithm>
@@ -24,15 +24,16 @@
   void begin_round() { budget_.begin_round(); }
 
   struct recipient {
-    std::uint64_t held{};  // version of the row that the node has
+    std::uint64_t held{};  // version of the configuration row that the node has
     config_progress progress;
     bool refused_by_store = false;  // the store does not serve this node
   };
   struct answer {
-    bool withheld = false;  // the node has to read the row from the store
+    bool withheld = false;  // the node has to read the configuration row from the store
     std::optional<config_part> part;
   };
-  // `recipients`: number of nodes that the hub sends to, this one included.
+  // The next part of the configuration to send to node `to`. `recipients`: number of nodes that the
+  // hub sends to, node `to` included.
   [[nodiscard]] answer next_part_for(config_history& from, const recipient& to,
                                      std::size_t recipients) {
     if (to.held >= from.newest()) {
@@ -49,10 +50,10 @@
     return {false, from.part_for(to.held, to.progress, max_part_bytes)};
   }
 
-  // What a link of 20 Mbit/s carries in 100 ms.
+  // Size limit of a part of a delta: what a link of 20 Mbit/s carries in 100 ms.
   static constexpr std::size_t max_part_bytes = 250'000;
-  // Rounds within which the hub must be able to send a change to all nodes; a larger change is read
-  // from the store.
+  // Number of heartbeat rounds within which the hub must be able to send a change to all nodes. A
+  // change that needs more is read from the store by the nodes.
   static constexpr std::size_t max_rounds = 4;
 
  private:
--- a/src/process/config_lease.h
+++ b/src/process/config_lease.h
@@ -1,9 +1,10 @@
-// How long a node may check keys by its configuration version.
+// How long a node may check the API keys of callers by its configuration version.
 //
-// A revoked key must be rejected by all nodes within a bound, also by nodes that are partitioned or
-// were paused. A node therefore uses keys only while it has a proof, younger than the bound, that
-// the platform named its version as the newest. The age of a proof counts from the moment the query
-// was sent, because the answer may have been delayed without limit.
+// A revoked key must be rejected by all nodes within a time limit, also by nodes that are
+// partitioned or were paused. A node therefore accepts keys only while it has a proof, younger than
+// this limit, that the platform named the node's version as the newest. The age of a proof counts
+// from the moment the node sent its query to the platform, because the answer may have been delayed
+// without limit.
 //
 // Uses a clock that also runs while the machine is suspended.
 #pragma once
@@ -16,12 +17,14 @@
 namespace arbutus {
 
 struct config_lease_settings {
-  duration bound = 5s;  // from acceptance of a version until the keys it revokes are rejected
-  // A watch may miss changes for 1 s before it is notified that history was dropped, so an empty
-  // answer proves only that there was nothing newer 1 s before the query.
+  // Time limit from acceptance of a configuration until all nodes reject the keys that it revokes.
+  duration bound = 5s;
+  // A node's watch of the platform's store may miss changes for 1 s before it is notified that
+  // history was dropped, so an empty answer proves only that there was nothing newer 1 s before the
+  // query.
   duration watch_staleness = 1s;
-  // Drift between two clocks over the bound, and the delay between the check of a request and its
-  // send to a target.
+  // Covers the drift between two clocks over the time limit, and the delay between the check of a
+  // request's key and the sending of the request to a target.
   duration margin = 300ms;
 };
 
@@ -29,16 +32,16 @@
  public:
   explicit config_lease(const config_lease_settings& settings) : settings_(settings) {}
 
-  // The platform answered a query sent at `queried_at`, and this node has the version that it named
-  // as the newest.
+  // Call when the platform has answered a query sent at `queried_at` and this node has the
+  // configuration version that the platform named as the newest.
   void renew(time_point queried_at) {
     if (!proof_query_time_ || queried_at > *proof_query_time_) {
       proof_query_time_ = queried_at;
     }
   }
 
-  // Checked when the request is read: its caller sent it before `now`, so it is enough that the
-  // proof is younger than the bound at this time.
+  // Whether keys may be checked at `now`, the time when a request is read. The caller sent the
+  // request before `now`, so it is enough that the proof is young enough at this time.
   [[nodiscard]] bool valid(time_point now) const {
     return proof_query_time_ && now - *proof_query_time_ < lifetime();
   }
@@ -47,7 +50,7 @@
     return settings_.bound - settings_.watch_staleness - settings_.margin;
   }
 
-  // Age of the newest proof; for logs.
+  // Age of the newest proof that this node's configuration is current; for logs.
   [[nodiscard]] std::optional<duration> age(time_point now) const {
     if (!proof_query_time_) {
       return std::nullopt;
--- a/src/process/config_patch.cpp
+++ b/src/process/config_patch.cpp
@@ -1,5 +1,5 @@
-// A patch replaces the span between the common prefix and the common suffix: cheap to make, and
-// small for a change in one place.
+// A patch of the configuration replaces the span between the common prefix and the common suffix of
+// the two contents. It is cheap to make, and small for a change in one place.
 #include "process/config_patch.h"
 
 #include <algorithm>
--- a/src/process/config_proposer.cpp
+++ b/src/process/config_proposer.cpp
@@ -1,5 +1,5 @@
-// Reads the head, stores the content, writes the head conditionally, and reads it back when the
-// outcome of the write is unknown.
+// Steps of a configuration proposal: reads the head row, stores the content, writes the head row
+// conditionally, and reads it back when the outcome of the write is unknown.
 #include "process/config_proposer.h"
 
 #include <algorithm>
@@ -12,11 +12,11 @@
 
 namespace {
 
-// Proposals that a head lists. A proposer whose reply was lost finds its proposal until this many
-// were accepted.
+// Number of accepted proposals that the configuration head lists. A proposer whose reply was lost
+// finds its proposal in the head until this many others were accepted.
 constexpr std::size_t max_named_proposals = 32;
-// Limit of attempts. A table that keeps failing the write although the row is unchanged is not
-// expected to recover soon.
+// Limit of attempts to write the head row. A table that keeps failing the write although the row is
+// unchanged is not expected to recover soon.
 constexpr std::size_t max_write_attempts = 5;
 
 template <class T>
@@ -95,8 +95,9 @@
   return put_content{hash_, content_};
 }
 
-// A write in flight can take effect only while the row version is unchanged. If it is, the write is
-// repeated with the same condition; if not, the write can no longer take effect.
+// A write of the head row that is still in flight can take effect only while the row's version is
+// unchanged. If it is unchanged, the write is repeated with the same condition; otherwise the write
+// can no longer take effect.
 proposal_step config_proposer::evaluate_head_after_write(const head_row& row) {
   if (row.row_version == current_.row_version) {
     if (writes_ < max_write_attempts) {
@@ -115,7 +116,7 @@
 
 proposal_step config_proposer::put_result(const outcome<std::monostate>& result) {
   if (phase_ == phase::storing_patch) {
-    // A failure is ignored: the patch only saves traffic.
+    // A failure to store the patch is ignored: the patch only saves traffic.
     phase_ = phase::storing;
     return put_content{hash_, content_};
   }
@@ -148,7 +149,8 @@
     phase_ = phase::done;
     return proposal_accepted{base_ + 1};
   }
-  // If refused, another proposer changed the row, or an earlier attempt of this write did.
+  // If the write was refused, another proposer changed the head row, or an earlier attempt of this
+  // write did.
   wrote_ = true;
   phase_ = phase::resolving;
   return read_head{};
--- a/src/process/config_proposer.h
+++ b/src/process/config_proposer.h
@@ -1,4 +1,5 @@
-// Proposes one configuration to the table, for the `apply` command and the admin endpoint.
+// Proposes one configuration: writes it to the platform's table and object store, for the `apply`
+// command and the admin endpoint.
 #pragma once
 
 #include <cstdint>
@@ -13,35 +14,38 @@
 
 namespace arbutus {
 
-// Steps of one proposal: `apply` and the admin endpoint execute them and report the results.
-struct put_content {
+// Steps of one configuration proposal. The caller (`apply` or the admin endpoint) executes the
+// first three kinds and reports their results to the config_proposer. The others are outcomes of
+// the proposal.
+struct put_content {  // put this object into the object store
   std::string name;
   std::string content;
 };
-struct write_head {
+struct write_head {  // write the head row if it still has the version `expected_row`
   config_head head;
   std::uint64_t expected_row{};
 };
-struct read_head {};
+struct read_head {};  // read the head row from the table
 struct proposal_accepted {
   std::uint64_t version{};
 };
 // Another configuration was accepted in the meantime, or the base was not the current version.
 struct proposal_conflict {
-  std::optional<config_head> current;  // empty: there is none
+  std::optional<config_head> current;  // head of the accepted one; empty: there is none
 };
-// The proposal certainly did not take effect: nothing was written to the head.
+// The proposal certainly did not take effect: nothing was written to the head row.
 struct proposal_failed {
   std::string reason;
 };
-// It is not known whether the write took effect; call read_back() to find out.
+// It is not known whether the write of the head row took effect; call read_back() to find out.
 struct proposal_unresolved {
   std::string reason;
 };
 using proposal_step = std::variant<put_content, write_head, read_head, proposal_accepted,
                                    proposal_conflict, proposal_failed, proposal_unresolved>;
 
-// Proposes one configuration. It is never applied twice, whichever replies are lost.
+// Proposes one configuration. The configuration is never applied twice, whichever replies of the
+// table or the object store are lost.
 class config_proposer {
  public:
   // `base`: version that the operator's change is based on. `known`: newest version that this
@@ -55,7 +59,7 @@
   [[nodiscard]] proposal_step put_result(const outcome<std::monostate>& result);
   [[nodiscard]] proposal_step read_result(const outcome<head_row>& result);
   [[nodiscard]] proposal_step write_result(const outcome<std::uint64_t>& row_version);
-  // Continues after proposal_unresolved.
+  // Continues after proposal_unresolved: reads the head row again.
   [[nodiscard]] proposal_step read_back();
 
  private:
@@ -73,9 +77,9 @@
   std::uint64_t known_;
   std::string base_content_;
   phase phase_ = phase::reading;
-  bool wrote_ = false;  // a write may have taken effect
+  bool wrote_ = false;  // a write of the head row was sent and may have taken effect
   std::size_t writes_{};
-  head_row current_;  // the write is conditional on its version
+  head_row current_;  // as last read; the write is conditional on the version of this row
 };
 
 }  // namespace arbutus
--- a/src/process/config_replica.cpp
+++ b/src/process/config_replica.cpp
@@ -1,4 +1,5 @@
-// Choice of the newest head, fetching of its content, and repair of the head in a restored table.
+// Chooses the newest configuration head, fetches its content, and repairs the head row in a table
+// that was restored from an old copy.
 #include "process/config_replica.h"
 
 #include <algorithm>
@@ -11,10 +12,11 @@
 namespace {
 
 constexpr std::string_view head_subject = "config-head";
-// Earlier contents that are kept as patch bases for peers that are a few versions behind.
+// Number of earlier configuration contents that are kept as bases of patches for peers that are a
+// few versions behind.
 constexpr std::size_t max_recent_contents = 4;
-// Limit of candidates, so that reported versions whose content no node can supply do not
-// accumulate. Candidates that only peers reported are evicted first, the lowest version first.
+// Limit of candidate configurations, so that reported versions whose content no node can supply do
+// not accumulate. Candidates that only peers reported are evicted first, the lowest version first.
 constexpr std::size_t max_candidates = 8;
 
 std::size_t rank_in(const std::vector<node_id>& live, const node_id& self) {
@@ -33,9 +35,9 @@
   return rank_in(live, self_) < timing_.head_readers;
 }
 
-// The higher version wins. Equal versions with different content exist only after the table was
-// restored from an old copy. The hash then decides, so that all nodes choose the same one,
-// whichever they received first.
+// Whether a configuration replaces the one in force. The higher version wins. Equal versions with
+// different content exist only after the table was restored from an old copy. The hash then
+// decides, so that all nodes choose the same one, whichever they received first.
 bool config_replica::supersedes(std::uint64_t version, std::string_view hash) const {
   return std::pair(version, hash) > std::pair(in_force_.version, std::string_view(in_force_.hash));
 }
@@ -67,8 +69,9 @@
     retried_ = false;
     handle_head(*row, requested, now);
   } else if (!retried_) {
-    // Retries once soon, because a single lost reply should not cost a whole interval. Further
-    // failures wait for the interval, to add no load to a table that is unavailable.
+    // Reads the head row once more soon, because a single lost reply should not cost a whole
+    // interval. Further failures wait for the interval, to add no load to a table that is
+    // unavailable.
     retried_ = true;
     next_read_ = std::min(next_read_, now + random_.jitter(timing_.head_retry));
   }
@@ -159,7 +162,7 @@
   c.not_before = now + timing_.head_reader_interval;
 }
 
-// The source that was queried last does not have the content.
+// Call when the source that was queried last does not have the content with this hash.
 config_effects config_replica::fetch_from_next_source(std::string_view hash, time_point now) {
   config_effects requested;
   for (auto& [id, c] : candidates_) {
@@ -195,7 +198,7 @@
     head_ = content.head;
     return requested;
   }
-  // This head also lists proposals; heartbeats carry version and hash only.
+  // The head in the peer's message also lists proposals; heartbeats carry version and hash only.
   add_candidate(content.head, false, &peer);
   if (!accept(content, requested, now) && supersedes(content.head.version, content.head.hash)) {
     return fetch_from_next_source(content.head.hash, now);
@@ -203,14 +206,14 @@
   return requested;
 }
 
-// True if the content has the right hash, even if no candidate needs it.
+// True if the received content has the hash that its head names, even if no candidate needs it.
 bool config_replica::accept(const config_content& content, config_effects& requested,
                             time_point now) {
   std::optional<std::string> whole = apply_patch(content_, content);
   if (!whole) {
     return false;
   }
-  // Several candidate versions may have the same content; the highest version is last.
+  // Several candidates may have the same content; the one with the highest version is last.
   std::optional<config_head> best;
   for (const auto& [id, c] : candidates_) {
     if (c.head.hash == content.head.hash) {
@@ -238,7 +241,8 @@
   std::erase_if(candidates_, [this](const auto& entry) {
     return !supersedes(entry.first.first, entry.first.second);
   });
-  // Patches against the previous content no longer apply: the sources are tried from the first.
+  // Patches against the previous content no longer apply. The sources of each remaining candidate
+  // are tried from the first again.
   for (auto& [id, c] : candidates_) {
     c.attempt = 0;
   }
@@ -330,7 +334,8 @@
   return {std::move(write)};
 }
 
-// Reads the head again: the row shows whether the write took effect or another node's write did.
+// Reads the head row again, whatever the result of the write: the row shows whether this write took
+// effect or another node's write did.
 config_effects config_replica::head_written(const outcome<std::uint64_t>&, time_point now) {
   next_read_ = now;
   return {};
--- a/src/process/config_replica.h
+++ b/src/process/config_replica.h
@@ -1,6 +1,7 @@
 // The configuration in force on this node, and how the node gets newer ones: from the head row in
-// the table, the object store and its peers, whichever answers. Versions only increase, also when
-// the platform restores its table from an old copy; the node then repairs the head in the table.
+// the table, the object store and its peers, whichever answers. The version in force only
+// increases, also when the platform restores its table from an old copy; the node then repairs the
+// head row in the table. (A replica of the configuration; unrelated to replicas of engines.)
 #pragma once
 
 #include <cstdint>
@@ -22,19 +23,19 @@
 
 namespace arbutus {
 
-// The head as read from the table.
+// The configuration head (version, hash and proposals) as read from its row in the table.
 struct head_row {
   std::optional<config_head> head;  // empty: there is no row
-  std::uint64_t row_version{};      // assigned by the table; 0: there is no row
+  std::uint64_t row_version{};      // assigned by the table service; 0: there is no row
   auto operator<=>(const head_row&) const = default;
 };
 
 // ---- effects for the caller to execute ----
 
-struct fetch_config_head {  // read the head row
+struct fetch_config_head {  // read the configuration's head row from the table
   auto operator<=>(const fetch_config_head&) const = default;
 };
-struct fetch_object {  // get this object
+struct fetch_object {  // get this object from the object store
   std::string name;
   auto operator<=>(const fetch_object&) const = default;
 };
@@ -43,12 +44,12 @@
   std::string content;
   auto operator<=>(const restore_object&) const = default;
 };
-struct repair_head {  // write the head if the row still has the version `expected_row`
+struct repair_head {  // write this head if the head row still has the version `expected_row`
   config_head head;
   std::uint64_t expected_row{};
   auto operator<=>(const repair_head&) const = default;
 };
-struct send_peer_message {  // send to a peer
+struct send_peer_message {  // send this message to a peer node
   node_id to;
   std::variant<config_request, config_content> message;
   auto operator<=>(const send_peer_message&) const = default;
@@ -57,8 +58,8 @@
   std::string text;
   auto operator<=>(const operator_notice&) const = default;
 };
-struct publish_configuration {  // in_force() has changed: publish it and send heartbeats
-                                // immediately
+// The configuration in force has changed: publish it on this node and send heartbeats immediately.
+struct publish_configuration {
   std::uint64_t version{};
   auto operator<=>(const publish_configuration&) const = default;
 };
@@ -76,24 +77,24 @@
  public:
   config_replica(node_id self, std::uint64_t seed, control_timing timing = {});
 
-  // `live`: the live nodes by membership, including this one, sorted by id. Also repeats requests
-  // that timed out.
+  // Reads the head row when that is due, and repeats requests that timed out. `live`: the live
+  // nodes by membership, including this one, sorted by id.
   [[nodiscard]] config_effects tick(const std::vector<node_id>& live, time_point now);
-  // Result of fetch_config_head.
+  // Call with the result of a fetch_config_head.
   [[nodiscard]] config_effects head_read(const outcome<head_row>& result, time_point now);
-  // A heartbeat or summary reports the configuration of a peer.
+  // Call when a heartbeat or summary reports which configuration a peer has in force.
   [[nodiscard]] config_effects peer_reported(const node_id& peer, std::uint64_t version,
                                              std::string_view hash, time_point now);
   [[nodiscard]] config_effects peer_requested(const node_id& peer, const config_request& request);
-  // Content from a peer; ignored unless its hash is right.
+  // Call with configuration content from a peer; ignored unless its hash is right.
   [[nodiscard]] config_effects peer_sent(const node_id& peer, const config_content& content,
                                          time_point now);
-  // Result of fetch_object.
+  // Call with the result of a fetch_object.
   [[nodiscard]] config_effects object_read(std::string_view name,
                                            const outcome<std::string>& result, time_point now);
-  // Result of restore_object.
+  // Call with the result of a restore_object.
   [[nodiscard]] config_effects object_stored(const outcome<std::monostate>& result, time_point now);
-  // Result of repair_head; the head is read again in any case.
+  // Call with the result of a repair_head; the head row is read again in any case.
   [[nodiscard]] config_effects head_written(const outcome<std::uint64_t>& row_version,
                                             time_point now);
 
@@ -104,18 +105,18 @@
   [[nodiscard]] bool is_head_reader(const std::vector<node_id>& live) const;
 
  private:
-  // A configuration newer than the one in force, and the peers that may have it. Sources are tried
-  // in turn: the patch in the object store (if the head was read from the table), the peers that
-  // reported it, the whole object.
+  // A configuration newer than the one in force, and the peers that may have it. Sources of its
+  // content are tried in turn: the patch in the object store (if the head was read from the table),
+  // the peers that reported this configuration, the whole content in the object store.
   struct candidate {
     config_head head;  // without proposals if only peers have reported it
     bool from_table = false;
     std::vector<node_id> holders;
     std::size_t attempt{};  // index of the next source to try
     std::optional<time_point> requested_at;
-    time_point not_before;  // start of the next round after all sources failed
+    time_point not_before;  // earliest time to try the sources again after all of them failed
   };
-  using key = std::pair<std::uint64_t, std::string>;  // version, hash
+  using key = std::pair<std::uint64_t, std::string>;  // version and hash of the configuration
 
   [[nodiscard]] bool supersedes(std::uint64_t version, std::string_view hash) const;
   void add_candidate(const config_head& head, bool from_table, const node_id* holder);
@@ -138,13 +139,13 @@
   config_head head_;
   std::string content_;
   std::map<std::string, std::string> recent_;  // earlier contents by hash, as bases of patches
-  std::vector<std::string> recent_order_;      // oldest first
+  std::vector<std::string> recent_order_;      // hashes of the earlier contents, oldest first
   std::optional<node_id> peer_in_sync_;        // a peer with the configuration in force
   std::map<key, candidate> candidates_;        // at most max_candidates; all newer than in_force_
-  std::optional<repair_head> pending_repair_;  // issued when the content is stored
+  std::optional<repair_head> pending_repair_;  // issued once the content is in the object store
   time_point next_read_;
   std::optional<time_point> read_started_;
-  bool retried_ = false;  // the last read that failed was a retry
+  bool retried_ = false;  // a read of the head row failed and its early retry was scheduled
 };
 
 }  // namespace arbutus
--- a/src/process/config_transfer.cpp
+++ b/src/process/config_transfer.cpp
@@ -1,4 +1,4 @@
-// Splitting the newest configuration into parts, and reassembling them.
+// Cuts deltas to the newest configuration into parts (on the hub) and reassembles them (on nodes).
 #include "process/config_transfer.h"
 
 #include <algorithm>
--- a/src/process/control_plane_cost.cpp
+++ b/src/process/control_plane_cost.cpp
@@ -26,9 +26,9 @@
 constexpr double header_bytes = 40.0;  // TCP/IP headers of the message and of its acknowledgement
 constexpr double framing_bytes = 4.0;  // length prefix of a message
 
-struct control_cost {  // per node and second
-  double messages{};   // both directions
-  double payload{};    // bytes, both directions
+struct control_cost {  // of one node; traffic and probes per second
+  double messages{};   // sent and received
+  double payload{};    // bytes sent and received
   double with_headers{};
   double with_acknowledgements{};
   double core_percent{};
@@ -122,7 +122,7 @@
     }
   }
 
-  // Lets the node process a probe's answer, including its decoding.
+  // Lets the node process a target's answer to a probe, including the decoding.
   void probe(simulated_node& n, const vm_id& vm) {
     engine_report report;
     report.vm = vm;
@@ -161,7 +161,8 @@
     }
     const std::size_t before = messages_;
     send_due_heartbeats(static_cast<std::size_t>(index));
-    // An immediate answer also carries the TCP acknowledgement of the message that it answers.
+    // A heartbeat that is sent immediately after receipt of another also carries the TCP
+    // acknowledgement of that message.
     answers_ += messages_ > before ? 1 : 0;
   }
 
--- a/src/process/control_plane_cost.h
+++ b/src/process/control_plane_cost.h
@@ -1,5 +1,6 @@
-// Measures what the control plane costs each node in bytes, messages, processor time and memory,
-// and how much each further peer or target adds. All nodes run in one process on virtual time.
+// Measures by simulation what the control plane costs each node in bytes, messages, processor time
+// and memory, and how much each further peer or target adds. All nodes run in one process on
+// virtual time.
 #pragma once
 
 #include <cstddef>
@@ -8,8 +9,8 @@
 
 namespace arbutus {
 
-// Prints one line per cluster size and one per marginal cost. Uses the processor time of the
-// calling process.
+// Prints one line per cluster size and one per marginal cost (of a further peer or target).
+// Measures the processor time of the calling process.
 void print_control_plane_cost(std::ostream& out);
 
 // Hash of the bytes of all heartbeats that the nodes of a data centre of this size exchange. It
--- a/src/process/coordinator.cpp
+++ b/src/process/coordinator.cpp
@@ -1,4 +1,5 @@
-// The coordinator's public interface: each call returns the effects that its parts have emitted.
+// The coordinator's public interface: start(), tick() and on() return the effects that the parts of
+// the coordinator emitted during the call.
 #include "process/coordinator.h"
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 
 namespace {
 
-// Gives each part its own seed, so that their jitters are independent.
+// Gives each part of the coordinator its own random seed, so that their jitters are independent.
 std::uint64_t derive_seed(std::uint64_t seed, std::uint64_t part) {
   return rng{seed + part}();
 }
--- a/src/process/coordinator.h
+++ b/src/process/coordinator.h
@@ -28,7 +28,7 @@
 struct coordinator_settings {
   node_id self;
   data_centre_id data_centre;
-  std::uint64_t incarnation{};  // differs at every start of this node
+  std::uint64_t incarnation{};  // a number that differs at every start of this node's process
   std::uint64_t seed{};
   std::vector<node_record> bootstrap_peers;  // used until a configuration lists the nodes
 };
@@ -44,19 +44,20 @@
 
   // Returns the first effects after the process has started. Call once, before anything else.
   [[nodiscard]] effects start(time_point now);
-  // Call at next_tick(); calling earlier or more often is harmless.
+  // Performs the periodic work that is due. Call at next_tick(); calling earlier or more often is
+  // harmless.
   [[nodiscard]] effects tick(time_point now);
   [[nodiscard]] effects on(time_point now, const input& in);
-  // Until this time there is nothing to do unless an input arrives.
+  // Time at which tick() is due; until then there is nothing to do unless an input arrives.
   [[nodiscard]] time_point next_tick() const;
 
-  // Call directly before the bytes of an order are sent. False: the order is out of date; do not
-  // send it, and report it back as `refused`. A target that does not check fencing tokens would
-  // obey an order that was superseded while it waited for a connection.
+  // Call directly before the bytes of an order are sent to its target. False: the order is out of
+  // date; do not send it, and report it back as `refused`. A target that does not check fencing
+  // tokens would obey an order that was superseded while it waited for a connection.
   [[nodiscard]] bool may_send(time_point now, const order& o);
 
-  // Changes whenever routes() may differ in more than the reported load, so that the embedding
-  // program can publish a new snapshot immediately instead of polling.
+  // A number that increases whenever routes() may differ in more than the reported load, so that
+  // the embedding program can publish a new snapshot immediately instead of polling.
   [[nodiscard]] std::uint64_t routes_revision() const;
   [[nodiscard]] routing_snapshot routes(time_point now) const;
 
@@ -64,16 +65,17 @@
   [[nodiscard]] const assignment& row() const;        // version 0 until known
   [[nodiscard]] status_view status(time_point now) const;
 
-  // This node is stopping: peers no longer rely on it; requests that run here may finish.
+  // Call when this node is about to stop: peers then no longer rely on it, and requests that run
+  // through it may finish.
   void begin_drain(time_point now);
-  // Called by the request path on every change: the number of requests that this node has at the
-  // replica, by the generation they were sent to. A draining replica does not count as empty while
-  // the number is positive.
+  // Called by the request path whenever the number of requests changes that this node has sent to a
+  // replica under one fencing generation and that are still running. A draining replica does not
+  // count as empty while this number is positive.
   void report_in_flight(const replica_id& replica, generation gen, std::uint32_t count);
-  // Called by the request path: the workspace's admitted requests per second at this node. The
-  // rate is gossiped so that the nodes share the workspace's limit.
+  // Called by the request path with the rate at which this node admits requests of the workspace.
+  // The rate is gossiped so that the nodes share the workspace's limit.
   void report_usage(const workspace_id& workspace, double requests_per_second);
-  // The recently reported rates of the workspace, summed over the other nodes.
+  // The requests per second that the other nodes recently reported for the workspace, summed.
   [[nodiscard]] double usage_elsewhere(time_point now, const workspace_id& workspace) const;
 
  private:
--- a/src/process/coordinator_decide.cpp
+++ b/src/process/coordinator_decide.cpp
@@ -18,10 +18,11 @@
   plan_next(now);
 }
 
-// ---- repair without the table ----
+// ---- repair while the table service is unavailable ----
 
-// Finds generations of older rows that members of this replica still obey although they are
-// greater than the generation in force. Returns their combined lost mask.
+// Finds generations from older assignment rows that members of this replica still obey and that are
+// greater than the replica's generation in force. Returns the union of their lost masks; empty if
+// there are none.
 std::optional<lost_mask> coordinator::parts::superseding_mask(const replica_plan& replica) const {
   const composition in_force = activations.in_force(replica);
   std::optional<lost_mask> found;
@@ -74,7 +75,8 @@
   return desired_states(rows.row(), in_force, reports);
 }
 
-// Whether the table or a majority of the nodes recently confirmed that the row is the newest.
+// Whether the table or a majority of the nodes recently confirmed that this node's assignment row
+// is the newest.
 bool coordinator::parts::row_confirmed(time_point now) const {
   const auto at = rows.confirmed_at();
   const bool by_table = at && now - *at <= row_confirmation_max_age;
@@ -82,17 +84,19 @@
 }
 
 bool coordinator::parts::order_allowed(time_point now, const vm_id& vm) const {
-  // An order may lag behind the newest row by the age of the confirmation. A target that has
-  // received a newer order refuses this one by its token. A target that has restarted since obeys
-  // it until the newer order arrives; until then no replica that needs the target serves.
+  // An order may lag behind the newest row by the age of the row's last confirmation. A target that
+  // has received a newer order refuses the outdated one by its fencing token. A target that has
+  // restarted since obeys the outdated order until the newer one arrives; until then no replica
+  // that needs the target serves.
   const bool current = rows.known() && !rows.behind() && row_confirmed(now);
   const observation* newest = observations.latest(vm);
   const bool observed = newest != nullptr && now - newest->at <= order_max_observation_age;
   return current && observed;
 }
 
-// The nodes that probe the VM come first: they gossip its observations, and the answer to an order
-// is one.
+// This node's rank among the nodes that may send an order to the VM; higher ranks wait longer. The
+// nodes that probe the VM come first: they gossip the observations of it, and the VM's answer to an
+// order is an observation.
 std::size_t coordinator::parts::order_rank(time_point now, const vm_id& vm) {
   const auto probers = peers->probers_of(vm, now);
   const auto own = std::find(probers.begin(), probers.end(), settings.self);
@@ -122,10 +126,10 @@
 
 // ---- planning ----
 
-// Whether this node may plan from its own view. A node that reaches few peers is more likely cut
-// off than the last one alive: replicas that it does not reach may serve, and the table would
-// accept a plan that dissolves them. Such a node waits, and plans only if it reaches at least half
-// of the targets.
+// Whether this node may plan a new assignment from its own view of the targets. A node that reaches
+// few peers is more likely cut off than the last one alive: replicas that it does not reach may
+// serve, and the table would accept a plan that dissolves them. Such a node waits, and plans only
+// if it reaches at least half of the targets.
 bool coordinator::parts::may_plan(time_point now) {
   if (peers->may_act_without_table(rows.row().version, now)) {
     minority_since.reset();
@@ -143,8 +147,9 @@
   return 2 * static_cast<std::size_t>(reached) >= vms.size();
 }
 
-// Planning with older rules than the row was made for would revert an accepted configuration. Only
-// after a timeout, when the newer rules appear to be lost for good, repair takes precedence.
+// Whether this node's configuration may be used to plan. Planning with an older configuration than
+// the row was made for would revert an accepted configuration. Only after a timeout, when the newer
+// configuration appears to be lost for good, repair takes precedence.
 bool coordinator::parts::has_current_rules(time_point now) {
   if (config->version >= rows.row().config_version) {
     old_rules_since.reset();
@@ -209,7 +214,7 @@
     case target_condition::leaving:
       return vm_condition::leaving;
     case target_condition::suspect:
-    case target_condition::unknown:  // may still run: stays in its replica
+    case target_condition::unknown:  // the target may still run, so it stays in its replica
       break;
   }
   return vm_condition::suspect;
@@ -218,7 +223,8 @@
 }  // namespace
 
 plan coordinator::parts::next_plan(time_point now) {
-  // has_current_rules() has already decided that these rules may be used.
+  // The configuration may be older than the row's; has_current_rules() has already decided that it
+  // may be used.
   assignment current = rows.row();
   current.config_version = std::min(current.config_version, config->version);
   planner_input in;
@@ -279,7 +285,7 @@
   const auto rank = peers->rank_of(settings.self, subject, now);
   const time_point due = since + rank_wait(rank, row_rank_delay);
   if (now < due) {
-    replan_at = due;  // by then a node of lower rank has usually written the row
+    replan_at = due;  // by then a node of lower rank has usually written the new row
     return;
   }
   emit(rows.propose(now, std::move(p.next)));
--- a/src/process/coordinator_inputs.cpp
+++ b/src/process/coordinator_inputs.cpp
@@ -1,4 +1,4 @@
-// Handling of inputs: each updates the coordinator's state. Decisions follow in decide().
+// Handles the coordinator's inputs: each input updates the state. Decisions follow in decide().
 #include <algorithm>
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 namespace arbutus {
 
-// ---- platform ----
+// ---- results from the platform's services ----
 
 void coordinator::parts::on(time_point now, const table_read_result& r) {
   if (r.request.key == config_head_key) {
@@ -68,14 +68,14 @@
       listed_leaving.insert(e.vm);
       note_leaving(now, e.vm, 0);
     } else if (listed_leaving.erase(e.vm) > 0) {
-      // Undoes only what the list itself reported: the list lags behind a target that reports
-      // itself as leaving.
+      // Clears the leaving mark of a VM only if an earlier VM list set it: the list lags behind a
+      // target that reports itself as leaving.
       observations.clear_leaving(e.vm);
     }
   }
 }
 
-// ---- targets ----
+// ---- results from targets ----
 
 void coordinator::parts::on(time_point now, const probe_result& r) {
   const auto* report = std::get_if<engine_report>(&r.result);
@@ -97,7 +97,8 @@
   if (!sent_at || report == nullptr) {
     return;
   }
-  // The answer is worth as much as a probe's report, and other nodes wait for it.
+  // A target's answer to an order counts as an observation like a probe's report, and other nodes
+  // wait for it.
   observations.on_probe_result({r.request.vm, *sent_at, *report}, now);
   note_observation(now, r.request.vm);
   peers->expedite_heartbeats(now);
@@ -157,7 +158,7 @@
     changed();
     replan_at = std::min(replan_at, now + plan_debounce);
     if (c.to == target_condition::lost) {
-      rows.request_read(now);  // how to repair depends on whether the table is reachable
+      rows.request_read(now);  // the kind of repair depends on whether the table is reachable
     }
   }
 }
@@ -179,7 +180,7 @@
   changed();
 }
 
-// ---- peers ----
+// ---- messages from peers ----
 
 void coordinator::parts::on(time_point now, const peer_message& m) {
   const auto decoded = decode_gossip(m.from, m.bytes);
@@ -190,8 +191,9 @@
   emit(notice{"gossip", "a message of " + m.from.str() + " cannot be decoded"});
 }
 
-// A restarted peer may have echoed messages with short forms that it could not decode, because
-// they refer to messages sent to its previous process.
+// Forgets what a restarted peer has acknowledged. The peer may have acknowledged (echoed) messages
+// with short forms that it could not decode, because the short forms refer to messages sent to its
+// previous process.
 void coordinator::parts::handle_peer_restart(const node_id& from, const struct receive_result& h) {
   if (h.restarted) {
     observations.forget_peer(from);
@@ -216,7 +218,9 @@
     }
   }
   if (!m.table_reachable && !rows.unreadable_since()) {
-    rows.request_read(now);  // checks the table from here before a repair depends on it
+    // The peer cannot reach the table. Checks the table from this node before a repair depends on
+    // it.
+    rows.request_read(now);
   }
   draining_in_use_by[from] = {m.in_use.begin(), m.in_use.end()};
   peer_usage& u = usage_by_node[from];
@@ -258,7 +262,8 @@
 }
 
 void coordinator::parts::receive(time_point, const node_id&, const leaving_notice& m) {
-  // The node that found this has sent it to all peers, so it is not forwarded.
+  // The node that noticed that the VM is leaving has sent this notice to all peers, so it is not
+  // forwarded.
   if (observations.mark_leaving(m.vm, m.incarnation)) {
     changed();
   }
--- a/src/process/coordinator_parts.h
+++ b/src/process/coordinator_parts.h
@@ -24,33 +24,37 @@
 
 namespace arbutus {
 
-// Longest time between ticks. Membership needs four ticks a second to notice that this process
-// was paused.
+// Longest time between ticks of the coordinator. Membership needs at least four ticks a second to
+// notice that this process was paused.
 inline constexpr duration tick_interval = 100ms;
-// After its start a node proposes and orders nothing until peers and targets had time to report:
-// without their reports it would treat every VM as free.
+// For this long after its start a node proposes no row and sends no orders, so that peers and
+// targets have time to report: without their reports the node would treat every VM as free.
 inline constexpr duration start_settle = 3s;
-// Losses come in groups (a fabric domain fails): plan once for losses that are detected together.
+// Delay of planning after a detected change. Losses come in groups (a fabric domain fails): the
+// node plans once for losses that are detected together.
 inline constexpr duration plan_debounce = 150ms;
-// Plans are made at least this often, because some changes raise no event (demand,
-// acknowledgements).
+// Longest time between two plans of the assignment. Some changes raise no event (demand,
+// acknowledgements), so the node also plans periodically.
 inline constexpr duration plan_interval = 2s;
-// A node without a majority proposes only after this time. By then the other nodes are either back
-// or down for good.
+// A node that reaches no majority of the nodes proposes a row only after this time. By then the
+// other nodes are either back or down for good.
 inline constexpr duration minority_timeout = 10s;
-// Longer than any peer or store takes to deliver a configuration that still exists.
+// A node whose configuration is older than the one that the row was made for plans with it only
+// after this time. The time is longer than any peer or store takes to deliver a configuration that
+// still exists.
 inline constexpr duration old_rules_timeout = 60s;
 inline constexpr duration vm_list_interval = 2s;
 inline constexpr std::size_t vm_list_readers = 2;
-// Interval at which the row is sent to a peer that cannot read the table, until the peer has it.
+// Interval at which the assignment row is sent to a peer that cannot read the table, until the peer
+// has the row.
 inline constexpr duration push_interval = 1s;
-// No order is sent if the row was not confirmed as the newest within this time: a target that
-// ignores fencing tokens would obey an outdated order.
+// No order is sent if the assignment row was not confirmed as the newest within this time: a target
+// that ignores fencing tokens would obey an outdated order.
 inline constexpr duration row_confirmation_max_age = 3s;
-// If targets obey a generation greater than the row's for this long, the replica gets a new
-// generation in a new row.
+// If targets of a replica obey a generation greater than the one in the assignment row for this
+// long, the replica gets a new generation in a new row.
 inline constexpr duration superseded_timeout = 1s;
-// Older usage reports of peers are ignored.
+// Peers' reports of a workspace's request rate that are older than this are ignored.
 inline constexpr duration usage_max_age = 3s;
 inline constexpr duration demand_interval = 1s;
 inline constexpr double demand_smoothing = 0.1;
@@ -80,7 +84,7 @@
   void handle_peer_restart(const node_id& from, const struct receive_result& h);
   void apply_config_effects(time_point now, const config_effects& requested);
   void adopt_configuration(time_point now);
-  // Call when a newer observation of `vm` may have arrived.
+  // Processes the newest observation of `vm`, if it was not processed yet.
   void note_observation(time_point now, const vm_id& vm);
   void note_leaving(time_point now, const vm_id& vm, std::uint64_t incarnation);
   void announce_failure(time_point now, const vm_id& vm);
@@ -140,33 +144,34 @@
   ready_tracker readiness;
   summary_board board;
 
-  effects out;  // effects of the current call
+  effects out;  // effects that the current call will return
   std::optional<configuration> config;
   time_point started_at{};
   time_point last_tick{};
-  bool leaving = false;  // this node is stopping
+  bool leaving = false;  // this node is about to stop
   std::uint64_t revision = 1;
-  std::uint64_t applied_row_version{};      // row version that the members last followed
-  std::map<vm_id, time_point> observed_at;  // newest observation already processed
+  std::uint64_t applied_row_version{};  // version of the last row that the other parts were given
+  std::map<vm_id, time_point> observed_at;  // time of the newest observation already processed
   std::map<vm_id, time_point> condition_since;
   std::map<node_id, std::pair<std::uint64_t, time_point>> peer_config_since;
 
-  std::optional<time_point> change_needed_since;  // since when the plan differs from the row
+  // Since when the newest plan differs from the assignment row.
+  std::optional<time_point> change_needed_since;
   std::optional<time_point> minority_since;
   std::optional<time_point> old_rules_since;
   time_point next_plan_at{};
-  time_point replan_at = time_point::max();  // next plan before next_plan_at; max: none
+  time_point replan_at = time_point::max();  // time of a plan before next_plan_at; max: none
   std::vector<std::string> plan_reasons;
   std::map<replica_id, time_point> superseded_since;
   std::map<node_id, time_point> pushed_at;
   time_point next_vm_list{};
-  std::set<vm_id> listed_leaving;  // marked as leaving in the platform's list
+  std::set<vm_id> listed_leaving;  // VMs marked as leaving in the platform's VM list
   bool table_readable = true;
   time_point table_since{};
 
   std::map<replica_id, std::map<generation, std::uint32_t>> in_flight;
-  // Draining replicas that each peer still uses, as of its newest heartbeat. The same heartbeat
-  // acknowledges the row that drains them, so the two are consistent.
+  // Draining replicas at which each peer still has requests, as of the peer's newest heartbeat. The
+  // same heartbeat acknowledges the row that drains them, so the two reports are consistent.
   std::map<node_id, std::set<replica_id>> draining_in_use_by;
   std::map<workspace_id, double> usage;
   struct peer_usage {
--- a/src/process/coordinator_tick.cpp
+++ b/src/process/coordinator_tick.cpp
@@ -1,4 +1,5 @@
-// Periodic work: probes, heartbeats, reads from the platform, summaries for other data centres.
+// The coordinator's periodic work: probes, heartbeats, reads from the platform, and summaries for
+// other data centres.
 #include <algorithm>
 #include <utility>
 
@@ -59,8 +60,8 @@
   }
 }
 
-// Sends the row to peers that cannot read the table. Without this, a node that starts while the
-// table is unavailable has no row and can neither route nor repair.
+// Sends the assignment row to peers that cannot read the table. Without this, a node that starts
+// while the table is unavailable has no row and can neither route nor repair.
 void coordinator::parts::push_row(time_point now) {
   if (!rows.known()) {
     return;
@@ -112,7 +113,8 @@
   }
 }
 
-// Demand of each model in replicas, smoothed so that a short burst does not change the assignment.
+// Updates the demand of each model, measured in fully occupied replicas and smoothed so that a
+// short burst does not change the assignment.
 void coordinator::parts::update_demand(time_point now) {
   if (now < next_demand || !config) {
     return;
--- a/src/process/coordinator_views.cpp
+++ b/src/process/coordinator_views.cpp
@@ -134,8 +134,8 @@
 
 namespace {
 
-// Leaves out standbys that already replace a lost member, because an operator would otherwise
-// count them twice.
+// Standbys of a replica that do not already replace a lost member. The others are left out, because
+// an operator would otherwise count them twice.
 std::vector<vm_id> unused_standbys(const replica_plan& replica, const composition& in_force) {
   std::vector<vm_id> unused = replica.standbys;
   std::erase_if(unused, [&](const vm_id& vm) {
--- a/src/process/cross_domain_layout.cpp
+++ b/src/process/cross_domain_layout.cpp
@@ -1,4 +1,5 @@
-// Reserves engines model by model; the remaining engines are planned domain by domain.
+// Reserves engines for the models that no domain can hold, model by model; the remaining engines
+// are planned by plan_layout().
 #include "process/cross_domain_layout.h"
 
 #include <algorithm>
@@ -8,10 +9,11 @@
 
 namespace {
 
-// A domain has to have one engine beyond the replica's size for every 8 members.
+// A replica fits in a domain only if the domain has one engine beyond the replica's size for every
+// 8 members.
 constexpr std::uint32_t members_per_margin_engine = 8;
-// With one spare per four members, a replica of 16 can be repaired after the simultaneous loss of a
-// few engines without loading weights, which takes 12 to 16 s.
+// With one spare engine per four members, a replica of 16 engines can be repaired after the
+// simultaneous loss of a few engines without loading weights, which takes 12 to 16 s.
 constexpr std::uint32_t members_per_spare = 4;
 
 std::uint32_t engine_count(const layout_domain& domain) {
@@ -53,10 +55,11 @@
   }
 
  private:
-  // The engines for the model's share of engine time, divided by the slowdown, because a
-  // cross-domain replica ends with any of its members and takes the engines of several smaller
-  // replicas of other models. At least one replica, since the model's callers have no alternative,
-  // plus spares, since the replica is formed again after each loss.
+  // Number of engines to reserve for model `m`: the model's share of engine time, divided by the
+  // slowdown, because a cross-domain replica ends with any of its members and takes the engines of
+  // several smaller replicas of other models. At least the engines of one replica, since the
+  // model's callers have no alternative, plus spares, since the replica is formed again after each
+  // loss.
   [[nodiscard]] std::uint32_t desired_engines(std::size_t m) const {
     double time_of_all = 0;
     for (const layout_model& model : models_) {
@@ -85,8 +88,9 @@
     }
   }
 
-  // Takes engines that are ready for the model first, then those without a model, then others.
-  // Engines that are ready for the model but not needed count as having no model.
+  // Takes `count` engines from a domain: first those that are ready for model `m`, then those
+  // without a model, then others. Engines that are ready for the model but not needed count
+  // afterwards as having no model.
   static void take_from(layout_domain& domain, std::size_t m, std::uint32_t count) {
     domain.unloaded += domain.ready[m];
     domain.ready[m] = 0;
@@ -99,7 +103,7 @@
     }
   }
 
-  std::vector<layout_domain> remaining_;  // engines that are not reserved
+  std::vector<layout_domain> remaining_;  // the domains with the engines that are not reserved
   std::span<const layout_model> models_;
   double slowdown_;
   layout_settings settings_;
--- a/src/process/domain_layout.cpp
+++ b/src/process/domain_layout.cpp
@@ -1,5 +1,5 @@
-// Local search: re-plans one domain at a time with the others fixed until no domain improves.
-// There are 6 to 16 domains with a few dozen engines each.
+// Finds a layout of engines by local search: re-plans one fabric domain at a time with the others
+// fixed until no domain improves. There are 6 to 16 domains with a few dozen engines each.
 #include "process/domain_layout.h"
 
 #include <algorithm>
@@ -51,7 +51,8 @@
     return sum;
   }
 
-  // Keeps loaded engines and gives engines without a model to the model with the most work.
+  // First layout of a domain: loaded engines keep their model, and engines without a model go to
+  // the model with the most work.
   [[nodiscard]] split initial_split(const layout_domain& domain) const {
     split result = domain.ready;
     result.resize(models_.size(), 0);
@@ -72,7 +73,7 @@
     return result;
   }
 
-  // Number of engines of a domain that would have to switch to another model.
+  // Number of engines of domain `d` that would have to switch to another model for layout `s`.
   [[nodiscard]] double model_changes(std::size_t d, const split& s) const {
     double count = 0;
     for (std::size_t m = 0; m < models_.size(); ++m) {
@@ -82,8 +83,8 @@
     return count;
   }
 
-  // Cost of the given replica totals without the replicas of domain `excluded`; pass the number of
-  // domains to exclude none.
+  // Cost of a layout with these replica totals by model, without the replicas of domain `excluded`;
+  // pass the number of domains to exclude none.
   [[nodiscard]] double cost_without_domain(const std::vector<double>& totals,
                                            std::size_t excluded) const {
     double sum = 0;
@@ -149,23 +150,25 @@
   std::span<const layout_model> models_;
   layout_settings settings_;
   fleet_layout layout_;
-  std::vector<std::vector<double>> replicas_;  // expected after losses, by domain and model
+  // Expected number of replicas after losses, by domain and model.
+  std::vector<std::vector<double>> replicas_;
   double initial_cost_ = 0;
   double best_ = 0;
   split best_split_;
 };
 
-// Expected number of replicas of `size` that the model's `own` of `all` engines form when `lost` of
-// all engines fail. The number of failures among the model's engines is hypergeometric.
+// Expected number of replicas of `size` engines that the engines of a model form when `lost` of the
+// domain's engines fail. The number of failures among the model's engines is hypergeometric.
 double expected_replicas(std::uint32_t own, std::uint32_t all, std::uint32_t size,
                          std::uint32_t lost) {
   double sum = 0;
-  // Sums over the possible numbers of failures among the model's engines.
+  // Sum over the possible numbers of failed engines of the model: probability x replicas.
   const std::uint32_t others = all - own;
   for (std::uint32_t own_lost = lost > others ? lost - others : 0; own_lost <= std::min(own, lost);
        ++own_lost) {
     double chance = 1;
-    // C(own, own_lost) * C(others, lost - own_lost) / C(all, lost), as a product of small factors.
+    // The probability is C(own, own_lost) * C(others, lost - own_lost) / C(all, lost), computed as
+    // a product of small factors.
     for (std::uint32_t i = 0; i < own_lost; ++i) {
       chance *= static_cast<double>(own - i) / (i + 1);
     }
--- a/src/process/drain_tracker.cpp
+++ b/src/process/drain_tracker.cpp
@@ -1,4 +1,4 @@
-// Detects when a draining replica is empty.
+// Detects when a draining replica has no more requests and may be removed.
 #include "process/drain_tracker.h"
 
 #include <algorithm>
--- a/src/process/drain_tracker.h
+++ b/src/process/drain_tracker.h
@@ -2,9 +2,9 @@
 // and is only then removed from the row.
 //
 // No request may be cut off, and one may be in transit from a node that has not yet received the
-// draining row. So a replica counts as empty only when every node that may still act has
-// acknowledged the row that drains it and has no request there, and every member has afterwards
-// reported that it is draining (so it refuses late arrivals) and runs nothing.
+// assignment row that drains the replica. So a replica counts as empty only when every node that
+// may still act has acknowledged this row and has no request at the replica, and every member has
+// afterwards reported that it is draining (so it refuses late arrivals) and runs no request.
 #pragma once
 
 #include <cstdint>
@@ -27,18 +27,19 @@
   std::uint64_t acknowledged{};  // row version that all of `nodes` have acknowledged
   std::vector<node_id> nodes;    // the nodes that may still act, this one included
   std::function<std::uint64_t(const node_id&)>
-      acknowledged_version;  // row version that the node acknowledged
-  std::function<bool(const node_id&, const replica_id&)> has_requests;  // as last reported
+      acknowledged_version;  // newest row version that the node has acknowledged
+  // Whether the node has requests at the replica, as the node last reported.
+  std::function<bool(const node_id&, const replica_id&)> has_requests;
   std::function<composition(const replica_plan&)> in_force;
-  std::function<const observation*(const vm_id&)> latest_observation;  // newest; null: none
-  std::function<bool(const vm_id&)> lost;                              // a lost VM runs nothing
+  std::function<const observation*(const vm_id&)> latest_observation;  // of the VM; null: none
+  std::function<bool(const vm_id&)> lost;  // whether the VM is lost and so runs no request
 };
 
 class drain_tracker {
  public:
-  // Call on every change of the row.
+  // Call on every change of the assignment row: follows which replicas are draining.
   void rebase(const assignment& row);
-  // Replicas that may be removed from the row.
+  // Drained replicas (without any request) that may be removed from the assignment row.
   [[nodiscard]] std::set<replica_id> removable_replicas(time_point now,
                                                         const drain_context& context);
   [[nodiscard]] std::vector<drain_status> status(const drain_context& context) const;
@@ -46,7 +47,7 @@
  private:
   struct drain {
     std::uint64_t since{};  // the first row version known to have the replica draining
-    // Since when all nodes have acknowledged that row and have no request at the replica.
+    // Since when all nodes have acknowledged the draining row and have no request at the replica.
     std::optional<time_point> acknowledged_at;
   };
   [[nodiscard]] std::vector<node_id> pending_nodes(const replica_id& id, const drain& d,
--- a/src/process/effects.h
+++ b/src/process/effects.h
@@ -1,6 +1,7 @@
-// Inputs and effects of a node's coordination core. The core is a state machine: it takes
-// (now, input) and returns effects. The embedding program performs the effects and passes their
-// results back as inputs. Nothing here depends on sockets, threads or clocks.
+// Inputs and effects of a node's coordination core (class coordinator). The core is a state
+// machine: it takes (now, input) and returns effects. The embedding program performs the effects
+// and passes their results back as inputs. Inputs and effects do not depend on sockets, threads or
+// clocks.
 #pragma once
 
 #include <cstdint>
@@ -21,18 +22,19 @@
 
 struct table_row {
   std::string value;
-  std::uint64_t version{};  // assigned by the table; 0: the row does not exist
+  std::uint64_t version{};  // assigned by the table service; 0: the row does not exist
   auto operator<=>(const table_row&) const = default;
 };
 
-// The operations below come back with their result, so the core need not track open calls.
+// Each operation on the table or the object store is passed back to the core together with its
+// result, so the core need not track open calls.
 struct table_read {
   std::string key;
 };
 struct table_write {
   std::string key;
   std::string value;
-  std::uint64_t expected{};  // the table's version of the row; 0: must not exist yet
+  std::uint64_t expected{};  // write only if the row has this version; 0: must not exist yet
 };
 struct table_written {
   std::uint64_t version{};
@@ -53,15 +55,16 @@
 
 enum class order_kind { form, release, drain };
 
-// Idempotent; carries the fencing token in `target`. `form`: become a member of this composition.
+// An order of a node to a target VM. Idempotent; carries the fencing token in `target`. Kind
+// `form`: become a member of the composition `target`.
 struct order {
   order_kind kind = order_kind::form;
   vm_id vm;
   composition target;
   model_id model;
   std::string model_version;
-  std::uint64_t expected_incarnation{};  // 0: any
-  duration validity_period = 2s;         // sender and target discard the order after this
+  std::uint64_t expected_incarnation{};  // of the target's process; 0: any
+  duration validity_period = 2s;         // sender and target discard the order after this time
 };
 
 // ---- other nodes ----
@@ -69,7 +72,7 @@
 struct peer_send {
   node_id to;
   std::string bytes;    // MessagePack
-  bool urgent = false;  // must not be dropped or delayed in favour of newer state
+  bool urgent = false;  // the message must not be dropped or delayed in favour of newer state
 };
 
 // ---- the platform's list of VMs: lags behind, and marks VMs that are about to leave ----
@@ -99,7 +102,7 @@
 };
 struct table_write_result {
   table_write request;
-  outcome<table_written> result;  // refused: the row has another version
+  outcome<table_written> result;  // refused: the row does not have the expected version
 };
 struct object_get_result {
   object_get request;
@@ -111,12 +114,12 @@
 };
 struct probe_result {
   vm_id vm;
-  time_point sent_at;  // the report is not older than this
+  time_point sent_at;  // when the probe was sent; the report in the result is not older
   outcome<engine_report> result;
 };
 struct order_result {
   order request;
-  outcome<engine_report> result;  // the target's state after the order; refused: old token
+  outcome<engine_report> result;  // the target's state after the order; refused: outdated token
 };
 struct peer_message {
   node_id from;
--- a/src/process/engine_wire.cpp
+++ b/src/process/engine_wire.cpp
@@ -1,5 +1,5 @@
-// Encodes reports and orders as JSON. Keys are short, since every target is probed about once a
-// second.
+// Encodes reports of targets and orders to targets as JSON. The JSON keys are short, since every
+// target is probed about once a second.
 #include "process/engine_wire.h"
 
 #include <nlohmann/json.hpp>
@@ -12,8 +12,8 @@
 
 using json = nlohmann::json;
 
-// Runs a decoder that may throw on missing or mistyped fields. A malformed message is refused with
-// the reason instead of ending the process.
+// Decodes a message with a decoder that may throw on missing or mistyped fields. A malformed
+// message is refused with the reason instead of ending the process.
 template <class T, class Decode>
 outcome<T> decode_guarded(std::string_view text, Decode decode) {
   try {
@@ -31,8 +31,9 @@
   return *parsed;
 }
 
-// The library's conversion accepts any number: converting -20.5 or 2^40 to 32 bits is undefined or
-// truncates. A load that is wrongly read as 0 would attract requests to a broken target.
+// Decodes an integer that fits into T. The JSON library's own conversion accepts any number:
+// converting -20.5 or 2^40 to 32 bits is undefined or truncates. A load that is wrongly read as 0
+// would attract requests to a broken target.
 template <class T>
 T decode_integer(const json& j) {
   if (!j.is_number_integer()) {
