--- a/src/process/activation.h
+++ b/src/process/activation.h
@@ -29,8 +29,8 @@
 
 struct activation_context {
   const assignment& row;
-  const std::vector<node_id>& live;        // nodes of the data centre, this one included
-  std::function<bool(const vm_id&)> lost;  // false for a VM that is only suspect
+  const std::vector<node_id>& live;        // live nodes of the data centre, this one included
+  std::function<bool(const vm_id&)> lost;  // whether the VM is lost; false if it is only suspect
   // The lost mask of an activation from an older row that targets of this replica still obey and
   // whose generation is greater than the one in force. Unless the node starts a newer generation,
   // these targets refuse every order.
--- a/src/process/config_distributor.h
+++ b/src/process/config_distributor.h
@@ -26,7 +26,7 @@
   struct recipient {
     std::uint64_t held{};  // version of the configuration row that the node has
     config_progress progress;
-    bool refused_by_store = false;  // the store does not serve this node
+    bool refused_by_store = false;  // the store refuses the requests of this node
   };
   struct answer {
     bool withheld = false;  // the node has to read the configuration row from the store
--- a/src/process/config_replica.h
+++ b/src/process/config_replica.h
@@ -68,7 +68,7 @@
 using config_effects = std::vector<config_effect>;
 
 struct config_in_force {
-  std::uint64_t version{};  // 0: none
+  std::uint64_t version{};  // 0: no configuration yet
   std::string hash;
   time_point since;
 };
@@ -99,7 +99,7 @@
                                             time_point now);
 
   [[nodiscard]] const config_in_force& in_force() const { return in_force_; }
-  // Head and encoded content of the configuration in force.
+  // Head (version, hash and proposals) and encoded content of the configuration in force.
   [[nodiscard]] const config_head& head() const { return head_; }
   [[nodiscard]] const std::string& content() const { return content_; }
   [[nodiscard]] bool is_head_reader(const std::vector<node_id>& live) const;
--- a/src/process/config_transfer.h
+++ b/src/process/config_transfer.h
@@ -50,8 +50,8 @@
   // The text of the row with this version; null if the row is not kept.
   [[nodiscard]] const std::string* find(std::uint64_t row) const;
 
-  // The delta from row `held` to the newest; contains the whole text if `held` is not kept. Never
-  // empty.
+  // The delta from row `held` to the newest row; contains the whole text if row `held` is not kept.
+  // Never empty.
   const std::string& delta_for(std::uint64_t held);
   // The part of the delta that follows the progress `at` of a node that has row `held`, at most
   // `most` bytes. Empty if the node has the newest row, or there is none.
--- a/src/process/control_timing.h
+++ b/src/process/control_timing.h
@@ -9,7 +9,8 @@
 namespace arbutus {
 
 struct control_timing {
-  // One message per second to each peer uses half of the traffic budget at 21 nodes.
+  // Interval between heartbeats to a peer. One heartbeat per second to each peer uses half of the
+  // traffic budget of a node at 21 nodes.
   duration heartbeat_interval = 1s;
   // Largest random reduction of the interval between heartbeats, to spread them. The jitter is
   // subtracted, so the interval never exceeds heartbeat_interval.
@@ -56,7 +57,7 @@
   std::size_t urgent_probe_burst = 4;
   // Interval between urgent probes of one suspect target.
   duration urgent_probe_interval = 300ms;
-  // A probe without a result is abandoned after this time.
+  // A probe of a target that has no result after this time is abandoned.
   duration probe_timeout = 2s;
   // A target that only one of the nodes probing it fails to reach counts as lost after this time.
   duration single_prober_loss_timeout = 2s;
--- a/src/process/coordinator.h
+++ b/src/process/coordinator.h
@@ -61,8 +61,8 @@
   [[nodiscard]] std::uint64_t routes_revision() const;
   [[nodiscard]] routing_snapshot routes(time_point now) const;
 
-  [[nodiscard]] const configuration* config() const;  // in force; nullptr until known
-  [[nodiscard]] const assignment& row() const;        // version 0 until known
+  [[nodiscard]] const configuration* config() const;  // configuration in force; nullptr until known
+  [[nodiscard]] const assignment& row() const;  // newest assignment row; version 0 until known
   [[nodiscard]] status_view status(time_point now) const;
 
   // Call when this node is about to stop: peers then no longer rely on it, and requests that run
--- a/src/process/coordinator_parts.h
+++ b/src/process/coordinator_parts.h
@@ -134,7 +134,7 @@
   coordinator_settings settings;
   control_timing timing;
   rng random;
-  std::optional<membership> peers;  // set from start() on
+  std::optional<membership> peers;  // empty until start() is called
   observation_table observations;
   config_replica configs;
   assignment_writer rows;
--- a/src/process/drain_tracker.h
+++ b/src/process/drain_tracker.h
@@ -25,7 +25,7 @@
 struct drain_context {
   const assignment& row;
   std::uint64_t acknowledged{};  // row version that all of `nodes` have acknowledged
-  std::vector<node_id> nodes;    // the nodes that may still act, this one included
+  std::vector<node_id> nodes;    // nodes whose right to act has not expired, this one included
   std::function<std::uint64_t(const node_id&)>
       acknowledged_version;  // newest row version that the node has acknowledged
   // Whether the node has requests at the replica, as the node last reported.
--- a/src/process/effects.h
+++ b/src/process/effects.h
@@ -75,7 +75,7 @@
   bool urgent = false;  // the message must not be dropped or delayed in favour of newer state
 };
 
-// ---- the platform's list of VMs: lags behind, and marks VMs that are about to leave ----
+// ---- the platform's list of VMs: may be outdated, and marks VMs that are about to leave ----
 
 struct vm_list_entry {
   vm_id vm;
@@ -128,7 +128,7 @@
 struct vm_list_result {
   outcome<std::vector<vm_list_entry>> result;
 };
-// A connection of the request path to this target broke or was refused.
+// The request path reports that a connection to this target broke or was refused.
 struct target_error {
   vm_id vm;
 };
