--- a/src/process/failure_schedule.cpp
+++ b/src/process/failure_schedule.cpp
@@ -17,8 +17,8 @@
                                time_point begin) {
   vm_outage_window o;
   o.domain = static_cast<std::uint32_t>(random.below(s.fabric_domains));
-  // Sampled over the VMs of the replicas and the spares, also under policy none, where failures of
-  // spares hit no VM.
+  // The failing VM is sampled from replica members and spares, also under policy none, where
+  // failures of spares hit no VM.
   o.index = static_cast<std::uint32_t>(
       random.below(s.replicas_per_domain * s.vms_per_replica + s.spares_per_domain));
   o.begin = begin;
--- a/src/process/failure_schedule.h
+++ b/src/process/failure_schedule.h
@@ -1,5 +1,5 @@
-// The failures of a simulated day. They are generated from a seed in advance, so that policies with
-// the same number of spares are compared on the same failures.
+// The VM failures and table outages of a simulated day. They are generated from a seed in advance,
+// so that standby policies with the same number of spares are compared on the same failures.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,10 @@
 
 struct vm_outage_window {
   std::uint32_t domain{};
-  std::uint32_t index{};  // within the domain
+  std::uint32_t index{};  // of the VM within its fabric domain
   time_point begin;
   time_point end;
-  duration notice{};         // zero: unannounced
+  duration notice{};         // announced this long before `begin`; zero: unannounced
   bool with_domain = false;  // the whole fabric domain fails
 };
 
@@ -27,7 +27,7 @@
 
 struct failure_schedule {
   std::vector<vm_outage_window> outages;  // sorted by begin
-  std::vector<time_span> unwritable;      // the table cannot be reached
+  std::vector<time_span> unwritable;      // times at which the table cannot be reached
 };
 
 inline constexpr duration simulation_length = 24h;
--- a/src/process/failure_simulation.cpp
+++ b/src/process/failure_simulation.cpp
@@ -21,7 +21,8 @@
 constexpr double absent_fraction_after_domain_loss = 0.2;
 constexpr int seeds = 40;
 
-// Only one row write is in progress at a time; changes seen meanwhile go into the next row.
+// One run of the simulation. Only one row write is in progress at a time; changes that are detected
+// during a write go into the next row.
 class failure_simulation_run {
  public:
   failure_simulation_run(const failure_simulation_settings& settings, std::uint64_t seed)
--- a/src/process/failure_simulation.h
+++ b/src/process/failure_simulation.h
@@ -27,9 +27,10 @@
   std::uint32_t fabric_domains = 5;
   std::uint32_t replicas_per_domain = 2;
   std::uint32_t vms_per_replica = 16;
-  std::uint32_t spares_per_domain = 2;  // powered besides the replicas; none under policy none
+  std::uint32_t spares_per_domain = 2;  // VMs powered besides the replicas; 0 under policy none
   std::uint32_t nodes = 21;
-  // The rates are a sixteenth of those of the whole fleet, which has 16 data centres.
+  // Rates of failures and restarts in one data centre: a sixteenth of those of the whole fleet,
+  // which has 16 data centres.
   double vm_failures_per_day = 29.0 / 16;
   double vm_restarts_per_day = 160.0 / 16;
   double vm_repair_hours = 4.0;
@@ -37,12 +38,12 @@
   duration restart_notice = 2min;  // the platform lists the VM as leaving this long before
   std::uint32_t domain_outages = 1;
   duration domain_outage_duration = 1h;
-  std::uint32_t table_outages = 1;  // the row can be neither read nor written
+  std::uint32_t table_outages = 1;  // in which the row can be neither read nor written
   duration table_outage = 1h;
   std::uint32_t network_partitions =
       1;  // the data centre reaches nothing outside, including the table
   duration partition_duration = 1h;
-  duration weights_load_time = 3min;  // by a member that is new at its rank
+  duration weights_load_time = 3min;  // for a VM that becomes a member at a rank new to it
   standby_policy policy = standby_policy::reserved;
   writer_selection writer = writer_selection::ranked;
   weights preference;
@@ -52,11 +53,11 @@
   double group_downtime{};         // replica-seconds desired but not served
   double stranded_accelerators{};  // accelerator-seconds powered but in no serving replica
   std::uint32_t rows_written = 0;
-  std::uint32_t wasted_writes = 0;  // refused because another node wrote first
-  std::uint32_t lease_writes = 0;   // to acquire or renew the lease
-  std::uint32_t activations = 0;    // standbys activated without the table
-  // From the detection of a change until its row is written, without time when the table could not
-  // be written.
+  std::uint32_t wasted_writes = 0;  // row writes refused because another node wrote first
+  std::uint32_t lease_writes = 0;   // writes that acquire or renew the lease
+  std::uint32_t activations = 0;    // standbys activated while the table was unavailable
+  // One entry per change: seconds from its detection until the row with it is written, not counting
+  // the time when the table could not be written.
   std::vector<double> seconds_to_write;
 };
 
--- a/src/process/feed_log.h
+++ b/src/process/feed_log.h
@@ -26,7 +26,8 @@
 
 class feed_log {
  public:
-  // Applies a row of the feed or of a read of the whole table.
+  // Stores a row received from the feed or by a read of the whole table, unless a newer version of
+  // it is stored already.
   void apply(const feed_row& row) {
     feed_row& known = rows_[row.key];
     if (row.version >= known.version) {
@@ -60,7 +61,7 @@
     complete_from_ = position + 1;
   }
 
-  // The log contains all changes up to this position.
+  // Position in the watched table up to which the log contains all changes.
   [[nodiscard]] std::uint64_t position() const { return position_; }
 
   // Whether the log can be extended by rows after position `after`. Without this check, a node that
@@ -69,11 +70,11 @@
   // replicas while all other nodes serve.
   [[nodiscard]] bool can_resume(std::uint64_t after) const { return after <= position_; }
 
-  // Removals before the last read of the whole table may be missing from the log: a node whose
-  // position is before it needs all rows.
+  // Whether a node at position `after` needs all rows: removals before the last read of the whole
+  // table may be missing from the log.
   [[nodiscard]] bool needs_snapshot(std::uint64_t after) const { return after < complete_from_; }
 
-  // Rows after position `after`, oldest first; all rows if needs_snapshot(after).
+  // Rows changed after position `after`, oldest first; all rows if needs_snapshot(after).
   [[nodiscard]] std::vector<feed_row> since(std::uint64_t after) const {
     std::vector<feed_row> result;
     if (after >= position_) {
--- a/src/process/fleet_sizes.cpp
+++ b/src/process/fleet_sizes.cpp
@@ -1,5 +1,5 @@
-// Builds a configuration of the given size, with names like those in an asset register, and rows,
-// records and messages that match it.
+// Builds a configuration for a fleet of the given size, with names like those in an asset register,
+// and assignment rows, records and messages that match it.
 #include "process/fleet_sizes.h"
 
 #include <malloc.h>
@@ -24,7 +24,7 @@
 
 constexpr std::size_t vms_per_replica = 16;
 constexpr std::size_t standbys_per_replica = 1;
-constexpr std::size_t max_named_proposals = 32;  // the limit of a head
+constexpr std::size_t max_named_proposals = 32;  // most that a configuration head can list
 
 std::string numbered(const char* name, std::size_t number) {
   return name + std::to_string(1000 + number).substr(1);
@@ -161,7 +161,7 @@
   return head;
 }
 
-// Median of several runs, in milliseconds of processor time.
+// Median processor time of several runs of `work`, in milliseconds.
 template <class Work>
 double milliseconds(Work work) {
   constexpr int runs = 9;
@@ -229,7 +229,7 @@
   out << std::fixed << std::setprecision(2);
   print_configuration(out, tenth);
   print_configuration(out, planned_size);
-  print_row(out, planned_size.vms / planned_size.data_centres + 4);  // five replicas
+  print_row(out, planned_size.vms / planned_size.data_centres + 4);  // the VMs of five replicas
   print_row(out, 170);
   print_messages(out, planned_size);
 }
--- a/src/process/fleet_sizes.h
+++ b/src/process/fleet_sizes.h
@@ -17,7 +17,8 @@
   std::size_t workspaces = 100;
 };
 
-// Prints one line per kind of state; the configuration also at a tenth of the VMs and nodes.
+// Prints the size of each kind of shared state, one per line; the configuration's size also for a
+// fleet with a tenth of the VMs and nodes.
 void print_fleet_sizes(std::ostream& out);
 
 }  // namespace arbutus
--- a/src/process/fleet_view.cpp
+++ b/src/process/fleet_view.cpp
@@ -1,4 +1,4 @@
-// Updates of the target inventory, and the replicas that can serve.
+// Updates a node's view of the targets, and derives from it the replicas that can serve.
 #include "process/fleet_view.h"
 
 #include <algorithm>
@@ -81,8 +81,8 @@
   view.last_contact_at = std::max(view.last_contact_at, observed_at);
   view.row_version = std::max(view.row_version, row_version);
   if (!written_after) {
-    // Watched without a gap: the row was written after the last query, so it is newer than any
-    // answer before that.
+    // The list is watched without a gap, so this row was written after the last query of the list
+    // and is newer than any answer before that.
     view.state_at = std::max(view.state_at, observed_at);
     view.ambiguous = false;
     view.record = std::move(record);
--- a/src/process/fleet_view.h
+++ b/src/process/fleet_view.h
@@ -19,11 +19,11 @@
 namespace arbutus {
 
 enum class member_state : std::uint8_t {
-  joining,  // prepares the model's weights
-  ready,    // head: may be opened; other members: work for their head
-  open,     // head: serves
-  closing,  // head: finishes its requests and accepts no new ones
-  broken,   // head: lost a member and stopped serving
+  joining,  // the engine prepares the model's weights
+  ready,    // a head may be opened now; other members work for their head
+  open,     // the head serves requests
+  closing,  // the head finishes its requests and accepts no new ones
+  broken,   // the head lost a member of its replica and stopped serving
 };
 
 [[nodiscard]] std::string_view to_string(member_state state);
@@ -37,7 +37,7 @@
 
 struct membership {
   replica_key replica;
-  std::uint32_t rank{};  // 0: the head, which receives the requests
+  std::uint32_t rank{};  // of the engine in the replica; 0: the head, which receives the requests
   member_state state = member_state::joining;
   auto operator<=>(const membership&) const = default;
 };
@@ -51,8 +51,8 @@
   std::uint32_t slots = 1;
   bool draining = false;  // stops soon; receives no new requests
   fabric_domain_id domain;
-  std::vector<model_id> staged;  // weights on its host
-  model_id loaded;               // model that it runs or ran last; empty: none
+  std::vector<model_id> staged;  // models whose weights are stored on the target's host
+  model_id loaded;               // model that the target runs or ran last; empty: none
   std::optional<membership> member_of;
   bool operator==(const target_record&) const = default;
 };
@@ -60,21 +60,21 @@
 // A target's record and this node's own observations of it.
 struct target_view {
   target_record record;
-  time_point last_contact_at{};  // last change of its record or last answer
+  time_point last_contact_at{};  // last change of the target's record, or its last answer
   time_point state_at{};         // the membership in `record` was true at this time or later
-  // From the target's last answer to a probe or an order. A row may be older than its arrival
-  // suggests, so rows do not change these.
+  // The replica in the target's last answer to a probe or an order, and the time of that answer.
+  // Rows of the list do not change them: a row may be older than its arrival suggests.
   std::optional<replica_key> last_reported_replica;
   time_point reported_at{};
-  bool ambiguous = false;       // row and answers differ, and neither is known to be newer
-  std::uint64_t row_version{};  // of its newest row
-  bool listed = true;           // false: not in the list, kept because it may still run
+  bool ambiguous = false;       // the target's row and its answers differ, either may be newer
+  std::uint64_t row_version{};  // of the target's newest row in the list
+  bool listed = true;           // false: no longer in the list, kept because it may still run
   time_point unlisted_at{};
-  time_point incarnation_seen_at{};  // when this incarnation was first observed
-  std::uint32_t failed_probes = 0;   // consecutive
-  bool lost = false;                 // does not answer; receives no requests
+  time_point incarnation_seen_at{};  // when this incarnation of the target was first observed
+  std::uint32_t failed_probes = 0;   // number of consecutive probes without an answer
+  bool lost = false;                 // the target does not answer; it receives no requests
   time_point lost_at{};
-  double slowdown_factor = 1;  // above 1: slower than expected
+  double slowdown_factor = 1;  // above 1: the target is slower than expected
 };
 
 // A target's answer to a probe.
@@ -116,10 +116,10 @@
   // `id`.
   bool apply_answer(time_point queried_at, time_point as_of, const target_id& id,
                     const target_answer& answer);
-  // Another target answers at this target's address, so this one has ended. Its row may stay in the
-  // list until it expires; a newer row of it adds it again.
+  // Removes a target that has ended, as another target answers at its address. Its row may stay in
+  // the list until the row expires; a newer row of the target adds it again.
   void mark_ended(const target_id& id) { remove_target(id); }
-  // The target has carried out an order of this node.
+  // The target has carried out an order of this node, and `member_of` is its membership since then.
   void apply_order(time_point now, const target_id& id, const std::optional<membership>& member_of);
   // The target did not answer a probe in time. It is lost after `probes_until_lost` consecutive
   // failures.
@@ -142,14 +142,14 @@
   // Increases with each change that may affect routing.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
-  // Two consecutive probes have to fail, since one can fail because of a lost datagram or a busy
-  // link.
+  // Consecutive failed probes after which a target counts as lost. Not 1, since a single probe can
+  // fail because of a lost datagram or a busy link.
   static constexpr std::uint32_t probes_until_lost = 2;
-  // The hub learns of a loss within one heartbeat, probes twice and reports within another
-  // heartbeat.
+  // Maximum time from a node's loss of a target until the hub reports that loss: the hub learns of
+  // it within one heartbeat, probes twice and reports within another heartbeat.
   static constexpr duration hub_loss_report_delay = 1s;
-  // Longer than a target runs on after it left the list: a drain and its grace period, which take
-  // seconds.
+  // How long unlisted targets are kept. Longer than a target runs on after it left the list: a
+  // drain and its grace period, which take seconds.
   static constexpr duration unlisted_retention = 60s;
   // Ended incarnations stored per engine. An engine that restarts every few seconds reaches its
   // ninth incarnation only after 12 s, the longest observed delay of a record or an answer.
@@ -188,7 +188,7 @@
   data_centre_id data_centre;
   std::vector<target_id> members;
   bool crosses_domains = false;
-  double slowdown_factor = 1;  // of its slowest member, on top of the model's factor
+  double slowdown_factor = 1;  // of the replica's slowest member, on top of the model's factor
 };
 
 // Whether serving_replicas() includes replicas with members that this node has marked as lost.
--- a/src/process/freshness.cpp
+++ b/src/process/freshness.cpp
@@ -1,4 +1,5 @@
-// Lower bounds of times: any uncertainty makes an observation older, never newer.
+// Computes lower bounds of the times of observations: any uncertainty about clocks or delays makes
+// an observation appear older, never newer.
 #include "process/freshness.h"
 
 namespace arbutus {
--- a/src/process/freshness.h
+++ b/src/process/freshness.h
@@ -36,7 +36,8 @@
 [[nodiscard]] time_point composed_after(time_point echoed_sent_at, duration held, time_point now,
                                         double drift);
 
-// Lower bound of the time of an observation that had this age when the message was composed.
+// Lower bound, by the receiver's clock, of the time of an observation that had this age when the
+// message that carries it was composed.
 [[nodiscard]] time_point observed_after(time_point composed, duration age, time_point now,
                                         double drift);
 
@@ -44,7 +45,8 @@
 class sent_log {
  public:
   void sent(std::uint64_t sequence, time_point at);
-  // Empty when the sequence was never sent, or is older than the last `depth` messages.
+  // When the message with this sequence was sent. Empty when there was none, or when it is older
+  // than the last `depth` messages.
   [[nodiscard]] std::optional<time_point> sent_at(std::uint64_t sequence) const;
 
  private:
--- a/src/process/gossip.cpp
+++ b/src/process/gossip.cpp
@@ -29,7 +29,8 @@
 // Resolution of times on the wire: an age of up to a second takes one byte, a hold time two.
 constexpr duration age_step = 8ms;
 constexpr duration held_step = 4ms;
-// Exceeds the largest content; an inventory of the planned size has some 100 KB.
+// Maximum message size in bytes. Exceeds the largest configuration content; an inventory of the
+// planned size has some 100 KB.
 constexpr std::size_t max_message = std::size_t{16} << 20;
 // The deepest nesting is message, list, composition, members (4); one level in reserve.
 constexpr std::size_t max_depth = 5;
@@ -65,18 +66,19 @@
   return static_cast<T>(value);
 }
 
-// Rounded up: an observation may appear older, but never newer.
+// An age in wire units. Rounded up: an observation may appear older, but never newer.
 std::uint64_t age_steps(duration age) {
   const auto rounded = std::max(age, duration::zero()) + age_step - duration{1};
   return static_cast<std::uint64_t>(rounded / age_step);
 }
 
-// Rounded down: a message may appear older, but never newer.
+// A hold time of an echo in wire units. Rounded down: a message may appear older, but never newer.
 std::uint64_t held_steps(duration held) {
   return static_cast<std::uint64_t>(std::max(held, duration::zero()) / held_step);
 }
 
-// A time of more than a day is rejected as damaged; it would overflow in later arithmetic.
+// Decodes a duration that is encoded as a number of steps. A duration of more than a day is
+// rejected as damaged; it would overflow in later arithmetic.
 duration steps(const json& j, duration step) {
   constexpr std::uint64_t day = 86'400'000;
   const std::uint64_t count = read_unsigned(j);
@@ -168,7 +170,8 @@
   return d;
 }
 
-// Flat lists without nesting: slot and age, and for `loads` also the four bytes of load.
+// Encodes observations in a short form, as flat lists without nesting: slot and age for `same`;
+// slot, age and the four bytes of the load for `loads`.
 void encode_short(const std::vector<observation_delta>& deltas, json& same, json& loads) {
   for (const observation_delta& d : deltas) {
     if (d.report) {
--- a/src/process/gossip.h
+++ b/src/process/gossip.h
@@ -30,7 +30,7 @@
 //   same: neither is set; the load is unchanged, too.
 struct observation_delta {
   std::uint32_t slot{};
-  duration age{};  // age when the message was sent, rounded up
+  duration age{};  // of the observation when the message was sent, rounded up
   std::optional<engine_report> report;
   std::optional<target_load> load;
   auto operator<=>(const observation_delta&) const = default;
@@ -40,12 +40,13 @@
 struct probe_failure {
   vm_id vm;
   duration age{};               // time since the start of the newest failed probe
-  std::uint64_t incarnation{};  // the incarnation that responded last; 0: none ever
-  std::uint32_t count{};        // consecutive failed probes
+  std::uint64_t incarnation{};  // of the target when it last responded; 0: it never did
+  std::uint32_t count{};        // number of consecutive failed probes
   auto operator<=>(const probe_failure&) const = default;
 };
 
-// Requests per second that the sender admitted, for limits shared between nodes.
+// The requests of a workspace that the sender of the heartbeat admitted per second. Nodes add these
+// up for limits that they share.
 struct workspace_usage {
   workspace_id workspace;
   double requests_per_second{};  // sent in steps of 0.01
@@ -53,14 +54,14 @@
 };
 
 struct heartbeat {
-  node_id from;  // from the link
+  node_id from;  // sender, known from the link; not part of the encoded message
   message_stamp stamp;
   std::uint64_t config_version{};
   std::string config_hash;  // empty: as in the last heartbeat that contained one
   std::uint64_t assignment_version{};
   bool table_reachable = false;
   bool draining = false;
-  bool informed = false;              // membership::informed
+  bool informed = false;              // the sender has a vote, see membership::informed
   std::vector<node_id> unresponsive;  // peers without a message for control_timing::quorum_expiry
   std::vector<observation_delta> observations;
   std::vector<probe_failure> failures;
@@ -94,14 +95,16 @@
   auto operator<=>(const assignment_push&) const = default;
 };
 
-// Sent immediately when a probe fails or a connection is refused.
+// Notifies peers that a target could not be reached. Sent immediately when a probe fails or a
+// connection is refused, instead of with the next heartbeat.
 struct lost_notice {
   message_stamp stamp;
   probe_failure failure;
   auto operator<=>(const lost_notice&) const = default;
 };
 
-// Sent immediately when a target is leaving.
+// Notifies peers that a target will be removed. Sent immediately rather than with the next
+// heartbeat.
 struct leaving_notice {
   vm_id vm;
   std::uint64_t incarnation{};  // 0: known from the platform's list only
@@ -129,7 +132,8 @@
                                     lost_notice, leaving_notice, summary>;
 
 [[nodiscard]] std::string encode(const gossip_message& message);
-// `from` becomes heartbeat::from. Damaged bytes are refused with a reason.
+// Decodes a message received from node `from`, which becomes heartbeat::from. Damaged bytes are
+// refused with a reason.
 [[nodiscard]] outcome<gossip_message> decode_gossip(const node_id& from, std::string_view bytes);
 
 }  // namespace arbutus
--- a/src/process/hosted_settings.cpp
+++ b/src/process/hosted_settings.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// A bound of more than an hour is most likely given in the wrong unit.
+// Accepted range of the time bounds, in milliseconds. A bound of more than an hour is most likely
+// given in the wrong unit.
 constexpr integer_range bound_ms{1, 3'600'000};
 
 class hosted_reader {
--- a/src/process/hosted_settings.h
+++ b/src/process/hosted_settings.h
@@ -19,23 +19,24 @@
 struct hosted_listen {
   endpoint callers;
   endpoint ready;    // polled by the load balancer, which sends connections only to ready nodes
-  endpoint links;    // for other nodes
-  endpoint metrics;  // Prometheus text format, for monitoring
+  endpoint links;    // for connections from other nodes
+  endpoint metrics;  // metrics in the Prometheus text format, for monitoring
 };
 
 struct hosted_bounds {
-  duration key_withdrawal = 5s;  // after this no node accepts a withdrawn key
-  duration configuration = 3s;   // after this an accepted version is in force at every node
+  duration key_withdrawal = 5s;  // after this no node accepts a withdrawn API key
+  duration configuration = 3s;   // after this an accepted configuration is in force at every node
   duration drain = 2s;           // after this a leaving target gets no new requests
-  duration grace = 8s;           // from SIGTERM until the process is killed
+  duration grace = 8s;           // from SIGTERM until the platform kills the node's process
   duration stall = 4s;           // after this an engine whose replica lost a member gives up
   double retry_ratio = 0.2;      // retries per request, over all nodes
-  double retry_burst = 100;      // retries allowed in addition in each window
+  double retry_burst = 100;      // retries allowed in each retry window besides retry_ratio
   duration retry_window = 10s;
   duration target_heartbeat = 1200ms;  // interval at which a live target refreshes its record
 };
 
-// Bytes per second. A log collector for 340 nodes then receives at most 22 MB/s.
+// Log volume per node in bytes per second. A log collector for 340 nodes then receives at most
+// 22 MB/s.
 inline constexpr std::uint32_t default_log_rate = 64 * 1024;
 
 struct hosted_settings {
@@ -45,7 +46,7 @@
   hosted_listen listen;
   endpoint store;
   hosted_bounds bounds;
-  node_strength strength;   // of this VM
+  node_strength strength;   // of the VM that the node runs on
   bool cold_start = false;  // the whole deployment starts for the first time
   log_settings log{.bytes_per_second = default_log_rate};
 };
@@ -55,7 +56,7 @@
   findings problems;  // usable when has_errors(problems) is false
 };
 
-// The findings name `file_name`. Never throws on invalid text.
+// Parses the settings from TOML. The findings name `file_name`. Never throws on invalid text.
 [[nodiscard]] hosted_settings_result load_hosted_settings(std::string_view text,
                                                           const std::string& file_name);
 
--- a/src/process/hub_cost.cpp
+++ b/src/process/hub_cost.cpp
@@ -37,7 +37,8 @@
   return data_centre_id{"hall-" + std::to_string(index)};
 }
 
-// Domains alternate between the large and the small model; leftover engines are ready spares.
+// Builds the records of the engines. Domains alternate between the large and the small model;
+// engines that are left over after forming replicas are ready spares.
 std::vector<target_record> make_target_records(const hub_cost_size& size) {
   std::vector<target_record> records;
   for (std::size_t d = 0; d < size.data_centres * size.domains; ++d) {
@@ -82,13 +83,13 @@
     for (const target_record& record : records_) {
       fleet_.apply_record(now_, record);
     }
-    constexpr int settle_ticks = 20;  // every report request has been answered by then
+    constexpr int settle_ticks = 20;  // after these, every engine has answered its report request
     for (int i = 0; i < settle_ticks; ++i) {
       tick();
     }
   }
 
-  // Mean processor time of a tick, in ms.
+  // Mean processor time of a tick of the replica controller, in ms.
   double time_ticks(int count, bool with_changes) {
     const std::clock_t from = std::clock();
     for (int i = 0; i < count; ++i) {
--- a/src/process/list_budget.h
+++ b/src/process/list_budget.h
@@ -1,4 +1,4 @@
-// Limits how many full lists a hub sends to its nodes in one round of heartbeats.
+// Limits how many full lists of targets a hub sends to its nodes in one round of heartbeats.
 //
 // Without a limit, all nodes that start together are behind their hub, and it sends its full list
 // to each of them in every heartbeat until they acknowledge it. This saturates the hub's link, and
@@ -29,10 +29,11 @@
     return true;
   }
 
-  // Budget of one round.
+  // Budget of one round of heartbeats, in bytes.
   [[nodiscard]] std::size_t max_bytes() const { return max_bytes_; }
 
-  // 100 ms of the link's bandwidth, which is half of the time between two rounds.
+  // Budget per Mbit/s of the link: what the link carries in 100 ms, which is half of the time
+  // between two rounds of heartbeats.
   static constexpr std::size_t bytes_per_mbps = 12'500;
   // The budget of a 20 Mbit/s link.
   static constexpr std::size_t min_bytes = 20 * bytes_per_mbps;
--- a/src/process/log_budget.h
+++ b/src/process/log_budget.h
@@ -32,7 +32,7 @@
     return is_logged;
   }
 
-  // Whether a line of this length may be written.
+  // Whether a log line of this length may be written; if so, it is deducted from the budget.
   [[nodiscard]] bool spend(time_point now, std::size_t bytes) {
     refill(now);
     // Lines of sampled requests and of the node's state may overdraw by the burst capacity.
@@ -44,7 +44,8 @@
     return true;
   }
 
-  // Share of requests that are logged: all of them while less than half of the capacity is used.
+  // Share of requests whose lines are logged, 0..1: all of them while less than half of the burst
+  // capacity is used.
   [[nodiscard]] double sampled_share() const {
     constexpr double full_share_at = 0.5;
     return std::clamp(available_ / (capacity() * full_share_at), 0.0, 1.0);
@@ -54,7 +55,8 @@
   [[nodiscard]] std::uint64_t lines_suppressed() const { return lines_suppressed_; }
 
  private:
-  // Capacity for bursts: a replica that fails ends some dozen requests within 100 ms.
+  // Seconds of the byte rate that may be written in one burst: a replica that fails ends some dozen
+  // requests within 100 ms, and their lines are written together.
   static constexpr double burst_seconds = 2;
 
   [[nodiscard]] double capacity() const { return rate_ * burst_seconds; }
--- a/src/process/lost_target_reports.h
+++ b/src/process/lost_target_reports.h
@@ -41,7 +41,7 @@
                                             [&](const target_id& id) { return contains(now, id); });
   }
 
-  // Targets reported by other hubs; to be passed on within the data centre only.
+  // Targets that other hubs report as lost; a hub passes them on within its data centre only.
   [[nodiscard]] std::set<target_id> reported_by_hubs(time_point now) const {
     std::set<target_id> result;
     for (const auto& [peer, report] : reports_) {
@@ -52,8 +52,8 @@
     return result;
   }
 
-  // Three heartbeat intervals: one heartbeat may be late, and a peer that has ended does not revoke
-  // its report.
+  // How long a peer's report is used. Three heartbeat intervals: one heartbeat may be late, and a
+  // peer that has ended does not revoke its report.
   static constexpr duration retention = 600ms;
 
  private:
--- a/src/process/membership.cpp
+++ b/src/process/membership.cpp
@@ -1,5 +1,5 @@
-// Heartbeats of peers, pauses of this process, ranks and probers. The votes are in
-// membership_votes.cpp.
+// Evaluates heartbeats of peers, detects pauses of this process, and computes ranks and probers.
+// Voting is in membership_votes.cpp.
 #include "process/membership.h"
 
 #include <algorithm>
@@ -67,8 +67,8 @@
   choice_.reset();
 }
 
-// After a pause of this process, no message of any peer is recent. That does not mean that they
-// failed; otherwise this node would take over all ranks and probes when it continues.
+// Detects pauses of this process. After one, no message of any peer is recent, which does not mean
+// that the peers failed. Without this, the node would take over all ranks and probes after a pause.
 duration membership::tick(time_point now) {
   const duration gap = now - last_tick_;
   const bool paused = gap > timing_.pause_threshold;
@@ -92,7 +92,8 @@
   }
 }
 
-// Zero while a pause of this process cannot be excluded, as the last tick is too long ago.
+// How long the peer has not responded. Zero while the last tick is so long ago that this process
+// may have been paused.
 duration membership::unresponsive_time(const peer& p, time_point now) const {
   if (now - last_tick_ > timing_.pause_threshold) {
     return duration::zero();
@@ -380,7 +381,7 @@
       }
     };
     choose(false);
-    choose(true);  // all nodes but one may be at the limit
+    choose(true);  // also takes nodes at their limit, as all nodes but one may be there
   }
   choice_->live = std::move(nodes);
 }
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -29,7 +29,7 @@
   // Lower bound of the time at which the message was composed. Empty until the peer has echoed a
   // message of this process; until then, its messages cannot renew a permission.
   std::optional<time_point> composed;
-  std::uint64_t echoed{};  // newest own sequence that the peer is known to have; 0: none
+  std::uint64_t echoed{};  // sequence of this node's newest message that the peer echoed; 0: none
 };
 
 // The state that a peer last reported about itself.
@@ -48,7 +48,8 @@
   membership(node_id self, std::uint64_t incarnation, std::uint64_t seed, time_point now,
              control_timing timing = {});
 
-  // Sets the nodes of the own data centre, with or without self. Keeps the state of remaining ones.
+  // Sets the nodes of the own data centre; whether `nodes` contains this node makes no difference.
+  // Keeps the state of nodes that were members before.
   void set_nodes(const std::vector<node_id>& nodes, time_point now);
 
   // To be called at least every 250 ms. Returns the length of a pause of this process that has just
@@ -81,22 +82,23 @@
   [[nodiscard]] peer_state state(const node_id& peer, time_point now) const;
   // Alive and suspect nodes including self, ordered by id.
   [[nodiscard]] std::vector<node_id> live(time_point now) const;
-  // Null if it is not a peer or nothing was ever received from it.
+  // State that the peer last reported; null if it is not a peer or nothing was ever received from
+  // it.
   [[nodiscard]] const peer_status* last_status(const node_id& peer) const;
-  // Messages from the peer arrive, but it has not echoed any message sent within the last
-  // peer_dead_after: the link works in one direction only.
+  // Whether the link to the peer works in one direction only: messages from it arrive, but it has
+  // not echoed any message that this node sent within the last peer_dead_after.
   [[nodiscard]] bool one_way(const node_id& peer, time_point now) const;
-  // Newest own sequence that the peer is known to have; 0: none.
+  // Sequence of this node's newest message that the peer has echoed; 0: none.
   [[nodiscard]] std::uint64_t echoed(const node_id& peer) const;
-  // The live nodes without self, which receive urgent updates.
+  // The live nodes except this one; urgent updates are sent to them.
   [[nodiscard]] std::vector<node_id> live_peers(time_point now) const;
 
   // Position of `node` among the live nodes for `subject` by rendezvous hashing, from 0. If `node`
   // is not live, the number of live nodes.
   [[nodiscard]] std::size_t rank_of(const node_id& node, std::string_view subject,
                                     time_point now) const;
-  // The two live nodes (one, if there is only one) that probe `vm`. The number of targets per node
-  // is limited to little more than its fair share.
+  // Sets the targets of the data centre. probers_of returns the two live nodes (one, if there is
+  // only one) that probe `vm`; each node gets little more than its fair share of the targets.
   void set_targets(const std::vector<vm_id>& vms);
   [[nodiscard]] std::vector<node_id> probers_of(const vm_id& vm, time_point now);
   [[nodiscard]] std::vector<vm_id> own_targets(time_point now);
@@ -108,7 +110,7 @@
   // if their number is even, the first by id has two, so that one of two nodes can act without the
   // other.
 
-  // To be called when this node has read the row from the table itself.
+  // To be called when this node has read the assignment row from the table itself.
   void row_read();
   // A new process does not know what its previous process acknowledged. It gets a vote once it has
   // read the table, or once informed nodes that form a majority without it have echoed a message of
@@ -132,17 +134,17 @@
  private:
   struct peer {
     time_point known_since;
-    std::uint64_t incarnation{};  // 0: nothing received yet
+    std::uint64_t incarnation{};  // of the peer's process; 0: nothing received yet
     std::uint64_t last_sequence{};
     std::vector<std::uint64_t> past_incarnations;  // at most 4
-    // Both are known_since until the first message.
+    // composed_at and received_at equal known_since until the first message.
     time_point composed_at;  // lower bound of the time at which the newest message was composed
     time_point received_at;  // arrival of the newest message
     time_point alive_since;  // when the peer was last marked as not dead
     double deaths{};         // exponentially decayed number of times it was marked dead
     time_point deaths_at;
-    bool dead = true;        // until the first message
-    bool echoes_us = false;  // has echoed a message of this process
+    bool dead = true;        // considered dead; true until the peer's first message
+    bool echoes_us = false;  // the peer has echoed a message of this process
     peer_status last_status;
     sent_log sent;
     std::uint64_t next_sequence = 1;
@@ -150,8 +152,8 @@
     time_point last_heartbeat;
     std::uint64_t hash_sequence{};  // first own message with the current config hash
     std::string announced_hash;
-    std::uint64_t echoed{};     // newest own sequence that it echoed
-    time_point echoed_sent_at;  // when that message was sent
+    std::uint64_t echoed{};     // sequence of this node's newest message that the peer echoed
+    time_point echoed_sent_at;  // when this node sent the message with that sequence
   };
   struct probe_choice {
     std::vector<node_id> live;
@@ -185,7 +187,8 @@
   time_point listening_since_;  // start of the process, or end of its last pause
   bool informed_ = false;
   std::vector<vm_id> targets_;
-  std::optional<probe_choice> choice_;  // valid for the live nodes stored in it
+  std::optional<probe_choice>
+      choice_;  // probers of each target; valid as long as the live nodes do not change
 };
 
 }  // namespace arbutus
--- a/src/process/membership_votes.cpp
+++ b/src/process/membership_votes.cpp
@@ -31,8 +31,8 @@
   return 2 * votes > total_votes();
 }
 
-// Based on the time of receipt, not of composition: since then, this node has echoed no message of
-// the peer.
+// Whether a peer counts as unresponsive. Based on when its newest message was received, not
+// composed: since the receipt, this node has echoed no newer message of the peer.
 bool membership::unresponsive(const peer& p, time_point now) const {
   if (now - last_tick_ > timing_.pause_threshold) {
     return false;
@@ -78,7 +78,8 @@
   return majority(votes);
 }
 
-// Only reports of nodes that know the row are valid: another node, failed since, may have echoed
+// Whether node `id` can no longer act on rows before `version`, by the reports of a majority. Only
+// reports of nodes that know the row are valid: another node, failed since, may have echoed
 // messages of `id` between its report and a row that it never received.
 bool membership::has_expired(const node_id& id, const peer& p, std::uint64_t version,
                              time_point now) const {
--- a/src/process/misdirected_heads.h
+++ b/src/process/misdirected_heads.h
@@ -1,10 +1,10 @@
 // Heads that recently rejected a request as misdirected.
 //
-// Either another engine has their address, or they are no longer the head of a replica. The list
-// of targets shows that only when their row expires, seconds later. Without this, requests sent
-// there in the meantime are not run and use up the retry budget, so that callers are refused while
-// other replicas are idle. Such a head becomes the last choice of this node rather than excluded,
-// as it may accept requests again at any time.
+// Either another engine has the head's address, or it is no longer the head of a replica. The list
+// of targets shows that only when the head's row expires, seconds later. Without this, requests
+// sent there in the meantime are not run and use up the retry budget, so that callers are refused
+// while other replicas are idle. Such a head becomes the last choice of this node rather than
+// excluded, as it may accept requests again at any time.
 #pragma once
 
 #include <map>
@@ -32,7 +32,8 @@
     return result;
   }
 
-  // A replica forms within 0.5 s; a row expires after several seconds.
+  // How long a rejection is remembered. A replica forms within 0.5 s; a row of the list of targets
+  // expires after several seconds.
   static constexpr duration retention = 1s;
 
  private:
--- a/src/process/msgpack_bounds.cpp
+++ b/src/process/msgpack_bounds.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-// Walks over the values without recursion.
+// Walks over the values of a MessagePack document without recursion.
 class depth_check {
  public:
   explicit depth_check(std::string_view bytes) : bytes_(bytes) {}
 
   bool bounded(std::size_t depth) {
-    std::vector<std::uint64_t> pending{1};  // values still to come, per open container
+    std::vector<std::uint64_t> pending{1};  // number of values still to come in each open container
     while (!pending.empty()) {
       if (pending.back() == 0) {
         pending.pop_back();
--- a/src/process/node_heartbeat.cpp
+++ b/src/process/node_heartbeat.cpp
@@ -49,7 +49,7 @@
   if (!part) {
     return nullptr;
   }
-  // Arbitrary bytes, thus binary: text would have to be UTF-8.
+  // The part's content is arbitrary bytes, so it is encoded as binary: text would have to be UTF-8.
   return {part->row, part->base, part->size, part->offset,
           json::binary({part->bytes.begin(), part->bytes.end()})};
 }
@@ -109,7 +109,8 @@
                      std::string(bytes.begin(), bytes.end())};
 }
 
-// Fields from this index on are not sent by nodes of an earlier release; they are left empty then.
+// Nodes of an earlier release do not send the heartbeat fields from this index on; such fields are
+// left empty.
 constexpr std::size_t first_optional_field = 25;
 
 void read_optional_fields(const json& document, node_heartbeat& message) {
@@ -196,7 +197,9 @@
     message.targets = update_from_json(document.at(10));
     message.configuration = update_from_json(document.at(11));
     message.refused_by_store = document.at(12).get<bool>();
-    // Empty if the node sent no address; it is then known from its row.
+    // The link address is empty if the sender gave none; the receiver then takes it from the
+    // sender's
+    // row in the store.
     message.link = parse_endpoint(document.at(13).get<std::string>()).value_or(endpoint{});
     message.strength = {document.at(14).get<std::uint32_t>(), document.at(15).get<std::uint32_t>()};
     message.follows_records = document.at(16).get<bool>();
--- a/src/process/node_heartbeat.h
+++ b/src/process/node_heartbeat.h
@@ -31,11 +31,11 @@
 struct feed_update {
   std::vector<feed_row> rows;
   bool complete = false;     // the complete table instead of changes only
-  std::uint64_t position{};  // of the sender, including these rows
+  std::uint64_t position{};  // of the sender in the table, including these rows
   std::uint64_t after{};     // requested position; only a receiver at or beyond it may apply this
   duration age{};            // time since the sender's newest query to the store was sent
-  // There are rows after the requested position, but they are omitted and have to be read from the
-  // store.
+  // There are rows after the requested position, but the hub omits them; the receiver has to read
+  // them from the store.
   bool withheld = false;
 };
 
@@ -46,8 +46,8 @@
   // and does not happen while the store refuses the hub.
   endpoint link;
   node_strength strength;
-  bool hub = false;      // follows the store and controls the data centre
-  bool leaving = false;  // does not control replicas any more
+  bool hub = false;      // the sender follows the store and controls the data centre
+  bool leaving = false;  // the sender is stopping and does not control replicas any more
   bool refused_by_store =
       false;  // the store does not serve the sender: another node must be the hub
   bool requests_seen = false;
@@ -56,12 +56,12 @@
   // message may be delayed without limit.
   std::int64_t stamp_us{};
   std::int64_t echo_us{};  // 0: none yet
-  // Position of the sender in the tables, from which the hub continues.
+  // Position up to which the sender has the target records; the hub sends it the rows after that.
   std::uint64_t targets_position{};
   // Whether the sender follows the records of all targets, or only the serving replicas.
   bool follows_records = true;
   std::string incarnation;             // incarnation of the sender, to which its positions belong
-  serving_follower::position serving;  // in the rows of serving replicas, as received from the hub
+  serving_follower::position serving;  // up to which the sender has the hub's serving-replica rows
   std::uint64_t configuration_position{};
   std::uint64_t configuration_row{};  // newest row of the configuration that the sender holds
   config_progress configuration_progress;
@@ -70,10 +70,10 @@
   // Updates about poison requests, and the sender's position in those of the receiver.
   poison_update poison_changes;
   poison_position received_poison_position;
-  // Send limits of targets, and grants to send to them.
+  // Rate limits that targets declare, and grants to send requests to these targets.
   std::vector<limit_update> limits;
   grant_update grants;
-  // From a hub to a node of its data centre.
+  // The following are sent only by a hub to a node of its data centre.
   std::optional<feed_update> targets;  // records of targets
   // Serving replicas, sent instead of `targets`; positions are of the sender's incarnation.
   std::optional<feed_update> served;
@@ -82,7 +82,7 @@
 };
 
 [[nodiscard]] std::string encode(const node_heartbeat& message);
-// Empty when the bytes are damaged.
+// Decodes a heartbeat; empty when the bytes are damaged.
 [[nodiscard]] std::optional<node_heartbeat> decode_node_heartbeat(std::string_view bytes);
 
 }  // namespace arbutus
--- a/src/process/observation_probes.cpp
+++ b/src/process/observation_probes.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Capacity of the token bucket: after a late tick, the missed probes are sent together, up to this
-// number or those of this time, whichever is larger.
+// Capacity of the token bucket for probes: after a late tick, the missed probes are sent together,
+// up to this number or those of this time, whichever is larger.
 constexpr double max_burst_tokens = 3.0;
 constexpr duration max_catch_up = 250ms;
 
--- a/src/process/observations.cpp
+++ b/src/process/observations.cpp
@@ -13,10 +13,10 @@
 constexpr std::size_t max_past_incarnations = 4;
 // A peer's failure report is refuted when another node reached the target within this time after.
 constexpr duration refutation_window = 2s;
-// From this number of refuted reports (exponentially decayed) on, a node is assumed to have a bad
-// link of its own.
+// From this number of refuted failure reports (exponentially decayed) on, the reporting node is
+// assumed to have a bad link itself.
 constexpr double max_refuted = 3.0;
-// Below this share of its model's median rate a target is a straggler.
+// A target is a straggler if its token rate is below this share of the median rate of its model.
 constexpr double straggler_share = 0.5;
 constexpr std::size_t min_compared = 3;
 
@@ -157,7 +157,8 @@
   merge(from, notice.failure, h, now);
 }
 
-// Failures without a bound on their age are ignored, as successes are; the probers report again.
+// Failure reports whose age has no known upper bound are ignored, as are such reports of successes;
+// the probers report again.
 void observation_table::merge(const node_id& from, const probe_failure& failure,
                               const receive_result& h, time_point now) {
   const auto found = targets_.find(failure.vm);
@@ -225,7 +226,7 @@
   }
 }
 
-// Whether no later success has ended this run of failures.
+// Whether no success in reaching the target has ended this run of failures since.
 bool observation_table::is_unresolved(const target& t, const failure_run& f) const {
   return !t.newest || f.newest >= t.newest->at;
 }
--- a/src/process/observations.h
+++ b/src/process/observations.h
@@ -22,9 +22,9 @@
 enum class target_condition {
   unknown,  // no recent observation; after a pause of this process, until probed again
   working,
-  suspect,  // a probe or connection failed, or it is recovering: gets no new work
-  lost,     // two probers, or one for long enough, could not reach it
-  leaving,  // works but is about to be removed: gets no new work
+  suspect,  // a probe or connection failed, or the target is recovering: gets no new work
+  lost,     // two probers, or one for long enough, could not reach the target
+  leaving,  // the target works but is about to be removed: gets no new work
 };
 
 struct condition_change {
@@ -48,22 +48,23 @@
   // Targets to probe now: suspects first, then in the order of their due times. Each probe counts
   // as started at `now`.
   [[nodiscard]] std::vector<vm_id> next_probes(time_point now);
-  // True if it is a failure that the peers should be notified of immediately: send failure_of in a
-  // lost_notice to membership::live_peers.
+  // Stores the result of an own probe. True if it is a failure that the peers should be notified of
+  // immediately: send failure_of in a lost_notice to membership::live_peers.
   bool on_probe_result(const probe_result& result, time_point now);
-  // A connection of the request path broke or was refused. True as above.
+  // A connection of the request path to this target broke or was refused. True if the peers should
+  // be notified of it immediately.
   bool on_connection_error(const vm_id& vm, time_point now);
-  // Newest own failure for this target, if no observation is newer.
+  // The newest failure of this node to reach the target, if no observation is newer.
   [[nodiscard]] std::optional<probe_failure> failure_of(const vm_id& vm, time_point now) const;
 
   // Merges observations and failures of a heartbeat; `h` is the result of membership::receive.
   void merge(const heartbeat& message, const receive_result& h, time_point now);
   void merge(const node_id& from, const lost_notice& notice, const receive_result& h,
              time_point now);
-  // The target is leaving, by the platform's list (`incarnation` 0) or a leaving_notice. True if
-  // that was not known and should be passed on.
+  // The platform's list (`incarnation` 0) or a leaving_notice says that the target is leaving. True
+  // if this node did not know that and should pass it on.
   bool mark_leaving(const vm_id& vm, std::uint64_t incarnation);
-  // The platform's list contains the target as not leaving.
+  // The platform's list contains the target, and not as leaving.
   void clear_leaving(const vm_id& vm);
 
   // This process was paused (membership::tick): no observation is recent, and failures during the
@@ -80,11 +81,12 @@
   void forget_peer(const node_id& peer);
 
   [[nodiscard]] target_condition condition(const vm_id& vm, time_point now) const;
-  // Newest observation, of any age; null if there is none.
+  // Newest observation of the target, of any age; null if there is none.
   [[nodiscard]] const observation* latest(const vm_id& vm) const;
-  // Targets that are slow compared to the median of their model; at most a quarter of them.
+  // Targets whose token rate is low compared to the median of the targets of their model; at most a
+  // quarter of the latter.
   [[nodiscard]] std::set<vm_id> stragglers(time_point now) const;
-  // Transitions since the last call.
+  // Changes of the targets' conditions since the last call.
   [[nodiscard]] std::vector<condition_change> take_changes(time_point now);
 
  private:
@@ -103,23 +105,23 @@
     // Hysteresis: set when lost, cleared after recovery_time of successes.
     bool lost = false;
     std::optional<time_point> recovering_since;
-    double losses{};  // exponentially decayed count
+    double losses{};  // exponentially decayed number of times that the target was lost
     time_point losses_at;
     std::optional<time_point> urgent_probe_at;  // newest urgent probe by this node
     target_condition reported = target_condition::unknown;
   };
   struct own_target {
     std::uint32_t slot{};
-    std::optional<engine_report> report;  // of the newest success, without load
+    std::optional<engine_report> report;  // of the newest successful probe, without its load
     target_load load_now;
     time_point at;
-    std::uint64_t content{};  // version of the report without load
-    std::uint64_t load{};     // version of the load
+    std::uint64_t content{};  // version of `report`, increased with each change
+    std::uint64_t load{};     // version of the load, increased with each change
     time_point probe_due;
   };
   struct sent_state {  // what was sent to a peer about one of the own targets
     std::uint64_t content{};
-    std::uint64_t content_sequence{};  // first message with this content
+    std::uint64_t content_sequence{};  // of the first message with this content version
     std::uint64_t load{};
     std::uint64_t load_sequence{};
     time_point at;
@@ -171,7 +173,7 @@
   std::map<node_id, received_slots> received_slots_;
   std::map<node_id, failure_reporter> failure_reporters_;
   std::optional<time_point> resumed_at_;
-  // Token buckets for regular and urgent probes.
+  // Tokens in the buckets that limit regular and urgent probes; each probe takes one.
   double tokens_ = 1.0;
   double urgent_tokens_ = 0.0;
   std::optional<time_point> refilled_at_;
--- a/src/process/orders.cpp
+++ b/src/process/orders.cpp
@@ -37,8 +37,9 @@
           replica.model_version};
 }
 
-// A VM that is in no composition releases its replica. The order's token must be greater than the
-// one the VM obeys, but not greater than that of a later order that makes it a member again.
+// The desired state of a VM that is in no composition: it releases its replica. The fencing token
+// of the release order must be greater than the one the VM obeys, but not greater than that of a
+// later order that makes the VM a member again.
 std::optional<desired_state> release_state(const assignment& row, const place_in_row& place,
                                            const std::map<replica_id, composition>& compositions,
                                            const engine_report& r) {
@@ -52,7 +53,7 @@
     target.gen = same ? own.gen : std::max(own.gen, target.gen);
   }
   if (target.gen <= r.gen) {
-    return std::nullopt;  // it obeys a newer row, which this node must not undo
+    return std::nullopt;  // the VM obeys a newer row, which this node must not undo
   }
   return desired_state{order_kind::release, target, {}, {}};
 }
--- a/src/process/orders.h
+++ b/src/process/orders.h
@@ -21,17 +21,17 @@
 
 namespace arbutus {
 
-// Sender and target both discard an order after this.
+// The sender and the target of an order both discard it after this time.
 inline constexpr duration order_validity_period = 2s;
-// A node of rank r delays an order by r times this: longer than an order and the urgent heartbeat
-// that reports its effect take.
+// A node of rank r delays an order to a target by r times this. Longer than an order and the urgent
+// heartbeat that reports its effect take.
 inline constexpr duration order_rank_delay = 500ms;
 inline constexpr duration order_backoff_first = 200ms;
 inline constexpr duration order_backoff_max = 5s;
-// No order is sent on the basis of an older observation of its target.
+// An order is not sent if this node's newest observation of the target is older than this.
 inline constexpr duration order_max_observation_age = 3s;
 
-// The state that a VM should be in.
+// The state that a VM should be in, as the kind of order that brings it there and its arguments.
 struct desired_state {
   order_kind kind = order_kind::form;
   composition target;
@@ -53,7 +53,7 @@
   const std::map<vm_id, desired_state>& desired;
   // Position of this node among those that may send to the VM; 0 sends immediately.
   std::function<std::size_t(const vm_id&)> rank;
-  // Newest observation; null if none, or if the VM is lost, suspect or leaving.
+  // Newest observation of the VM; null if there is none, or if the VM is lost, suspect or leaving.
   std::function<const observation*(const vm_id&)> reachable;
 };
 
@@ -68,7 +68,8 @@
   explicit order_dispatcher(std::uint64_t seed) : random_(seed) {}
 
   [[nodiscard]] std::vector<order> tick(time_point now, const order_context& context);
-  // When the order was sent, if it is this node's open order; the report is not older than that.
+  // Handles the result of an order. Returns when the order was sent, if it is still open at this
+  // node; the report in the result is not older than that.
   [[nodiscard]] std::optional<time_point> on(time_point now, const order_result& result);
   [[nodiscard]] time_point next_tick() const { return next_tick_; }
   [[nodiscard]] const order_counters& counters() const { return counters_; }
@@ -78,7 +79,7 @@
     desired_state desired;
     time_point since;
     time_point not_before{};
-    std::optional<time_point> sent_at{};  // an order is open
+    std::optional<time_point> sent_at{};  // when the open order was sent; empty: none is open
     backoff retry_backoff{order_backoff_first, order_backoff_max};
   };
   [[nodiscard]] std::optional<order> order_if_due(time_point now, const vm_id& vm, order_state& n,
--- a/src/process/peer_table.cpp
+++ b/src/process/peer_table.cpp
@@ -74,7 +74,7 @@
 void peer_table::received(time_point now, const node_id& id, const heartbeat_info& info) {
   const auto found = peers_.find(id);
   if (found == peers_.end()) {
-    return;  // not known yet; its row will be read soon
+    return;  // the peer is not known yet; its row will be read soon
   }
   peer& p = found->second;
   p.last_received_at = now;
@@ -137,7 +137,7 @@
   return found == peers_.end() ? 0 : found->second.info.stamp_us;
 }
 
-// Alive, or new and not yet known to be unresponsive.
+// Whether the peer is alive, or is new and not yet known to be unresponsive.
 bool peer_table::presumed_alive(time_point now, const peer& p) const {
   if (p.info.leaving) {
     return false;
@@ -221,9 +221,9 @@
         return;
       }
     } else if (presumed_alive(now, p)) {
-      // A live peer that the store refuses. If the store refuses all, the first ones control the
-      // data centre. Only those get heartbeats: otherwise, while the store is unavailable, all
-      // nodes of a data centre would send to each other.
+      // This live peer is refused by the store. If the store refuses all, the first live peers
+      // control the data centre. Only those get heartbeats: otherwise, while the store is
+      // unavailable, all nodes of a data centre would send to each other.
       if (refused < candidates) {
         result.push_back(id);
       }
--- a/src/process/peer_table.h
+++ b/src/process/peer_table.h
@@ -32,8 +32,8 @@
   peer_table& operator=(peer_table&&) = default;
   ~peer_table() = default;
 
-  // Sets the rows of the store, which include this node's own. Removes peers that were in the rows
-  // before and no longer are; a peer known only by its heartbeats stays.
+  // Sets the nodes by their rows in the store, which include this node's own. Removes peers that
+  // were in the rows before and no longer are; a peer known only by its heartbeats stays.
   void set_records(const std::vector<node_record>& nodes);
 
   // Adds a peer known by its heartbeat, which may not have been in the rows when they were read.
@@ -45,15 +45,16 @@
   struct heartbeat_info {
     bool hub = false;
     bool leaving = false;
-    bool refused_by_store = false;  // the store does not serve it
+    bool refused_by_store = false;  // the store does not serve the peer
     std::int64_t stamp_us{};
   };
   // A heartbeat of the peer was received.
   void received(time_point now, const node_id& peer, const heartbeat_info& info);
 
-  // A hub that the store refuses hands over to the next node that is served, until it is served
-  // again. Without this, when the store serves only some nodes, a refused hub gets no updates and
-  // all nodes of its data centre query the store themselves with 3 calls per second each.
+  // Sets whether the store refuses this node. A refused hub hands over to the next node that the
+  // store serves, until it is served again. Without this, when the store serves only some nodes, a
+  // refused hub gets no updates and all nodes of its data centre query the store themselves with 3
+  // calls per second each.
   void set_refused_by_store(time_point now, bool is);
   [[nodiscard]] bool refused_by_store() const { return refused_by_store_; }
 
@@ -80,7 +81,7 @@
   // Whether another node of this node's data centre is known, alive or not.
   [[nodiscard]] bool any_in_data_centre() const;
   [[nodiscard]] data_centre_id data_centre_of(const node_id& peer) const;
-  // As the peer last reported.
+  // Whether the store refuses the peer, as the peer last reported.
   [[nodiscard]] bool is_refused_by_store(const node_id& peer) const;
   // Whether a live peer of this node's data centre is served by the store.
   [[nodiscard]] bool any_served_here(time_point now) const;
@@ -88,9 +89,9 @@
   [[nodiscard]] std::size_t known() const { return peers_.size(); }
   [[nodiscard]] const std::vector<node_record>& records() const { return records_; }
 
-  // Six consecutive lost heartbeats. A shorter time mistakes a pause of the peer for its failure,
-  // and two controllers then send conflicting orders; a longer time leaves broken replicas without
-  // a controller.
+  // A peer counts as alive for this long after a heartbeat: the time of six consecutive lost
+  // heartbeats. A shorter time mistakes a pause of the peer for its failure, and two controllers
+  // then send conflicting orders; a longer time leaves broken replicas without a controller.
   static constexpr duration alive_timeout = 1200ms;
   // A peer that was sent heartbeats and never responded is assumed to be alive for this long; links
   // are established within it.
@@ -118,7 +119,7 @@
 
   [[nodiscard]] static bool is_alive(time_point now, const peer& p);
   [[nodiscard]] bool presumed_alive(time_point now, const peer& p) const;
-  // Assumed to be alive, and served by the store as far as it reported.
+  // Whether the peer is assumed to be alive and, by its last report, is served by the store.
   [[nodiscard]] bool may_be_hub(time_point now, const peer& p) const {
     return presumed_alive(now, p) && !p.info.refused_by_store;
   }
@@ -141,7 +142,8 @@
   bool refused_by_store_ = false;
   time_point served_since_{};      // when the store last served this node again after refusing it
   std::map<node_id, peer> peers_;  // without this node
-  // Peers of each data centre, the strongest first. Points into peers_, whose entries do not move.
+  // Peers of each data centre in the order of hubs, the strongest first. Points into peers_, whose
+  // entries do not move.
   std::map<data_centre_id, std::vector<const std::pair<const node_id, peer>*>> order_;
   std::vector<node_record> records_;
 };
--- a/src/process/permission.cpp
+++ b/src/process/permission.cpp
@@ -1,4 +1,5 @@
-// Rules of permission. The reason of a refusal is shown to operators in `status`.
+// Decides whether a replica may be routed to. The reason of a refusal is shown to operators in
+// `status`.
 #include "process/permission.h"
 
 #include <algorithm>
--- a/src/process/permission.h
+++ b/src/process/permission.h
@@ -17,9 +17,10 @@
 
 namespace arbutus {
 
-// Maximum age of the newest observation of each member. Less than the 2.5 s within which routing to
-// a replica with a lost member must end; more than the 2 s that an observation is old in the worst
-// case, when both the probe interval and the heartbeat that carries it were just missed.
+// A replica may be routed to while the newest observation of each of its members is not older than
+// this. Less than the 2.5 s within which routing to a replica with a lost member must end; more
+// than the 2 s that an observation is old in the worst case, when both the probe interval and the
+// heartbeat that carries it were just missed.
 inline constexpr duration permission_validity = 2400ms;
 // A target that does not check fencing tokens must report the right generation for this long before
 // its replica serves. Exceeds the time for which a delayed older order stays valid in transit.
@@ -39,7 +40,8 @@
   // To be called for each new newest observation.
   void observe(const observation& seen);
   void forget(const vm_id& vm) { runs_.erase(vm); }
-  // Empty when the VM was not ready when last seen.
+  // Since when the VM has been ready without interruption; empty when it was not ready when last
+  // observed.
   [[nodiscard]] std::optional<time_point> ready_since(const vm_id& vm) const;
 
  private:
--- a/src/process/poison_evaluation.cpp
+++ b/src/process/poison_evaluation.cpp
@@ -13,7 +13,7 @@
                      [&](const poison_strike& m) { return m.target == target; });
 }
 
-// The entry must have a strike for this target.
+// The entry's strike for this target, which must exist.
 const poison_strike& strike_at(const poison_entry& entry, const target_id& target) {
   return *std::find_if(entry.strikes.begin(), entry.strikes.end(),
                        [&](const poison_strike& m) { return m.target == target; });
@@ -50,8 +50,8 @@
   return waits ? std::optional(until) : std::nullopt;
 }
 
-// Leaves out strikes newer than `settled`: those of other nodes for the same crashes may still be
-// in transit.
+// Maps each target that ended to the suspects that have a strike for it. Leaves out strikes newer
+// than `settled`: strikes of other nodes for the same crashes may still be in transit.
 poison_tracker::suspects_by_target poison_tracker::index_by_target(time_point settled) const {
   suspects_by_target ended;
   for (const entry_map::value_type& known : entries_) {
@@ -120,8 +120,8 @@
 double poison_tracker::accident_probability(const entry_map::value_type& suspect,
                                             std::size_t events,
                                             const suspects_by_target& ended) const {
-  // Seeing no unrelated crash within seconds does not prove a rate of zero; hours usually pass
-  // between two.
+  // Crashes assumed if none were seen. Seeing no unrelated crash within seconds does not prove a
+  // rate of zero; hours usually pass between two.
   constexpr double assumed_ends = 0.05;
   const time_point first = suspect.second.strikes.front().ended_at;
   const time_point last = suspect.second.strikes.back().ended_at;
--- a/src/process/poison_exchange.h
+++ b/src/process/poison_exchange.h
@@ -25,7 +25,7 @@
 
 struct poison_update {
   std::uint64_t at = 0;           // position of the sender's tracker that these rows reach
-  std::vector<std::string> rows;  // encoded
+  std::vector<std::string> rows;  // each an encoded poison_row
 };
 
 class poison_exchange {
@@ -41,10 +41,11 @@
   void received(const node_id& peer, const poison_position& at) { peers_[peer].received = at; }
   [[nodiscard]] poison_position received_position(const node_id& peer) const;
 
-  // The acknowledgement comes with the peer's next heartbeat. If it is missing for this long, the
-  // rows were lost or the peer is unreachable.
+  // Rows are resent if the peer has not acknowledged them for this long. The acknowledgement comes
+  // with its next heartbeat; if it is missing, the rows were lost or the peer is unreachable.
   static constexpr duration resend_timeout = 1s;
-  // 64 rows are about 6 KB, which is small compared with the loads that a heartbeat carries.
+  // Rows sent in one heartbeat: 64 rows are about 6 KB, which is small compared with the target
+  // loads that a heartbeat carries.
   static constexpr std::size_t max_rows = 64;
 
  private:
--- a/src/process/poison_tracker.cpp
+++ b/src/process/poison_tracker.cpp
@@ -208,8 +208,8 @@
                 [&](const auto& entry) { return now - entry.second > settings_.lookback_window; });
 }
 
-// The crashes of its targets now have a known cause, so they no longer count as strikes against the
-// other requests that ran there.
+// Quarantines the request. The crashes of the targets that ran it now have a known cause, so they
+// no longer count as strikes against the other requests that ran there.
 void poison_tracker::quarantine(const request_fingerprint& fingerprint, poison_entry& entry,
                                 time_point at) {
   entry.quarantined_at = at;
--- a/src/process/poison_tracker.h
+++ b/src/process/poison_tracker.h
@@ -49,21 +49,21 @@
   // It gives no evidence.
   std::size_t mass_failure_min_targets = 3;
   duration mass_failure_window = 20ms;
-  // Strikes of other nodes for the same crashes arrive within this time: a query to the target and
-  // three heartbeats.
+  // After a crash, the strikes that other nodes record for it arrive within this time: a query to
+  // the target and three heartbeats.
   duration settle_time = 700ms;
   // Highest accepted probability that a harmless request is cut off in this many events in a row.
   // With some million requests, none should be quarantined by coincidence.
   double max_false_positive_probability = 1e-8;
   // Unrelated crashes count towards the base rate from this long before a suspect's first strike.
   duration lookback_window = 3s;
-  duration cleared_duration = 60s;       // after a successful run
-  duration suspect_duration = 300s;      // after the newest strike
-  duration quarantine_duration = 3600s;  // after the newest strike
+  duration cleared_duration = 60s;       // a successful run clears the request for this long
+  duration suspect_duration = 300s;      // a request stays a suspect this long after a strike
+  duration quarantine_duration = 3600s;  // a quarantine lasts this long after the newest strike
   std::size_t max_entries = 1024;
   // Keeps one workspace from evicting the entries of others.
   std::size_t max_entries_per_workspace = 128;
-  std::size_t max_strikes_per_request = 16;  // of one request
+  std::size_t max_strikes_per_request = 16;  // number of strikes stored for one request
 };
 
 struct poison_strike {
@@ -80,10 +80,10 @@
   std::vector<poison_strike> strikes;    // at most one for a crash, ordered by ended_at
   std::optional<time_point> cleared_at;  // strikes are newer than this plus cleared_duration
   std::optional<time_point> quarantined_at;
-  // The platform's store has a row of this quarantine. The row has to be removed once the request
-  // is no longer quarantined.
+  // Whether the platform's store has a row of this quarantine. The row has to be removed once the
+  // request is no longer quarantined.
   bool stored = false;
-  std::uint64_t changed = 0;  // position of the newest change
+  std::uint64_t changed = 0;  // position of the tracker at the newest change of this entry
 };
 
 // What a node sends to peers about one request. Times are sent as ages, since the clocks of nodes
@@ -105,7 +105,7 @@
   request_fingerprint fingerprint;
   std::vector<target_id> targets;  // the targets that ended while running the request
   std::size_t events = 0;          // number of separate events
-  double probability = 0;          // that a harmless request is cut off in this many events
+  double probability = 0;          // that a harmless request is cut off in `events` events in a row
 };
 
 class poison_tracker {
@@ -145,7 +145,8 @@
                                                       std::size_t max_rows) const;
   [[nodiscard]] std::uint64_t position() const { return position_; }
 
-  // Quarantines that the platform's store lacks, and rows whose quarantine is no longer in force.
+  // Changes to make in the platform's store: `to_write` are quarantines that have no row there,
+  // `to_remove` those whose row is there although they are no longer in force.
   struct store_changes {
     std::vector<request_fingerprint> to_write;
     std::vector<request_fingerprint> to_remove;
--- a/src/process/poison_wire.cpp
+++ b/src/process/poison_wire.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t max_name_bytes = 256;
 constexpr std::size_t max_strikes_in_row = 64;
 constexpr std::int64_t absent = -1;
-// Longer than any entry is retained.
+// Limit on ages in a row, in milliseconds. Longer than any entry of the poison tracker is retained.
 constexpr std::int64_t max_age_ms = 24LL * 3600 * 1000;
 
 std::int64_t to_ms(duration d) {
--- a/src/process/rank.h
+++ b/src/process/rank.h
@@ -1,5 +1,5 @@
-// Order in which nodes act when any of them may: a rank by rendezvous hashing over the live nodes,
-// and a backoff for those that lost a race.
+// Order in which nodes act when any of them may act: each has a rank, by rendezvous hashing over
+// the live nodes. A node whose write lost a race against another node's backs off.
 #pragma once
 
 #include <algorithm>
@@ -18,8 +18,8 @@
 [[nodiscard]] std::size_t rank_of(std::string_view subject, const node_id& self,
                                   const std::vector<node_id>& live);
 
-// Delays do not grow beyond this rank, so that a large data centre whose first nodes are all cut
-// off does not wait for minutes.
+// Nodes of higher rank wait no longer than a node of this rank, so that a large data centre whose
+// first nodes are all cut off does not wait for minutes.
 inline constexpr std::size_t max_rank = 4;
 
 // How long a node of this rank waits before it acts, if action is still needed then.
--- a/src/process/record_subscription.h
+++ b/src/process/record_subscription.h
@@ -35,9 +35,10 @@
   [[nodiscard]] bool decided() const { return decided_; }
   [[nodiscard]] bool follows_records() const { return follows_; }
 
-  // Delays against short changes of the order of hubs, which occur when a heartbeat is late or the
-  // store refuses a node: fetching all records takes some hundred KB. Leaving takes longer, as a
-  // node that has the records may be needed again soon.
+  // A node starts or stops following the records only after its place in the order of hubs has been
+  // different for this long. The place changes for a short time when a heartbeat is late or the
+  // store refuses a node, and fetching all records takes some hundred KB. Stopping takes longer, as
+  // a node that has the records may be needed again soon.
   static constexpr duration subscribe_after = 1s;
   static constexpr duration unsubscribe_after = 5s;
 
--- a/src/process/replica_control.h
+++ b/src/process/replica_control.h
@@ -26,7 +26,7 @@
                                            std::span<const controller_candidate> live) {
   const auto order = [&](const controller_candidate& n) {
     const bool in_other_data_centre = n.data_centre != data_centre;
-    // Distributes data centres without nodes over the nodes of the others.
+    // Distributes data centres without live nodes over the nodes of the other data centres.
     const std::uint64_t weight =
         in_other_data_centre ? ~rendezvous_weight(data_centre.str(), n.id.str()) : 0;
     return std::tuple(in_other_data_centre, weight, n.id);
--- a/src/process/replica_controller.cpp
+++ b/src/process/replica_controller.cpp
@@ -92,7 +92,8 @@
 
 void replica_controller::update_engines(tick_context& ctx) {
   for (auto& [id, local] : local_states_) {
-    // The order to load was probably lost, which leaves the engine unchanged.
+    // The order to load the model was probably lost before it reached the engine, which is
+    // unchanged.
     if (!local.loading_model.empty() && ctx.now - local.load_started_at > settings_.load_timeout) {
       local.loading_model = {};
     }
--- a/src/process/replica_controller.h
+++ b/src/process/replica_controller.h
@@ -41,10 +41,10 @@
   endpoint address;
   order_action action = order_action::join;
   replica_key replica;
-  model_id model;                   // join
-  std::vector<target_id> members;   // join; the first is the head
+  model_id model;                   // model of the replica to join; only for join
+  std::vector<target_id> members;   // of the replica to join, head first; only for join
   std::uint64_t expected_orders{};  // number of orders that the target must have carried out so far
-  std::string_view reason;          // for logs
+  std::string_view reason;          // why the order is sent, for logs
 };
 
 // Requests a report from a target.
@@ -57,14 +57,14 @@
 using controller_effects = std::vector<controller_effect>;
 
 enum class order_outcome : std::uint8_t {
-  accepted,      // carried out; the target's count of orders increased
+  accepted,      // the target carried out the order, and its count of orders increased
   already_done,  // the target was already in the requested state
   conflict,      // the count differs, or the order does not fit the target's state
   outdated,      // the epoch is lower than one that the target knows
   other_target,  // the address now belongs to a different target
   refused,       // the target does not understand the order
-  no_answer,     // may or may not be carried out, now or later
-  not_sent,      // no connection: not carried out
+  no_answer,     // the order may or may not be carried out, now or later
+  not_sent,      // there was no connection to the target: the order is not carried out
 };
 
 struct target_report {
@@ -81,7 +81,8 @@
 struct controller_settings {
   // The join order is repeated after this time if the member has neither joined nor refused.
   duration order_retry = 250ms;
-  // A head takes 300 ms to open, and its record takes longer to reflect that.
+  // The open order is repeated after this time. A head takes 300 ms to open, and its record takes
+  // longer to reflect that.
   duration open_retry = 600ms;
   // Ready spares take 0.2 s to join and 0.3 s to open. A replica that is not formed after this time
   // is dissolved, so that a member that does not answer does not block the others.
@@ -96,8 +97,8 @@
   // While the list is stale, a count of orders is used only for this time after a report confirmed
   // it. A restarted engine does not serve in a replica within 1.6 s, the minimum warm-up time.
   duration order_count_validity = 500ms;
-  // A load takes 12 to 16 s, and longer while many engines load. After this time the order to load
-  // counts as lost.
+  // After this time an order to an engine to load a model counts as lost. A load takes 12 to 16 s,
+  // and longer while many engines load.
   duration load_timeout = 40s;
   // If nearly all engines of a data centre are unavailable, it is probably unreachable from this
   // node, or the list dropped the engines while it could not be written. After such an outage
@@ -149,14 +150,15 @@
   // Handles the outcome of an order, and updates the fleet view if it was carried out.
   void on_order(time_point now, fleet_view& fleet, const replica_order& order,
                 order_outcome outcome);
-  // `report` is empty when there was no answer.
+  // Handles a target's answer to a report request; `report` is empty when there was no answer.
   void on_report(time_point now, const target_id& id, const std::optional<target_report>& report);
-  // More than the number of epochs that a controller can have used without others having seen them:
-  // those of its orders of the last 1 to 2 s, a few dozen at the start of a data centre of 81
-  // engines.
+  // A new controller starts its epochs this far above the highest that it has seen. More than the
+  // number of epochs that its predecessor can have used unseen: those of its orders of the last 1
+  // to 2 s, a few dozen at the start of a data centre of 81 engines.
   static constexpr std::uint64_t epoch_margin = 1000;
 
-  // Current and planned engines of a domain by model; for logs.
+  // Numbers of engines of a fabric domain by model, current (`ready`) and planned (`desired`); for
+  // logs.
   struct domain_plan {
     fabric_domain_id domain;
     std::vector<std::uint32_t> ready;
@@ -171,7 +173,7 @@
   [[nodiscard]] std::size_t forming() const { return forming_.size(); }
 
  private:
-  // State of an engine that is known to this node only, beside the fleet view.
+  // What this controller knows about an engine in addition to the fleet view.
   struct local_engine_state {
     // Number of orders carried out, and the engine's replica at that count. An order is based on
     // both, and sent only while the fleet view confirms the replica. Empty: query the engine first.
@@ -180,8 +182,8 @@
     time_point count_confirmed_at{};  // when the count was last confirmed
     bool order_pending = false;
     bool report_pending = false;
-    time_point next_attempt_at{};  // no query or repeated order before this time
-    model_id ready_model;          // model that is loaded: joins a replica of it in 0.2 s
+    time_point next_attempt_at{};  // the engine gets no query or repeated order before this time
+    model_id ready_model;          // loaded model: the engine joins a replica of it in 0.2 s
     model_id loading_model;        // model that the engine was ordered to load; empty: none
     time_point load_started_at{};
   };
@@ -195,7 +197,7 @@
     // Each member's replica when it was chosen. A member that has changed its replica since then
     // cannot be used.
     std::map<target_id, std::optional<replica_key>> replica_when_chosen;
-    bool finished = false;  // formed or abandoned
+    bool finished = false;  // the replica has been formed or abandoned
   };
   struct formed_replica {
     replica_key key;
@@ -283,7 +285,8 @@
   // Since when a model has had no replica inside a single data centre.
   std::map<model_id, time_point> no_local_replica_since_;
   std::map<replica_key, time_point> first_seen_;  // when an engine was first seen in the replica
-  // When this node started to close the replica's head; bounds the time that it waits for that.
+  // When this node started to close the head of a replica; limits how long it waits until the head
+  // has finished its requests.
   std::map<replica_key, time_point> closing_since_;
 };
 
--- a/src/process/replica_controller_load.cpp
+++ b/src/process/replica_controller_load.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Whether the weights are on the engine's host, so that no load from the weight store is needed.
+// Whether the model's weights are on the engine's host, so that the engine need not load them from
+// the weight store.
 bool is_staged(const target_view& view, const model_id& model) {
   const auto& staged = view.record.staged;
   return std::find(staged.begin(), staged.end(), model) != staged.end();
@@ -110,7 +111,8 @@
   return partial > 0 && size - partial <= surplus;
 }
 
-// The gain of loading the model on this engine; empty if it should not be loaded.
+// How much the fleet gains if this engine loads the model, as a score to compare engines and
+// models; empty if the engine should not load it.
 std::optional<double> replica_controller::load_gain(const tick_context& ctx,
                                                     const target_view& view,
                                                     std::size_t model) const {
@@ -139,7 +141,7 @@
     replicas += std::floor(static_cast<double>(other.ready[model]) / candidate.size);
   }
   constexpr double share_weight = 10;
-  constexpr double staged_weight = 5;  // 1 to 2 s instead of 12 to 16 s
+  constexpr double staged_weight = 5;  // a staged model loads in 1 to 2 s instead of 12 to 16 s
   constexpr double unloaded_weight = 2;
   return share_weight * candidate.expected_time_share / candidate.size / (replicas + 1) -
          static_cast<double>(missing) / candidate.size + (staged ? staged_weight : 0) +
--- a/src/process/replica_controller_orders.cpp
+++ b/src/process/replica_controller_orders.cpp
@@ -55,9 +55,10 @@
   }
 }
 
-// The engine has compared the count, so it was in the replica that the order was based on. Its
-// count does not increase if it was already in the requested state. Leaving takes effect
-// immediately and is answered in the same way, but does increase the count.
+// Handles an order that the engine carried out. The engine has compared the count of orders, so it
+// was in the replica that the order was based on. Its count does not increase if it was already in
+// the requested state. Leaving takes effect immediately and is answered in the same way, but does
+// increase the count.
 void replica_controller::on_order_obeyed(time_point now, fleet_view& fleet,
                                          local_engine_state& local, const replica_order& order,
                                          order_outcome outcome) {
--- a/src/process/replica_controller_tick.h
+++ b/src/process/replica_controller_tick.h
@@ -10,7 +10,7 @@
 
 namespace arbutus {
 
-// Current and planned engines of a domain by model.
+// Numbers of engines of a fabric domain by model: current (`ready`) and planned (`desired`).
 struct replica_controller::domain_state {
   std::vector<std::uint32_t> ready;
   std::uint32_t unloaded = 0;
@@ -29,7 +29,7 @@
   std::map<replica_key, formed_replica> formed = {};
   std::map<replica_key, formed_replica> formed_anywhere = {};  // in all data centres
   std::set<data_centre_id> unreachable = {};  // data centres whose engines get no orders
-  std::set<target_id> in_use = {};            // members of a replica that is formed or being formed
+  std::set<target_id> in_use = {};            // engines in a replica that is formed or being formed
   std::vector<formed_replica> cross_domain = {};  // complete replicas that span domains
   std::set<replica_key> vacated = {};  // replicas whose head was seen outside, so members are free
   // Engines that can be used for a new replica, by domain.
@@ -39,7 +39,8 @@
   std::map<fabric_domain_id, std::size_t> engines_by_domain = {};
   std::map<data_centre_id, std::size_t> engines_by_data_centre = {};
   std::size_t unlisted = 0;  // unlisted members of replicas, without spares, that are not lost
-  // Engines that load a model from the weight store: all, and those of this node's data centres.
+  // Numbers of engines that load a model from the weight store: `loading` in all data centres, and
+  // below it in those that this node controls.
   std::size_t loading = 0;
   std::size_t loading_controlled = 0;
 
--- a/src/process/replica_name.cpp
+++ b/src/process/replica_name.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t digest_part = 3;
 constexpr std::size_t replica_parts = 5;
 
-// Empty if the name has fewer parts.
+// The part of a replica name at `index`, counted from 0; empty if the name has fewer parts.
 std::string_view part_of(std::string_view name, std::size_t index) {
   for (; index > 0; --index) {
     const auto next = name.find(separator);
--- a/src/process/replica_name.h
+++ b/src/process/replica_name.h
@@ -1,5 +1,5 @@
-// Builds and parses replica names. A name carries what a node cannot know otherwise about a replica
-// that it did not form.
+// Builds and parses replica names. A replica's name carries what a node that did not form the
+// replica cannot know otherwise.
 //
 // A spare is a replica of a single member that is never opened. Both kinds of name hold the model
 // and the head, so a node knows what an engine loads, and which target to query if it never saw the
--- a/src/process/report.h
+++ b/src/process/report.h
@@ -18,14 +18,14 @@
   vm_id vm;
   std::uint64_t incarnation{};  // differs after every start of the engine process
   replica_id replica;           // empty: none
-  generation gen;               // of the order in force at the target
+  generation gen;               // fencing token of the order in force at the target
   std::string model_version;
   engine_state state = engine_state::idle;
   bool leaving = false;  // the platform or the target reports that the VM will be removed
   std::uint32_t running{};
   std::uint32_t queued{};
   std::uint32_t slots{};
-  double tokens_per_second{};  // of one request, as measured by the engine
+  double tokens_per_second{};  // of a single request, as measured by the engine
   double kv_used{};            // share of the KV cache in use, 0..1
   auto operator<=>(const engine_report&) const = default;
 };
--- a/src/process/routes.h
+++ b/src/process/routes.h
@@ -23,7 +23,7 @@
   vm_id head;  // the member that receives requests
   endpoint address;
   std::vector<vm_id> members;
-  time_point valid_until;  // permission; never routed to at or after this
+  time_point valid_until;  // end of the permission; no request is sent at or after this
   bool crosses_fabric_domains = false;
   bool draining = false;  // gets no new requests
   // Load as last reported by the head; lags behind the actual load.
@@ -33,7 +33,7 @@
   double tokens_per_second{};
   double kv_used{};
   time_point load_at;
-  time_point serving_since;  // for slow start
+  time_point serving_since;  // when the replica started to serve; a new one gets fewer requests
 };
 
 // Free capacity for one model in another data centre, from the summaries of its nodes.
@@ -43,7 +43,7 @@
   std::uint32_t free_slots{};
   duration queueing_delay{};
   time_point at;
-  std::vector<endpoint> entry;  // endpoints of its nodes for callers
+  std::vector<endpoint> entry;  // endpoints for callers at the nodes of that data centre
 };
 
 struct routing_snapshot {
--- a/src/process/row_write_model.cpp
+++ b/src/process/row_write_model.cpp
@@ -1,4 +1,5 @@
-// Write times under both schemes: ranked nodes and a lease holder.
+// Samples the time to write the row under both schemes: nodes that wait by rank, and a lease
+// holder.
 #include "process/row_write_model.h"
 
 #include <algorithm>
@@ -11,10 +12,10 @@
 // A node of rank r writes r times this after the detection of the change; longer than a normal
 // write and its gossip take.
 constexpr duration rank_delay = 500ms;
-// Urgent gossip reaches the other nodes of the data centre within this.
+// Within this time, an urgent gossip message reaches the other nodes of the data centre.
 constexpr duration urgent_gossip_delay = 100ms;
 constexpr duration row_gossip_delay = 300ms;
-// One write in ten is slow.
+// Share of table writes that are slow: one in ten.
 constexpr double slow_share = 0.1;
 constexpr duration usual_write = 60ms;
 constexpr duration slow_write = 2s;
@@ -75,7 +76,8 @@
     timing = take_lease(situation, random, {});
   } else if (absent) {
     timing = take_lease(situation, random, random.jitter(lease_duration));
-    timing.wasted += 1;  // the old holder resumes and writes; the conditional write is refused
+    timing.wasted +=
+        1;  // the old lease holder resumes and writes; its conditional write is refused
   } else {
     timing.delay = random.jitter(urgent_gossip_delay);
   }
--- a/src/process/row_write_model.h
+++ b/src/process/row_write_model.h
@@ -20,7 +20,7 @@
   writer_selection writer = writer_selection::ranked;
   std::uint32_t nodes = 1;
   double absent_fraction = 0;  // share of nodes that are dead or paused but not yet known to be
-  bool lease_expired = false;  // could not be renewed because the table was unavailable
+  bool lease_expired = false;  // the lease could not be renewed while the table was unavailable
 };
 
 inline constexpr duration lease_duration = 10s;
--- a/src/process/send_grants.cpp
+++ b/src/process/send_grants.cpp
@@ -1,4 +1,4 @@
-// Distributes and counts grants.
+// Distributes and counts the grants to send requests to rate-limited targets.
 #include "process/send_grants.h"
 
 #include <algorithm>
@@ -7,7 +7,8 @@
 
 namespace {
 
-// A hub that was paused does not issue the grants of the missed time later.
+// Time between rounds for which grants are issued at most: a hub that was paused does not issue the
+// grants of the missed time later.
 constexpr duration max_round_interval = 500ms;
 
 double demand_of(const std::map<target_id, double>& demand, const target_id& target) {
--- a/src/process/send_grants.h
+++ b/src/process/send_grants.h
@@ -30,13 +30,13 @@
 struct limit_update {
   target_id target;
   std::optional<double> per_second;  // empty if the target no longer declares a limit
-  duration age{};                    // time since the target's response
+  duration age{};                    // time since the target's response that declared the limit
   double demand = 0;  // calls a second for the target, from the sender or its whole data centre
   bool operator==(const limit_update&) const = default;
 };
 
-// Totals of all grants to one incarnation of the receiver, for targets with recent grants. Totals
-// make up for lost messages.
+// Total numbers of grants that one incarnation of the receiver has been given so far, for targets
+// with recent grants. Totals rather than increments, so that a lost message does no harm.
 struct grant_update {
   std::string receiver_incarnation;
   std::vector<std::pair<target_id, std::uint64_t>> totals;
@@ -51,10 +51,11 @@
   void set_demand(time_point now, const node_id& peer, const std::string& incarnation,
                   bool is_remote_hub, std::map<target_id, double> demand);
 
-  // One round of heartbeats. `issued`: the targets that this hub issues grants for, and their
-  // limits in requests a second.
+  // Distributes the grants of one round of heartbeats. `issued`: the targets that this hub issues
+  // grants for, and their limits in requests a second.
   void round(time_point now, rng& random, const std::map<target_id, double>& issued);
-  // Grants received from the issuing hub, for the nodes of this data centre.
+  // Adds grants that the issuing hub of another data centre gave to this hub, for the nodes of this
+  // data centre.
   void received(const target_id& target, std::uint64_t count);
 
   [[nodiscard]] grant_update update_for(time_point now, const node_id& peer) const;
@@ -64,10 +65,10 @@
   // A target with a limit of zero still gets requests at this rate, to notice when the limit
   // changes.
   static constexpr double min_per_second = 0.2;
-  // A total is repeated for this long after its newest grant: several heartbeats in a row may be
-  // lost.
+  // The total of a target is repeated in heartbeats for this long after its newest grant: several
+  // heartbeats in a row may be lost.
   static constexpr duration resend_duration = 2s;
-  // A peer whose demand is older gets no grants.
+  // A peer that last reported its demand longer ago than this gets no grants.
   static constexpr duration demand_validity = 1500ms;
 
  private:
@@ -89,8 +90,8 @@
                                         bool to_other_hubs);
 
   std::map<node_id, receiver> receivers_;
-  std::map<target_id, double> to_issue_;    // not distributed yet, below one
-  std::map<target_id, double> to_forward_;  // received, to be distributed in the next round
+  std::map<target_id, double> to_issue_;    // fraction of a grant not distributed yet, below one
+  std::map<target_id, double> to_forward_;  // grants received, to be distributed in the next round
   time_point last_round_at_{};
 };
 
@@ -113,7 +114,8 @@
     std::string incarnation;
     std::map<target_id, std::uint64_t> totals;
   };
-  // Incarnations have no order, and a heartbeat of a previous one may come late.
+  // Totals are kept for this many incarnations of each sender: incarnations have no order, and a
+  // heartbeat of a previous one may come late.
   static constexpr std::size_t max_incarnations_per_sender = 3;
   [[nodiscard]] sender_totals& find_sender(const node_id& from, const std::string& incarnation);
 
--- a/src/process/serving_feed.cpp
+++ b/src/process/serving_feed.cpp
@@ -1,4 +1,5 @@
-// Encodes, updates and applies the rows of serving replicas and plain instances.
+// Encodes, updates and applies the rows of serving replicas and of instances of services that are
+// not models.
 #include "process/serving_feed.h"
 
 #include <algorithm>
@@ -15,7 +16,8 @@
 
 using nlohmann::json;
 
-// Nesting: document, domains, domain, members, member, fields of the member.
+// Nesting depth of an encoded row: document, domains, domain, members, member, fields of the
+// member.
 constexpr std::size_t entry_depth = 6;
 constexpr double slowdown_unit = 1000;  // the slowdown factor is encoded in thousandths
 
@@ -183,7 +185,8 @@
                              std::uint64_t after, bool whole, std::uint64_t at,
                              const std::vector<feed_row>& rows, fleet_view& fleet) {
   if (whole) {
-    // A late answer to an older heartbeat: positions of one incarnation only increase.
+    // This update is a late answer to an older heartbeat: positions of one hub incarnation only
+    // increase.
     if (incarnation == position_.incarnation && at < position_.at) {
       return true;
     }
--- a/src/process/serving_feed.h
+++ b/src/process/serving_feed.h
@@ -1,5 +1,5 @@
 // The data that nodes need to send requests, as rows that a hub forwards to them: the serving
-// replicas and the instances of plain services.
+// replicas and the instances of services that are not models.
 //
 // Only the nodes that control replicas, or are next in line to do so, need the record of every
 // target. The cost of sending all records to all nodes grows with targets x nodes: with 300 nodes
@@ -25,7 +25,7 @@
 
 namespace arbutus {
 
-// The members of a replica, head first, or a single instance of a plain service.
+// The members of a replica, head first, or a single instance of a service that is not a model.
 struct serving_entry {
   std::vector<target_record> members;
   double slowdown_factor = 1;  // of the slowest member, on top of the model's factor
@@ -33,7 +33,7 @@
 };
 
 [[nodiscard]] std::string encode(const serving_entry& entry);
-// Returns nothing if the bytes are damaged.
+// Decodes a row of the feed; empty if the bytes are damaged.
 [[nodiscard]] std::optional<serving_entry> decode_serving_entry(std::string_view bytes);
 
 // The sending side, on the hub: maintains the rows from the target records that the hub watches.
--- a/src/process/settings.cpp
+++ b/src/process/settings.cpp
@@ -21,7 +21,8 @@
 constexpr integer_range body_bytes{1024, 1024 * 1024 * 1024};
 constexpr integer_range connections{1, 1'000'000};
 constexpr integer_range workers{0, 1024};
-// A timeout of more than an hour is most likely given in the wrong unit.
+// Accepted range of timeouts, in milliseconds. A timeout of more than an hour is most likely given
+// in the wrong unit.
 constexpr integer_range timeout_ms{1, 3'600'000};
 
 class settings_reader {
@@ -81,7 +82,8 @@
     }
   }
 
-  // One server may offer all three services, so these endpoints may be equal.
+  // The endpoints of the table, the objects and the VM list may be equal, as one server may offer
+  // all three services.
   void read_platform() {
     if (auto table = root_.table("platform", presence::required)) {
       table->read("table", settings_.platform.table, presence::required);
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -19,7 +19,7 @@
 
 struct listen_settings {
   endpoint callers;
-  endpoint links;  // for other nodes
+  endpoint links;  // for connections from other nodes
 };
 
 // The platform's services.
@@ -45,9 +45,9 @@
   std::uint32_t body_bytes = 8 * 1024 * 1024;
   std::uint32_t connections = 2000;
   duration header_timeout = 10s;  // from the first byte of a request to the end of its header
-  duration body_timeout = 30s;    // for the body after it
+  duration body_timeout = 30s;    // from the end of a request's header to the end of its body
   duration idle_timeout = 75s;    // between requests on a connection
-  duration write_timeout = 10s;   // for a caller that does not read its response
+  duration write_timeout = 10s;   // until a caller that does not read its response is cut off
 };
 
 enum class log_level { debug, info, warning, error };
@@ -66,7 +66,8 @@
 struct timing_settings {
   // From reporting "not ready" until the load balancer sends no more connections.
   std::optional<duration> balancer_lag;
-  std::optional<duration> stop_limit;  // for requests in flight at a planned stop
+  // At a planned stop, requests in flight may run on for this long.
+  std::optional<duration> stop_limit;
 };
 
 struct node_settings {
@@ -87,7 +88,7 @@
   findings problems;  // usable when has_errors(problems) is false
 };
 
-// The findings name `file_name`. Never throws on invalid text.
+// Parses the settings from TOML. The findings name `file_name`. Never throws on invalid text.
 [[nodiscard]] settings_result load_settings(std::string_view text, const std::string& file_name);
 
 // Reports where a node's settings differ from the inventory: other nodes would connect to
@@ -99,7 +100,7 @@
 // Reads level and bytes per second, which both kinds of nodes have; does not call table.finish().
 void read_log_volume(table_reader& table, log_settings& log);
 
-// Names as in the settings: "debug", "info", "warning", "error".
+// Converts log levels from and to their names in the settings: "debug", "info", "warning", "error".
 [[nodiscard]] std::optional<log_level> parse_log_level(std::string_view name);
 [[nodiscard]] std::string_view to_string(log_level level);
 
--- a/src/process/simulated_data_centre.cpp
+++ b/src/process/simulated_data_centre.cpp
@@ -212,8 +212,8 @@
     if (r.phase != replica_phase::active || std::ranges::none_of(present.members, lost)) {
       continue;
     }
-    // The mask only grows within a row: a token with fewer losses would be older than the one in
-    // force.
+    // The mask of lost members only grows within a row: a token with fewer losses would be older
+    // than the one in force.
     lost_mask mask = present.gen.row == row_.version ? present.gen.lost : 0;
     std::size_t position = 0;
     for (const auto* vms : {&r.members, &r.standbys}) {
--- a/src/process/simulated_data_centre.h
+++ b/src/process/simulated_data_centre.h
@@ -23,7 +23,7 @@
   [[nodiscard]] bool writable() const;
   [[nodiscard]] planner_input input() const;
   [[nodiscard]] const assignment& row() const { return row_; }
-  // An entire domain has just failed, and with it some of the nodes.
+  // Whether an entire fabric domain has just failed, and with it some of the nodes.
   [[nodiscard]] bool domain_recently_lost() const;
 
   void write(assignment next);
@@ -41,8 +41,8 @@
     bool up = true;
     bool leaving = false;
     vm_condition observed = vm_condition::working;
-    model_id model;      // of the loaded weights
-    std::size_t rank{};  // member rank that the weights are for
+    model_id model;      // model whose weights are loaded
+    std::size_t rank{};  // member rank that the loaded weights are for
   };
   struct pending_observation {
     time_point at;
@@ -53,7 +53,7 @@
     generation gen;
     bool complete = false;
     time_point ready;
-    bool weights_loaded = false;  // of all members
+    bool weights_loaded = false;  // all members have loaded their weights
   };
   struct state_change {
     time_point at;
@@ -88,8 +88,8 @@
   std::map<replica_id, formation> formations_;
   std::map<replica_id, time_point> drained_at_;
   std::set<replica_id> emptied_;
-  // The counts below are recomputed only when something changed or a replica gets ready, which
-  // happens in few of the steps.
+  // serving_ and powered_ are recomputed only when something changed or a replica gets ready, which
+  // happens in few of the simulation's steps.
   bool stale_ = true;
   time_point next_ready_;
   std::uint32_t serving_ = 0;
--- a/src/process/stall_monitor.cpp
+++ b/src/process/stall_monitor.cpp
@@ -39,7 +39,7 @@
 void stall_monitor::event(time_point now, const target_id& head, duration expected_gap) {
   state& s = heads_[head];
   const duration before = scaled(s.recent_gap, settings_.recent_gap_decay);
-  // The first event after a time without running streams gives no meaningful gap.
+  // The first event after a time without running streams gives no meaningful gap between events.
   const bool follows = s.running > 0 && s.last_event != time_point{};
   s.recent_gap =
       follows ? std::max(before, std::min(now - s.last_event, settings_.max_recent_gap)) : before;
--- a/src/process/stall_monitor.h
+++ b/src/process/stall_monitor.h
@@ -15,10 +15,10 @@
 namespace arbutus {
 
 struct stall_settings {
-  // Added to the expected gap for late packets, the node's own scheduling and the engine's
-  // rounding.
+  // Added to the expected gap between the events of a replica's streams, for late packets, the
+  // node's own scheduling and the engine's rounding.
   duration gap_margin = 100ms;
-  // Shorter gaps are never reported as a stall.
+  // A gap between events shorter than this is never reported as a stall.
   duration min_gap = 180ms;
   // A first event must be overdue by this before the replica is checked. The stream is late for its
   // caller anyway, so waiting costs little, while an unnecessary check has a cost. Four of five
@@ -42,7 +42,8 @@
   // The longest recent gap decays with each event: to half after about 14 events, which is two
   // thirds of a second of one stream.
   double recent_gap_decay = 0.95;
-  // A longer gap was a stall, not a pass, and must not hide the next stall.
+  // Longer gaps count as this long among the recent ones: such a gap was a stall, not a pass, and
+  // must not hide the next stall.
   duration max_recent_gap = 400ms;
 };
 
@@ -57,7 +58,7 @@
   // The first event of a stream came, `waited` after the stream was sent.
   void first_event(const target_id& head, duration waited, duration expected_first);
   void ended(time_point now, const target_id& head, bool had_first_event);
-  // The replica was checked and works.
+  // A check has shown that the replica of this head works.
   void found_healthy(time_point now, const target_id& head);
 
   // Heads whose next event is overdue.
@@ -68,10 +69,10 @@
     std::size_t waiting = 0;  // streams without a first event
     std::size_t running = 0;  // streams that had their first event
     time_point last_event{};
-    duration gap{};                   // expected until the next event
+    duration gap{};                   // expected time from the last event to the next one
     duration recent_gap{};            // longest recent gap between events
-    std::uint32_t found_healthy = 0;  // checks in a row without an event in between
-    time_point first_event_due{};     // when a first event is overdue if no stream is running
+    std::uint32_t found_healthy = 0;  // healthy results in a row without an event in between
+    time_point first_event_due{};  // when a first event should come; used if no stream is running
     time_point no_check_before{};
     model_id model;
     time_point idle_since{};  // end of the last stream
@@ -82,7 +83,8 @@
 
   stall_settings settings_;
   std::map<target_id, state> heads_;
-  std::map<model_id, double> first_ratio_;  // recent maximum of actual / expected time
+  // Recent maximum of actual / expected time to the first event.
+  std::map<model_id, double> first_ratio_;
 };
 
 }  // namespace arbutus
--- a/src/process/status_view.h
+++ b/src/process/status_view.h
@@ -37,10 +37,10 @@
   model_id model;
   replica_phase phase = replica_phase::active;
   generation gen;
-  std::vector<vm_id> members;   // currently in force, including repairs
-  std::vector<vm_id> standbys;  // reserved in the row
+  std::vector<vm_id> members;   // members in force now, with activated standbys
+  std::vector<vm_id> standbys;  // standbys that the row reserves for the replica
   bool serving = false;
-  std::string why_not;  // empty when serving
+  std::string why_not;  // why the replica does not serve; empty when it does
 };
 
 // A running VM that belongs to no serving replica.
@@ -51,22 +51,22 @@
 
 struct drain_status {
   replica_id id;
-  std::vector<node_id> waiting_for;  // nodes that have not acknowledged or still have requests
+  std::vector<node_id> waiting_for;  // have not acknowledged the drain or still have requests
   std::uint32_t running{};           // requests, as reported by the engine
 };
 
-// Counted since the start of this process.
+// Numbers of events in the coordination of nodes since the start of this process.
 struct coordination_counters {
   std::uint64_t row_reads{};
   std::uint64_t writes_won{};
   std::uint64_t writes_lost{};
   std::uint64_t writes_unknown{};
-  std::uint64_t restored_copies{};  // reads that returned an older row than was known
-  std::uint64_t activations{};      // started by this node
+  std::uint64_t restored_copies{};  // table reads that returned an older row than was known
+  std::uint64_t activations{};      // activations of standbys that this node started
   std::uint64_t orders_sent{};
   std::uint64_t orders_refused{};
   std::uint64_t orders_unknown{};
-  std::uint64_t orders_withheld{};  // stopped by the check directly before the send
+  std::uint64_t orders_withheld{};  // orders not sent because the check right before sending failed
 };
 
 struct status_view {
--- a/src/process/summaries.h
+++ b/src/process/summaries.h
@@ -16,14 +16,15 @@
 
 namespace arbutus {
 
-// Lower limit of the interval. Longer than that of the heartbeats within a data centre.
+// Minimum interval at which a data centre's nodes send summaries. Longer than the interval of the
+// heartbeats within a data centre.
 inline constexpr duration summary_interval = 2s;
 // Minimum time per summary that a node sends. Each summary takes a segment and its acknowledgement,
 // and the same at the receiver; with 15 other data centres, one to each per 2 s takes over half of
 // the traffic budget.
 inline constexpr duration summary_spacing = 500ms;
-// Older summaries are not passed to the request path. At long intervals the lifetime is a number of
-// intervals instead, so that two summaries in a row may be lost.
+// Summaries older than this are not passed to the request path. At long summary intervals, the
+// lifetime is a number of intervals instead, so that two summaries in a row may be lost.
 inline constexpr duration summary_lifetime = 10s;
 inline constexpr int summary_lifetime_intervals = 3;
 
--- a/src/process/target_incarnation.h
+++ b/src/process/target_incarnation.h
@@ -22,7 +22,7 @@
 namespace arbutus {
 
 inline constexpr char incarnation_separator = '~';
-// The maximum length of a row name, less room for the start stamp.
+// Maximum length of an engine name: that of a row name, less room for the start stamp.
 inline constexpr std::size_t max_engine_name_length = 128;
 
 // Engine names appear in request headers, replica names and log lines, so they must be printable
--- a/src/process/target_load.h
+++ b/src/process/target_load.h
@@ -7,7 +7,7 @@
 
 namespace arbutus {
 
-// Each value is quantised to a byte; counts saturate.
+// A target's load with each value quantised to a byte; counts above 255 become 255.
 struct target_load {
   std::uint8_t running{};
   std::uint8_t queued{};
