--- a/src/process/fleet_view.h
+++ b/src/process/fleet_view.h
@@ -129,7 +129,7 @@
   // reachable again, unless this node lost them so recently that the hub may not know yet.
   void apply_hub_losses(time_point now, const std::vector<target_id>& still_lost);
 
-  // Slowdown factor measured by another node.
+  // Sets a target's slowdown factor that another node has measured.
   void set_slowdown_factor(const target_id& id, double slowdown_factor);
 
   // Removes targets that have been unlisted for longer than `unlisted_retention`.
--- a/src/process/gossip.h
+++ b/src/process/gossip.h
@@ -82,7 +82,7 @@
 // change usually affects a few bytes of an inventory of more than 100 KB.
 struct config_content {
   config_head head;
-  std::string base;  // hash; empty: `middle` is the complete content
+  std::string base;  // hash of the base content; empty: `middle` is the complete content
   std::uint64_t prefix{};
   std::uint64_t suffix{};
   std::string middle;
--- a/src/process/hub_cost.h
+++ b/src/process/hub_cost.h
@@ -15,9 +15,9 @@
 
 struct hub_cost {
   std::size_t engines = 0;   // in all data centres
-  double busy_tick_ms = 0;   // after the record of one engine changed
-  double quiet_tick_ms = 0;  // without a change
-  double plan_ms = 0;        // for all domains, after one changed
+  double busy_tick_ms = 0;   // a tick after the record of one engine changed
+  double quiet_tick_ms = 0;  // a tick after no record changed
+  double plan_ms = 0;        // a layout plan of all domains, after one changed
 };
 
 // Measures a replica controller of one data centre, whose engines are in open replicas or spares.
--- a/src/process/membership.cpp
+++ b/src/process/membership.cpp
@@ -101,7 +101,7 @@
   return now - std::max(p.composed_at, listening_since_);
 }
 
-// ---- sending ----
+// ---- sending heartbeats ----
 
 std::vector<node_id> membership::due(time_point now) {
   std::vector<node_id> peers;
@@ -182,7 +182,7 @@
   }
 }
 
-// ---- receiving ----
+// ---- receiving messages ----
 
 std::optional<receive_result> membership::receive(const node_id& from, const message_stamp& stamp,
                                                   time_point now) {
@@ -272,7 +272,7 @@
   }
 }
 
-// ---- views ----
+// ---- local view of the peers ----
 
 const membership::peer* membership::find(const node_id& id) const {
   const auto found = peers_.find(id);
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -74,8 +74,9 @@
   // or reordered).
   [[nodiscard]] std::optional<receive_result> receive(const node_id& from,
                                                       const message_stamp& stamp, time_point now);
-  // As above, and stores the state that the heartbeat reports. An empty config_hash stands for the
-  // last one received. `own` is the assignment version that this node knows.
+  // Processes the stamp of a heartbeat like that of any message, and stores the state that the
+  // heartbeat reports. An empty config_hash stands for the last one received. `own` is the
+  // assignment version that this node knows.
   [[nodiscard]] std::optional<receive_result> receive(const heartbeat& message, std::uint64_t own,
                                                       time_point now);
 
--- a/src/process/observation_probes.cpp
+++ b/src/process/observation_probes.cpp
@@ -24,7 +24,7 @@
   own_ = std::move(kept);
   std::size_t position = 0;
   for (const vm_id& vm : vms) {
-    // Spread over the interval to avoid bursts of probes.
+    // The probes of the targets are spread over the probe interval to avoid bursts.
     const auto share = timing_.probe_interval * static_cast<duration::rep>(position++) /
                        static_cast<duration::rep>(vms.size());
     if (!own_.contains(vm) && targets_.contains(vm)) {
@@ -104,7 +104,8 @@
       break;
     }
     tokens_ -= 1.0;
-    // Keeps its phase in the interval unless it is more than half an interval late.
+    // A target's next probe keeps its phase in the probe interval unless this one is more than half
+    // an interval late.
     own_.at(vm).probe_due =
         std::max(due, now - timing_.probe_interval / 2) + timing_.probe_interval;
     chosen.push_back(vm);
--- a/src/process/observations.cpp
+++ b/src/process/observations.cpp
@@ -53,7 +53,7 @@
   models_ = models;
 }
 
-// ---- successes ----
+// ---- successful probes ----
 
 void observation_table::accept(const node_id& by, const observation& seen, time_point now) {
   const auto found = targets_.find(seen.report.vm);
@@ -101,7 +101,7 @@
   });
 }
 
-// ---- failures ----
+// ---- failed probes and connections ----
 
 void observation_table::add_failure(const node_id& by, target& t, time_point started,
                                     std::uint32_t probes, time_point now) {
@@ -130,7 +130,8 @@
     return false;
   }
   target& t = found->second;
-  // Further errors of requests in flight add no information.
+  // The target counts as unreachable already; further errors of requests in flight add no
+  // information.
   if (own_link_fails(t)) {
     return false;
   }
@@ -176,7 +177,7 @@
   add_failure(from, t, started, failure.count, now);
 }
 
-// ---- leaving ----
+// ---- leaving targets ----
 
 bool observation_table::mark_leaving(const vm_id& vm, std::uint64_t incarnation) {
   const auto found = targets_.find(vm);
@@ -212,7 +213,7 @@
   return t.newest->report.leaving || t.leaving_incarnation == t.newest->report.incarnation;
 }
 
-// ---- conditions ----
+// ---- conditions of targets ----
 
 // State from before a pause of this process is outdated, and probes that ended during the pause
 // failed because of it. Using them would take every replica out of service.
@@ -275,7 +276,8 @@
   return false;
 }
 
-// Doubles with each loss, so that a flapping target does not change the assignment each time.
+// How long a lost target must respond before it gets work again. Doubles with each loss, so that a
+// flapping target does not change the assignment each time.
 duration observation_table::recovery_time(const target& t, time_point now) const {
   const double losses = decayed(t.losses, now - t.losses_at, timing_.damping_half_life);
   const double seconds =
--- a/src/process/poison_evaluation.cpp
+++ b/src/process/poison_evaluation.cpp
@@ -185,7 +185,8 @@
   if (std::none_of(entries_.begin(), entries_.end(), may_be_poison)) {
     return decisions;
   }
-  // One at a time: crashes that are attributed to one request no longer count against the next.
+  // Quarantines one request at a time: crashes that are attributed to it no longer count against
+  // the others.
   for (bool found = true; found;) {
     found = false;
     const suspects_by_target ended = index_by_target(now - settings_.settle_time);
--- a/src/process/poison_tracker.cpp
+++ b/src/process/poison_tracker.cpp
@@ -240,7 +240,7 @@
   if (cleared_here && (!cleared_at || *cleared_at < cleared.at)) {
     cleared_at = cleared.at;
   }
-  // An age in a message is slightly short: it does not include the time in transit.
+  // An age in a message is slightly too short, as it does not include the time in transit.
   constexpr duration tolerance = 50ms;
   const bool newer =
       cleared_at && (!entry->cleared_at || *cleared_at > *entry->cleared_at + tolerance);
--- a/src/process/send_grants.h
+++ b/src/process/send_grants.h
@@ -74,7 +74,7 @@
  private:
   struct grant_count {
     std::uint64_t total = 0;
-    time_point granted_at{};  // of the newest grant
+    time_point granted_at{};  // when the newest grant was given
   };
   struct receiver {
     time_point reported_at{};
--- a/src/process/serving_feed.cpp
+++ b/src/process/serving_feed.cpp
@@ -149,7 +149,7 @@
       entries[id.str()] = {{view.record}, 1};
     }
   }
-  // Removals come first, since their members may be in another replica now.
+  // Rows that have ended are removed first, since their members may be in another replica now.
   for (auto known = encoded_.begin(); known != encoded_.end();) {
     if (entries.contains(known->first)) {
       ++known;
--- a/src/process/serving_feed.h
+++ b/src/process/serving_feed.h
@@ -61,7 +61,7 @@
 
   std::uint64_t revision_ = 0;                  // of the fleet view at the last update
   std::uint64_t version_ = 0;                   // of the services at the last update
-  std::map<std::string, std::string> encoded_;  // by key
+  std::map<std::string, std::string> encoded_;  // encoded rows by key
   std::map<std::string, std::vector<target_id>> members_;
   feed_log rows_;
 };
@@ -94,7 +94,7 @@
                     fleet_view& fleet);
 
   position position_;
-  std::map<std::string, serving_entry> entries_;  // by key
+  std::map<std::string, serving_entry> entries_;  // the rows applied so far, by key
 };
 
 }  // namespace arbutus
--- a/src/process/simulated_data_centre.cpp
+++ b/src/process/simulated_data_centre.cpp
@@ -15,7 +15,8 @@
 constexpr duration drain_time = 20s;
 // Time to form a replica whose members have their weights loaded and only have to connect.
 constexpr duration regroup_time = 5s;
-// Nodes that failed with a domain still count as live for this long after its detection.
+// Nodes that failed with a domain still count as live for this long after the domain's failure is
+// detected.
 constexpr duration stale_liveness_duration = 5s;
 
 vm_id name_vm(std::uint32_t domain, std::uint32_t index) {
