--- a/src/process/replica_controller_tick.h
+++ b/src/process/replica_controller_tick.h
@@ -39,8 +39,8 @@
   std::map<fabric_domain_id, std::size_t> engines_by_domain = {};
   std::map<data_centre_id, std::size_t> engines_by_data_centre = {};
   std::size_t unlisted = 0;  // unlisted members of replicas, without spares, that are not lost
-  // Numbers of engines that load a model from the weight store: `loading` in all data centres, and
-  // below it in those that this node controls.
+  // Numbers of engines that load a model from the weight store: in all data centres, and in those
+  // that this node controls.
   std::size_t loading = 0;
   std::size_t loading_controlled = 0;
 
