--- a/src/process/membership.cpp
+++ b/src/process/membership.cpp
@@ -1,5 +1,5 @@
-// Heartbeats of peers, pauses of this process, ranks and probers. The votes are in
-// membership_votes.cpp.
+// Evaluates heartbeats of peers, detects pauses of this process, and computes ranks and probers.
+// Voting is in membership_votes.cpp.
 #include "process/membership.h"
 
 #include <algorithm>
@@ -67,8 +67,8 @@
   choice_.reset();
 }
 
-// After a pause of this process, no message of any peer is recent. That does not mean that they
-// failed; otherwise this node would take over all ranks and probes when it continues.
+// Detects pauses of this process. After one, no message of any peer is recent, which does not mean
+// that the peers failed. Without this, the node would take over all ranks and probes after a pause.
 duration membership::tick(time_point now) {
   const duration gap = now - last_tick_;
   const bool paused = gap > timing_.pause_threshold;
@@ -92,7 +92,8 @@
   }
 }
 
-// Zero while a pause of this process cannot be excluded, as the last tick is too long ago.
+// How long the peer has not responded. Zero while the last tick is so long ago that this process
+// may have been paused.
 duration membership::unresponsive_time(const peer& p, time_point now) const {
   if (now - last_tick_ > timing_.pause_threshold) {
     return duration::zero();
@@ -100,7 +101,7 @@
   return now - std::max(p.composed_at, listening_since_);
 }
 
-// ---- sending ----
+// ---- sending heartbeats ----
 
 std::vector<node_id> membership::due(time_point now) {
   std::vector<node_id> peers;
@@ -181,7 +182,7 @@
   }
 }
 
-// ---- receiving ----
+// ---- receiving messages ----
 
 std::optional<receive_result> membership::receive(const node_id& from, const message_stamp& stamp,
                                                   time_point now) {
@@ -271,7 +272,7 @@
   }
 }
 
-// ---- views ----
+// ---- local view of the peers ----
 
 const membership::peer* membership::find(const node_id& id) const {
   const auto found = peers_.find(id);
@@ -380,7 +381,7 @@
       }
     };
     choose(false);
-    choose(true);  // all nodes but one may be at the limit
+    choose(true);  // also takes nodes at their limit, as all nodes but one may be there
   }
   choice_->live = std::move(nodes);
 }
--- a/src/process/observations.cpp
+++ b/src/process/observations.cpp
@@ -13,10 +13,10 @@
 constexpr std::size_t max_past_incarnations = 4;
 // A peer's failure report is refuted when another node reached the target within this time after.
 constexpr duration refutation_window = 2s;
-// From this number of refuted reports (exponentially decayed) on, a node is assumed to have a bad
-// link of its own.
+// From this number of refuted failure reports (exponentially decayed) on, the reporting node is
+// assumed to have a bad link itself.
 constexpr double max_refuted = 3.0;
-// Below this share of its model's median rate a target is a straggler.
+// A target is a straggler if its token rate is below this share of the median rate of its model.
 constexpr double straggler_share = 0.5;
 constexpr std::size_t min_compared = 3;
 
@@ -53,7 +53,7 @@
   models_ = models;
 }
 
-// ---- successes ----
+// ---- successful probes ----
 
 void observation_table::accept(const node_id& by, const observation& seen, time_point now) {
   const auto found = targets_.find(seen.report.vm);
@@ -101,7 +101,7 @@
   });
 }
 
-// ---- failures ----
+// ---- failed probes and connections ----
 
 void observation_table::add_failure(const node_id& by, target& t, time_point started,
                                     std::uint32_t probes, time_point now) {
@@ -130,7 +130,8 @@
     return false;
   }
   target& t = found->second;
-  // Further errors of requests in flight add no information.
+  // The target counts as unreachable already; further errors of requests in flight add no
+  // information.
   if (own_link_fails(t)) {
     return false;
   }
@@ -157,7 +158,8 @@
   merge(from, notice.failure, h, now);
 }
 
-// Failures without a bound on their age are ignored, as successes are; the probers report again.
+// Failure reports whose age has no known upper bound are ignored, as are such reports of successes;
+// the probers report again.
 void observation_table::merge(const node_id& from, const probe_failure& failure,
                               const receive_result& h, time_point now) {
   const auto found = targets_.find(failure.vm);
@@ -175,7 +177,7 @@
   add_failure(from, t, started, failure.count, now);
 }
 
-// ---- leaving ----
+// ---- leaving targets ----
 
 bool observation_table::mark_leaving(const vm_id& vm, std::uint64_t incarnation) {
   const auto found = targets_.find(vm);
@@ -211,7 +213,7 @@
   return t.newest->report.leaving || t.leaving_incarnation == t.newest->report.incarnation;
 }
 
-// ---- conditions ----
+// ---- conditions of targets ----
 
 // State from before a pause of this process is outdated, and probes that ended during the pause
 // failed because of it. Using them would take every replica out of service.
@@ -225,7 +227,7 @@
   }
 }
 
-// Whether no later success has ended this run of failures.
+// Whether no success in reaching the target has ended this run of failures since.
 bool observation_table::is_unresolved(const target& t, const failure_run& f) const {
   return !t.newest || f.newest >= t.newest->at;
 }
@@ -274,7 +276,8 @@
   return false;
 }
 
-// Doubles with each loss, so that a flapping target does not change the assignment each time.
+// How long a lost target must respond before it gets work again. Doubles with each loss, so that a
+// flapping target does not change the assignment each time.
 duration observation_table::recovery_time(const target& t, time_point now) const {
   const double losses = decayed(t.losses, now - t.losses_at, timing_.damping_half_life);
   const double seconds =
--- a/src/process/poison_tracker.cpp
+++ b/src/process/poison_tracker.cpp
@@ -208,8 +208,8 @@
                 [&](const auto& entry) { return now - entry.second > settings_.lookback_window; });
 }
 
-// The crashes of its targets now have a known cause, so they no longer count as strikes against the
-// other requests that ran there.
+// Quarantines the request. The crashes of the targets that ran it now have a known cause, so they
+// no longer count as strikes against the other requests that ran there.
 void poison_tracker::quarantine(const request_fingerprint& fingerprint, poison_entry& entry,
                                 time_point at) {
   entry.quarantined_at = at;
@@ -240,7 +240,7 @@
   if (cleared_here && (!cleared_at || *cleared_at < cleared.at)) {
     cleared_at = cleared.at;
   }
-  // An age in a message is slightly short: it does not include the time in transit.
+  // An age in a message is slightly too short, as it does not include the time in transit.
   constexpr duration tolerance = 50ms;
   const bool newer =
       cleared_at && (!entry->cleared_at || *cleared_at > *entry->cleared_at + tolerance);
--- a/src/process/simulated_data_centre.cpp
+++ b/src/process/simulated_data_centre.cpp
@@ -15,7 +15,8 @@
 constexpr duration drain_time = 20s;
 // Time to form a replica whose members have their weights loaded and only have to connect.
 constexpr duration regroup_time = 5s;
-// Nodes that failed with a domain still count as live for this long after its detection.
+// Nodes that failed with a domain still count as live for this long after the domain's failure is
+// detected.
 constexpr duration stale_liveness_duration = 5s;
 
 vm_id name_vm(std::uint32_t domain, std::uint32_t index) {
@@ -212,8 +213,8 @@
     if (r.phase != replica_phase::active || std::ranges::none_of(present.members, lost)) {
       continue;
     }
-    // The mask only grows within a row: a token with fewer losses would be older than the one in
-    // force.
+    // The mask of lost members only grows within a row: a token with fewer losses would be older
+    // than the one in force.
     lost_mask mask = present.gen.row == row_.version ? present.gen.lost : 0;
     std::size_t position = 0;
     for (const auto* vms : {&r.members, &r.standbys}) {
