--- a/src/request/admission.cpp
+++ b/src/request/admission.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-// Observations far below the mean get a larger weight. After a stall the mean is too high, so few
-// requests are admitted and few observations arrive to correct it.
+// Measured service times below this fraction of the mean get a larger weight in it. After a stall
+// the mean is too high, so few requests are admitted and few measurements arrive to correct it.
 constexpr double fast_recovery_below = 0.5;
 constexpr double fast_recovery_weight = 0.25;
-// The predicted wait is multiplied by this margin. Without it, many requests would be queued only
-// to be refused later.
+// The predicted wait in the queue is multiplied by this factor. Without it, many requests would be
+// queued only to be refused later.
 constexpr double wait_margin = 1.25;
 // A waiting request is refused before its latest start time only if even this fraction of the
 // predicted wait would be too long.
@@ -55,8 +55,8 @@
     return {refuse(reject_reason::no_capacity, 0us), {}};
   }
   const bool starts_now = capacity_.free_slots > 0 && waiting_count_ == 0;
-  // With nothing running there are no new observations. One request is admitted although the
-  // estimate says it is too late; otherwise a wrong estimate would refuse everything forever.
+  // While no request runs, no service time is measured. One request is then admitted although it is
+  // estimated to miss its deadline; otherwise a wrong estimate would refuse all requests forever.
   const bool is_trial = starts_now && running_.empty() && now < facts.deadline;
   const duration wait = expected_wait(facts);
   const time_point last = latest_start(facts);
@@ -144,7 +144,7 @@
   std::vector<rejection> given_up = std::exchange(pending_rejections_, {});
   const double rate = cost_rate();
   for (auto& [workspace, queue] : queues_) {
-    double before = 0;  // cost in this queue that starts earlier
+    double before = 0;  // cost of the requests in this queue that start earlier
     for (auto it = queue.by_priority.begin(); it != queue.by_priority.end();) {
       std::deque<waiting_request> kept;
       for (waiting_request& r : it->second) {
@@ -234,8 +234,9 @@
   return work_before(own, before);
 }
 
-// Total cost that fair queueing starts until `own` has received `through`. Fluid approximation:
-// every other queue receives service in proportion to its share until it is empty.
+// Total cost of the requests of all workspaces that fair queueing starts until requests of `own`
+// with cost `through` are started. Fluid approximation: every other queue receives service in
+// proportion to its share until it is empty.
 double admission::work_before(const workspace_queue& own, double through) const {
   double ahead = through;
   for (const auto& [id, queue] : queues_) {
--- a/src/request/admission.h
+++ b/src/request/admission.h
@@ -1,9 +1,9 @@
 // Admission control for one model at one node: a request starts now, waits or is refused.
 //
-// Waiting requests are queued per workspace and started by weighted fair queueing over cost; within
-// a workspace by priority, within a priority in order of arrival. A request that cannot meet its
-// deadline is refused immediately with the time until capacity is expected, so that its caller does
-// not wait in vain.
+// Waiting requests are queued per workspace. Weighted fair queueing over the requests' cost decides
+// which workspace starts a request next; within a workspace the order is by priority, then by time
+// of arrival. A request that cannot meet its deadline is refused immediately with the time until
+// capacity is expected, so that its caller does not wait in vain.
 //
 // Not thread-safe: one object per model, protected by its shard's lock.
 #pragma once
@@ -52,12 +52,12 @@
 
 struct submission {
   admission_result decision;
-  std::optional<rejection> displaced;  // a waiting request that is refused in its place
+  std::optional<rejection> displaced;  // the waiting request that is refused to make room for it
 };
 
 // Capacity of the model's replicas that this node may use (see usable_slots in spill.h).
 struct node_capacity {
-  std::uint32_t free_slots{};  // may start now, beyond what this node already runs
+  std::uint32_t free_slots{};  // requests that may start now in addition to those running
   std::uint32_t slots{};       // of all usable replicas; 0: no replica serves the model
   // Reported wait until a slot becomes free or, with no slots at all, until a replica serves the
   // model again (0: not known, and requests are refused).
@@ -66,10 +66,11 @@
 
 struct admission_settings {
   std::size_t max_queued_per_workspace = 512;
-  duration first_service_time = 2s;  // per unit of cost, until the first observation
-  double smoothing = 0.05;           // weight of a new observation in the moving averages
-  // A request is started only if the mean service time plus this many mean deviations ends before
-  // its deadline. Work that ends too late wastes capacity.
+  // Assumed service time per unit of request cost until the first request has completed.
+  duration first_service_time = 2s;
+  double smoothing = 0.05;  // weight of a new observation in the moving averages
+  // A request is started only if it would end before its deadline after the mean service time plus
+  // this many mean deviations of that time. A request that ends too late wastes capacity.
   double deviations = 1.0;
   duration min_retry_after = 200ms;
   duration max_retry_after = 30s;
@@ -121,12 +122,12 @@
   };
   struct workspace_queue {
     double share = 1.0;
-    double finish_tag = 0;  // virtual time up to which the workspace was served
+    double finish_tag = 0;  // virtual time at which the workspace's last started request finishes
     double queued_cost = 0;
     std::size_t count = 0;
     std::map<std::uint32_t, std::deque<waiting_request>> by_priority;  // no empty queues
   };
-  // Mean and mean deviation, as for retransmission timers.
+  // Moving mean and mean deviation of a measured time, as in TCP's retransmission timer.
   struct estimate {
     double mean{};
     double deviation{};
@@ -152,7 +153,8 @@
   std::map<workspace_id, workspace_queue> queues_;
   std::unordered_map<request_id, running_request> running_;
   std::unordered_map<request_id, workspace_id> workspace_of_waiting_;
-  // Requests found too late while starting others; the next tick() returns them.
+  // Requests found unable to meet their deadline while others were started; the next tick() returns
+  // them.
   std::vector<rejection> pending_rejections_;
   std::size_t waiting_count_ = 0;  // == sum of the queues' counts
   double virtual_time_ = 0;
--- a/src/request/answer.cpp
+++ b/src/request/answer.cpp
@@ -1,4 +1,4 @@
-// Checks the tokens of streamed responses.
+// Checks that the tokens of a streamed response are complete, in order and of the right request.
 #include "request/answer.h"
 
 namespace arbutus {
--- a/src/request/answer.h
+++ b/src/request/answer.h
@@ -13,33 +13,33 @@
 namespace arbutus {
 
 enum class token_status {
-  deliver,    // deliver it to the caller
-  duplicate,  // already delivered; drop it
-  gap,        // tokens before it are missing: the attempt is broken
-  wrong_id,   // belongs to another request: the attempt and its connection are broken
-  after_end,  // received after the end or on a broken attempt; drop it
+  deliver,    // the token is the next one: send it to the caller
+  duplicate,  // the token was delivered already and is dropped
+  gap,        // tokens before this one are missing: the attempt is broken
+  wrong_id,   // the token belongs to another request: the attempt and its connection are broken
+  after_end,  // the token arrived after the end or on a broken attempt and is dropped
 };
 
 enum class end_status {
   complete,   // every token was delivered
-  truncated,  // ended without an end message, or that counts more tokens than were received
-  wrong_id,
-  broken,  // after a gap or a token of another request
+  truncated,  // no end message, or one that counts more tokens than were received
+  wrong_id,   // the end message belongs to another request
+  broken,     // a token was missing or belonged to another request
 };
 
-// One request over all its attempts. Offsets count tokens of the response from 0.
+// The response to one request over all its attempts. Offsets count tokens of the response from 0.
 class answer_stream {
  public:
   explicit answer_stream(request_id id) : id_(std::move(id)) {}
 
-  // Starts a new attempt on another replica or connection. It is asked to start at resume_offset()
-  // but may start earlier.
+  // Starts a new attempt on another replica or connection. The replica is asked to continue the
+  // response at resume_offset() but may send earlier tokens again.
   void begin_attempt();
 
   [[nodiscard]] token_status accept(const request_id& id, std::uint64_t offset);
   // The sender reported the end of a response of `total` tokens.
   [[nodiscard]] end_status finish(const request_id& id, std::uint64_t total);
-  // The connection ended. Returns `complete` only if finish() returned it before.
+  // The connection to the replica ended. Returns `complete` only if finish() returned it before.
   [[nodiscard]] end_status closed();
 
   [[nodiscard]] std::uint64_t resume_offset() const { return next_; }
@@ -50,8 +50,8 @@
  private:
   request_id id_;
   std::uint64_t next_ = 0;  // == number of tokens delivered
-  bool broken_ = false;     // this attempt
-  bool complete_ = false;   // never reset
+  bool broken_ = false;     // the current attempt is broken
+  bool complete_ = false;   // the whole response was delivered; never reset
 };
 
 }  // namespace arbutus
--- a/src/request/event_relay.h
+++ b/src/request/event_relay.h
@@ -1,5 +1,5 @@
-// Forwards the events of a stream complete and exactly once, also when the stream is resumed on
-// another target.
+// Forwards the server-sent events of a target's stream to the caller, complete and exactly once,
+// also when the stream is resumed on another target.
 //
 // A target may fail in the middle of an event, and the next target sends that event again from its
 // start. Bytes are therefore buffered until their event is complete.
@@ -21,13 +21,14 @@
   // is valid until the next call.
   [[nodiscard]] std::string_view take(std::string_view bytes);
 
-  // The attempt failed; the next one resumes after last_id().
+  // The attempt on the current target failed; the next attempt resumes after event last_id().
   void restart();
 
   // Id of the last event forwarded; empty if none.
   [[nodiscard]] const std::string& last_id() const { return last_id_; }
   [[nodiscard]] std::uint64_t events() const { return events_; }
-  // Whether bytes of an incomplete event are buffered. A stream that ends then is truncated.
+  // Whether bytes of an incomplete event are buffered. A stream that ends in this state is
+  // truncated.
   [[nodiscard]] bool inside_event() const { return !pending_.empty(); }
   // An event's id was not greater than the previous one: the event was sent twice, or the target
   // did not resume where it was asked to. The attempt has to be abandoned.
@@ -36,7 +37,7 @@
  private:
   void note_event(std::string_view event);
 
-  std::string pending_;  // starts at an event boundary
+  std::string pending_;  // received bytes of an incomplete event, from its start
   std::string forwarded_;
   std::string last_id_;
   std::uint64_t events_ = 0;
--- a/src/request/expected_completion.cpp
+++ b/src/request/expected_completion.cpp
@@ -52,7 +52,8 @@
                       .last_resort = choice->avoided || choice->tried};
 }
 
-// Without this, a straggler whose slow member was replaced would stay avoided under its id.
+// Erases what was learned about a replica. Without this, a straggler whose slow member was replaced
+// would stay avoided, since the replica keeps its id.
 void expected_completion::forget(const replica_id& replica) {
   stats_.erase(replica);
   prefixes_.forget(replica);
@@ -71,7 +72,7 @@
   }
   known.failed_at.reset();
   // The time before the first token includes the wait in the engine's queue, which reflects load,
-  // not speed. Without streaming, the expected wait is used instead.
+  // not speed. For a response that was not streamed, the expected wait is used instead.
   const duration waited =
       result.first_token > 0us ? result.first_token : std::min(result.expected_wait, result.total);
   double seconds = to_seconds(result.total - waited) / std::max(result.cost, 1e-6);
@@ -104,9 +105,9 @@
   return all;
 }
 
-// The reported load plus the changes since. Assumes that the other nodes sent as many requests as
-// this one, as they make the same choices from the same reports. Counting only this node's requests
-// would make all nodes send to the replica that was idle at the last report.
+// The replica's reported load plus the changes since the report. Assumes that the other nodes sent
+// as many requests as this one, as they make the same choices from the same reports. Counting only
+// this node's requests would make all nodes send to the replica that was idle at the last report.
 double expected_completion::estimated_load(const replica_route& route,
                                            const in_flight& flights) const {
   const double sent = as_double(flights.sent_since(route.id, route.load_at));
@@ -160,8 +161,9 @@
   mark_avoided(now, all, median);
 }
 
-// Marks stragglers and replicas that just failed, slowest first, up to the cap. If all look slow,
-// the cause is the load or this node, and avoiding replicas would only shift the load around.
+// Marks stragglers and replicas that just failed as avoided, slowest first, up to the maximum
+// fraction of replicas. If all look slow, the cause is the load or this node, and avoiding replicas
+// would only shift the load around.
 void expected_completion::mark_avoided(time_point now, candidates& all, double median) const {
   std::vector<candidate*> bad;
   for (candidate& c : all) {
@@ -193,8 +195,8 @@
     return nullptr;
   }
   for (candidate& c : all) {
-    // Only while it is idle: a straggler that the probes of all nodes keep full never recovers, and
-    // each of those requests waits behind the others.
+    // A straggler is probed only while it is idle: if the probes of all nodes kept it full, it
+    // would never recover, and each of those requests would wait behind the others.
     if (!c.avoided || c.tried || c.load >= 1) {
       continue;
     }
--- a/src/request/expected_completion.h
+++ b/src/request/expected_completion.h
@@ -1,7 +1,8 @@
 // The default routing policy: chooses the replica with the earliest expected completion.
 //
-// Corrects the delayed load reports by the requests sent and ended since, learns the speed of each
-// replica, credits a warm prefix cache, and avoids stragglers but never all replicas.
+// Corrects the replicas' delayed load reports by the requests sent and ended since, measures the
+// speed of each replica, prefers replicas that have the prompt's prefix cached, and avoids
+// unusually slow replicas (stragglers) but never all replicas.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +16,24 @@
 namespace arbutus {
 
 struct expected_completion_settings {
-  std::uint32_t nodes = 1;           // nodes that send to the same replicas, this one included
-  duration first_service_time = 2s;  // per unit of cost, until the first observation
-  double smoothing = 0.1;            // weight of a new observation
-  duration block_prefill = 2ms;      // prefill time saved per cached prefix block
-  // Prefix affinity counts only while the replica's load is at most this factor of the mean plus 1.
+  std::uint32_t nodes = 1;  // nodes that send to the same replicas, this one included
+  // Assumed service time per unit of request cost until the first observation of a replica.
+  duration first_service_time = 2s;
+  double smoothing = 0.1;        // weight of a new observation of a replica's speed
+  duration block_prefill = 2ms;  // prefill time saved per cached prefix block
+  // A cached prefix is credited only while the replica's load is at most this factor of the mean
+  // load plus 1.
   double affinity_load_bound = 1.25;
   // A replica slower than the median by this factor is a straggler and avoided.
   double straggler_factor = 2.0;
   // At most this fraction of the replicas is avoided, but at least one if there are two or more.
   double max_avoided = 0.25;
-  duration straggler_probe_interval = 2s;  // one repeatable request each, to detect recovery
-  duration slow_start = 10s;               // ramp-up time of the load after a repair
-  double cross_domain_slowdown = 3.0;      // assumed until observed
-  duration failure_retention = 2s;         // how long a replica is avoided after a failed attempt
+  // A straggler gets one repeatable request per interval, to detect that it has recovered.
+  duration straggler_probe_interval = 2s;
+  duration slow_start = 10s;  // ramp-up time of the load of a repaired replica
+  // Assumed slowdown factor of a replica that crosses fabric domains, until its speed is observed.
+  double cross_domain_slowdown = 3.0;
+  duration failure_retention = 2s;  // how long a replica is avoided after a failed attempt
 };
 
 class expected_completion {
@@ -37,7 +42,7 @@
                                const expected_completion_settings& settings = {});
 
   void set_nodes(std::uint32_t nodes) { settings_.nodes = nodes; }
-  // To be updated with the engines' cache events.
+  // The index of the replicas' prefix caches, which the caller updates with the engines' events.
   [[nodiscard]] prefix_index& prefixes() { return prefixes_; }
   // The replica was removed or has a new generation: other VMs, another speed, an empty cache.
   void forget(const replica_id& replica);
@@ -58,12 +63,12 @@
   struct candidate {
     std::size_t index{};
     const replica_route* route{};
-    double load{};   // estimated number of requests at the replica now
-    double speed{};  // seconds per unit of cost
-    double wait{};   // seconds
-    double expected{};
-    bool tried = false;
-    bool avoided = false;
+    double load{};         // estimated number of requests at the replica now
+    double speed{};        // seconds per unit of cost
+    double wait{};         // expected seconds until the request gets a slot
+    double expected{};     // expected seconds until the response is complete
+    bool tried = false;    // an earlier attempt of this request went to the replica
+    bool avoided = false;  // a straggler, or failed recently
   };
   using candidates = std::vector<candidate>;
 
--- a/src/request/in_flight.h
+++ b/src/request/in_flight.h
@@ -20,7 +20,7 @@
     double cost{};
   };
 
-  // One request may have one attempt per replica (hedging).
+  // Counts an attempt. With hedging, a request has one attempt on each of several replicas.
   void sent(time_point now, const request_id& id, const replica_id& replica, double cost);
   // Returns the attempt that ended; empty if unknown.
   std::optional<attempt> ended(time_point now, const request_id& id, const replica_id& replica);
@@ -30,23 +30,25 @@
 
   [[nodiscard]] std::uint32_t count(const replica_id& replica) const;
   [[nodiscard]] std::uint32_t total() const { return total_; }
-  // Attempts sent or ended after `since`, limited to the last `history`.
+  // Number of attempts on the replica that were sent or that ended after `since`; looks back at
+  // most `history`.
   [[nodiscard]] std::uint32_t sent_since(const replica_id& replica, time_point since) const;
   [[nodiscard]] std::uint32_t ended_since(const replica_id& replica, time_point since) const;
 
  private:
-  // Load reports older than this are never used.
+  // How long the times of sent and ended attempts are kept. Older load reports are never used.
   static constexpr duration history = 10s;
-  static constexpr std::size_t max_history = 4096;  // per replica and kind
+  // Times kept per replica, separately for sent and for ended attempts.
+  static constexpr std::size_t max_history = 4096;
 
   struct replica_flights {
     std::unordered_map<request_id, attempt> open;
-    std::deque<time_point> sent;   // ascending
-    std::deque<time_point> ended;  // ascending
+    std::deque<time_point> sent;   // when attempts were sent, oldest first
+    std::deque<time_point> ended;  // when attempts ended, oldest first
   };
 
   std::unordered_map<replica_id, replica_flights> replicas_;
-  std::uint32_t total_ = 0;  // == sum of open
+  std::uint32_t total_ = 0;  // attempts in flight on all replicas
 };
 
 }  // namespace arbutus
--- a/src/request/instance_choice.cpp
+++ b/src/request/instance_choice.cpp
@@ -1,4 +1,4 @@
-// Chooses instances of plain services.
+// Chooses instances of services that are not models.
 #include "request/instance_choice.h"
 
 #include <algorithm>
--- a/src/request/instance_choice.h
+++ b/src/request/instance_choice.h
@@ -1,4 +1,5 @@
-// Chooses the instance of a plain service for a call.
+// Chooses the instance of a service for a call; not for models, whose replicas are chosen
+// elsewhere.
 //
 // Instances may be slow, may fail some calls while their health check succeeds, and report their
 // load late. The choice uses this node's own calls in flight, the load that an instance reported
@@ -25,10 +26,10 @@
 };
 
 enum class call_end : std::uint8_t {
-  answered,   // with any status: the instance works
-  not_run,    // refused: full or leaving
+  answered,   // the instance sent a response, of any status, so it works
+  not_run,    // the instance refused the call since it is full or leaving
   failed,     // broken connection, no response, or an invalid response
-  withdrawn,  // ended for a reason unrelated to the instance
+  withdrawn,  // the call ended for a reason unrelated to the instance
 };
 
 struct instance_settings {
@@ -49,7 +50,7 @@
  public:
   explicit instance_table(const instance_settings& settings = {}) : settings_(settings) {}
 
-  // Empty if all candidates are in `avoided`.
+  // Index of the chosen candidate; empty if all candidates are in `avoided`.
   [[nodiscard]] std::optional<std::size_t> choose(time_point now,
                                                   std::span<const service_instance> candidates,
                                                   const data_centre_id& home,
@@ -69,7 +70,7 @@
     double active = 0;
     double reported_calls = 0;
     time_point load_reported_at{};
-    double failures = 0;  // exponential moving average of failed calls, at `failures_at`
+    double failures = 0;  // moving average of the fraction of failed calls, as of `failures_at`
     time_point failures_at{};
   };
 
--- a/src/request/keyed.cpp
+++ b/src/request/keyed.cpp
@@ -41,12 +41,12 @@
   if (const auto* done = std::get_if<table_written>(&result.result)) {
     row_version_ = done->version;
     backoff_ = settings_.first_backoff;
-    // The desired record may have changed while the write was in progress.
+    // record_ may have changed while the write of its earlier state was in progress.
     const bool is_current = result.request.value == written_value_;
     return is_current ? record_confirmed(now, wall) : write(now, wall, record_.phase);
   }
-  // Refused: the row holds another record, or an earlier write of this call whose reply was lost.
-  // Unknown: the write may have taken effect. Both are resolved by reading the row.
+  // A refused write means that the row holds another record, or an earlier write of this call whose
+  // reply was lost. A write with unknown result may have taken effect. Reading the row tells.
   if (std::holds_alternative<refused>(result.result)) {
     return read();
   }
@@ -74,7 +74,7 @@
       step_ = step::finished;
       return {};
     }
-    wrote_ = false;  // the damaged row is kept for operators to inspect
+    wrote_ = false;  // prevents a write: the damaged row is kept for operators to inspect
     return abort_unsent(now, wall, "the record of this key is damaged");
   }
   const auto& stored_record = std::get<keyed_record>(found);
@@ -116,9 +116,9 @@
   return step_ == step::finished ? time_point::max() : next;
 }
 
-// A paused process cannot detect that it was paused. The record in `sending` keeps other nodes from
-// running the call, but only until the record expires. The permission therefore ends by this node's
-// own clock long before that.
+// A paused process cannot detect that it was paused. The record in phase `sending` keeps other
+// nodes from running the call, but only until the record expires. The permission to send therefore
+// ends, by this node's own clock, long before the record expires.
 bool keyed_call::may_send(time_point now) const {
   return step_ == step::ready && send_until_ && now < *send_until_ && now < facts_.deadline;
 }
@@ -153,7 +153,7 @@
     out.insert(out.end(), more.begin(), more.end());
     return out;
   }
-  // The record stays in `sending`: a repeated call gets the reply that it may have run.
+  // The record stays in phase `sending`: a repeated call gets the reply that the call may have run.
   step_ = step::finished;
   return reply({.what = keyed_reply::kind::unknown, .reason = "no whole answer from the target"});
 }
@@ -186,7 +186,7 @@
   record_.answer_by = wall + std::max(facts_.deadline - now, duration{0});
   record_.expires = record_.answer_by + settings_.send_window + settings_.retention;
   if (phase == record_phase::sending) {
-    // Measured from before the write, which may take long.
+    // The time limit for sending starts before the write to the table, which may take long.
     send_until_ = now + settings_.send_window;
   }
   written_value_ = encode(record_);
@@ -207,7 +207,7 @@
   backoff_ = std::min(settings_.max_backoff, backoff_ * 2);
 }
 
-// The table holds this call's record in the desired phase.
+// Continues after the table was found to hold this call's record in the desired phase.
 keyed_effects keyed_call::record_confirmed(time_point now, wall_time wall) {
   switch (step_) {
     case step::reserving:
@@ -256,8 +256,8 @@
       return write(now, wall, record_phase::reserved);
     }
   }
-  // In `marking`, another node took over the reservation while this one was paused. This node will
-  // never send the call, but the other one may; so it is not reported as not run.
+  // In step `marking`, another node took over the reservation while this one was paused. This node
+  // will never send the call, but the other node may, so the call is not reported as not run.
   return reply_from_record(wall, other);
 }
 
@@ -287,7 +287,8 @@
                 .retry_after = std::clamp(open, settings_.first_backoff, settings_.max_backoff)});
 }
 
-// The call was not sent and never will be: leaves the steps in which may_send() could be true.
+// Ends a call that was not sent and never will be: leaves the steps in which may_send() could be
+// true.
 keyed_effects keyed_call::abort_unsent(time_point now, wall_time wall, std::string reason) {
   keyed_effects out = reply({.what = keyed_reply::kind::not_run,
                              .reason = std::move(reason),
@@ -306,11 +307,11 @@
   record_deadline_ = now + settings_.record_timeout;
   record_.phase = phase;
   if (table_call_pending_) {
-    written_value_.clear();  // the write in progress is outdated; its result triggers the new one
+    written_value_.clear();  // the write in progress is outdated; its result triggers another write
     return {};
   }
   if (retry_at_ != time_point::max()) {
-    return {};  // an earlier write is unresolved: the scheduled read comes first
+    return {};  // whether an earlier write took effect is unknown: the scheduled read comes first
   }
   return write(now, wall, phase);
 }
--- a/src/request/keyed.h
+++ b/src/request/keyed.h
@@ -6,14 +6,15 @@
 //       |          |-----> not_run   (only by the owner, which knows that it never sent)
 //       |-> reserved by another node (takeover), or not_run
 //
-// Every arrow is a conditional write. `reserved` proves that nothing was sent: the owner sends only
-// after its own write to `sending` was accepted. Another node may therefore take over a reserved
-// record at any time; a paused owner notices because its next write is refused. Clocks decide when
-// a takeover is tried, never whether it is safe. A record in `sending` whose owner has failed
-// stays: the call may have run.
+// Every arrow is a conditional write of the call's record to the table. A record in phase
+// `reserved` proves that nothing was sent: the owner sends only after its own write of phase
+// `sending` was accepted. Another node may therefore take over a reserved record at any time; a
+// paused owner notices because its next write is refused. Clocks decide when a takeover is tried,
+// never whether it is safe. A record in `sending` whose owner has failed stays: the call may have
+// run.
 //
-// Only expiry depends on time for safety: a record may be replaced after `expires`, which is
-// `retention` after the last time at which its owner may send.
+// Only the expiry of records relies on clocks for safety: a record may be replaced after `expires`,
+// which is `retention` after the last time at which its owner may send the call.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +32,7 @@
 
 namespace arbutus {
 
-// The writer of a record: one attempt of one process.
+// The writer of a record: one request handled by one process of a node.
 struct record_owner {
   node_id node;
   std::uint64_t incarnation{};  // of the node's process
@@ -46,9 +47,9 @@
   std::string body_hash;  // content_hash of method, path and body
   record_phase phase = record_phase::reserved;
   wall_time changed;    // when the record was last written
-  wall_time answer_by;  // the owner's call has ended by then, with any outcome
-  wall_time expires;    // another record may replace this one afterwards
-  // Response of a done call. Of a body that is too large, only the hash is kept.
+  wall_time answer_by;  // the owner's call has ended by this time, with any outcome
+  wall_time expires;    // after this time another record may replace this one
+  // The response, if the call is done. Of a body that is too large, only the hash is kept.
   std::uint32_t status{};
   std::string content_type;
   std::string body;
@@ -63,13 +64,15 @@
                                           const idempotency_key& key);
 
 struct keyed_settings {
-  duration send_window = 2s;        // from issuing the write to `sending` until the send
-  duration takeover_after = 5s;     // a record reserved for longer is assumed to have no owner
+  // Maximum time from issuing the write of phase `sending` until the call is sent.
+  duration send_window = 2s;
+  // The owner of a record that has been in phase `reserved` for longer is assumed to have failed.
+  duration takeover_after = 5s;
   duration retention = 24h;         // how long a repeated call is recognised
-  duration table_timeout = 2s;      // for writing the record; then the call ends as not run
-  duration table_retry_after = 2s;  // sent to the caller while the table is unavailable
-  duration record_timeout = 10min;  // how long writing the outcome is retried
-  duration first_backoff = 50ms;    // between attempts to reach the table
+  duration table_timeout = 2s;      // for writing the record; after it the call ends as not run
+  duration table_retry_after = 2s;  // retry time sent to callers while the table is unavailable
+  duration record_timeout = 10min;  // how long writing the call's outcome is retried
+  duration first_backoff = 50ms;    // first pause between attempts to reach the table
   duration max_backoff = 1s;
   std::size_t max_body = 16'384;  // bytes; of a larger response only the hash is recorded
 };
@@ -78,12 +81,12 @@
 
 // Send the call now, if begin_send() still permits it; then report ended() or answered().
 struct keyed_send {};
-// Reply to the caller. Returned exactly once per call.
+// Reply to the caller now. keyed_call returns this effect exactly once per call.
 struct keyed_reply {
   enum class kind {
     done,         // status and body are the response, of this call or a recorded one
-    not_run,      // proven; may be tried again after retry_after
-    unknown,      // may have run
+    not_run,      // the call provably did not run; it may be repeated after retry_after
+    unknown,      // the call may have run
     in_progress,  // a call with the same key is running; may be repeated after retry_after
     conflict,     // the key was used with another body
   };
@@ -93,7 +96,7 @@
   std::uint32_t status{};
   std::string content_type{};
   std::string body{};
-  bool replayed = false;      // from the record of an earlier call
+  bool replayed = false;      // the response is that of an earlier call, taken from its record
   bool body_dropped = false;  // the call is done, but its response was too large to keep
 };
 using keyed_effect = std::variant<table_read, table_write, keyed_send, keyed_reply>;
@@ -114,7 +117,8 @@
   time_point deadline;
 };
 
-// One call. To be kept until finished(); pass it all results and call tick() at next_tick().
+// One call with an idempotency key. Its user keeps it until finished(), passes it all results of
+// table reads and writes, and calls tick() at next_tick().
 class keyed_call {
  public:
   keyed_call(const keyed_call_facts& facts, const keyed_settings& settings = {});
@@ -125,14 +129,15 @@
   [[nodiscard]] keyed_effects tick(time_point now, wall_time wall);
   [[nodiscard]] time_point next_tick() const;
 
-  // Checks the permission and marks the call as sent in one step. To be called on an open
-  // connection directly before the first byte is written: nothing that can suspend the caller may
-  // come between.
+  // Checks whether the call may still be sent and marks it as sent in one step. To be called on an
+  // open connection directly before the first byte is written: nothing that can suspend the calling
+  // code may run between the two.
   [[nodiscard]] bool begin_send(time_point now);
   // The two halves of begin_send(). After sent(), may_send() stays false.
   [[nodiscard]] bool may_send(time_point now) const;
   void sent();
-  // The attempt ended without a complete response. Proven not run only if `how` is not_run.
+  // The attempt ended without a complete response. The call provably did not run only if `how` is
+  // not_run.
   [[nodiscard]] keyed_effects ended(time_point now, wall_time wall, execution how);
   [[nodiscard]] keyed_effects answered(time_point now, wall_time wall, const keyed_answer& answer);
 
@@ -145,10 +150,10 @@
  private:
   enum class step {
     idle,
-    reserving,  // until the record is written
-    marking,    // until the record is in `sending`
-    ready,      // may be sent
-    sent,
+    reserving,  // until the record is written in phase `reserved`
+    marking,    // until the record is written in phase `sending`
+    ready,      // the call may be sent
+    sent,       // the call was sent and has not ended
     recording,  // the caller has its reply; the outcome is still to be recorded
     finished,
   };
@@ -170,7 +175,7 @@
   keyed_settings settings_;
   std::string row_;
   step step_ = step::idle;
-  keyed_record record_;              // the desired record
+  keyed_record record_;              // the record that the table should hold
   std::string written_value_;        // record_ encoded as last written
   std::uint64_t row_version_ = 0;    // the row's version that the next write expects
   bool table_call_pending_ = false;  // a table call is in progress; there is never a second one
--- a/src/request/limits.cpp
+++ b/src/request/limits.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// A node with a small share must still be able to admit a single request.
+// Minimum burst of a node: with a small share of the limit it must still admit a single request.
 constexpr double min_burst = 1.0;
-// Workspaces with a smaller demand are omitted from messages.
+// Workspaces with a smaller demand, in requests per second, are omitted from messages to peers.
 constexpr double min_reported_demand = 0.01;
 constexpr duration min_limit_wait = 1ms;
 constexpr duration max_limit_wait = 60s;
@@ -124,7 +124,7 @@
   // The lease starts at the time at which this node sent the message that the peer echoes, which is
   // before the peer lent. So a lease in a delayed message, or one that is read late after a pause,
   // expires here no later than at the lender. An echo from before the start of this process refers
-  // to the clock of an earlier one.
+  // to the clock of an earlier process.
   const bool is_valid = message.echo && *message.echo >= created_ && *message.echo <= now;
   for (const limit_message::workspace_usage& usage : message.workspaces) {
     const auto found = buckets_.find(usage.workspace);
@@ -161,8 +161,9 @@
   b.demand_updated_at = now;
 }
 
-// Divides the shares of all reachable nodes by demand above a floor, which gives each node a target
-// rate. A node whose share is above its target lends the difference to those below theirs.
+// Plans how much of its share of a limit this node lends to each peer. Every reachable node keeps a
+// floor; the rest of their shares is divided by demand, which gives each node a target rate. A node
+// whose share is above its target lends the difference to nodes below their targets.
 void rate_limits::plan_lending(time_point now, bucket& b) const {
   const double own = equal_share(b);
   const double floor = settings_.floor_fraction * own;
@@ -193,7 +194,7 @@
   if (total_deficit <= 0) {
     return;
   }
-  // What a peer may still use under an earlier lease cannot be lent to another one.
+  // Rate that a peer may still use under an earlier lease cannot be lent to another peer.
   const double spare = std::max(0.0, own - target(b.demand));
   double available = std::max(0.0, own - floor - still_lent);
   for (const node_id& peer : others_) {
--- a/src/request/limits.h
+++ b/src/request/limits.h
@@ -5,10 +5,10 @@
 // the limit under partitions, delays and pauses; a node that receives no messages falls back to its
 // own share within one lease.
 //
-// Guaranteed bound: the limit, plus limit / nodes for at most one lease after each restart of a
-// node (it has lost its record of what it lent), plus limit / nodes for each new node until all
-// nodes know it, plus the burst; each node's burst is at least one request. In return, the share of
-// a node that is down or partitioned is not used elsewhere.
+// Guaranteed bound of the admitted rate: the limit, plus limit / nodes for at most one lease after
+// each restart of a node (it has lost its record of what it lent), plus limit / nodes for each new
+// node until all nodes know it, plus the burst; each node's burst is at least one request. The
+// price is that the share of a node that is down or partitioned is not used by other nodes.
 //
 // Not thread-safe.
 #pragma once
@@ -34,16 +34,17 @@
   struct workspace_usage {
     workspace_id workspace;
     double demand{};  // requests per second at the sender, refused ones included
-    double lent{};    // to this peer, until `echo` plus the lease by the peer's clock
+    // Requests per second lent to the receiver, until `echo` plus the lease by its own clock.
+    double lent{};
   };
   time_point stamp;                         // by the sender's clock
   std::optional<time_point> echo;           // newest stamp that the sender received from this peer
-  std::vector<workspace_usage> workspaces;  // omitted ones: no demand, nothing lent
+  std::vector<workspace_usage> workspaces;  // an omitted workspace has no demand and nothing lent
 };
 
 struct limit_settings {
   duration message_interval = 1s;  // how often messages are exchanged
-  duration lease = 4s;             // duration of a lease; the same on all nodes
+  duration lease = 4s;             // how long lent rate may be used; the same on all nodes
   double floor_fraction = 0.2;     // fraction of a node's own share that is never lent
   duration demand_window = 5s;     // time constant of the demand's moving average
 };
@@ -65,8 +66,8 @@
   [[nodiscard]] limit_result take(time_point now, const workspace_id& workspace,
                                   double amount = 1.0);
 
-  // Updates the demand and plans what to lend; call every `message_interval`, then make_message()
-  // for each peer.
+  // Updates this node's demand and plans how much rate it lends to each peer. To be called every
+  // `message_interval`, followed by make_message() for each peer.
   void update(time_point now);
   [[nodiscard]] limit_message make_message(time_point now, const node_id& peer);
   void received(time_point now, const node_id& peer, const limit_message& message);
@@ -82,8 +83,8 @@
   struct peer_usage {
     double demand{};          // requests per second, as the peer last reported
     double planned{};         // requests per second to lend with the next message
-    std::vector<lease> lent;  // sent and not expired; the peer uses one of them
-    lease borrowed;
+    std::vector<lease> lent;  // leases to the peer that have not expired; it uses one of them
+    lease borrowed;           // the lease from the peer that this node uses
   };
   struct bucket {
     rate_limit limit;
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -12,8 +12,8 @@
 
 enum class execution {
   done,     // a complete response was received
-  not_run,  // proven
-  unknown,  // may have run
+  not_run,  // the request provably did not run
+  unknown,  // the request may have run
 };
 
 [[nodiscard]] std::string_view to_string(execution e);
@@ -27,16 +27,18 @@
 
 [[nodiscard]] execution classify(const attempt_evidence& seen);
 
-// The outcome that a node may report after it forwarded a request to another node. `link`: what it
-// observed of that hop; `reported`: the outcome that the other node reported, which counts only if
-// its response is complete.
+// The outcome that a node may report after it forwarded a request to another node. `link`: what the
+// forwarding node observed of the connection to the other; `reported`: the outcome that the other
+// node reported, which counts only if its response is complete.
 [[nodiscard]] execution classify_hop(const attempt_evidence& link, execution reported);
 
-// The outcome of several attempts of one request, in any order: done if one is done, not_run only
-// if all are. Without any attempt, not_run.
+// The outcome of a request from the outcomes of its attempts, in any order: done if one attempt is
+// done; not_run only if all attempts are not_run or there was none; otherwise unknown.
 [[nodiscard]] execution combine(std::span<const execution> attempts);
 
-// Whether another attempt is safe; budget and deadline are checked separately (retry.h).
+// Whether a request may be sent again after an attempt ended as `last`: only if it provably did not
+// run, or if it may run twice (`repeatable`). The retry budget and the deadline are checked
+// separately (retry.h).
 [[nodiscard]] constexpr bool may_repeat(execution last, bool repeatable) {
   return last == execution::not_run || (last == execution::unknown && repeatable);
 }
--- a/src/request/policy_bench.h
+++ b/src/request/policy_bench.h
@@ -47,7 +47,7 @@
 };
 
 struct admission_figures {
-  std::vector<workspace_figures> workspaces;  // in the order of admission_load::workspaces
+  std::vector<workspace_figures> workspaces;  // one per entry of admission_load::workspaces
   double goodput{};                           // fraction of slot time spent on useful requests
   double busy{};                              // fraction of slot time in use
   std::uint64_t useful{};
@@ -73,16 +73,18 @@
   std::uint32_t slots = 8;
   std::uint32_t stragglers = 1;
   double straggler_factor = 5.0;
-  double utilisation = 0.7;  // of all replicas without stragglers and with empty caches
+  // Offered load as a fraction of the capacity that all replicas would have without stragglers and
+  // with empty caches.
+  double utilisation = 0.7;
   duration report_interval = 250ms;
   duration lag = 500ms;               // from the sampling of a report until nodes receive it
   duration decode = 1s;               // per unit of cost; costs are exponential with mean 1
   duration block_prefill = 5ms;       // per prefix block that is not in the cache
-  std::uint32_t blocks = 40;          // of each prompt
-  std::uint32_t prefixes = 200;       // distinct ones, with Zipf-distributed popularity
-  std::uint32_t cache_blocks = 1600;  // per replica: a fifth of all prefixes
-  duration event_lag = 500ms;         // of cache events
-  double lost_events = 0.05;          // fraction of the batches
+  std::uint32_t blocks = 40;          // prefix blocks per prompt
+  std::uint32_t prefixes = 200;       // distinct prefixes, with Zipf-distributed popularity
+  std::uint32_t cache_blocks = 1600;  // cache size of a replica: a fifth of all prefixes
+  duration event_lag = 500ms;         // from a change of a cache until nodes receive the event
+  double lost_events = 0.05;          // fraction of the batches of cache events that are lost
   duration length = 300s;
 };
 
@@ -91,7 +93,7 @@
   double p50_first_token{};  // seconds
   double p99_first_token{};
   double p99_answer{};
-  double cache_hits{};        // fraction of the prompt blocks
+  double cache_hits{};        // fraction of the prompt blocks that were in the replica's cache
   std::uint64_t signature{};  // hash of the decisions made
 };
 
@@ -102,7 +104,7 @@
 
 struct retry_figures {
   std::uint64_t requests{};
-  std::uint64_t attempts{};  // that reached the target
+  std::uint64_t attempts{};  // attempts that reached the target
   std::uint64_t answered{};
   double worst_ratio{};       // highest ratio of attempts to requests in one second
   std::uint64_t signature{};  // hash of the decisions made
@@ -119,7 +121,7 @@
   std::string phase;
   // As multiples of the limit:
   double demand{};
-  double passed{};        // mean of the phase
+  double passed{};        // mean rate of requests admitted during the phase
   double worst_second{};  // most requests passed in one second
 };
 
--- a/src/request/policy_bench_routing.cpp
+++ b/src/request/policy_bench_routing.cpp
@@ -253,7 +253,7 @@
   std::vector<simulated_replica> replicas_;
   std::vector<node_state> nodes_;
   std::vector<prefix_blocks> prefixes_;
-  std::vector<double> popularity_;  // cumulative, by prefix
+  std::vector<double> popularity_;  // cumulative probability of each prefix
   std::vector<double> first_tokens_;
   std::vector<double> answers_;
   std::uint64_t hits_ = 0;
--- a/src/request/prefix_index.cpp
+++ b/src/request/prefix_index.cpp
@@ -22,10 +22,11 @@
   }
   replica_state& state = state_of(events.replica);
   if (state.has_events && events.sequence <= state.sequence) {
-    return;  // a duplicate
+    return;  // a duplicate batch
   }
-  // Lost batches may have contained evictions. Without this, prompts would be sent to a cache that
-  // evicted them long ago, causing misses until the entries expire.
+  // A gap in the sequence means lost batches, which may have contained evictions. Without this
+  // check, prompts would be sent to a replica whose cache evicted them long ago, causing misses
+  // until the entries expire.
   if (state.has_events && events.sequence != state.sequence + 1) {
     ++state.epoch;
   }
--- a/src/request/prefix_index.h
+++ b/src/request/prefix_index.h
@@ -26,8 +26,8 @@
 struct prefix_index_settings {
   std::size_t max_entries = 100'000;  // (replica, block) pairs; about 100 bytes each
   duration max_age = 10min;           // entries not used for longer are assumed evicted
-  // Weight of an entry from before a gap in the events, until it is confirmed again: its eviction
-  // may have been lost in the gap.
+  // Weight of a block that was last confirmed before a batch of cache events was lost: the lost
+  // batch may have reported the block's eviction.
   double trust_after_gap = 0.25;
 };
 
@@ -41,7 +41,8 @@
   // The replica was formed again, restarted or removed: its cache is empty.
   void forget(const replica_id& replica);
 
-  // Expected number of leading blocks that the replica holds (weighted by trust).
+  // Expected number of leading blocks of a prompt in the replica's cache. A block that was last
+  // confirmed before lost events counts as `trust_after_gap`.
   [[nodiscard]] double expected_blocks(time_point now, const replica_id& replica,
                                        const prefix_blocks& blocks) const;
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
@@ -60,11 +61,11 @@
   struct entry {
     entry_key key;
     time_point seen;        // when the entry was last confirmed
-    std::uint32_t epoch{};  // of the replica when the entry was confirmed
+    std::uint32_t epoch{};  // replica_state::epoch when the entry was last confirmed
   };
   struct replica_state {
     std::uint32_t number{};  // identifies the replica in entry_key; never reused
-    std::uint32_t epoch{};   // counts gaps
+    std::uint32_t epoch{};   // number of gaps in the replica's cache events so far
     std::uint64_t incarnation{};
     std::uint64_t sequence{};
     bool has_events = false;
@@ -77,7 +78,7 @@
   void shrink(time_point now);
 
   prefix_index_settings settings_;
-  // Invariant: entries_ and by_key_ hold the same pairs, at most max_entries.
+  // Invariant: entries_ and by_key_ hold the same (replica, block) pairs, at most max_entries.
   recency entries_;
   std::unordered_map<entry_key, recency::iterator, entry_key_hash> by_key_;
   std::unordered_map<replica_id, replica_state> replicas_;
--- a/src/request/replica_choice.cpp
+++ b/src/request/replica_choice.cpp
@@ -21,12 +21,13 @@
   }
 }
 
-// Clamped at zero: the load of a head may have been erased since the value was added.
+// Subtracts from a load but not below zero: the head's load may have been erased since `by` was
+// added to it.
 void subtract(double& value, double by) {
   value = std::max(0.0, value - by);
 }
 
-// Time of one decode step with the running requests and one more.
+// Time of one decode step of an engine that runs `active` requests and one more.
 double estimate_step_ms(const engine_parameters& engine, double active) {
   const double generating = std::min(active, static_cast<double>(engine.slots)) + 1;
   const double context_k = (engine.mean_prompt_tokens + engine.mean_answer_tokens / 2) / 1000;
@@ -34,10 +35,11 @@
          generating * (engine.step_per_sequence_ms + engine.context_ms_per_1k_tokens * context_k);
 }
 
-// Expected wait for a slot. If all slots are taken, running requests end evenly spread over the
-// time of a mean generation. Below that, the load is known only in part, so the wait rises before
-// all slots are taken, approximating a queue with one server per slot (Erlang C for 26 to 30
-// servers is 0.1 at 80 % load and close to 0 at 50 %).
+// Expected wait for a slot of a replica. If all slots are taken, running requests are assumed to
+// end evenly spread over the time of a mean generation. With free slots, the wait rises already
+// before all slots are taken, since the load is known only in part. It approximates a queue with
+// one server per slot (the probability of waiting by Erlang C for 26 to 30 servers is 0.1 at 80 %
+// load and close to 0 at 50 %).
 double wait_for_slot_ms(const engine_parameters& engine, double active, double generation_ms) {
   const double slots = std::max<double>(engine.slots, 1);
   const double completion_interval_ms = generation_ms / slots;
@@ -47,7 +49,8 @@
   constexpr double steepness = 8;
   const double use = active / slots;
   const double queue = std::pow(use, steepness) / (1 - use);
-  // At most the time until the next request ends, as a slot is free according to the known load.
+  // The wait is at most the time until the next request ends, since the known load leaves a slot
+  // free.
   return completion_interval_ms * std::min(queue, 1.0);
 }
 
@@ -219,7 +222,7 @@
       size.prompt_tokens * size.prompt_tokens / 2e6 * engine.attention_ms_per_million_pairs;
   const double own_prefill_ms = size.prompt_tokens * prefill_ms_per_token + pairs_ms;
   const double queued_prefill_ms = load.pending_prefill_tokens * prefill_ms_per_token;
-  // On average half a pass until the running one ends, if there is one.
+  // If a pass is running, a new request waits half a pass on average until that pass ends.
   const double running_ms = load.active > 0.5 ? pass_ms / 2 : 0;
   double first_ms = running_ms + queued_prefill_ms + own_prefill_ms + pass_ms;
   first_ms += wait_for_slot_ms(engine, load.active, engine.mean_answer_tokens * step_ms);
@@ -258,7 +261,7 @@
       cost += to_seconds(settings.deadline_miss_penalty);
     }
     if (contains(request.suspected_heads, replica.head)) {
-      cost += 10;  // chosen only if there is no other
+      cost += 10;  // an unresponsive replica is chosen only if there is no other
     }
     usable.push_back({i, expected, cost});
   }
--- a/src/request/replica_choice.h
+++ b/src/request/replica_choice.h
@@ -3,9 +3,9 @@
 // A replica batches its requests and advances all of them in passes. Prefill of a prompt takes
 // additional time in a pass, and a pass with generating requests runs `stride` decode steps. The
 // time to the first event of a new request is therefore the rest of the running pass, the pending
-// prefills at the replica, its own prefill and one pass, plus a wait for a slot that grows with the
-// load. The parameters come from the operators; the load is that of this node's requests plus what
-// its peers reported.
+// prefills at the replica, the request's own prefill and one pass, plus a wait for a slot that
+// grows with the load. The operators configure the engine's parameters; the load is that of this
+// node's requests plus what its peers reported.
 //
 // Load beyond the replicas' slots would only delay other requests. Such a request is refused with
 // the time until a slot is expected to be free.
@@ -42,7 +42,7 @@
   double pending_prefill_tokens = 0;  // prompt tokens of requests without a first event
 };
 
-// Loads by head; a restarted head has a new id.
+// Loads of replicas, each identified by its head; a restarted head has a new id.
 class load_table {
  public:
   void sent(const target_id& head, const generation_size& size);
@@ -82,16 +82,16 @@
 };
 
 struct choice_settings {
-  // Added for a replica in another data centre: traffic to it is expensive, and it has its own
-  // callers.
+  // Added to the cost of a replica in another data centre: traffic to it is expensive, and the
+  // replica has callers of its own.
   duration remote_penalty = 8ms;
   // One-way delay between data centres if the operators configure none.
   duration default_remote_delay = 2ms;
   // Age of the known load of other nodes: a heartbeat to the hub and one from it, at intervals of
   // 200 ms, half of that each on average, and another 100 ms between hubs.
   duration load_age = 300ms;
-  // Added for a replica where the response would miss its deadline: more than any wait for a slot
-  // elsewhere, less than the cost of an unresponsive replica.
+  // Added to the cost of a replica where the response would miss its deadline: more than any wait
+  // for a slot elsewhere, less than the cost of an unresponsive replica.
   duration deadline_miss_penalty = 2s;
   // Requests beyond a replica's slots wait in the engine for an unknown time, so only this many are
   // sent beyond the slots.
@@ -110,7 +110,7 @@
                                         double slowdown_factor, bool crosses_domains);
 
 struct chosen_replica {
-  std::size_t index{};  // in the candidates
+  std::size_t index{};  // in the candidates of choose_replica()
   replica_estimate expected;
 };
 struct no_replica {
@@ -123,7 +123,7 @@
   data_centre_id home;
   generation_size size;
   duration time_left{};
-  std::span<const target_id> avoided;          // heads tried already
+  std::span<const target_id> avoided;          // heads that this request was already sent to
   std::span<const target_id> suspected_heads;  // unresponsive heads
   double random_sample = 0;                    // uniform in [0, 1); 0: always the best
 };
--- a/src/request/request_fingerprint.h
+++ b/src/request/request_fingerprint.h
@@ -11,8 +11,8 @@
 
 namespace arbutus {
 
-// The workspace is kept next to the hash, not hashed: a caller that constructs a hash collision
-// affects only its own workspace.
+// Identifies a request by workspace and hash. The workspace is not part of the hash, so that a
+// caller that constructs a hash collision affects only its own workspace.
 struct request_fingerprint {
   workspace_id workspace;  // empty for a route without keys
   std::uint64_t hash{};
@@ -24,7 +24,7 @@
 
 // 16 hexadecimal digits such as "0123456789abcdef", as in logs and operators' requests.
 [[nodiscard]] std::string hash_text(const request_fingerprint& fingerprint);
-// Empty unless `text` has that format.
+// Parses the 16 hexadecimal digits of hash_text(); empty if `text` has another format.
 [[nodiscard]] std::optional<std::uint64_t> parse_hash(std::string_view text);
 
 }  // namespace arbutus
--- a/src/request/retry.cpp
+++ b/src/request/retry.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Relative steps of the quantile estimate: they start at the first value and shrink to the minimum
-// as samples arrive.
+// Relative steps in which the estimate of a latency quantile is adjusted: the step starts at the
+// first value and shrinks to the minimum as samples arrive.
 constexpr double first_quantile_step = 1.0;
 constexpr double min_quantile_step = 0.1;
 
@@ -17,7 +17,8 @@
   const std::uint32_t doublings = std::min(attempt - 1, 20U);
   const duration limit =
       std::min(settings.max_backoff, settings.first_backoff * (std::int64_t{1} << doublings));
-  // Full jitter: requests that failed together must not be retried together.
+  // The pause is random between 0 and the limit (full jitter), so that requests that failed
+  // together are not retried together.
   return random.jitter(limit);
 }
 
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -1,7 +1,8 @@
 // Retries and hedges: when another attempt may be made.
 //
-// Retries must not amplify an overload. They draw from a budget that first attempts fill, and only
-// the first hop makes them; the `attempt_context` of a request tells each hop whether it may retry.
+// Retries must not amplify an overload. Each retry uses up budget that first attempts add, and only
+// the node that received the caller's request retries. The `attempt_context` sent with a request
+// says whether the receiving node may retry it.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +19,10 @@
 
 namespace arbutus {
 
-// Sent with a request over every hop.
+// State of a request's attempts, sent along whenever a node forwards the request.
 struct attempt_context {
   std::uint32_t attempt = 1;  // from 1
-  bool may_retry = true;      // only at the hop that received the caller's request
+  bool may_retry = true;      // true only at the node that received the caller's request
   bool spilled = false;       // forwarded by a node of another data centre
 };
 
@@ -30,15 +31,16 @@
                                                bool spilled = false);
 
 struct retry_settings {
-  double ratio = 0.1;             // retries per first attempt
-  double reserve = 10;            // maximum of the budget, and its initial value
-  double floor_per_second = 0.5;  // added per second, so that a model with few requests can retry
+  double ratio = 0.1;   // retries per first attempt
+  double reserve = 10;  // maximum of the budget in retries, and its initial value
+  // Retries added to the budget per second, so that a model with few requests can retry.
+  double floor_per_second = 0.5;
   std::uint32_t max_attempts = 3;
   duration first_backoff = 20ms;
   duration max_backoff = 1s;
 };
 
-// One per model, on the node that receives the callers' requests.
+// The retry budget of one model, on the node that receives the callers' requests.
 class retry_budget {
  public:
   explicit retry_budget(const retry_settings& settings = {});
@@ -82,7 +84,8 @@
                                           duration needed, retry_budget& budget, rng& random);
 
 struct hedge_settings {
-  double quantile = 0.95;          // of the class's latency, after which a request is hedged
+  // A request is hedged when it has waited longer than this quantile of its class's latency.
+  double quantile = 0.95;
   double max_ratio = 0.05;         // hedges per request
   double reserve = 5;              // maximum of the budget, in hedges
   std::uint32_t min_samples = 50;  // latencies of a class before its requests are hedged
@@ -105,8 +108,8 @@
 
  private:
   struct class_latency {
-    double quantile_seconds{};  // moving estimate
-    std::uint32_t samples{};
+    double quantile_seconds{};  // moving estimate of the latency quantile
+    std::uint32_t samples{};    // latencies observed
   };
 
   hedge_settings settings_;
--- a/src/request/retry_window.h
+++ b/src/request/retry_window.h
@@ -1,8 +1,8 @@
 // The budget of retries that all nodes share without communicating.
 //
-// The bound holds for all nodes together over any window: `ratio` x requests + `burst`. Requests
-// are spread unevenly, so each node earns `ratio` per own request and gets an equal share of the
-// burst. The sum over the nodes then stays within the bound under any partition.
+// In any window, all nodes together send at most `ratio` x requests + `burst` retries. Requests are
+// spread unevenly, so each node may send `ratio` retries per request of its own plus an equal share
+// of the burst. The sum over the nodes then stays within the bound under any partition.
 #pragma once
 
 #include <array>
@@ -16,10 +16,10 @@
 struct retry_window_settings {
   double ratio = 0.2;     // retries per request, configured by operators
   double burst = 100;     // additional retries in a window, of all nodes together
-  duration window = 10s;  // the bound holds for any interval of this length
+  duration window = 10s;  // length of the interval for which the bound on retries holds
   std::size_t nodes = 6;  // nodes that may send; a number that is too large is safe
-  // Fraction of the bound that is available: a send may arrive later than it was counted, and nodes
-  // may be added before this one is informed.
+  // Fraction of the bound on retries that this node uses. The rest is a margin, since a request may
+  // arrive later than it was counted, and nodes may be added before this one is informed.
   double usable_fraction = 0.7;
 };
 
--- a/src/request/route_policy.cpp
+++ b/src/request/route_policy.cpp
@@ -10,7 +10,8 @@
 
 using indices = std::vector<std::size_t>;
 
-// Permitted replicas of the model; those already tried only if there is no other.
+// Replicas of the model to which requests may be sent now; those that the request already tried
+// only if there is no other.
 indices permitted(time_point now, const routing_snapshot& routes, const model_id& model,
                   tried_replicas tried) {
   indices untried;
--- a/src/request/route_policy.h
+++ b/src/request/route_policy.h
@@ -21,8 +21,8 @@
 
 namespace arbutus {
 
-// Whether new requests may be sent to this route now. To be checked again directly before the send:
-// the process may have been paused since the choice.
+// Whether new requests may be sent to this route now. To be checked again directly before a request
+// is sent: the process may have been paused since the route was chosen.
 [[nodiscard]] bool may_use(time_point now, const replica_route& route);
 
 struct route_choice {
@@ -30,7 +30,7 @@
   std::size_t index{};       // in routing_snapshot::replicas
   duration expected_wait{};  // before the request gets a slot there
   duration expected{};       // until the complete response
-  bool last_resort = false;  // no replica was left that is neither avoided nor tried
+  bool last_resort = false;  // all permitted replicas are avoided or were tried already
 };
 
 // The result of an attempt as observed by this node.
@@ -39,7 +39,7 @@
   double cost{};
   duration first_token{};    // from the send; 0: the response was not streamed
   duration total{};          // from the send
-  duration expected_wait{};  // of the route_choice
+  duration expected_wait{};  // route_choice::expected_wait of the attempt
   bool failed = false;       // aborted or refused; the times are not used
 };
 
@@ -78,7 +78,7 @@
   std::size_t next_ = 0;
 };
 
-// Ties are broken at random.
+// Chooses the replica with the lowest reported load; ties are broken at random.
 class least_reported_load {
  public:
   explicit least_reported_load(std::uint64_t seed) : random_(seed) {}
--- a/src/request/send_limits.cpp
+++ b/src/request/send_limits.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Time constant of the decay of the call count, which therefore estimates calls per second.
+// Time constant of the exponential decay of a target's demand. At 1 s the decaying count of calls
+// estimates calls per second.
 constexpr duration demand_time_constant = 1s;
 
 }  // namespace
--- a/src/request/send_limits.h
+++ b/src/request/send_limits.h
@@ -24,7 +24,7 @@
   std::optional<double> per_second;  // the lowest valid rate
 };
 
-// A limit as known to a node. Grants and demand are tracked separately.
+// The rate limit of a target as last known to this node.
 struct send_limit {
   std::optional<double> per_second;  // none: the target no longer reports one
   time_point seen_at{};              // time of the newest report
@@ -42,11 +42,12 @@
   // A peer reported the limit; its `seen_at` is not later than the target's response.
   void received(const target_id& target, const send_limit& limit);
 
-  // Null if none is known.
+  // The last known limit of the target; null if none is known.
   [[nodiscard]] const send_limit* find(const target_id& target) const;
   [[nodiscard]] const std::map<target_id, send_limit>& all() const { return limits_by_target_; }
   [[nodiscard]] bool is_limited(const target_id& target) const;
-  // Erases limits not seen for `retention`. `keep`: whether the target may still be alive.
+  // Erases limits that no response or peer has reported for `retention`, except limits in force for
+  // which `keep(target)` returns true because the target may still be alive.
   template <class Keep>
   void forget(time_point now, Keep&& keep) {
     std::erase_if(limits_by_target_, [&](const auto& entry) {
--- a/src/request/spill.h
+++ b/src/request/spill.h
@@ -18,7 +18,7 @@
 // up).
 struct slot_count {
   std::uint32_t free_slots{};
-  std::uint32_t slots{};  // all slots of usable replicas, not divided
+  std::uint32_t slots{};  // all slots of usable replicas, not divided by the number of nodes
 };
 [[nodiscard]] slot_count usable_slots(time_point now, const routing_snapshot& routes,
                                       const model_id& model, const in_flight& flights,
@@ -26,8 +26,11 @@
 
 struct spill_settings {
   duration max_summary_age = 10s;  // older summaries of other data centres are ignored
-  double margin = 1.5;             // local wait over remote wait: the remote one is less certain
-  duration min_gain = 100ms;       // the local wait must exceed the weighted remote one by this
+  // The remote wait is multiplied by this factor in comparisons, since it is less certain than the
+  // local wait.
+  double margin = 1.5;
+  // A request is forwarded only if the local wait exceeds the multiplied remote wait by this time.
+  duration min_gain = 100ms;
 };
 
 // Round-trip time to another data centre, measured by this node's links.
--- a/src/version/activation.cpp
+++ b/src/version/activation.cpp
@@ -1,5 +1,5 @@
-// Merges activations into the row. Each is checked against the row, since it may have been made
-// from an older one.
+// Merges standby activations into the assignment row. Each activation is checked against the row,
+// since a node may have made it from an older row.
 #include "version/activation.h"
 
 #include <algorithm>
@@ -20,9 +20,10 @@
                              [&](const withdrawal& w) { return w.vm == vm && w.from == replica; });
 }
 
-// Whether the composition is an activation of this replica in this row or an older one. One from an
-// older row may use a standby that was withdrawn since: no other replica can have received that VM
-// while the withdrawal is in the row. Any other VM is not allowed.
+// Whether the composition is an activation of standbys of replica `r` as stored in this row or in
+// an older one. An activation from an older row may use a standby that was withdrawn since: no
+// other replica can have received that VM while the withdrawal is in the row. Any other VM is not
+// allowed.
 bool is_derived_from_row(const composition& c, const replica_plan& r, const activation_merge& row,
                          std::uint64_t row_version) {
   if (c.members.size() != r.members.size()) {
--- a/src/version/assignment.cpp
+++ b/src/version/assignment.cpp
@@ -32,7 +32,7 @@
   return lost_mask{1} << position;
 }
 
-// All positions in a replica that has `count` members and standbys.
+// The mask of all VMs of a replica that has `count` members and standbys.
 lost_mask mask_of(std::size_t count) {
   return count >= max_positions ? ~lost_mask{0} : bit_at(count) - 1;
 }
@@ -41,7 +41,8 @@
   return finding{severity::error, {"assignment", 0, 0}, std::move(message), {}};
 }
 
-// Remembers where each VM was seen first, so that a message about a double use names both places.
+// Remembers where in the row each VM occurs first, so that a message about a VM that is used twice
+// names both places.
 class vm_uses {
  public:
   void add(const vm_id& vm, const std::string& where, findings& found) {
--- a/src/version/assignment.h
+++ b/src/version/assignment.h
@@ -1,5 +1,6 @@
-// The assignment of VMs to replicas: one row per data centre in the table, changed only by
-// conditional writes. Its version is part of the fencing token of every order.
+// The assignment of VMs to replicas: one row per data centre in the platform's table, changed only
+// by conditional writes. The row's version is part of the fencing token of every order that a node
+// sends to a target.
 #pragma once
 
 #include <cstdint>
@@ -20,10 +21,10 @@
 
 // Fencing token of a replica's composition, compared field by field. `row` is the assignment
 // version that contains this composition or from which it was activated; `step` and `lost` describe
-// the local repairs made since then without the table.
+// the repairs that nodes made since then while the table was unavailable.
 struct generation {
   std::uint64_t row{};
-  std::uint32_t step{};  // invariant: popcount(lost)
+  std::uint32_t step{};  // number of members and standbys lost since: popcount(lost)
   lost_mask lost{};
   auto operator<=>(const generation&) const = default;
 };
@@ -41,9 +42,10 @@
   model_id model;
   std::string model_version;
   replica_phase phase = replica_phase::active;
-  bool crosses_fabric_domains = false;  // slow; the last choice in routing
-  std::vector<vm_id> members;           // by rank; the first is the head
-  std::vector<vm_id> standbys;          // reserved for this replica alone, in order of use
+  // The members are in several fabric domains: the replica is slow and routing uses it last.
+  bool crosses_fabric_domains = false;
+  std::vector<vm_id> members;   // by rank; the first is the head
+  std::vector<vm_id> standbys;  // reserved for this replica alone, in order of use
   generation gen;
   auto operator<=>(const replica_plan&) const = default;
 };
@@ -62,7 +64,7 @@
   data_centre_id data_centre;
   std::uint64_t version{};  // own counter: only increases, also when the table is restored
   std::uint64_t config_version{};
-  proposal_id proposal;  // of the write that made it
+  proposal_id proposal;  // identifies the write that stored this version
   // Invariant: a VM occurs at most once in all members, standbys and withdrawals together.
   std::vector<replica_plan> replicas;
   std::vector<withdrawal> withdrawals;
@@ -74,10 +76,11 @@
 // Violations of the invariants of a row, for tests and before every write.
 [[nodiscard]] findings check_invariants(const assignment& a);
 
-// The members of a replica under one generation. activate() makes the repair without the table: the
-// composition of `replica` without the VMs in `lost`. It is a pure function of the row and the
-// mask, so that equal generations mean equal compositions: each lost member is replaced in place by
-// the first standby that is neither lost nor used. Empty if there are not enough standbys.
+// The members of a replica under one generation. activate() computes a repair that needs no write
+// to the table: the composition of `replica` without the VMs in `lost`. It is a pure function of
+// the row and the mask, so that equal generations mean equal compositions: each lost member is
+// replaced in place by the first standby that is neither lost nor used. Empty if there are not
+// enough standbys.
 struct composition {
   replica_id replica;
   generation gen;
@@ -86,7 +89,7 @@
 };
 [[nodiscard]] std::optional<composition> activate(const replica_plan& replica,
                                                   std::uint64_t row_version, lost_mask lost);
-// The composition as the row has it.
+// The composition of a replica as stored in the assignment row, without local repairs.
 [[nodiscard]] composition planned(const replica_plan& replica);
 
 // Row codec (MessagePack). decode(encode(a)) == a; damaged bytes are refused with a reason.
--- a/src/version/assignment_codec.cpp
+++ b/src/version/assignment_codec.cpp
@@ -12,7 +12,7 @@
 
 using json = nlohmann::json;
 
-// First element of the row: a reader refuses a format that it does not know.
+// Format number, the first element of the encoded row. A reader refuses an unknown format.
 constexpr std::uint64_t row_format = 1;
 
 json pack(const std::vector<vm_id>& vms) {
--- a/src/version/config_changes.cpp
+++ b/src/version/config_changes.cpp
@@ -26,7 +26,7 @@
   return text;
 }
 
-// The name of a record, unique in its list; empty: it has none.
+// The name of a record, which identifies it in its list; empty if the record has no name.
 std::string name_of(const json& record) {
   std::string name;
   for (const char* key : {"id", "name", "service", "data_centre"}) {
--- a/src/version/configuration.cpp
+++ b/src/version/configuration.cpp
@@ -1,5 +1,6 @@
-// Content and head as JSON: the objects in the store are readable for people, keys are sorted, and
-// the parser is not recursive, so that deeply nested damaged text cannot overflow a small stack.
+// Encodes the content and the head of a configuration as JSON: the objects in the store are
+// readable for people, keys are sorted, and the parser is not recursive, so that deeply nested
+// damaged text cannot overflow a small stack.
 //
 // The fields of each record are listed once, in `visit_fields`, for encoding and decoding.
 #include "version/configuration.h"
@@ -242,7 +243,8 @@
   value = j.get<bool>();
 }
 
-// The library's own conversion truncates: a port of 65537 would become 1.
+// Reads an integer and refuses values out of range. The JSON library's own conversion truncates: a
+// port of 65537 would become 1.
 template <std::unsigned_integral T>
 requires(!std::same_as<T, bool>) void read_value(const json& j, T& value) {
   if (!j.is_number_unsigned()) {
--- a/src/version/configuration.h
+++ b/src/version/configuration.h
@@ -12,12 +12,13 @@
 
 namespace arbutus {
 
-// Names the accepted configuration; one row in the table. Versions only increase.
+// Points to the accepted configuration; stored in one row of the platform's table. Versions only
+// increase.
 struct config_head {
   std::uint64_t version{};
   std::string hash;  // content_hash of the encoded content, its name in the object store
-  // Newest first, including the one that wrote this head: a proposer whose reply was lost finds its
-  // proposal here even if later ones were accepted.
+  // Ids of the last accepted proposals, newest first, including the one that wrote this head: a
+  // proposer whose reply was lost finds its proposal here even if later ones were accepted.
   std::vector<proposal_id> proposals;
   auto operator<=>(const config_head&) const = default;
 };
@@ -28,7 +29,8 @@
   rules desired;
 };
 
-// The content as stored; does not depend on the version number. decode(encode(c)) == c.
+// Encodes inventory and rules as stored in the object store; the result does not depend on the
+// version number. decode(encode(c)) == c.
 [[nodiscard]] std::string encode_content(const inventory& assets, const rules& desired);
 [[nodiscard]] outcome<configuration> decode_content(std::string_view content,
                                                     std::uint64_t version);
--- a/src/version/cross_check.cpp
+++ b/src/version/cross_check.cpp
@@ -58,7 +58,7 @@
 
   // ---- names ----
 
-  using name_paths = std::map<std::string, std::string, std::less<>>;  // name to its record's path
+  using name_paths = std::map<std::string, std::string, std::less<>>;  // name to path of its record
 
   void add_name(name_paths& names, const std::string& name, const std::string& path,
                 std::string_view what) {
@@ -305,7 +305,8 @@
     return path.starts_with(prefix) && (path.size() == prefix.size() || path[prefix.size()] == '/');
   }
 
-  // With overlapping prefixes the order of the rules would decide which service gets a request.
+  // Reports path prefixes of services that overlap. With them, the order of the rules would decide
+  // which service gets a request.
   void check_prefixes() {
     name_paths prefixes;
     for (std::size_t s = 0; s < rules_.services.size(); ++s) {
--- a/src/version/cross_check_capacity.cpp
+++ b/src/version/cross_check_capacity.cpp
@@ -136,7 +136,8 @@
   const inventory& assets_;
   const rules& rules_;
   const place_index& places_;
-  std::set<data_centre_id> over_capacity_;  // already reported for a single model
+  // Data centres in which a single model does not fit, which has been reported already.
+  std::set<data_centre_id> over_capacity_;
   findings problems_;
 };
 
--- a/src/version/desired_replicas.cpp
+++ b/src/version/desired_replicas.cpp
@@ -17,12 +17,13 @@
 // Thresholds of load per replica, in units of one replica's capacity. Queueing grows steeply above
 // about 0.9.
 constexpr double overload_threshold = 0.9;
-// A model lends a replica only if its remaining ones stay at or below this load.
+// A model gives up a replica to an overloaded model only if its remaining ones stay at or below
+// this load.
 constexpr double max_load_after_lending = 0.6;
-// A model gets a lent replica back above this load. The difference to max_load_after_lending is the
-// hysteresis.
+// A model that gave up a replica gets one back above this load per replica. The difference to
+// max_load_after_lending is the hysteresis.
 constexpr double reclaim_threshold = 0.8;
-// An additional replica is kept while the load would exceed this without it.
+// A replica beyond the placements is kept while the load per replica would exceed this without it.
 constexpr double keep_threshold = 0.7;
 
 bool keeps_extra(const plan_draft& draft, const model_rule& rule) {
@@ -68,7 +69,8 @@
   return list;
 }
 
-// A replica that is not broken is drained only if at least `desired` of the remaining ones serve.
+// Removes or drains replicas of a model beyond `desired`. A replica that is not broken is drained
+// only if at least `desired` of the remaining ones serve.
 void remove_surplus(plan_draft& draft, const model_id& model, std::uint32_t desired) {
   const std::vector<draft_replica*> list = by_removal_order(draft, model);
   for (std::size_t i = 0; i + desired < list.size(); ++i) {
@@ -93,7 +95,8 @@
   return count > 1 && draft.load_in_replicas(r.plan.model) <= max_load_after_lending * (count - 1);
 }
 
-// The domain in which a replica of the borrowing model fits once `r` is removed.
+// The domain in which a replica of an overloaded model (`rule`) fits once replica `r` of another
+// model is removed.
 std::optional<domain_index> domain_with_room(const plan_draft& draft, const model_rule& rule,
                                              const draft_replica& r, std::size_t keep_free) {
   const std::uint32_t accelerators = rule.accelerators_per_vm;
@@ -112,8 +115,9 @@
   return std::nullopt;
 }
 
-// Also reserves the VMs that are already free. Otherwise a later pass would take them, the borrower
-// would not fit after the drain, and the next plan would drain another lender for it.
+// Drains a replica of a model with little load to make room for one of the overloaded model `rule`
+// (the borrower). Also reserves the VMs that are already free. Otherwise a later pass would take
+// them, the borrower would not fit after the drain, and the next plan would drain another replica.
 void borrow(plan_draft& draft, const model_rule& rule, std::size_t keep_free) {
   draft_replica* lender = nullptr;
   domain_index domain = any_domain;
@@ -136,8 +140,8 @@
   draft.pool.reserve_vms(domain, rule.accelerators_per_vm, free, rule.vms_per_replica - free);
 }
 
-// Models that lack a replica of their placements take precedence over overloaded ones, and would
-// take the VMs that a lender gives up.
+// Whether a model has fewer replicas than its placements give it. Such a model takes precedence
+// over overloaded ones and would take the VMs that are freed for them.
 bool placements_unmet(const plan_draft& draft, const std::vector<std::uint32_t>& desired) {
   for (std::size_t i = 0; i < desired.size(); ++i) {
     if (draft.count_active(draft.models()[i]->id) < desired[i]) {
@@ -167,7 +171,8 @@
   return false;
 }
 
-// Uses remaining VMs to restore lent replicas. VMs that a borrower waits for are already reserved.
+// Uses remaining free VMs to create replicas again that models gave up to overloaded models. VMs
+// that an overloaded model waits for are already reserved.
 void restore_lent_replicas(plan_draft& draft, std::size_t keep_free) {
   for (const model_rule* rule : draft.models()) {
     while (draft.count_active(rule->id) < draft.configured_replicas(*rule) &&
--- a/src/version/desired_replicas.h
+++ b/src/version/desired_replicas.h
@@ -9,8 +9,8 @@
 
 namespace arbutus {
 
-// The desired number for each of `draft.models()`. Differs from the placements only where demand
-// has moved, or is about to move, a replica from a model with little load to an overloaded one.
+// The desired number of replicas for each of `draft.models()`. Differs from the placements only
+// where a replica was moved, or is about to be, from a model with little load to an overloaded one.
 [[nodiscard]] std::vector<std::uint32_t> desired_replicas(const plan_draft& draft);
 
 // Whether all replicas of the model serve, but are too few for its load.
--- a/src/version/field_text.cpp
+++ b/src/version/field_text.cpp
@@ -117,7 +117,7 @@
       return 0;
     }
   }
-  // Rejects overlong forms, surrogates and values above the last code point.
+  // Rejects overlong UTF-8 forms, surrogates and values above the last Unicode code point.
   const unsigned second = byte(at + 1);
   const bool invalid = (first == 0xe0 && second < 0xa0) || (first == 0xed && second > 0x9f) ||
                        (first == 0xf0 && second < 0x90) || (first == 0xf4 && second > 0x8f);
--- a/src/version/field_text.h
+++ b/src/version/field_text.h
@@ -1,5 +1,5 @@
 // Syntax of text fields in operators' files (names, numbers, endpoints), and suggestions for
-// misspelt names. Shared by inventory, rules and node settings.
+// misspelt names. Used by the readers of inventory, rules and node settings.
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 namespace arbutus {
 
-// Readers stop collecting findings at this number. Without a limit, the findings of an invalid file
-// could take more memory than the file.
+// Readers of files stop collecting findings (errors and warnings) at this number. Without a limit,
+// the findings of an invalid file could take more memory than the file.
 inline constexpr std::size_t max_findings = 1000;
 
 // Names are used in table keys, paths and metrics. They therefore consist of at most 64 ASCII
--- a/src/version/import.h
+++ b/src/version/import.h
@@ -26,13 +26,14 @@
 // The path under which place_index stores record `index` of `list`, such as "vms/3".
 [[nodiscard]] std::string record_path(std::string_view list, std::size_t index);
 
-// Maps the path of each record and field to its place in the file, so that checks across both files
-// can report it.
+// Maps the path of each record and field to its place in the file, so that checks that involve both
+// files can report where a wrong value is.
 class place_index {
  public:
   void add_place(std::string path, place where);
-  // The place of the longest known prefix of `path` ("vms/3/address", then "vms/3"). If none is
-  // known, as for values that were not read from a file, a place whose file name is `path`.
+  // The place of `path` in the file. If unknown, that of its longest known prefix: "vms/3" for
+  // "vms/3/address". If no prefix is known, as for values that were not read from a file, a place
+  // whose file name is `path`.
   [[nodiscard]] place at(const std::string& path) const;
   void merge(place_index other);
 
@@ -42,13 +43,13 @@
 
 struct inventory_import {
   inventory assets;
-  place_index places;  // "vms/3", "vms/3/address", ...
+  place_index places;  // has paths such as "vms/3" and "vms/3/address"
   findings problems;
 };
 
 struct rules_import {
   rules desired;
-  place_index places;  // "models/0", "workspaces/2/models/1", ...
+  place_index places;  // has paths such as "models/0" and "workspaces/2/models/1"
   findings problems;
 };
 
--- a/src/version/import_csv.h
+++ b/src/version/import_csv.h
@@ -15,7 +15,7 @@
   place at;          // column in characters, not bytes
 };
 
-// Never empty: lines that are empty or begin with '#' are skipped.
+// The fields of one line; never empty, since lines that are empty or begin with '#' are skipped.
 using csv_row = std::vector<csv_field>;
 
 // Does not throw on invalid text. Unbalanced quotes, NUL and other control characters, and invalid
--- a/src/version/import_inventory.cpp
+++ b/src/version/import_inventory.cpp
@@ -32,7 +32,7 @@
   place at() const { return row_.front().at; }
   const std::vector<std::string_view>& used() const { return used_; }
 
-  // Places of the row and its fields are stored under this path, such as "vms/3".
+  // Sets the path, such as "vms/3", under which the places of the row and its fields are stored.
   void set_path(std::string path) {
     path_ = std::move(path);
     result_.places.add_place(path_, at());
@@ -43,7 +43,7 @@
         {severity::error, std::move(where), std::move(message), std::move(expected)});
   }
 
-  // The text is empty if the column is absent.
+  // The row's field in this column; its text is empty if the column is absent.
   const csv_field& field(std::string_view column) {
     used_.push_back(column);
     const auto found = std::find(header_.begin(), header_.end(), column);
--- a/src/version/inventory.h
+++ b/src/version/inventory.h
@@ -27,7 +27,7 @@
   data_centre_id data_centre;
   fabric_domain_id fabric_domain;
   std::uint32_t accelerators{};
-  bool checks_tokens = true;  // refuses an order that carries an old fencing token
+  bool checks_tokens = true;  // the engine refuses orders that carry an old fencing token
   auto operator<=>(const vm_record&) const = default;
 };
 
@@ -43,13 +43,13 @@
 struct node_record {
   node_id id;
   data_centre_id data_centre;
-  endpoint link;    // where it listens for other nodes
-  endpoint caller;  // where it listens for callers
+  endpoint link;    // where the node listens for other nodes
+  endpoint caller;  // where the node listens for callers
   node_strength strength = {};
   auto operator<=>(const node_record&) const = default;
 };
 
-// One instance of a plain service (such as crew-api) and the address it listens on.
+// One instance of a service that is not a model (such as crew-api) and the address it listens on.
 struct service_target {
   service_id service;
   data_centre_id data_centre;
--- a/src/version/placement.cpp
+++ b/src/version/placement.cpp
@@ -1,6 +1,6 @@
-// Choice of VMs. Working replicas are never moved to make room: if only a move could give a replica
-// enough VMs, it waits until a VM returns, which costs less than loading all weights of another
-// replica again.
+// Chooses VMs for replicas. Working replicas are never moved to make room: if only moving one could
+// give another replica enough VMs, the latter waits until a VM returns, which costs less than
+// loading all model weights of the moved replica again.
 #include "version/placement.h"
 
 #include <algorithm>
@@ -36,8 +36,9 @@
   }
 }
 
-// Fills gaps with free VMs of domain `from`, then of `domain`. If `domain` is any_domain, continues
-// with the domain of the VM just taken, so that the replica spans few domains.
+// Fills the places of lost members (gaps) with free VMs of domain `from`, then of `domain`. If
+// `domain` is any_domain, continues with the domain of the VM just taken, so that the replica spans
+// few domains.
 void fill_gaps_from_pool(plan_draft& draft, std::vector<vm_id>& members, domain_index domain,
                          std::uint32_t accelerators, domain_index from) {
   for (vm_id& vm : members) {
@@ -77,7 +78,8 @@
   return true;
 }
 
-// The domain that can hold all members and already has most of the replica's usable VMs.
+// Of the domains that can hold all members, the one that already has most of the replica's usable
+// VMs.
 std::optional<domain_index> domain_with_capacity(const plan_draft& draft, const draft_replica& r) {
   const std::uint32_t accelerators = r.rule->accelerators_per_vm;
   std::optional<domain_index> best;
@@ -160,8 +162,9 @@
   return found == draft.released.end() ? std::nullopt : std::optional(*found);
 }
 
-// Best fit, so that domains with many free VMs keep them. The predecessor's domain is preferred if
-// it has room, since its VMs already hold the weights.
+// The domain for a new replica: the one with the fewest free VMs that suffice, so that domains with
+// many free VMs keep them. The domain of the replica's predecessor is preferred if it has room,
+// since its VMs already hold the model's weights.
 domain_index best_fit(const plan_draft& draft, const model_rule& rule,
                       const std::optional<replica_plan>& before) {
   const std::uint32_t accelerators = rule.accelerators_per_vm;
@@ -235,7 +238,7 @@
 }
 
 void repair_rank(plan_draft& draft, std::uint32_t rank) {
-  std::vector<std::size_t> broken;  // indices: reclaim_vms() may dissolve replicas but adds none
+  std::vector<std::size_t> broken;  // indices stay valid: reclaim_vms() adds no replicas
   for (std::size_t i = 0; i < draft.replicas.size(); ++i) {
     const draft_replica& r = draft.replicas[i];
     if (r.active() && r.broken() && r.rule != nullptr && r.rule->rank == rank) {
--- a/src/version/placement.h
+++ b/src/version/placement.h
@@ -18,8 +18,8 @@
 // the data centre. False if none fits.
 bool create_replica(plan_draft& draft, const model_rule& rule, std::size_t keep_free);
 
-// Like create_replica(), but if no domain has enough free VMs, frees VMs from the sources listed
-// above. True if the replica was created or its VMs are becoming free.
+// Like create_replica(), but if no domain has enough free VMs, frees VMs from the sources that
+// repair_and_fill() uses. True if the replica was created or its VMs are becoming free.
 bool create_replica_or_wait(plan_draft& draft, const model_rule& rule);
 
 }  // namespace arbutus
--- a/src/version/plan_draft.cpp
+++ b/src/version/plan_draft.cpp
@@ -97,7 +97,8 @@
   }
 }
 
-// Once a member is lost, the replica is changed anyway, so its leaving members are replaced too.
+// Updates the state of a replica from the condition of its members. Leaving members count as
+// missing once another member is lost, since the replica is changed anyway.
 void plan_draft::refresh(draft_replica& r) const {
   std::uint32_t lost = 0;
   std::uint32_t leaving = 0;
--- a/src/version/plan_draft.h
+++ b/src/version/plan_draft.h
@@ -17,9 +17,9 @@
   const model_rule* rule = nullptr;  // null: the model is not in the rules
   std::uint32_t missing = 0;         // lost members, and leaving ones too if any is lost
   bool has_leaving = false;          // a member is leaving and none is lost
-  bool serving = false;              // was reported ready
-  bool waiting = false;              // its VMs become free after an acknowledgement or a drain
-  bool removed = false;
+  bool serving = false;              // all its members report that they are ready
+  bool waiting = false;              // VMs for it become free after an acknowledgement or a drain
+  bool removed = false;              // is not in the next row
 
   [[nodiscard]] bool active() const { return !removed && plan.phase == replica_phase::active; }
   [[nodiscard]] bool draining() const { return !removed && plan.phase == replica_phase::draining; }
@@ -41,16 +41,16 @@
   [[nodiscard]] bool outdated(const draft_replica& r) const;
   [[nodiscard]] std::uint32_t count_active(const model_id& model) const;
   [[nodiscard]] std::uint32_t count_serving(const model_id& model) const;
-  // A replica of this model is draining, broken, or newly created and not ready yet.
+  // Whether a replica of this model is draining, broken, or newly created and not ready yet.
   [[nodiscard]] bool is_changing(const model_id& model) const;
-  // The domain that holds the most usable members.
+  // The fabric domain that holds the most usable members of the replica.
   [[nodiscard]] domain_index main_domain(const draft_replica& r) const;
   // Number of usable members and standbys in domain `d` with at least `accelerators`.
   [[nodiscard]] std::size_t usable_in(const draft_replica& r, domain_index d,
                                       std::uint32_t accelerators) const;
 
-  // Recounts the free and pending VMs. Passes reserve VMs for waiting replicas; later passes of the
-  // round must respect that, but a new round decides again.
+  // Starts a round of planning passes: recounts the free and pending VMs and drops the reservations
+  // of VMs for waiting replicas, which bind only the later passes of the same round.
   void begin_round();
   [[nodiscard]] std::size_t moves() const { return reasons_.size(); }
 
@@ -65,10 +65,10 @@
   void withdraw_standby(draft_replica& r, const vm_id& vm, const std::string& reason);
   // Removes a replica that cannot run requests, so that no request is interrupted.
   void dissolve(draft_replica& r, const std::string& reason);
-  // First step of a planned stop.
+  // First step of a planned stop of a replica: it gets no new requests.
   void drain(draft_replica& r, const std::string& reason);
-  // Second step of a planned stop. The VMs are free immediately, since every node has acknowledged
-  // the drain.
+  // Second step of a planned stop of a replica: removes it. Its VMs are free immediately, since
+  // every node has acknowledged the drain.
   void release(draft_replica& r);
   draft_replica& add(const model_rule& rule, const std::vector<vm_id>& members);
   void add_reason(const replica_id& replica, const std::string& what);
@@ -90,7 +90,7 @@
   std::uint64_t next_version_;
   std::vector<const model_rule*> models_;
   std::unordered_set<replica_id> serving_;
-  std::vector<withdrawal> withdrawals_;  // of the next row
+  std::vector<withdrawal> withdrawals_;  // the next row's list of withdrawn VMs
   bool withdrawals_changed_ = false;     // the next row has withdrawals that the current one lacks
   std::uint32_t added_ = 0;
   std::vector<std::string> reasons_;
--- a/src/version/planner.cpp
+++ b/src/version/planner.cpp
@@ -16,9 +16,9 @@
 // A replica is moved into one fabric domain only if the other replicas would have at most this load
 // each.
 constexpr double max_improvement_load = 0.7;
-// A pass can free VMs that an earlier pass would have used, so the passes are repeated until none
-// changes anything. Planning again from the result then changes nothing. Two rounds are nearly
-// always enough; the limit guards against a cycle.
+// Maximum number of rounds of all planning passes. A pass can free VMs that an earlier pass would
+// have used, so the passes are repeated until none changes anything. Planning again from the result
+// then changes nothing. Two rounds are nearly always enough; the limit guards against a cycle.
 constexpr int max_rounds = 8;
 
 // A plan from outdated inputs would revert newer changes. The conditional write rejects it if the
@@ -28,7 +28,8 @@
   return in.config->version < in.current->config_version || std::ranges::any_of(in.in_force, later);
 }
 
-// A draining replica that lost a member runs no requests, so dissolving it interrupts none.
+// Removes draining replicas that run no requests: those proven empty, and those that lost a member,
+// which cannot run any.
 void end_drains(plan_draft& draft) {
   const auto& drained_replicas = draft.input().drained_replicas;
   for (draft_replica& r : draft.replicas) {
@@ -43,8 +44,8 @@
   }
 }
 
-// Drains all of them simultaneously: nodes send no new requests to a leaving target anyway, so a
-// delay would keep no capacity and leave less time until the VM is removed.
+// Drains all replicas with a leaving VM simultaneously: nodes send no new requests to a leaving
+// target anyway, so a delay would keep no capacity and leave less time until the VM is removed.
 void drain_leaving(plan_draft& draft) {
   for (draft_replica& r : draft.replicas) {
     if (r.active() && r.has_leaving) {
@@ -65,8 +66,8 @@
   return false;
 }
 
-// Replaces one replica of a model. Creates the new one first if VMs are free; otherwise drains the
-// old one if the other replicas can carry the load or there are none.
+// Replaces one outdated replica of a model. Creates the new replica first if VMs are free;
+// otherwise drains the old one if the other replicas can carry the load or there are none.
 void replace_outdated(plan_draft& draft, draft_replica& r) {
   const model_rule& rule = *r.rule;
   if (create_replica(draft, rule, 0)) {
--- a/src/version/planner.h
+++ b/src/version/planner.h
@@ -20,12 +20,12 @@
 };
 
 struct planner_input {
-  const configuration* config = nullptr;  // not null
-  const assignment* current = nullptr;    // not null; the last known row
+  const configuration* config = nullptr;  // must not be null
+  const assignment* current = nullptr;    // the last known row; must not be null
   data_centre_id data_centre;
   std::vector<vm_health> health;             // VMs that are not listed count as lost
   std::vector<composition> in_force;         // known activations, the newest of each replica
-  std::vector<replica_id> drained_replicas;  // draining replicas that are proven empty
+  std::vector<replica_id> drained_replicas;  // draining replicas that provably run no requests
   std::uint64_t acknowledged{};              // highest row version acknowledged by every live node
   std::vector<replica_demand> demand;
   // Replicas of which every member reports that it is ready. A planned stop requires other replicas
@@ -34,12 +34,13 @@
 };
 
 struct plan {
-  assignment next;  // without a proposal id: the caller sets one for each attempt
+  assignment next;  // has no proposal id: the caller sets one for each attempt to write the row
   bool changed = false;
   std::vector<std::string> reasons;  // one readable line per action
 };
 
-// If no change justifies a write, `changed` is false and `next` equals the current row.
+// Computes the next row. If no change justifies a write, `changed` is false and `next` equals the
+// current row.
 [[nodiscard]] plan make_plan(const planner_input& in);
 
 }  // namespace arbutus
--- a/src/version/planner_bench.cpp
+++ b/src/version/planner_bench.cpp
@@ -1,5 +1,5 @@
-// Simulates one data centre whose VMs fail, leave and return in a sequence given by a seed. Every
-// row is acknowledged immediately.
+// Simulates one data centre whose VMs fail, leave and return in a sequence given by a seed. All
+// nodes acknowledge every row immediately.
 #include "version/planner_bench.h"
 
 #include <algorithm>
@@ -17,13 +17,14 @@
 
 namespace {
 
-// One sixteenth of a fleet of 2,700 accelerators. Each fabric domain has VMs for two replicas and
-// two spares.
+// The simulated data centre is one sixteenth of a fleet of 2,700 accelerators. Each fabric domain
+// has VMs for two replicas and two spares.
 constexpr std::size_t bench_domains = 5;
 constexpr std::size_t vms_per_domain = 34;
 constexpr std::uint32_t vms_per_replica = 16;
 constexpr std::uint32_t replicas_per_domain = 2;
-// A planner that still changes the row after this many rows is considered not to converge.
+// After one change of a VM, a planner that still changes the row after this many rows is considered
+// not to converge.
 constexpr int max_rows_per_change = 20;
 
 class bench_data_centre {
--- a/src/version/planner_bench.h
+++ b/src/version/planner_bench.h
@@ -9,7 +9,7 @@
 namespace arbutus {
 
 struct planner_history {
-  std::size_t changes{};  // of the condition of a VM
+  std::size_t changes{};  // simulated changes of a VM's condition
   std::size_t plans{};
   std::size_t rows{};         // plans that changed the row
   std::uint64_t signature{};  // hash of all rows: differs only if a plan differs
--- a/src/version/rules.h
+++ b/src/version/rules.h
@@ -12,7 +12,8 @@
 
 namespace arbutus {
 
-// Relative costs of the two kinds of loss; only their ratio matters.
+// Relative costs of a replica that is down and of accelerators that no replica can use; only their
+// ratio matters.
 struct weights {
   double group_downtime = 1.0;
   double stranded_accelerators = 1.0;
@@ -48,7 +49,7 @@
     auto operator<=>(const idempotent_call&) const = default;
   };
   std::vector<idempotent_call> idempotent_calls;
-  std::vector<workspace_id> workspaces;  // who may call; empty: all
+  std::vector<workspace_id> workspaces;  // may call the service; empty: all workspaces may
   auto operator<=>(const service_rule&) const = default;
 };
 
@@ -65,7 +66,7 @@
   workspace_id id;
   std::vector<std::string> key_hashes;  // SHA-256 of each key, hexadecimal
   std::vector<model_id> models;         // models that it may use
-  double share = 1.0;                   // weight in fair sharing
+  double share = 1.0;                   // weight in fair queueing between workspaces
   double requests_per_second = 0;       // limit over all nodes; 0: no limit
   double burst = 0;
   auto operator<=>(const workspace_rule&) const = default;
@@ -79,7 +80,7 @@
   weights preference;
   std::uint32_t spare_vms_per_data_centre = 0;  // shared by all replicas
   std::uint32_t standbys_per_replica = 0;       // 0: the planner decides, based on the weights
-  double vm_failures_per_day = 0.0;             // in the entire fleet; an input of the planner
+  double vm_failures_per_day = 0.0;             // of all VMs together; an input of the planner
   double vm_repair_hours = 4.0;
   auto operator<=>(const rules&) const = default;
 
--- a/src/version/secret.h
+++ b/src/version/secret.h
@@ -19,7 +19,8 @@
 // Whether the text has the form of a result of sha256_hex().
 [[nodiscard]] bool is_key_hash(std::string_view text);
 
-// Compares in a time that depends only on the lengths, not on where the first difference is.
+// Whether two texts are equal. The time taken depends only on their lengths, not on where the first
+// difference is.
 [[nodiscard]] bool equal_constant_time(std::string_view a, std::string_view b);
 
 // The workspace that `key` belongs to, or null. Compares with every hash of every workspace, so
--- a/src/version/service_map.h
+++ b/src/version/service_map.h
@@ -1,8 +1,8 @@
 // One accepted version of the operators' service configuration, as read from the platform: routes,
 // services with the parameters of their engines, and workspaces with their keys.
 //
-// It is the counterpart of `configuration` for deployments with a live inventory: targets join and
-// leave without a new version, so this configuration does not list them.
+// A service_map replaces `configuration` in deployments with a live inventory: targets join and
+// leave without a new version, so the service configuration does not list them.
 #pragma once
 
 #include <cstddef>
@@ -21,9 +21,9 @@
 namespace arbutus {
 
 enum class route_kind : std::uint8_t {
-  idempotent,  // may run more than once
-  once,        // may run at most once for each request of a caller
-  stream,      // a series of events; repeatable only if it can be resumed
+  idempotent,  // a request may run more than once
+  once,        // each request of a caller may run at most once
+  stream,      // the response is a series of events; repeatable only if it can be resumed
 };
 
 // The share of a route's requests that goes to one service.
@@ -38,7 +38,7 @@
   std::string prefix;  // begins and ends with '/'
   route_kind kind = route_kind::once;
   bool resumable = false;       // another target can continue a stream after its last event
-  bool needs_workspace = true;  // false: served without a key
+  bool needs_workspace = true;  // false: callers need no API key
   duration timeout{};           // the caller gets an answer within this time
   duration target_latency{};    // objective until the answer; for streams until the first event
   duration gap_target{};        // objective for the longest pause between events
@@ -89,13 +89,13 @@
   service_id id;
   std::string health_path;
   std::uint32_t max_connections{};          // to one target, for all callers together
-  std::optional<engine_parameters> engine;  // empty: a plain service
+  std::optional<engine_parameters> engine;  // empty: the service is not a model
 };
 
 struct workspace_spec {
   workspace_id id;
   std::vector<std::string> keys;
-  std::optional<std::uint32_t> priority;  // overrides that of the route
+  std::optional<std::uint32_t> priority;  // overrides the priority of the route
 };
 
 // Limits of a caller's connection.
@@ -116,7 +116,7 @@
   [[nodiscard]] const caller_limits& limits() const { return limits_; }
   [[nodiscard]] const std::vector<service_spec>& services() const { return services_; }
   [[nodiscard]] const std::vector<route>& routes() const { return routes_; }
-  // False: no request needs a key.
+  // Whether any workspaces are configured; if not, no request needs an API key.
   [[nodiscard]] bool has_workspaces() const { return !workspaces_.empty(); }
 
   // The route of this host with the longest prefix of `path`; null if there is none.
@@ -130,9 +130,9 @@
   std::vector<service_spec> services_;
   std::vector<workspace_spec> workspaces_;
   caller_limits limits_;
-  // Positions in routes_, longest prefix first.
+  // Indices of the host's routes in routes_, longest path prefix first.
   std::unordered_map<std::string, std::vector<std::size_t>> by_host_;
-  std::unordered_map<std::string, std::size_t> by_key_;  // position in workspaces_
+  std::unordered_map<std::string, std::size_t> by_key_;  // API key to index in workspaces_
 };
 
 // Chooses the service for a request by the weights of the route; equal `subject`s get the same one.
--- a/src/version/shortage.cpp
+++ b/src/version/shortage.cpp
@@ -14,7 +14,8 @@
          (need.domain == any_domain || draft.pool.domain_of(vm) == need.domain);
 }
 
-// Does not count standbys, which are a separate source.
+// Number of the replica's members that could be reclaimed. Its standbys are not counted; they are a
+// separate source of VMs.
 std::size_t usable_members(const plan_draft& draft, const shortage& need, const draft_replica& r) {
   return static_cast<std::size_t>(std::ranges::count_if(
       r.plan.members, [&](const vm_id& vm) { return in_domain(draft, need, vm); }));
@@ -25,7 +26,8 @@
   vm_id vm;
 };
 
-// Standbys of the replica that is repaired last come first; of each replica, its last standby.
+// Standbys in the order in which they are reclaimed: those of the replica that is repaired last
+// come first, and of each replica its last standby.
 std::vector<standby_ref> reclaimable_standbys(plan_draft& draft, const shortage& need) {
   std::vector<draft_replica*> owners;
   for (draft_replica& r : draft.replicas) {
@@ -47,9 +49,9 @@
   return found;
 }
 
-// A broken replica gives up its VMs to a replica that precedes it in the order of repair. One that
-// could not be repaired also gives them up to a new replica of its own rank, since it does not
-// serve.
+// Broken replicas whose VMs may be reclaimed. A broken replica gives up its VMs to a replica that
+// precedes it in the order of repair. A broken replica that could not be repaired also gives them
+// up to a new replica of its own rank, since it does not serve.
 std::vector<draft_replica*> broken_replicas_to_dissolve(plan_draft& draft, const shortage& need) {
   std::vector<draft_replica*> donors;
   for (draft_replica& r : draft.replicas) {
@@ -68,7 +70,8 @@
   return donors;
 }
 
-// A model with more serving replicas than its placements give it can lose the surplus to any other.
+// Whether replica `r` may be drained for another model: one of higher rank, or any model if more
+// replicas of r's model serve than its placements give it.
 bool can_give_up_replica(const plan_draft& draft, const shortage& need, const draft_replica& r) {
   const bool lower_rank = r.rule->rank > need.rule->rank;
   const bool beyond = draft.count_serving(r.plan.model) > draft.configured_replicas(*r.rule);
--- a/src/version/shortage.h
+++ b/src/version/shortage.h
@@ -1,5 +1,5 @@
-// Reclaims VMs from other replicas for a replica that lacks some. VMs that are reclaimed here are
-// not used in the same plan, since their current owner has to release them first.
+// Reclaims VMs from other replicas for a replica that lacks VMs. Reclaimed VMs are not used in the
+// same plan, since their current owner has to release them first.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
   domain_index domain = any_domain;
   std::size_t free = 0;  // free VMs of the domain to reserve while the replica waits
   std::size_t lacking = 0;
-  const draft_replica* self = nullptr;  // the broken replica; null: one that is yet to be created
+  const draft_replica* self = nullptr;  // the replica that lacks VMs; null: not created yet
   std::size_t standbys_kept = 0;        // number of standbys that each other replica keeps
 };
 
@@ -26,7 +26,7 @@
 // false.
 [[nodiscard]] bool reclaim_vms(plan_draft& draft, const shortage& need, reclaim_scope allowed);
 
-// Order of repair: by rank, then fewest missing members, then id.
+// Whether `a` is repaired before `b`: by rank of the model, then fewest missing members, then id.
 [[nodiscard]] bool precedes_in_repair(const draft_replica& a, const draft_replica& b);
 
 }  // namespace arbutus
--- a/src/version/standby.cpp
+++ b/src/version/standby.cpp
@@ -18,9 +18,11 @@
 // hour of each kind of outage per day; recorded outages of the site should replace this estimate.
 constexpr double unwritable_fraction = 2.0 / 24.0;
 constexpr double mean_unwritable_hours_left = 0.5;
-// Every live node has to acknowledge that a reservation is withdrawn: a few rounds of gossip.
+// Time to take a standby from one replica for another: every live node has to acknowledge that the
+// reservation is withdrawn, which takes a few rounds of gossip.
 constexpr double handover_hours = 3.0 / 3600.0;
-// Bounds the search: more standbys are not worthwhile at the failure rates seen in practice.
+// Most standbys per replica that are considered: more are not worthwhile at the failure rates seen
+// in practice.
 constexpr std::uint32_t max_standbys = 4;
 
 // Probability that a Poisson variable with this mean is at least `n`.
@@ -42,8 +44,9 @@
          (1 - no_spare) * unwritable_fraction * mean_unwritable_hours_left;
 }
 
-// A replica that is down also strands its accelerators, so both weights apply. All costs are in
-// VM-hours per hour, so that the weights need no conversion.
+// Cost of `hours` of downtime of a replica. A replica that is down also strands its accelerators,
+// so the weights of downtime and of stranded accelerators both apply. All costs are in VM-hours per
+// hour, so that the weights need no conversion.
 double downtime_cost(const standby_inputs& q, double hours) {
   return hours * q.members * (q.preference.group_downtime + q.preference.stranded_accelerators);
 }
@@ -114,7 +117,7 @@
 struct reservation {
   std::size_t replica;    // index in the draft
   std::size_t desired;    // desired number of standbys
-  std::size_t keep_free;  // shared spares that must remain free
+  std::size_t keep_free;  // number of shared spare VMs that must remain free
 };
 
 bool is_present(const plan_draft& draft, const vm_id& vm) {
@@ -148,8 +151,8 @@
   return list;
 }
 
-// The new standby replaces a lost or leaving one, if any. A lost standby for which there is no
-// replacement stays, since it may return.
+// Reserves `vm` as standby of a replica, in place of a lost or leaving standby, if any. A lost
+// standby for which there is no replacement stays reserved, since it may return.
 void add_standby(plan_draft& draft, draft_replica& r, const vm_id& vm) {
   const auto gone = std::ranges::find_if(r.plan.standbys,
                                          [&](const vm_id& old) { return !is_present(draft, old); });
--- a/src/version/standby.h
+++ b/src/version/standby.h
@@ -1,4 +1,5 @@
-// Standbys: how many are worth their cost, and which VMs they are.
+// Decides how many standbys (VMs reserved for one replica) are worth their cost, and which VMs they
+// are.
 #pragma once
 
 #include <cstdint>
@@ -30,13 +31,15 @@
 
 [[nodiscard]] standby_counts worthwhile_standbys(const standby_inputs& q);
 
-// The inputs for a model in this data centre.
+// The inputs of worthwhile_standbys() for a model in the data centre of `draft`.
 [[nodiscard]] standby_inputs standby_inputs_for(const plan_draft& draft, const model_rule& rule);
 
-// The number of standbys that the rules fix, or else the largest worthwhile number of any model.
+// Number of standbys that each replica keeps: as fixed by the rules, or else the largest worthwhile
+// number of any model.
 [[nodiscard]] std::size_t standbys_kept(const plan_draft& draft);
 
-// Adds, replaces and withdraws reservations, all within the replica's own fabric domain.
+// Adds, replaces and withdraws standbys of the replicas. A standby is always in the fabric domain
+// of its replica.
 void reserve_standbys(plan_draft& draft);
 
 }  // namespace arbutus
--- a/src/version/toml_parse.cpp
+++ b/src/version/toml_parse.cpp
@@ -89,7 +89,7 @@
   std::string_view text_;
   std::size_t at_ = 0;
   std::uint32_t line_ = 1;
-  // Dots of the current key, at top level (first) and in each open bracket.
+  // Number of '.' in the key being read, at top level (first) and in each open bracket.
   std::vector<std::size_t> dots_{0};
   std::size_t total_dots_ = 0;  // invariant: the sum of dots_
 };
--- a/src/version/toml_reader.h
+++ b/src/version/toml_reader.h
@@ -27,7 +27,8 @@
   std::vector<toml_field> fields;  // ordered by key
 };
 
-// Dates and times have no value (std::monostate), since no setting uses them.
+// A typed TOML value with its place. Dates and times are read as std::monostate, since no setting
+// uses them.
 struct toml_value {
   place at;
   std::variant<std::monostate, bool, std::int64_t, double, std::string, std::vector<toml_value>,
@@ -110,7 +111,7 @@
   // The table [key]; empty if absent.
   [[nodiscard]] std::optional<table_reader> table(std::string_view key,
                                                   presence need = presence::optional);
-  // The tables [[key]].
+  // The entries of the array of tables [[key]]; empty if absent.
   [[nodiscard]] std::vector<table_reader> tables(std::string_view key);
 
   // The place of the field, or of the table if the field is absent.
--- a/src/version/vm_pool.cpp
+++ b/src/version/vm_pool.cpp
@@ -1,4 +1,5 @@
-// Keeps free and pending VMs by fabric domain and returns the smallest sufficient one first.
+// Keeps free and pending VMs by fabric domain. Takes the VM with the fewest sufficient accelerators
+// first.
 #include "version/vm_pool.h"
 
 #include <algorithm>
--- a/src/version/vm_pool.h
+++ b/src/version/vm_pool.h
@@ -27,7 +27,7 @@
   // Whether the VM works and may be chosen for something new.
   [[nodiscard]] bool usable(const vm_id& vm) const;
   [[nodiscard]] bool usable(const vm_id& vm, std::uint32_t accelerators) const;
-  // any_domain if the VM is not in the inventory.
+  // The fabric domain of the VM; any_domain if the VM is not in the inventory.
   [[nodiscard]] domain_index domain_of(const vm_id& vm) const;
   [[nodiscard]] domain_index domain_count() const;
   // All VMs of the inventory in this data centre, ordered by id.
@@ -49,7 +49,7 @@
   // any_domain, takes it from the domain with the most free VMs, so that few domains are used.
   [[nodiscard]] std::optional<vm_id> take_free(domain_index d, std::uint32_t accelerators);
   [[nodiscard]] bool is_free(const vm_id& vm) const;
-  // Takes this VM; false if it is not free.
+  // Removes this VM from the free ones; false if it is not free.
   bool take_free(const vm_id& vm);
   // Reserves VMs for a waiting replica, so that they are not available to later ones.
   void reserve_vms(domain_index d, std::uint32_t accelerators, std::size_t free,
@@ -62,7 +62,7 @@
     domain_index domain = any_domain;
     std::uint32_t order{};  // index in vms_, by id
   };
-  // Ordered by accelerators, then by id.
+  // A VM in a list of free or pending VMs, ordered by accelerators, then by id.
   struct slot {
     std::uint32_t accelerators{};
     std::uint32_t order{};
@@ -79,7 +79,7 @@
 
   std::vector<const vm_record*> vms_;
   std::unordered_map<vm_id, entry> entries_;
-  // Indexed by domain. Invariant: a VM is in at most one of the two.
+  // Free and pending VMs, indexed by fabric domain. Invariant: a VM is in at most one of the two.
   std::vector<slots> free_;
   std::vector<slots> pending_;
 };
