--- a/src/request/admission.cpp
+++ b/src/request/admission.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-// Measured service times below this fraction of the mean get a larger weight in it. After a stall
-// the mean is too high, so few requests are admitted and few measurements arrive to correct it.
+// Measured times (of service and to the first token) below this fraction of their mean get a larger
+// weight in it. After a stall the mean is too high, so few requests are admitted and few
+// measurements arrive to correct it.
 constexpr double fast_recovery_below = 0.5;
 constexpr double fast_recovery_weight = 0.25;
 // The predicted wait in the queue is multiplied by this factor. Without it, many requests would be
--- a/src/version/cross_check.cpp
+++ b/src/version/cross_check.cpp
@@ -305,8 +305,8 @@
     return path.starts_with(prefix) && (path.size() == prefix.size() || path[prefix.size()] == '/');
   }
 
-  // Reports path prefixes of services that overlap. With them, the order of the rules would decide
-  // which service gets a request.
+  // Reports path prefixes of services that overlap each other or the model API. With overlapping
+  // prefixes, the order of the rules would decide which service gets a request.
   void check_prefixes() {
     name_paths prefixes;
     for (std::size_t s = 0; s < rules_.services.size(); ++s) {
--- a/src/version/placement.h
+++ b/src/version/placement.h
@@ -10,8 +10,9 @@
 // Repairs broken replicas and creates missing ones, by rank of their models. VMs are taken from, in
 // order: own standbys, free VMs of the same fabric domain, another domain that can hold the
 // complete replica, VMs that are about to become free, standbys of other replicas, other domains if
-// the rule allows crossing, broken replicas later in the order of repair, and serving replicas of a
-// lower rank, which are drained. `desired[i]` is the number of replicas of `draft.models()[i]`.
+// the rule allows crossing, broken replicas later in the order of repair, and serving replicas of
+// models later in that order, which are drained. `desired[i]` is the number of replicas of
+// `draft.models()[i]`.
 void repair_and_fill(plan_draft& draft, const std::vector<std::uint32_t>& desired);
 
 // Creates one more replica on free VMs of one domain, if at least `keep_free` free VMs remain in
--- a/src/version/rules.h
+++ b/src/version/rules.h
@@ -33,7 +33,7 @@
   std::uint32_t accelerators_per_vm = 1;
   std::uint32_t slots = 8;  // requests that a replica runs concurrently
   bool may_cross_fabric_domains = false;
-  std::uint32_t rank = 0;  // models with a lower rank are repaired first
+  std::uint32_t rank = 0;  // order of repair: models with a smaller number are repaired first
   std::vector<adapter_id> adapters;
   std::vector<model_placement> placements;
   auto operator<=>(const model_rule&) const = default;
--- a/src/version/shortage.cpp
+++ b/src/version/shortage.cpp
@@ -1,5 +1,5 @@
-// Reclaims VMs, cheapest source first. Serving capacity is taken last, and only surplus or for a
-// model of higher rank.
+// Reclaims VMs, cheapest source first. Serving replicas are taken last, and only surplus ones or
+// for a model that is repaired earlier by its rank.
 #include "version/shortage.h"
 
 #include <algorithm>
@@ -70,8 +70,8 @@
   return donors;
 }
 
-// Whether replica `r` may be drained for another model: one of higher rank, or any model if more
-// replicas of r's model serve than its placements give it.
+// Whether replica `r` may be drained for another model: for a model that is repaired earlier by its
+// rank, or for any model if more replicas of r's model serve than its placements give it.
 bool can_give_up_replica(const plan_draft& draft, const shortage& need, const draft_replica& r) {
   const bool lower_rank = r.rule->rank > need.rule->rank;
   const bool beyond = draft.count_serving(r.plan.model) > draft.configured_replicas(*r.rule);
--- a/src/version/shortage.h
+++ b/src/version/shortage.h
@@ -19,7 +19,9 @@
 
 enum class reclaim_scope {
   standbys,  // VMs that are already pending, and standbys of other replicas
-  all,       // also broken replicas, and serving ones of a lower rank or beyond the placements
+  // Also broken replicas, and serving ones that are beyond the placements or of a model that is
+  // repaired later by its rank.
+  all,
 };
 
 // Arranges for `lacking` VMs to become free. If there are not enough, changes nothing and returns
