--- a/src/request/admission.h
+++ b/src/request/admission.h
@@ -58,7 +58,7 @@
 // Capacity of the model's replicas that this node may use (see usable_slots in spill.h).
 struct node_capacity {
   std::uint32_t free_slots{};  // requests that may start now in addition to those running
-  std::uint32_t slots{};       // of all usable replicas; 0: no replica serves the model
+  std::uint32_t slots{};       // slots of all usable replicas; 0: no replica serves the model
   // Reported wait until a slot becomes free or, with no slots at all, until a replica serves the
   // model again (0: not known, and requests are refused).
   duration reported_delay{};
--- a/src/request/limits.h
+++ b/src/request/limits.h
@@ -1,4 +1,4 @@
-// Rate limits of workspaces, enforced over all nodes without a coordinator.
+// Rate limits on the requests of workspaces, enforced over all nodes without a coordinator.
 //
 // Each node owns an equal share of every limit and lends what it does not need to peers with a
 // higher demand, as leases that expire on their own. The sum over all nodes therefore never exceeds
@@ -37,7 +37,7 @@
     // Requests per second lent to the receiver, until `echo` plus the lease by its own clock.
     double lent{};
   };
-  time_point stamp;                         // by the sender's clock
+  time_point stamp;                         // when it was sent, by the sender's clock
   std::optional<time_point> echo;           // newest stamp that the sender received from this peer
   std::vector<workspace_usage> workspaces;  // an omitted workspace has no demand and nothing lent
 };
@@ -97,7 +97,7 @@
   };
   struct peer_clock {
     time_point received_at;
-    time_point stamp;  // by the peer's clock
+    time_point stamp;  // of the newest message from the peer, by the peer's clock
   };
 
   void refill(time_point now, bucket& b) const;
--- a/src/request/policy_bench.h
+++ b/src/request/policy_bench.h
@@ -27,7 +27,7 @@
 struct admission_load {
   std::vector<workspace_load> workspaces;
   std::uint32_t slots = 40;
-  duration mean_service = 2s;  // per unit of cost; costs are uniform in [0.5, 1.5)
+  duration mean_service = 2s;  // service time per unit of cost; costs are uniform in [0.5, 1.5)
   duration deadline = 6s;
   duration length = 600s;
   bool first_come_first_served =
@@ -77,9 +77,9 @@
   // with empty caches.
   double utilisation = 0.7;
   duration report_interval = 250ms;
-  duration lag = 500ms;               // from the sampling of a report until nodes receive it
-  duration decode = 1s;               // per unit of cost; costs are exponential with mean 1
-  duration block_prefill = 5ms;       // per prefix block that is not in the cache
+  duration lag = 500ms;  // from the sampling of a load report until nodes receive it
+  duration decode = 1s;  // decoding time per unit of cost; costs are exponential with mean 1
+  duration block_prefill = 5ms;       // prefill time of a prefix block that is not in the cache
   std::uint32_t blocks = 40;          // prefix blocks per prompt
   std::uint32_t prefixes = 200;       // distinct prefixes, with Zipf-distributed popularity
   std::uint32_t cache_blocks = 1600;  // cache size of a replica: a fifth of all prefixes
--- a/src/request/policy_bench_budgets.cpp
+++ b/src/request/policy_bench_budgets.cpp
@@ -18,8 +18,8 @@
 constexpr int failing_from = 30;
 constexpr int failing_to = 90;
 
-// One hop's attempts, including retries. `downstream` makes one attempt at the next hop or the
-// target and returns its outcome.
+// A node's attempts at one request, including retries. `downstream` makes one attempt at the next
+// node or the target and returns its outcome.
 template <class Downstream>
 execution try_hop(time_point now, const attempt_context& context, bool with_budget,
                   retry_budget& budget, rng& random, Downstream downstream) {
@@ -54,8 +54,9 @@
 
 struct limit_phase {
   std::string name;
-  std::vector<double> demand;  // per node, requests per second
-  std::vector<int> partition;  // per node; only nodes of one partition exchange messages
+  std::vector<double> demand;  // requests per second at each node
+  std::vector<int>
+      partition;  // number of each node's partition; only nodes of one partition exchange messages
 };
 
 struct usage_message {
--- a/src/request/replica_choice.h
+++ b/src/request/replica_choice.h
@@ -114,7 +114,7 @@
   replica_estimate expected;
 };
 struct no_replica {
-  duration retry_after{};  // until a slot is expected to be free
+  duration retry_after{};  // time until a slot is expected to be free
   std::string_view reason;
 };
 using replica_choice = std::variant<chosen_replica, no_replica>;
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -21,7 +21,7 @@
 
 // State of a request's attempts, sent along whenever a node forwards the request.
 struct attempt_context {
-  std::uint32_t attempt = 1;  // from 1
+  std::uint32_t attempt = 1;  // number of the attempt, counted from 1
   bool may_retry = true;      // true only at the node that received the caller's request
   bool spilled = false;       // forwarded by a node of another data centre
 };
@@ -89,7 +89,7 @@
   double max_ratio = 0.05;         // hedges per request
   double reserve = 5;              // maximum of the budget, in hedges
   std::uint32_t min_samples = 50;  // latencies of a class before its requests are hedged
-  duration min_delay = 10ms;       // from the first send to a hedge
+  duration min_delay = 10ms;       // minimum time from the first send to a hedge
 };
 
 // Second attempts of repeatable requests whose first token takes unusually long. The caller of this
--- a/src/request/route_policy.h
+++ b/src/request/route_policy.h
@@ -27,9 +27,9 @@
 
 struct route_choice {
   replica_id replica;
-  std::size_t index{};       // in routing_snapshot::replicas
+  std::size_t index{};       // index of the replica in routing_snapshot::replicas
   duration expected_wait{};  // before the request gets a slot there
-  duration expected{};       // until the complete response
+  duration expected{};       // expected time until the response is complete
   bool last_resort = false;  // all permitted replicas are avoided or were tried already
 };
 
@@ -37,8 +37,9 @@
 struct attempt_result {
   replica_id replica;
   double cost{};
-  duration first_token{};    // from the send; 0: the response was not streamed
-  duration total{};          // from the send
+  duration
+      first_token{};  // time from the send to the first token; 0: the response was not streamed
+  duration total{};   // time from the send to the end of the response
   duration expected_wait{};  // route_choice::expected_wait of the attempt
   bool failed = false;       // aborted or refused; the times are not used
 };
--- a/src/version/rules.h
+++ b/src/version/rules.h
@@ -57,7 +57,7 @@
 struct class_rule {
   std::string name;
   std::uint32_t priority = 0;  // 0 is the highest priority
-  duration deadline = 30s;     // for the complete response
+  duration deadline = 30s;     // time until the response must be complete
   duration first_token = 2s;
   auto operator<=>(const class_rule&) const = default;
 };
--- a/src/version/standby.h
+++ b/src/version/standby.h
@@ -11,7 +11,7 @@
 
 struct standby_inputs {
   double members{};            // VMs of a replica
-  double failures_per_hour{};  // of one VM
+  double failures_per_hour{};  // expected failures of one VM per hour
   double repair_hours{};       // time until a failed VM is back
   double replicas_per_domain{};
   double spares_per_domain{};  // shared spares, not reserved
