--- a/src/connection/await.h
+++ b/src/connection/await.h
@@ -59,9 +59,9 @@
   return results;
 }
 
-// The same with a deadline. At the deadline `cancel` is called, and the fiber still waits for the
-// handler, since the handler refers to this stack frame. `timed_out` is true if `cancel` was
-// called; the operation may have succeeded even so.
+// Like await_result(), with a deadline. At the deadline `cancel` is called, and the fiber still
+// waits for the handler, since the handler refers to this stack frame. `timed_out` is true if
+// `cancel` was called; the operation may have succeeded even so.
 template <class... Results, class Start, class Cancel>
 std::tuple<Results...> await_result_until(time_point deadline, bool& timed_out, Start&& start,
                                           Cancel&& cancel) {
--- a/src/connection/bench_connections.cpp
+++ b/src/connection/bench_connections.cpp
@@ -22,7 +22,8 @@
 constexpr std::size_t callers_per_worker = 16;
 constexpr std::size_t concurrent_streams = 16;
 
-// Both ends of each connection are in this process. Stays below the usual limit of 1024 open files.
+// Number of connections whose memory is measured. Both ends of each are in this process, so the
+// number stays below the usual limit of 1024 open files.
 constexpr std::size_t open_connections = 400;
 
 // About the size of a small JSON response and of one token as a server-sent event.
@@ -226,7 +227,7 @@
 
 connection_figures bench_connections(duration each) {
   connection_figures figures;
-  figures.memory = bench_memory();  // first, before other benchmarks grow the heap
+  figures.memory = bench_memory();  // the memory benchmark is first, before others grow the heap
   figures.idle = bench_idle(4 * each);
   figures.requests.push_back(bench_requests(1, 1, each));
   for (std::size_t workers = 1; workers <= max_bench_workers; ++workers) {
--- a/src/connection/bench_connections.h
+++ b/src/connection/bench_connections.h
@@ -18,7 +18,7 @@
 
 // Throughput and latency of complete requests. Client and server each have their own runtime.
 struct request_rate {
-  std::size_t workers{};  // of each of the two runtimes
+  std::size_t workers{};  // worker threads of each of the two runtimes
   std::size_t callers{};  // concurrent calls
   double per_second{};
   duration p50{};
--- a/src/connection/fiber_runtime.cpp
+++ b/src/connection/fiber_runtime.cpp
@@ -94,7 +94,7 @@
   asio::steady_timer wake_up_;
   steady_time armed_until_{steady_time::max()};
   boost::fibers::scheduler::ready_queue_type ready_;
-  context* dispatcher_{nullptr};  // set while the dispatcher is ready
+  context* dispatcher_{nullptr};  // the dispatcher fiber while it is ready to run, else null
   std::size_t picks_{0};          // fibers picked since the dispatcher last ran
 };
 
--- a/src/connection/fiber_runtime.h
+++ b/src/connection/fiber_runtime.h
@@ -28,7 +28,7 @@
 class fiber_runtime {
  public:
   explicit fiber_runtime(std::size_t workers);
-  ~fiber_runtime();  // stops and joins
+  ~fiber_runtime();  // stops the workers and waits for their threads
   fiber_runtime(const fiber_runtime&) = delete;
   fiber_runtime& operator=(const fiber_runtime&) = delete;
   fiber_runtime(fiber_runtime&&) = delete;
--- a/src/connection/frame_queue.h
+++ b/src/connection/frame_queue.h
@@ -10,7 +10,7 @@
 
 namespace arbutus {
 
-// Not synchronised.
+// Not thread-safe: the user of the queue locks a mutex.
 class frame_queue {
  public:
   explicit frame_queue(std::size_t max_bytes) : max_bytes_(max_bytes) {}
--- a/src/connection/http_call.cpp
+++ b/src/connection/http_call.cpp
@@ -119,7 +119,7 @@
   return true;
 }
 
-// Skips interim responses (status 1xx), which precede the final one.
+// Reads the headers of the final response. Skips interim responses (status 1xx), which precede it.
 std::unique_ptr<http_call::answer_parser> http_call::read_headers(const http_client_limits& limits,
                                                                   bool bounded_body,
                                                                   error_code& error) {
@@ -149,7 +149,8 @@
   connection_.stream.set_deadline(std::max(deadline_, next));
 }
 
-// False with `error` clear if the sink stops the transfer.
+// Reads the body of the response and passes it to the sink. Returns false on an error and, with
+// `error` clear, if the sink stops the transfer.
 bool http_call::read_body(answer_parser& parser, const answer_sink& sink,
                           const http_client_limits& limits, error_code& error) {
   const bool extends = sink.bounded && limits.body_stall_timeout > duration::zero();
--- a/src/connection/http_call.h
+++ b/src/connection/http_call.h
@@ -37,7 +37,7 @@
 struct answer_sink {
   const http_client::headers_handler& on_headers;
   const http_client::chunk_handler& on_chunk;
-  bool bounded;  // whether the body limit applies
+  bool bounded;  // whether the size limit for response bodies applies
 };
 
 class http_call {
@@ -45,7 +45,7 @@
   http_call(http_connection& connection, const wire_request& request, time_point deadline)
       : connection_(connection), request_(request), deadline_(deadline) {}
 
-  // Called once.
+  // Sends the request and receives its response. Called once per object.
   call_result run(const answer_sink& sink, const http_client_limits& limits);
 
   // True if any byte of the request may have been sent.
--- a/src/connection/http_client.cpp
+++ b/src/connection/http_client.cpp
@@ -33,8 +33,9 @@
 
   worker_pool& pool() { return pools[current_worker()]; }
 
-  // Null if there is no usable idle connection. One that became readable while idle was closed by
-  // the target or carries an unsolicited response; either way it is discarded.
+  // Takes an idle connection to `target` from the pool; null if none is usable. One that became
+  // readable while idle was closed by the target or carries an unsolicited response; either way it
+  // is discarded.
   connection_ptr take_idle(const socket_address& target) {
     const auto entry = pool().idle.find(target);
     if (entry == pool().idle.end()) {
@@ -66,7 +67,8 @@
     sweep_later(pool());
   }
 
-  // Null with `result` filled if the target cannot be reached.
+  // Opens a new connection to `target`. Returns null, with the failure in `result`, if the target
+  // cannot be reached.
   connection_ptr connect(const socket_address& target, time_point deadline,
                          const cancel_token& token, call_result& result) {
     error_code error;
@@ -127,10 +129,10 @@
                 result.failure == call_failure::connection_lost;
         // Without the reset, a request that is held up by a network partition whose caller has left
         // would still be delivered when the partition heals: the target would receive it seconds
-        // after the caller's deadline and work for nobody.
-        // Fresh connections are closed. Otherwise, calls that only use fresh ones would fill the
-        // pool with connections that are never reused, until the target accepts no more and resets
-        // every new connection.
+        // after the caller's deadline and work for nobody. Connections of calls with
+        // connection_use::fresh are closed. Otherwise, such calls would fill the pool with
+        // connections that are never reused, until the target accepts no more and resets every new
+        // connection.
         if (!result.ok() || connection->stream.aborted()) {
           connection->stream.close_with_reset();
         } else if (!once.reusable() || use == connection_use::fresh) {
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -25,9 +25,9 @@
 enum class call_failure : std::uint8_t {
   none,
   connect_failed,   // refused, unreachable, or over the connect timeout
-  deadline,         // the deadline passed
+  deadline,         // the deadline passed before the response was complete
   cancelled,        // by the cancel_token
-  abandoned,        // by on_headers or on_chunk returning false
+  abandoned,        // on_headers or on_chunk returned false
   connection_lost,  // the target closed or reset the connection
   malformed,        // the response is not valid HTTP, or the request cannot be written as HTTP
   too_large,        // the response exceeds a limit
@@ -62,7 +62,7 @@
   std::size_t header_bytes{64UL * 1024};
   std::size_t body_bytes{64UL * 1024 * 1024};  // for fetch(); stream() has no limit
   std::size_t idle_per_target{32};             // idle connections per target and worker
-  duration idle_expiry{30s};                   // shorter than the idle timeout of the targets
+  duration idle_expiry{30s};  // then the connection is closed; less than the targets' idle timeout
   // For fetch(): each time bytes of the body arrive, the deadline is extended to at least this long
   // after them. 0: the deadline is not extended.
   duration body_stall_timeout{};
--- a/src/connection/http_exchange.cpp
+++ b/src/connection/http_exchange.cpp
@@ -207,7 +207,8 @@
   try {
     core_.handler()(request, writer);
   } catch (const std::exception&) {
-    // Handled by the check below: the caller gets a 500, or a stream that is visibly truncated.
+    // An exception of the handler ends the request: below, the caller gets a 500 or, if the
+    // response has begun, a stream that is visibly truncated.
   }
   stop_watching();
   if (phase_ == phase::waiting) {
@@ -285,7 +286,8 @@
   if (phase_ != phase::streaming) {
     return false;
   }
-  // An empty chunk would end the stream.
+  // In the chunked encoding an empty chunk marks the end of a response, so none is written before
+  // that.
   if (chunk.empty() || head_only_) {
     return true;
   }
@@ -343,8 +345,9 @@
   });
 }
 
-// A caller may send its next request early and then close. The close can only be detected after
-// those bytes, so they are read, up to the size limit for a header.
+// A caller may send its next request before the response to the current one, and then close its
+// end. The close can only be detected after those bytes, so they are read, up to the size limit for
+// a header.
 void http_exchange::check_for_end() {
   if (!disconnect_handler_) {
     return;
--- a/src/connection/http_exchange.h
+++ b/src/connection/http_exchange.h
@@ -45,7 +45,7 @@
   [[nodiscard]] bool close_after_answers() const { return close_after_answers_ || draining_; }
   bool wait_until_empty(time_point deadline);
 
-  // Close the connections of the calling worker.
+  // Close connections of the calling worker: those that wait for a request, or all.
   void close_idle();
   void close_all();
 
@@ -73,7 +73,8 @@
   // Responds with 503 and closes, because the limit on connections is exceeded.
   void reject_over_limit();
 
-  // Called from another fiber of the worker.
+  // Close this connection: if it waits for a request, or in any case. Called from another fiber of
+  // its worker.
   void close_if_idle();
   void close_now();
 
@@ -86,7 +87,7 @@
   void on_caller_disconnect(std::function<void()> callback);
 
  private:
-  // State of the response.
+  // State of the response to the current request.
   enum class phase : std::uint8_t { waiting, streaming, complete, failed };
 
   bool await_request();
--- a/src/connection/link_client.cpp
+++ b/src/connection/link_client.cpp
@@ -32,7 +32,7 @@
         random(seed),
         queue(l.queue_bytes) {}
 
-  // Main function of the client's fiber: makes one link after the other.
+  // Main function of the client's fiber: connects to the peer, and again whenever the link breaks.
   void keep_connected() {
     duration backoff = limits.first_backoff;
     while (!closing) {
@@ -118,7 +118,8 @@
     }
   }
 
-  // Replaces `bytes` with the next frames and returns their number; zero if the link has to end.
+  // Waits for queued frames, replaces `bytes` with them and returns their number; zero if the link
+  // has to end.
   std::size_t await_frames(std::vector<std::uint8_t>& bytes) {
     bytes.clear();
     for (;;) {
@@ -195,7 +196,7 @@
   const link_change_handler on_change;
   atomic_link_counters counters;
 
-  // Accessed on the worker only.
+  // The members from here to `changed` are accessed only on the client's worker.
   rng random;
   bool running{true};  // true from the start, because the constructor posts the fiber
   bool closing{false};
--- a/src/connection/link_wire.cpp
+++ b/src/connection/link_wire.cpp
@@ -60,9 +60,10 @@
 }
 
 void detect_dead_peer(boost::asio::ip::tcp::socket& socket, duration timeout) {
-  // Links between data centres carry a frame every few minutes, and a node has hundreds of them.
-  // With keep-alives after 15 s without traffic, these alone would use half of the node's traffic
-  // budget. The next frame detects a dead peer as well.
+  // Time without traffic after which TCP keep-alive probes are sent. Links between data centres
+  // carry a frame every few minutes, and a node has hundreds of such links. With keep-alives after
+  // 15 s without traffic, these alone would use half of the node's traffic budget. The next frame
+  // that is sent detects a dead peer as well.
   constexpr int idle_seconds = 120;
   constexpr int probe_seconds = 2;
   constexpr int probes = 3;
--- a/src/node/attempt_registry.h
+++ b/src/node/attempt_registry.h
@@ -1,5 +1,5 @@
-// The running attempts, indexed by the head of the replica they were sent to, so that all of them
-// can be moved to other replicas when the replica loses a member.
+// The running attempts of model requests, indexed by the head of the replica they were sent to, so
+// that all of them can be resumed on other replicas when the replica loses a member.
 #pragma once
 
 #include <map>
--- a/src/node/call_context.h
+++ b/src/node/call_context.h
@@ -38,7 +38,7 @@
 
 // The state of one call, from its arrival to its answer.
 struct call_state {
-  std::shared_ptr<const node_view> view;  // configuration in force when it arrived
+  std::shared_ptr<const node_view> view;  // configuration in force when the call arrived
   const workspace_rule* workspace = nullptr;
   class_rule request_class;
   request_id id;
--- a/src/node/configure.cpp
+++ b/src/node/configure.cpp
@@ -94,7 +94,8 @@
       [](const unknown& u) -> outcome<head_row> { return u; });
 }
 
-// Contents, as encode_content returns them, from which the reported differences are computed.
+// Encoded configurations (see encode_content) from which the differences that the operator is shown
+// are computed.
 struct change_contents {
   std::string base;  // what the operator's change is based on; empty: not available
   std::string proposed;
@@ -140,7 +141,8 @@
   }
 
   proposal_step carry_out(const proposal_accepted& s, bool) {
-    // All differences to the base, so that an operator who did not read the base notices it.
+    // Reports all differences between the proposal and its base version, so that an operator who
+    // did not read that version notices this.
     const json changes = contents_.base.empty()
                              ? json::array()
                              : json(changes_between(contents_.base, contents_.proposed));
--- a/src/node/control.cpp
+++ b/src/node/control.cpp
@@ -35,13 +35,13 @@
   on_view view_listener;
   on_notice notice_listener;
 
-  // Only on worker 0.
+  // The core and the members up to `published_at` are accessed on worker 0 only.
   coordinator core;
   bool dirty = false;  // the core got input since the last view was published
   std::uint64_t published_revision = 0;
   time_point published_at = time_point::min();
 
-  // Wakes the loop. A fiber mutex, since the loop waits in a fiber.
+  // Wakes the event loop of the core. A fiber mutex, since the loop waits in a fiber.
   boost::fibers::mutex wake_lock;
   boost::fibers::condition_variable wake;
   bool woken = false;
--- a/src/node/control.h
+++ b/src/node/control.h
@@ -63,7 +63,7 @@
   // Schedules `work` on worker 0 with the core and returns; the effects that it returns are
   // executed. May be called from any thread.
   void post(std::function<effects(time_point, coordinator&)> work);
-  // The same, but returns when `work` has run.
+  // Like post(), but returns when `work` has run.
   void call(const std::function<effects(time_point, coordinator&)>& work);
 
   void feed(input in);  // from any thread
--- a/src/node/controller_heartbeats.cpp
+++ b/src/node/controller_heartbeats.cpp
@@ -40,8 +40,9 @@
                                          node_.peers.is_refused_by_store(peer)};
   auto next =
       config_distributor_.next_part_for(node_.configurations, to, node_.peers.alive_count(now) + 1);
-  // A node of an earlier release reports no row and cannot read parts. It would advance its
-  // position without applying the configuration.
+  // A node of an earlier release reports no version of a configuration row and cannot read a
+  // configuration that is sent in parts. It would advance its position without applying the
+  // configuration.
   const bool reads_no_parts = at.configuration_row == 0 && at.configuration > 0 &&
                               at.configuration < node_.configurations.newest();
   message.configuration = configuration_update(now, at);
@@ -49,7 +50,8 @@
   message.configuration_part = std::move(next.part);
 }
 
-// A full list that exceeds the budget of this round is sent in a later one.
+// Removes the rows of an update that contains a complete list, if it exceeds the byte budget of
+// this round of heartbeats. The list is sent in a later round.
 void controller_loop::withhold_beyond_budget(feed_update& update) {
   update.withheld = update.complete && !list_budget_.try_spend(bytes_of(update.rows));
   if (update.withheld) {
@@ -95,7 +97,7 @@
   }
 }
 
-// Prepares the content that is the same in the heartbeats to all peers.
+// Begins a round of heartbeats: prepares the content that is the same for all peers.
 void controller_loop::begin_round(time_point now) {
   config_distributor_.begin_round();
   list_budget_.begin_round();
@@ -169,7 +171,8 @@
   return message;
 }
 
-// One round of send grants, if this node is a hub.
+// If this node is a hub, distributes the request rates that targets accept among the nodes, as send
+// grants.
 void controller_loop::grant_sends(time_point now) {
   node_.limits.forget(now, [this](const target_id& id) { return node_.fleet.find(id) != nullptr; });
   if (!node_.peers.is_hub(now)) {
@@ -241,8 +244,9 @@
   }
 }
 
-// Poison updates are exchanged between hubs, and between a hub and its nodes, because these
-// acknowledge them with their own heartbeats. The next hub in line receives them from the hub.
+// Poison updates are exchanged between hubs, and between a hub and its nodes, because the nodes
+// acknowledge the updates with their own heartbeats. The next hub in line receives them from the
+// hub.
 bool controller_loop::receives_poison_updates(time_point now, const node_id& peer) const {
   return node_.peers.is_hub(now) ||
          node_.peers.hub_of(now, node_.peers.data_centre_of(peer)) == peer;
@@ -276,7 +280,7 @@
       records.push_back(n);
     }
   }
-  // In a separate fiber, since closing a link may block.
+  // The links are changed in a separate fiber, since closing one may block.
   ++running_link_updates_;
   node_.runtime.post(0, [this, records] {
     if (!ended_) {
@@ -293,8 +297,8 @@
   update_links(peers);
   begin_round(now);
   grant_sends(now);
-  // Starts with a different peer each time, so that the budget of a round does not always go to the
-  // same peers.
+  // Heartbeats are sent to a different peer first each time, so that the budget of a round does not
+  // always go to the same peers.
   if (!peers.empty()) {
     const auto first = static_cast<std::ptrdiff_t>(random_.below(peers.size()));
     std::rotate(peers.begin(), peers.begin() + first, peers.end());
--- a/src/node/controller_loop.cpp
+++ b/src/node/controller_loop.cpp
@@ -13,15 +13,17 @@
 
 // The engines need some 500 ms to repair a replica; a tick adds at most 4 percent to that.
 constexpr duration tick_interval = 20ms;
-// Peers learn of this node's sends within this time, so two nodes may assign the same capacity for
-// 100 ms on average.
+// Interval of heartbeats to peers. Peers learn within this time which requests this node sent to
+// replicas, so two nodes may assign the same capacity for 100 ms on average.
 constexpr duration peer_heartbeat_interval = 200ms;
 constexpr duration plan_log_interval = 1s;
 // Counting the replicas of all models takes 1 ms with 1,100 engines and is repeated after each
 // change of a target, of which there are many per second. Done on every tick, the count for this
 // log line took a third of the processor time of a node with an eighth of a core.
 constexpr duration capacity_log_interval = 250ms;
-constexpr duration isolation_timeout = 2500ms;  // the feed alone may take a second to answer
+// Time without an answer of the store after which a node without any alive peer counts as isolated.
+// The store's feed alone may take a second to answer.
+constexpr duration isolation_timeout = 2500ms;
 
 }  // namespace
 
@@ -58,8 +60,8 @@
 }
 
 void controller_loop::run_controllers(time_point now) {
-  // A node that is partitioned from the platform and all peers has only stale data. It leaves the
-  // control of replicas to the other nodes of its data centre, if there are any.
+  // A node that is partitioned from the platform and from all peers has only stale data. Such a
+  // node leaves the control of replicas to the other nodes of its data centre, if there are any.
   const bool isolated = !node_.peers.any_alive(now) &&
                         now - node_.fleet_read_at > isolation_timeout &&
                         node_.peers.any_in(node_.settings.data_centre);
@@ -78,7 +80,7 @@
               {"processor_permille", node_.settings.strength.processor_permille},
               {"link_mbps", node_.settings.strength.link_mbps}});
   }
-  // Right after the start no heartbeat has been received yet.
+  // Right after this node's start it has received no heartbeat of a peer yet.
   constexpr duration settle = 500ms;
   if (now - started_ < settle) {
     return;
@@ -196,7 +198,8 @@
                         "action=\"" + std::string(to_string(order.action)) + "\",outcome=\"" +
                             std::string(names[static_cast<std::size_t>(outcome)]) + "\"");
     controller.on_order(monotonic_now(), node_.fleet, order, outcome);
-    // Without this, the ended target is chosen for new replicas again and again until its row
+    // Another target answers at this address, so the target that was sent the order has ended.
+    // Unless it is marked as ended, it is chosen for new replicas again and again until its row
     // expires, and each time the other members wait for it.
     if (outcome == order_outcome::other_target) {
       log_line(log_level::info, "fleet", "ended", {{"target", order.to}, {"told_by", "order"}});
--- a/src/node/controller_loop.h
+++ b/src/node/controller_loop.h
@@ -24,18 +24,18 @@
  public:
   controller_loop(hosted_state& node, peer_links& links, store_watch& watch);
 
-  // Runs in its own fiber until end() is called or the runtime stops.
+  // The controller's main loop. Runs in its own fiber until end() is called or the runtime stops.
   void run();
 
-  // To be called on the worker; returns when nothing uses the links any more.
+  // Ends run(). To be called on the worker; returns when no fiber uses the links to peers any more.
   void end();
 
   // Handles a heartbeat from a peer.
   void received(time_point now, const node_id& peer, const node_heartbeat& message);
 
  private:
-  // Engines answer within 3 ms. After an order without an answer, the engine's state is queried
-  // first; the order is not repeated blindly.
+  // Timeout of an order to an engine; engines answer within 3 ms. After an order without an answer,
+  // the engine's state is queried before any further order.
   static constexpr duration order_timeout = 300ms;
 
   // Positions in the watched tables that a peer reported.
@@ -59,9 +59,10 @@
   void check_replica(const target_id& head);
   [[nodiscard]] bool is_serving_replica(const target_view& head);
   void count_query(std::string_view why);
-  // `why` labels the metric, since each query to a target has a cost.
+  // Queries a target for its report; false if this incarnation of it does not answer. Queries have
+  // a cost and are counted in a metric by their reason, `why`.
   bool probe(const target_id& id, duration timeout, std::string_view why);
-  // False if another incarnation of the engine answered.
+  // Applies a report of an engine. False if another incarnation of the engine sent it.
   bool take_report(time_point requested_at, const target_id& id, const target_report& report);
   void verify_lost_report(const target_id& id);
   [[nodiscard]] feed_update configuration_update(time_point now, const positions& at);
@@ -95,7 +96,7 @@
   // Send grants for targets that announce a limit.
   send_grants grants_;
   grant_receiver granted_;
-  // State of one round of heartbeats.
+  // State of the current round of heartbeats to peers.
   config_distributor config_distributor_;
   list_budget list_budget_;
   std::set<target_id> lost_;                 // targets that this node marked as lost
--- a/src/node/controller_losses.cpp
+++ b/src/node/controller_losses.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-// Each member of a stalled replica is probed up to twice, so a dead one is detected within 2 x this
-// after the stall. Live ones answer within 3 ms; the rest is a margin for a node that is short of
-// processor time.
+// Time for the answer to one probe. Each member of a stalled replica is probed up to twice, so a
+// dead one is detected within 2 x this time after the stall. Live ones answer within 3 ms; the rest
+// is a margin for a node that is short of processor time.
 constexpr duration probe_timeout = 90ms;
 // While the platform's list cannot be read, engines are probed after this many heartbeat intervals
 // without contact. The list itself drops a stalled engine after three heartbeats.
@@ -27,8 +27,7 @@
 // until the list drops it.
 constexpr duration lost_probe_interval = 400ms;
 // Interval between probes of members that were dropped from the list. Longer than for lost engines,
-// since the end of an engine that was dropped from the list usually shows as a stall of its
-// replica.
+// since the end of such an engine usually shows as a stall of its replica.
 constexpr duration unlisted_probe_interval = 800ms;
 
 }  // namespace
@@ -65,8 +64,8 @@
   return false;
 }
 
-// Of a large replica only some members are probed: every node with a stream there probes some, and
-// the first that finds the dead member reports it to the hub, which notifies all nodes.
+// Of a large replica only some members are probed: every node with a stream of the replica probes
+// some, and the first that finds the dead member reports it to the hub, which notifies all nodes.
 void controller_loop::sample_members(const target_id& head, std::vector<target_id>& members) {
   if (members.size() <= max_probed_members) {
     return;
@@ -151,7 +150,8 @@
       members.push_back(id);
     }
   }
-  // Two independent indications: a peer that probed a member, and the stall of the streams here.
+  // A peer that probed a member reports it as lost, and this node's streams of the replica stall:
+  // two independent indications, so the streams are moved without a further probe.
   if (node_.lost_reports.contains_any(monotonic_now(), members)) {
     const std::size_t moved = node_.attempts.cancel_resumable(head);
     log_line(log_level::info, "fleet", "suspected",
@@ -172,8 +172,8 @@
     node_.runtime.post(0, [this, member, head, state] {
       bool well = probe(member, probe_timeout, "silent");
       if (!well) {
-        // The streams are late already, whatever the second probe yields, so they are moved to
-        // other replicas.
+        // The replica's streams are late already, whatever the second probe of the member yields,
+        // so they are moved to other replicas.
         const std::size_t moved = node_.attempts.cancel_resumable(head);
         log_line(log_level::info, "fleet", "suspected",
                  {{"target", member}, {"head", head}, {"streams_moved", std::uint64_t{moved}}});
--- a/src/node/error_body.cpp
+++ b/src/node/error_body.cpp
@@ -9,7 +9,8 @@
 
 constexpr duration one_second = 1s;
 
-// Retry-After has whole seconds only; rounded up, so that no caller retries too early.
+// Formats a duration for the header Retry-After, which has whole seconds only: rounded up, so that
+// no caller retries too early.
 std::string whole_seconds(duration d) {
   return std::to_string((d + one_second - duration{1}) / one_second);
 }
@@ -48,7 +49,8 @@
   error.status = status;
   error.message = std::string(reason);
   // A caller that half-closes its connection after a complete request ends the call, which may have
-  // reached a target by then. An answer of type "not_run" would make it send a booking again.
+  // reached a target by then. An answer of type "not_run" would make the caller send a booking
+  // again.
   constexpr int no_answer = 500;
   error.code = status == no_answer ? "no_answer" : "bad_request";
   error.ran = status == no_answer ? execution::unknown : execution::not_run;
--- a/src/node/hosted_buffered.cpp
+++ b/src/node/hosted_buffered.cpp
@@ -1,4 +1,5 @@
-// Calls of plain services on a hosted node, whose responses are buffered and forwarded as a unit.
+// Calls of services that are not models, on a node of the hosted platform. Their responses are
+// buffered and forwarded as a unit.
 #include <algorithm>
 #include <vector>
 
@@ -10,7 +11,8 @@
 
 namespace {
 
-// With less time than this before the deadline, another instance cannot answer.
+// With less time than this before a request's deadline, no further instance is tried, since it
+// could not answer in time.
 constexpr duration min_useful_time = 10ms;
 
 class buffered_call {
@@ -183,8 +185,8 @@
     node_.metrics.count("arbutusworks_attempts_broken");
   }
 
-  // A failure reported by the target counts as run: only requests that may be repeated are tried on
-  // another instance.
+  // A request whose failure the target reports counts as run: only requests that may be repeated
+  // are tried on another instance.
   void forward_response(const service_instance& instance, const http_response& response) {
     const bool failed = response.status >= 500;
     if (failed && call_.matched_route->repeatable() &&
@@ -209,7 +211,7 @@
   cancel_token cancel_ = cancel_token::make();
   std::vector<target_id> avoided_;
   std::string_view last_reason_ = "no instance is known";
-  time_point sent_at_{};  // of the running attempt
+  time_point sent_at_{};  // when the running attempt was sent
   bool caller_disconnected_ = false;
   bool ended_ = false;
 };
--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -15,7 +15,8 @@
  public:
   call_preparation(hosted_state& node, hosted_request& call) : node_(node), call_(call) {}
 
-  // False if the call has been answered already.
+  // Finds the route and the service, checks the caller's key and sets the deadline. False if the
+  // call was refused and so has been answered.
   bool run() {
     if (call_.fields.id.empty()) {
       return end(400, {}, "the request has no id");
@@ -31,8 +32,8 @@
     call_.matched_route = call_.map->find_route(call_.fields.host, call_.fields.path);
     const bool current = node_.lease.valid(call_.arrived);
     if (call_.matched_route == nullptr) {
-      // Only a confirmed version proves that there is no such route; another node may have a newer
-      // one.
+      // Only a configuration version that was recently confirmed as the newest proves that there is
+      // no such route; another node may have a newer version.
       return current ? end(404, {}, "no route has this host and path")
                      : end(503, retry_after_stale(node_, call_.arrived),
                            "the configuration may be out of date");
@@ -103,7 +104,8 @@
   if (call.workspace.empty()) {
     return true;
   }
-  // Checked against the newest version: the key may have been revoked while the call waited.
+  // The key is checked against the newest configuration version: it may have been revoked while the
+  // call waited.
   const time_point now = monotonic_now();
   return node.lease.valid(now) && node.map->find_workspace(call.fields.key) != nullptr;
 }
@@ -127,8 +129,8 @@
   answer.status = status;
   answer.reason = std::string(reason);
   const bool promises_not_run = status == 503 || status == 429 || status == 408;
-  // These statuses promise that the request did not run, and callers then repeat it. If a target
-  // may have run it, such a status would make it run twice.
+  // The statuses 503, 429 and 408 promise that the request did not run, and callers then repeat it.
+  // If a target may have run it, such a status would make it run twice.
   if (promises_not_run && call.may_have_run > 0) {
     const bool repeatable = call.matched_route != nullptr && call.matched_route->repeatable();
     answer.status = repeatable ? 502 : 504;
@@ -186,7 +188,8 @@
   return may;
 }
 
-// Randomized, so that callers that were refused together do not all return simultaneously.
+// The time is randomized, so that callers that were refused together do not all retry
+// simultaneously.
 duration retry_after_limit(hosted_state& node) {
   constexpr duration middle = 800ms;
   return from_seconds(to_seconds(middle) * (0.5 + node.random.unit()));
@@ -194,8 +197,8 @@
 
 void note_limit(hosted_state& node, time_point sent_at, const target_id& target, int status,
                 const response_fields& answer) {
-  // A failure may come from a component of the target that does not report the limit, so only a
-  // success without a limit removes it.
+  // A failure may come from a component of the target that does not report the target's send limit,
+  // so only a success without a limit removes it.
   const bool may_clear_limit = answer.kind == answer_kind::target_response && status / 100 == 2;
   const bool may_report_limit =
       answer.kind == answer_kind::target_response || answer.kind == answer_kind::not_run;
--- a/src/node/hosted_call.h
+++ b/src/node/hosted_call.h
@@ -1,4 +1,5 @@
-// Serves one request of a caller on a hosted node, from its header to its single response.
+// Serves one request of a caller on a node of the hosted platform, from its header to its single
+// response.
 //
 // The steps are the same for all kinds of routes: find the route, check the key, choose a target,
 // send the request, and evaluate the result. Routes differ in whether a request may be repeated
--- a/src/node/hosted_node.cpp
+++ b/src/node/hosted_node.cpp
@@ -27,8 +27,9 @@
 
 http_server_limits caller_server_limits() {
   http_server_limits limits;
-  // These bound memory. The operators' limits, of at most 16 KiB of header and the largest body
-  // that the platform lets them allow, may change with a configuration version and are lower.
+  // These two size limits bound the node's memory. The operators' limits, of at most 16 KiB of
+  // header and the largest body that the platform lets them allow, may change with a configuration
+  // version and are lower.
   limits.header_bytes = 64UL * 1024;
   limits.body_bytes = 8UL * 1024 * 1024;
   limits.connections = 3000;
@@ -79,8 +80,9 @@
         [this](const http_request& r, response_writer& w) { serve_hosted_call(state, r, w); });
   }
 
-  // Ready means that a confirmed configuration is in force and targets are known. A node that
-  // cannot confirm keys would refuse most requests, so its callers should use other nodes.
+  // The readiness check succeeds if a confirmed configuration is in force and targets are known. A
+  // node that cannot confirm keys would refuse most requests, so its callers should use other
+  // nodes.
   [[nodiscard]] bool is_ready() const {
     const time_point now = monotonic_now();
     return !state.stopping && state.map && state.fleet_known && state.lease.valid(now) &&
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -19,7 +19,7 @@
   const http_request& raw_request;
   response_writer& writer;
   request_fields fields;
-  std::shared_ptr<const service_map> map;  // the configuration version when the call arrived
+  std::shared_ptr<const service_map> map;  // configuration in force when the call arrived
   const route* matched_route = nullptr;
   const service_spec* service = nullptr;
   workspace_id workspace;
@@ -32,8 +32,8 @@
   std::uint32_t sends = 0;         // sends that may have reached a target
   std::uint32_t may_have_run = 0;  // of those, sends that no target reported as not run
   std::string targets;             // targets tried, in order
-  time_point first_event{};        // when it was received; zero: none
-  std::uint64_t events = 0;        // forwarded to the caller
+  time_point first_event{};        // when the first event of the response was received; zero: none
+  std::uint64_t events = 0;        // events forwarded to the caller
   bool logged = true;              // whether log lines of this call are written: all or none
 };
 
--- a/src/node/hosted_state.cpp
+++ b/src/node/hosted_state.cpp
@@ -15,7 +15,8 @@
   return {e.host, e.port};
 }
 
-// Random, since the time of day may step back and a counter would not survive a restart.
+// The incarnation of this process is random, since the time of day may step back and a counter
+// would not survive a restart.
 std::string random_incarnation() {
   std::random_device device;
   std::array<char, 16> text{};
@@ -23,8 +24,8 @@
   return text.data();
 }
 
-// Assumed size of the deployment until enough peers are known, so that each node uses only a small
-// share of the burst.
+// Minimum number of nodes among which the burst of the retry budget is divided. Before enough peers
+// are known, this keeps each node's share of it small.
 constexpr std::size_t min_nodes = 6;
 
 }  // namespace
--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -52,7 +52,7 @@
 
   std::shared_ptr<const service_map> map;  // null until the first version was read
   config_lease lease;
-  config_history configurations;  // texts, for the nodes that receive them from this one
+  config_history configurations;  // texts of versions, for the nodes that get them from this one
   config_lag lag;
   fleet_view fleet;
   bool fleet_known = false;  // the serving replicas are known, or the list of targets was read
@@ -95,8 +95,8 @@
   void forget_connections(const endpoint& address);
 
  private:
-  std::uint64_t cached_revision_ = 0;  // of the fleet, when the caches were filled
-  std::uint64_t cached_version_ = 0;   // of the configuration, when the caches were filled
+  std::uint64_t cached_revision_ = 0;  // fleet revision when the caches were filled
+  std::uint64_t cached_version_ = 0;   // configuration version when the caches were filled
   void drop_outdated_caches();
 
   std::map<model_id, std::vector<serving_replica>> cached_replicas_;
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -335,8 +335,8 @@
     return attempt_result::complete;
   }
 
-  // A failure reported by the target counts as run. Requests that may be repeated are tried on
-  // another replica.
+  // A request whose failure the target reports counts as run. Requests that may be repeated are
+  // tried on another replica.
   attempt_result pass_failure() {
     note_harmless(node_, call_);
     const bool again = call_.matched_route->repeatable() &&
@@ -368,7 +368,7 @@
   time_point last_event_at_{};
   replica_estimate expected_;
   bool had_first_event_ = false;
-  bool connection_lost_ = false;  // closed or reset by the target
+  bool connection_lost_ = false;  // the target closed or reset the connection
   response_fields answer_;
   int status_ = 0;
   http_headers headers_;
--- a/src/node/keyed_driver.cpp
+++ b/src/node/keyed_driver.cpp
@@ -1,4 +1,4 @@
-// The effect loop of one non-repeatable call.
+// Executes the effects of one call that must not run twice, until its record is final.
 #include "node/keyed_driver.h"
 
 #include <algorithm>
--- a/src/node/keyed_driver.h
+++ b/src/node/keyed_driver.h
@@ -14,7 +14,8 @@
 // Answers the caller; called exactly once.
 using keyed_replier = std::function<void(const keyed_reply& reply)>;
 
-// Returns when the record has its final state, which may be after the reply.
+// Returns when the call's record in the table has its final state, which may be after the reply to
+// the caller.
 void drive_keyed_call(platform_client& platform, const keyed_call_facts& facts,
                       const keyed_sender& send, const keyed_replier& reply);
 
--- a/src/node/limit_exchange.cpp
+++ b/src/node/limit_exchange.cpp
@@ -91,9 +91,9 @@
   return limits_.take(now, workspace);
 }
 
-// A separate message costs a TCP segment and its acknowledgement, more bytes than it carries. Sent
-// together with a heartbeat, which goes to the same peers at the same rate, it costs only its
-// payload.
+// Adds the leases of rate limits to a heartbeat. A separate message costs a TCP segment and its
+// acknowledgement, more bytes than it carries. Sent together with a heartbeat, which goes to the
+// same peers at the same rate, it costs only its payload.
 std::optional<peer_send> limit_exchange::piggyback_message(time_point now, const node_id& peer) {
   const std::lock_guard guard(lock_);
   const bool partner =
--- a/src/node/limit_exchange.h
+++ b/src/node/limit_exchange.h
@@ -47,10 +47,10 @@
   std::mutex lock_;  // guards all below
   rate_limits limits_;
   std::vector<node_id> lease_peers_;  // peers that leases are exchanged with
-  std::set<node_id> piggybacked_;  // of these, sent a message by piggyback_message() since the last
-                                   // take_messages()
-  bool has_limits_ = false;        // some workspace has a limit; otherwise nothing is sent
-  std::uint64_t config_version_ = 0;  // of the configuration that the limits are from
+  std::set<node_id> piggybacked_;     // lease peers that were sent a message by piggyback_message()
+                                      // since the last take_messages()
+  bool has_limits_ = false;           // some workspace has a limit; otherwise nothing is sent
+  std::uint64_t config_version_ = 0;  // version of the configuration that the limits are from
 };
 
 }  // namespace arbutus
--- a/src/node/log.cpp
+++ b/src/node/log.cpp
@@ -31,7 +31,8 @@
 
 namespace blog = boost::log;
 
-// Lines that were dropped. They are counted, since an unreported gap in a log misleads its readers.
+// Number of log lines that were dropped. They are counted, since an unreported gap in a log
+// misleads its readers.
 std::atomic<std::uint64_t> dropped{0};
 
 struct count_and_drop {
@@ -142,7 +143,8 @@
   return dump(line);
 }
 
-// The lock is held for a few additions only.
+// Whether the log's rate allows a line of this size. Called for every line; holds the lock for a
+// few additions only.
 bool may_write(std::size_t bytes) {
   const std::lock_guard guard(budget_lock());
   return !state().budget || state().budget->spend(monotonic_now(), bytes);
@@ -152,7 +154,7 @@
 
 namespace detail {
 
-// Above every level: nothing is logged until start_log.
+// A level above all others: nothing is logged until start_log() sets the real one.
 constexpr auto log_off = static_cast<log_level>(static_cast<int>(log_level::error) + 1);
 std::atomic<log_level> min_log_level{log_off};
 
--- a/src/node/log.h
+++ b/src/node/log.h
@@ -45,8 +45,8 @@
                     std::initializer_list<log_field> fields);
 }  // namespace detail
 
-// Starts writing to `out`, which must stay valid until stop_log() returns. Lines logged before are
-// dropped. Lines pass through a bounded queue to a writer thread.
+// Starts writing log lines to `out`, which must stay valid until stop_log() returns. Lines logged
+// before are dropped. Lines pass through a bounded queue to a writer thread.
 void start_log(const log_settings& settings, const node_id& node, std::ostream& out);
 
 // Writes the queued lines and stops.
@@ -70,7 +70,7 @@
   return level >= detail::min_log_level.load(std::memory_order_relaxed);
 }
 
-// Costs one comparison when the level is disabled.
+// Writes a log line. Costs one comparison when the level is disabled.
 inline void log_line(log_level level, std::string_view part, std::string_view message,
                      std::initializer_list<log_field> fields = {}) {
   if (log_enabled(level)) {
--- a/src/node/log_outcomes.h
+++ b/src/node/log_outcomes.h
@@ -54,7 +54,7 @@
   std::map<std::string, outcome_counts> by_route_;
   std::map<std::string, outcome_counts> by_node_;
   std::map<std::string, std::string> data_centre_of_;  // by node, from its "started" line
-  // Replicas that a node counted, by model, node and time.
+  // Number of serving replicas that a node logged, by model, node and time.
   std::map<std::string, std::map<std::string, std::map<wall_clock_time, std::uint64_t>>> capacity_;
 };
 
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -14,8 +14,8 @@
 
 namespace bh = boost::histogram;
 
-// 0.25 ms to about 128 s with four bins per doubling: a percentile computed from the histogram is
-// accurate to 19 %.
+// The latency histograms cover 0.25 ms to about 128 s with four bins per doubling: a percentile
+// computed from the histogram is accurate to 19 %.
 constexpr unsigned latency_bins = 76;
 constexpr double latency_low = 0.00025;
 constexpr double latency_high = 131.072;
--- a/src/node/model_attempt.cpp
+++ b/src/node/model_attempt.cpp
@@ -50,7 +50,8 @@
          status == status_unprocessable;
 }
 
-// Whether the answer carries the id of the request; otherwise it does not belong to it.
+// Whether the answer carries the id of the request; an answer with another id belongs to another
+// request.
 bool has_request_id(const http_headers& headers, const request_id& id) {
   const auto named = headers.find("x-request-id");
   return named && *named == id.str();
@@ -64,7 +65,8 @@
   return text;
 }
 
-// No complete answer: sets what the state of the connection proves.
+// For an attempt without a complete answer: sets what the state of its connection proves about
+// whether the request ran.
 void set_transport_failure(const call_result& result, attempt_outcome& end) {
   end.ran = result.outcome == call_outcome::not_sent ? execution::not_run : execution::unknown;
   end.reason = describe(result);
@@ -72,7 +74,7 @@
                     result.failure == call_failure::connection_lost;
 }
 
-// A complete answer with a status other than 200.
+// For a complete answer with a status other than 200: sets whether the request ran, and the reason.
 void set_error_status(const call_result& result, attempt_outcome& end) {
   end.status = result.response.status;
   if (refused_by_target(end.status)) {
@@ -85,8 +87,9 @@
   end.reason = "status " + std::to_string(end.status);
 }
 
-// Checks the newest view, not the one that the replica was chosen from: since then a member may
-// have been lost, or this process may have been paused until every permission expired.
+// The permit to send to a replica. It checks the newest view, not the one that the replica was
+// chosen from: since then a member may have been lost, or this process may have been paused until
+// every permission expired.
 send_permit permit_for(const call_context& node, const replica_route& chosen) {
   return [&node, &chosen] {
     const std::shared_ptr<const node_view> view = node.core.view();
@@ -135,7 +138,7 @@
                attempt_outcome& end)
       : attempt_(attempt), answer_(answer), sink_(sink), end_(end) {}
 
-  // False: the attempt has to be aborted.
+  // Handles received bytes of the response. False if the attempt has to be aborted.
   bool on_bytes(std::string_view bytes) {
     splitter_.append(bytes);
     if (splitter_.overflowed()) {
--- a/src/node/model_call.cpp
+++ b/src/node/model_call.cpp
@@ -19,7 +19,8 @@
 constexpr double min_cost = 0.05;
 // Sent as Retry-After when no replica serves the model: about the time of a repair from a standby.
 constexpr duration no_replica_retry = 2s;
-// How often a request that no replica may take checks for a route again, until its deadline.
+// Interval at which a request that may be sent to no replica checks again for a route, until its
+// deadline.
 constexpr duration route_poll_interval = 25ms;
 
 std::optional<call_error> check_model(const call_state& call, const model_id& model) {
@@ -264,7 +265,7 @@
     finish(reached ? "done" : "caller_gone", {});
   }
 
-  // The engine rejected the request itself.
+  // Forwards the error of an engine that rejected the request as invalid.
   void relay_engine_error(const attempt_outcome& end) {
     call_error error = invalid_request("engine_refused", end.reason, end.status);
     finish_with_error(error);
@@ -282,8 +283,8 @@
 
   void finish_with_error(const call_error& error) {
     if (writer_.started()) {
-      // The status was sent already; the error frame and the missing [DONE] mark the answer as
-      // truncated.
+      // The HTTP status was sent already, so the error is sent as a frame of the stream; that frame
+      // and the missing [DONE] mark the answer as truncated.
       call_error truncated = error;
       truncated.ran = execution::unknown;
       writer_.write(error_frame(truncated));
--- a/src/node/model_call.h
+++ b/src/node/model_call.h
@@ -1,4 +1,4 @@
-// Model calls: completions and chat, streamed or not.
+// Calls of a caller to a model: completions and chat, streamed or not.
 #pragma once
 
 #include "node/call_context.h"
--- a/src/node/model_gate.cpp
+++ b/src/node/model_gate.cpp
@@ -16,8 +16,9 @@
 
 }  // namespace
 
-// Notifies while holding the lock: as soon as the waiting fiber sees the result, it may return and
-// destroy this object, so no member may be used after the lock is released.
+// Ends the wait of the request's fiber, and notifies it while holding the lock: as soon as the
+// waiting fiber sees the result, it may return and destroy this object, so no member may be used
+// after the lock is released.
 void admission_waiter::finish(admission_outcome how) {
   const std::lock_guard guard(lock_);
   if (end_) {
@@ -108,7 +109,8 @@
   runtime_.post(0, [this] { sweep_queue(); });
 }
 
-// Runs only while requests wait, so that it costs an idle node nothing.
+// Periodically rejects waiting requests that became too late. Runs only while requests wait, so
+// that it costs an idle node nothing.
 void model_gate::sweep_queue() {
   while (sleep_until(monotonic_now() + queue_sweep_interval)) {
     const std::lock_guard guard(lock_);
--- a/src/node/model_gate.h
+++ b/src/node/model_gate.h
@@ -99,7 +99,8 @@
   // Invariant: contains exactly the requests that wait in admission_.
   std::unordered_map<request_id, admission_waiter*> waiters_;
   std::shared_ptr<const node_view> view_;
-  std::map<replica_id, generation> generations_;  // as last seen; removed replicas are kept
+  // Last known generation of each replica; removed replicas are kept.
+  std::map<replica_id, generation> generations_;
   bool sweeping_ = false;  // a fiber periodically rejects waiting requests that became too late
 };
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -91,7 +91,7 @@
   front_end callers;
   std::unique_ptr<peer_links> links;
   std::unique_ptr<http_server> server;
-  std::unique_ptr<periodic> limit_sender;  // uses the links
+  std::unique_ptr<periodic> limit_sender;  // destroyed before the links that it uses
   std::uint64_t linked_config_version =
       0;  // configuration version whose peers are linked; worker 0
   bool running = false;
@@ -105,7 +105,7 @@
   }
   linked_config_version = view->config->version;
   limits.configure(monotonic_now(), *view->config);
-  // In a fiber of its own, since closing the links to removed peers may block.
+  // The peers are set in a separate fiber, since closing the links to removed ones may block.
   runtime.post(0, [this, view] { links->set_peers(view->config->assets.nodes); });
 }
 
@@ -168,7 +168,8 @@
 
 void node::parts::send_to_peer(const peer_send& message) {
   links->send(link_channel::coordination, message);
-  // Queued directly after the message, so that both are sent in one write.
+  // The leases of rate limits are queued directly after the message, so that both are sent in one
+  // write.
   if (const auto limit = limits.piggyback_message(monotonic_now(), message.to)) {
     links->send(link_channel::limits, *limit);
   }
@@ -196,7 +197,8 @@
     c.begin_drain(now);
     return effects{};
   });
-  // New callers still arrive until the balancer has noticed; they are served as usual.
+  // New callers still arrive until the load balancer has noticed that the node is draining; they
+  // are served as usual.
   bool clean = false;
   p.runtime.run_on(0, [&p, &clean] {
     sleep_until(monotonic_now() + p.options.balancer_lag);
--- a/src/node/peer_links.cpp
+++ b/src/node/peer_links.cpp
@@ -39,7 +39,7 @@
 
 void peer_links::receive(const node_id& from, std::span<const std::uint8_t> bytes) {
   if (bytes.empty() || bytes[0] >= link_channels) {
-    return;  // a channel of a newer release
+    return;  // sent on a channel that only newer releases have
   }
   on_message received;
   {
@@ -52,7 +52,7 @@
 }
 
 void peer_links::set_peers(const std::vector<node_record>& peers) {
-  // Destroyed after the lock is released, since that may suspend.
+  // The closed links are destroyed after the lock is released, since their destructors may suspend.
   std::vector<std::unique_ptr<link_client>> closed;
   const std::lock_guard guard(lock_);
   for (auto it = peers_.begin(); it != peers_.end();) {
--- a/src/node/peer_links.h
+++ b/src/node/peer_links.h
@@ -47,10 +47,10 @@
 
   fiber_runtime& runtime_;
   node_id self_;
-  mutable std::mutex lock_;  // guards the two below
+  mutable std::mutex lock_;  // guards receivers_ and peers_
   std::array<on_message, link_channels> receivers_;
   std::map<node_id, peer> peers_;
-  std::unique_ptr<link_server> server_;  // last: its handlers use the rest
+  std::unique_ptr<link_server> server_;  // declared last, since its handlers use the other members
 };
 
 }  // namespace arbutus
--- a/src/node/periodic.cpp
+++ b/src/node/periodic.cpp
@@ -12,12 +12,12 @@
 namespace arbutus {
 
 struct periodic::state {
-  boost::fibers::mutex lock;  // guards the two flags
+  boost::fibers::mutex lock;  // guards the flags of this struct
   boost::fibers::condition_variable changed;
   bool stopping = false;
   bool ended = false;
 
-  // Waits for the interval; false if stopped meanwhile.
+  // Waits for the interval between two calls; false if the periodic work was stopped meanwhile.
   bool wait(duration interval) {
     const auto until = to_steady(monotonic_now() + interval);
     std::unique_lock guard(lock);
--- a/src/node/service_call.cpp
+++ b/src/node/service_call.cpp
@@ -1,4 +1,4 @@
-// Forwards calls of plain services to their instances.
+// Forwards calls of services that are not models to instances of these services.
 #include "node/service_call.h"
 
 #include <algorithm>
@@ -16,7 +16,8 @@
 constexpr duration retry_after_failure = 500ms;
 constexpr std::uint32_t max_attempts = 3;
 
-// Not forwarded: headers about the connection itself, and headers that only this node may set.
+// Whether a header of the caller is forwarded: not if it concerns only the caller's connection, or
+// if only this node may set it.
 bool is_forwarded_header(std::string_view name) {
   static constexpr std::string_view dropped[] = {
       "authorization", "connection",      "keep-alive", "proxy-authorization", "te",
@@ -187,8 +188,8 @@
     keyed_call_facts facts;
     facts.workspace = call_.workspace->id;
     const auto key = request_.headers.find("idempotency-key");
-    // Without a key from the caller, each call counts as a different one; it also runs at most
-    // once.
+    // A call without an idempotency key of the caller counts as different from every other call; it
+    // also runs at most once.
     facts.key = idempotency_key{key ? std::string(*key) : call_.id.str()};
     facts.owner = {node_.self, node_.incarnation, call_.id};
     facts.body_hash = content_hash(request_.method + '\n' + request_.target + '\n' + request_.body);
--- a/src/node/service_call.h
+++ b/src/node/service_call.h
@@ -1,5 +1,5 @@
-// Calls of plain services, forwarded by path. Calls that the rules do not list as idempotent run at
-// most once: a record is written before the call is sent (request/keyed.h).
+// Calls of services that are not models, forwarded by path. Calls that the rules do not list as
+// idempotent run at most once: a record is written before the call is sent (request/keyed.h).
 #pragma once
 
 #include "node/call_context.h"
--- a/src/node/service_health.h
+++ b/src/node/service_health.h
@@ -1,4 +1,5 @@
-// Tracks recent failures of instances of plain services; such instances are tried last.
+// Tracks recent failures of instances of services that are not models; instances with a recent
+// failure are tried last.
 #pragma once
 
 #include <map>
--- a/src/node/spill_call.cpp
+++ b/src/node/spill_call.cpp
@@ -123,7 +123,7 @@
   if (!chosen) {
     return std::nullopt;
   }
-  // Distributes the calls over the nodes there by a hash of the request id.
+  // The calls are distributed over the nodes of the other data centre by a hash of the request id.
   const std::uint64_t pick = stable_hash(facts.id.str());
   return chosen->entry[pick % chosen->entry.size()];
 }
--- a/src/node/spill_call.h
+++ b/src/node/spill_call.h
@@ -7,7 +7,8 @@
 
 namespace arbutus {
 
-// Marks a call that was forwarded already; it is not forwarded again.
+// Header of a call that another data centre's node forwarded to this one; such a call is not
+// forwarded again.
 inline constexpr std::string_view spilled_header = "x-spilled";
 
 // Assumed round-trip times between data centres, as links do not measure them: neighbouring sites
--- a/src/node/store_nodes.cpp
+++ b/src/node/store_nodes.cpp
@@ -12,14 +12,15 @@
 namespace {
 
 constexpr std::string_view node_table = "nodes";
-// A node whose address changed is found within this time.
+// Interval at which a node without updates of a hub reads the rows of all nodes; a node whose
+// address changed is found within this time.
 constexpr duration node_interval = 5s;
 // Nodes that start simultaneously write their rows within some 300 ms; an earlier read would have
 // to be repeated. The interval doubles with each read.
 constexpr duration node_interval_at_start = 400ms;
 constexpr std::uint32_t max_node_doublings = 3;
-// A node that its hub keeps current needs the rows only when the hub fails, and usually has the row
-// of the next hub.
+// A node that its hub keeps current needs the rows of other nodes only when the hub fails, and
+// usually has the row of the next hub.
 constexpr duration node_interval_with_hub = 45s;
 
 // Parses [data centre, link endpoint, processor in permille of a core, link in Mbit/s]. Empty for
@@ -47,8 +48,8 @@
 
 }  // namespace
 
-// Nodes that receive updates know their hub. A hub, or a node without updates, has to know the
-// other nodes.
+// Whether the rows of all nodes have to be read now. Nodes that receive updates know their hub. A
+// hub, or a node without updates, has to know the other nodes.
 bool store_watch::must_read_nodes(time_point now) const {
   const bool updated_by_hub = is_updated_by_hub(now);
   // A node that restarts alone finds the rows of the others in the store immediately.
@@ -63,7 +64,8 @@
       updated_by_hub ? node_interval_with_hub
                      : (searches ? node_interval_at_start * (1U << doublings) : node_interval);
   const time_point read_at = nodes_reads_ == 0 ? started_ : nodes_read_at_;
-  // A node that has just lost its hub may soon receive updates from the next one.
+  // A node that has just lost its hub waits before it reads the rows, as it may soon receive
+  // updates from the next hub.
   return now - read_at >= interval &&
          (updated_by_hub || searches || now - hub_update_at_ > 2 * hub_update_validity);
 }
--- a/src/node/store_poison.cpp
+++ b/src/node/store_poison.cpp
@@ -19,8 +19,8 @@
 // writes.
 constexpr std::uint32_t max_pause_doublings = 6;
 
-// The hash of the request and that of the workspace, since both identify a fingerprint and the name
-// of a workspace may be too long for a key.
+// The key of a quarantine's row: the hash of the request and that of the workspace, since both
+// identify a fingerprint and the name of a workspace may be too long for a key.
 std::string key_of(const request_fingerprint& fingerprint) {
   return hash_text(fingerprint) + "-" + hash_text({{}, stable_hash(fingerprint.workspace.str())});
 }
@@ -53,7 +53,7 @@
   return true;
 }
 
-// False if the write failed.
+// Writes the changed quarantines to the store. False if the write failed.
 bool write_changes(hosted_state& node) {
   const poison_tracker::store_changes changes = node.poison.tracker.pending_store_changes();
   transaction t;
@@ -88,8 +88,8 @@
 
 }  // namespace
 
-// Only hubs write, at random times: the first one to write notifies the others that the row is
-// stored.
+// Only hubs write quarantines to the store, at random times: the first one to write notifies the
+// others that the row is stored.
 void sync_quarantines(hosted_state& node) {
   bool read = false;
   std::uint32_t failures = 0;
--- a/src/node/store_targets.cpp
+++ b/src/node/store_targets.cpp
@@ -15,12 +15,13 @@
 // Records of targets change only with a replica or a target. The feed answers when there is a
 // change, or after this time: one call a second without changes, and changes are known immediately.
 constexpr duration target_wait = 1s;
-// Changes come in bursts, as when a replica forms; those within the pause are read together. Each
-// hub reads the feed, so the pause grows with the number of data centres.
+// Changes of targets come in bursts, as when a replica forms; those within the pause are read
+// together. Each hub reads the feed, so the pause grows with the number of data centres.
 constexpr duration target_pause_per_data_centre = 40ms;  // per data centre
 constexpr duration min_target_pause = 100ms;
 constexpr duration max_target_pause = 250ms;
-// In the first seconds replicas form. A delay would waste time in which loading weights is cheap.
+// Pause between two queries for changed targets in the first seconds after the start, while
+// replicas form. A longer delay would waste time in which loading weights is cheap.
 constexpr duration target_pause_at_start = 60ms;
 // A node that is no hub controls no replicas, so a longer pause is sufficient until another hub
 // sends it updates. Without this, when the hub of 59 nodes failed, each of them queried the store
@@ -66,7 +67,7 @@
     replace_targets(requested_at, update.rows, update.position);
   } else if (!update.complete && node_.fleet_complete &&
              node_.target_rows.can_resume(update.after)) {
-    // Rows that answer an older heartbeat may be duplicates.
+    // The hub may have sent these rows already, in answer to an older heartbeat of this node.
     for (const feed_row& row : update.rows) {
       if (row.version > node_.target_rows.position()) {
         apply_target_row(requested_at, row);
@@ -168,7 +169,7 @@
   return node_.fleet_read_at;
 }
 
-// Empty for a record that cannot be used; other records are not affected.
+// Parses the record of a target. Empty if it cannot be used; other records are not affected.
 std::optional<target_record> store_watch::read_record(const feed_row& row) {
   std::string problem = "its value cannot be decoded";
   std::optional<target_record> record;
@@ -226,7 +227,8 @@
 }
 
 void store_watch::update_subscription(time_point now) {
-  // The rows of the nodes, which are read at the start, show which node is the strongest.
+  // Which node is the strongest, and so the hub, is known from the rows of the nodes, which are
+  // read at the start.
   const bool peers_known =
       nodes_reads_ > 0 && node_.peers.known() > 0 && !node_.settings.cold_start;
   if (record_subscription_.decided() || peers_known || now - started_ >= peers_known_timeout) {
@@ -234,9 +236,9 @@
   }
 }
 
-// Usually the hub forwards what a node needs. A node still reads the table at its start, if it is a
-// single page, to serve immediately. A hub always reads it, and other nodes do when no hub sends
-// updates.
+// Whether to read the records of all targets from the store. Usually the hub forwards what a node
+// needs. A node still reads the table at its start, if it is a single page, to serve immediately. A
+// hub always reads it, and other nodes do when no hub sends updates.
 bool store_watch::must_read_all_targets(time_point now) {
   const bool enough = targets_positioned_ && (node_.fleet_complete || !follows_records());
   if (enough) {
@@ -269,7 +271,8 @@
     const feed_row changed{row.key, row.value, row.version, row.removed, row.readable};
     apply_target_row(requested_at, changed);
     node_.target_rows.apply(changed);
-    // The hub's next rows do not continue from this state.
+    // This row came from the store, so the serving replicas that the hub sends next do not continue
+    // from the state of this node.
     node_.followed.reset_position();
   }
   node_.target_rows.advance(rows->version);
@@ -281,7 +284,8 @@
 duration store_watch::follow_targets_once(time_point requested_at) {
   node_.fleet.remove_expired(requested_at);
   update_subscription(requested_at);
-  // While the store does not answer queries about the configuration, only those are repeated.
+  // While the store does not answer queries about the configuration, the targets are not queried;
+  // only the queries about the configuration are repeated.
   if (failures_ > 0) {
     return check_interval;
   }
--- a/src/node/store_timing.h
+++ b/src/node/store_timing.h
@@ -5,16 +5,18 @@
 
 namespace arbutus {
 
-// Added to the feed's wait before a query counts as failed. A store that is sixty times slower than
-// usual needs 240 ms; after more time than this the connection may be dead. Wait, slack and a
-// heartbeat together leave time for the first query of another hub before the nodes' proofs expire.
+// Time beyond the longest wait of the store's feed after which a query counts as failed. A store
+// that is sixty times slower than usual needs 240 ms; after more time than this the connection may
+// be dead. Wait, slack and a heartbeat together leave time for the first query of another hub
+// before the nodes' proofs expire.
 inline constexpr duration answer_slack = 500ms;
+// For this long after its start, a node uses the intervals for the start of a deployment.
 inline constexpr duration start_phase = 12s;
 inline constexpr duration retry_pause = 100ms;
 // How often a node checks whether it still receives updates from its hub.
 inline constexpr duration check_interval = 100ms;
-// Four heartbeats of the hub. After that this node queries the store itself; its lease is then
-// valid for over 2 s more.
+// How long a node relies on the last update of its hub: four heartbeats of the hub. After that this
+// node queries the store itself; its lease is then valid for over 2 s more.
 inline constexpr duration hub_update_validity = 800ms;
 inline constexpr duration read_timeout = 1500ms;
 
--- a/src/node/store_watch.cpp
+++ b/src/node/store_watch.cpp
@@ -10,23 +10,25 @@
 
 namespace {
 
-// The feed answers immediately if there is a change, and otherwise after this time. Its answer
-// proves that the configuration is still the newest, and the age of this proof is counted from the
-// time of the query. With 700 ms a node sends 1.4 queries a second and its proof is 0.7 to 1.4 s
-// old.
+// Time that the store's feed waits for a change of the configuration before it answers that there
+// is none. Its answer proves that the configuration is still the newest, and the age of this proof
+// is counted from the time of the query. With 700 ms a node sends 1.4 queries a second and its
+// proof is 0.7 to 1.4 s old.
 constexpr duration configuration_wait = 700ms;
-// Consecutive versions that are accepted within this time are read together.
+// Pause after a change of the configuration; versions that are accepted within this time are read
+// together.
 constexpr duration configuration_pause = 40ms;
 // After reading the tables at its start, a node waits this long for updates from its hub before it
 // queries the store for changes; the read proves its configuration for longer than that. Without
 // this, hundreds of nodes that start together make a dozen calls each until their first heartbeat
 // arrives.
 constexpr duration first_hub_update_timeout = 1500ms;
-// Each consecutive failure doubles the pause up to this. Without this, a node that is partitioned
-// or refused by the store would send ten queries a second. The lease is over four times as long.
+// Each consecutive failed query doubles the pause before the next one, up to this time. Without
+// this, a node that is partitioned or refused by the store would send ten queries a second. The
+// lease is over four times as long.
 constexpr duration max_retry_pause = 800ms;
-// Nodes that are not next in line to be the hub wait longer: the first node that the store serves
-// again forwards to the others what they lack.
+// Maximum pause between repeated queries of nodes that are neither the hub nor next in line to be
+// it: the first node that the store serves again forwards to the others what they lack.
 constexpr duration max_retry_pause_of_others = 3200ms;
 // Consecutive failures after which a hub hands over; the first three take 300 ms.
 constexpr std::uint32_t failures_before_handover = 3;
@@ -40,7 +42,8 @@
 // A node that lacks a version and gets no part of it for three heartbeats reads it from the store.
 constexpr duration part_timeout = 600ms;
 constexpr duration max_hub_proof_age = 1700ms;
-// Minimum time between two log lines about calls. A node without calls logs none.
+// Minimum time between two log lines about this node's calls to the store. A node without such
+// calls logs none.
 constexpr duration calls_log_interval = 5s;
 
 // The reason why a call to the store gave no usable result.
@@ -126,13 +129,14 @@
     }
     node_.configuration_rows.advance(message.configuration->position);
     configuration_positioned_ = true;
-    // At the time of its proof the hub had all rows up to its position, and this node has the same
-    // rows now.
+    // When the store confirmed the hub's configuration as the newest, the hub had all rows up to
+    // its position, and this node has the same rows now.
     if (node_.map && message.configuration->position >= node_.configuration_rows.position()) {
       node_.lease.renew(requested_at - message.configuration->age);
     }
   }
-  // Updates of a hub whose own proof is old do not keep this node current.
+  // Updates of a hub whose own configuration was last confirmed long ago do not keep this node
+  // current.
   if (message.configuration->age < max_hub_proof_age) {
     hub_update_at_ = now;
   }
@@ -185,7 +189,8 @@
 void store_watch::note_query_result(time_point now, bool answered) {
   failures_ = answered ? 0 : failures_ + 1;
   withheld_ = withheld_ && !answered;
-  // A query that timed out has taken long enough to count as refused without further failures.
+  // A query that timed out has taken so long that the store counts as refusing this node without
+  // further failures.
   const bool timed_out = now - queried_at_ >= configuration_wait + answer_slack;
   const bool refused_by_store = !answered && (node_.peers.refused_by_store() || timed_out ||
                                               failures_ >= failures_before_handover);
@@ -248,7 +253,7 @@
   }
 }
 
-// Ignores a row that was superseded by a newer one.
+// Applies a row of the configuration table, unless a newer one was applied already.
 void store_watch::apply_configuration(time_point requested_at, std::string_view source,
                                       const feed_row& row) {
   if (row.version <= node_.configurations.newest()) {
@@ -275,7 +280,7 @@
             {"lease_age_ms", to_milliseconds(node_.lease.age(now).value_or(-1ms))}});
 }
 
-// Reads the full table, when there is no position to continue from.
+// Reads the full configuration table, when there is no position to continue from.
 bool store_watch::read_configuration() {
   const time_point requested_at = monotonic_now();
   const auto result = node_.store.read(configuration_table, {}, requested_at + read_timeout);
@@ -323,7 +328,8 @@
   }
 }
 
-// False if there was no usable answer. `pause` is set to the time until the next query.
+// Queries the store for a newer configuration. False if there was no usable answer. `pause` is set
+// to the time until the next query.
 bool store_watch::query_configuration(time_point requested_at, duration wait, duration& pause) {
   pause = 0ms;
   if (!configuration_positioned_) {
--- a/src/node/store_watch.h
+++ b/src/node/store_watch.h
@@ -86,7 +86,7 @@
   std::uint32_t nodes_reads_ = 0;
   bool nodes_known_ = false;               // the rows were read at least once
   bool configuration_positioned_ = false;  // the log has all rows up to its position
-  bool targets_positioned_ = false;        // the same for the rows of targets
+  bool targets_positioned_ = false;        // the log of target rows has all up to its position
   bool targets_withheld_ = false;          // the hub has a list that it does not send in this round
   bool list_left_to_hub_ = false;  // the list is longer than a page, so the hub's updates are used
   record_subscription record_subscription_;
@@ -94,15 +94,15 @@
   time_point records_missing_since_{};  // when this node began to lack needed records; zero: it
                                         // has all of them
   time_point hub_update_at_{};  // the hub's last update with a recent proof of the configuration
-  time_point queried_at_{};     // last query about the configuration
+  time_point queried_at_{};     // when the store was last queried about the configuration
   std::uint32_t failures_ = 0;  // consecutive failures of such queries
   bool withheld_ = false;       // the hub has a newer configuration than it sends
   service_map_reader reader_;
-  config_receiver receiver_;       // of a configuration that the hub sends in parts
-  time_point part_received_at_{};  // newest part
+  config_receiver receiver_;       // assembles a configuration that the hub sends in parts
+  time_point part_received_at_{};  // when the newest part of a configuration was received
   std::map<std::string, std::uint64_t, std::less<>>
       calls_;                       // calls to the store by purpose, since the start of the process
-  std::uint64_t logged_calls_ = 0;  // total at the last log line
+  std::uint64_t logged_calls_ = 0;  // number of calls at the last log line about them
   time_point calls_logged_at_{};
   bool configuration_up_ = true;
   bool targets_up_ = true;
