--- a/src/connection/bench_connections.h
+++ b/src/connection/bench_connections.h
@@ -20,32 +20,32 @@
 struct request_rate {
   std::size_t workers{};  // worker threads of each of the two runtimes
   std::size_t callers{};  // concurrent calls
-  double per_second{};
+  double per_second{};    // completed requests
   duration p50{};
   duration p99{};
   duration processor_per_request{};  // both sides together
-  std::uint64_t failed{};
+  std::uint64_t failed{};            // requests that failed
 };
 
 // Chunks of endless responses, written one by one and read as they arrive.
 struct stream_rate {
-  std::size_t streams{};
+  std::size_t streams{};  // concurrent responses
   double chunks_per_second{};
   duration processor_per_thousand_chunks{};  // both sides together
 };
 
 // Frames sent over one link as fast as it accepts them.
 struct frame_rate {
-  double per_second{};
-  std::uint64_t dropped{};
+  double per_second{};      // frames sent
+  std::uint64_t dropped{};  // frames dropped from the full queue
 };
 
 // Resident memory per open connection, both sides together: while each carries a request, and idle
 // afterwards. Stacks of finished fibers are kept for reuse.
 struct connection_memory {
   std::size_t connections{};
-  std::size_t busy_bytes_each{};
-  std::size_t idle_bytes_each{};
+  std::size_t busy_bytes_each{};  // while each connection carries a request
+  std::size_t idle_bytes_each{};  // after the requests have ended
 };
 
 struct connection_figures {
--- a/src/connection/connection_registry.h
+++ b/src/connection/connection_registry.h
@@ -70,7 +70,7 @@
 
  private:
   struct shard {
-    std::atomic<std::size_t> open{0};
+    std::atomic<std::size_t> open{0};  // connections assigned to this worker
     // Accessed only on its worker. Connections that are counted in `open` but missing here have not
     // been started yet.
     std::unordered_set<Connection*> connections;
--- a/src/connection/http_exchange.h
+++ b/src/connection/http_exchange.h
@@ -108,14 +108,14 @@
 
   server_core& core_;
   fiber_stream stream_;
-  std::string remote_;
+  std::string remote_;               // address of the caller, "ip:port"
   boost::beast::flat_buffer input_;  // bytes received and not yet parsed
 
   bool idle_{false};        // waiting for the first byte of a request
   bool keep_alive_{false};  // whether the caller may send another request
   bool linger_{false};      // whether the caller may still send bytes that will not be read
-  bool head_only_{false};
-  unsigned version_{11};
+  bool head_only_{false};   // the request has the method HEAD, so its response has no body
+  unsigned version_{11};    // HTTP version of the request; 11 is HTTP/1.1
   phase phase_{phase::waiting};
 
   std::function<void()> disconnect_handler_;
--- a/src/connection/link.h
+++ b/src/connection/link.h
@@ -33,11 +33,11 @@
 
 struct link_limits {
   duration connect_timeout{1s};
-  duration hello_timeout{2s};
-  duration write_timeout{3s};  // a peer that accepts no data for this long counts as down
-  duration first_backoff{50ms};
-  duration max_backoff{2s};
-  std::size_t queue_bytes{256UL * 1024};
+  duration hello_timeout{2s};    // for the peer's hello frame
+  duration write_timeout{3s};    // a peer that accepts no data for this long counts as down
+  duration first_backoff{50ms};  // pause before the first repeated attempt to connect
+  duration max_backoff{2s};      // upper bound of that pause, which doubles with each attempt
+  std::size_t queue_bytes{256UL * 1024};  // size limit of the frames that wait to be sent
 };
 
 // Totals since the start. Bytes are counted as passed to TCP: with length prefixes and hello
--- a/src/connection/link_wire.h
+++ b/src/connection/link_wire.h
@@ -53,6 +53,7 @@
 
  private:
   bool fill(std::size_t desired);
+  // Moves the buffered bytes to the front, and resizes the buffer to at least `desired`.
   void make_room(std::size_t desired);
 
   fiber_stream& stream_;
--- a/src/node/attempt_registry.h
+++ b/src/node/attempt_registry.h
@@ -16,8 +16,8 @@
   // One attempt, allocated on the stack of its fiber.
   struct attempt {
     cancel_token cancel = cancel_token::make();
-    bool moved = false;  // cancelled because its replica was lost, not for another reason
-    bool resumable = false;
+    bool moved = false;      // cancelled because its replica was lost, not for another reason
+    bool resumable = false;  // may be continued on another replica
   };
 
   // Registers an attempt for the lifetime of this object.
--- a/src/node/call_context.h
+++ b/src/node/call_context.h
@@ -23,17 +23,17 @@
 // Exists as long as the node. The objects that it refers to outlive every call.
 struct call_context {
   node_id self;
-  std::uint64_t incarnation{};
+  std::uint64_t incarnation{};  // differs after every start of this node
   data_centre_id data_centre;
   fiber_runtime& runtime;
   http_client& client;
   platform_client& platform;
-  control& core;
+  control& core;  // the coordination core of this node
   model_gates& gates;
   limit_exchange& limits;
   service_health& services;
   metrics& measured;
-  std::atomic<std::uint64_t> next_request{1};
+  std::atomic<std::uint64_t> next_request{1};  // number that the id of the next request contains
 };
 
 // The state of one call, from its arrival to its answer.
@@ -44,7 +44,7 @@
   request_id id;
   time_point arrival;
   time_point deadline;
-  std::uint32_t priority = 0;
+  std::uint32_t priority = 0;  // 0 is the highest
   finished_call measured;
 };
 
--- a/src/node/controller_loop.h
+++ b/src/node/controller_loop.h
@@ -41,9 +41,9 @@
   // Positions in the watched tables that a peer reported.
   struct positions {
     bool follows_records = true;
-    std::uint64_t targets{};  // in the table of targets
+    std::uint64_t targets{};  // position in the feed of the table of targets
     serving_follower::position serving;
-    std::uint64_t configuration{};      // in the configuration table
+    std::uint64_t configuration{};      // position in the feed of the configuration table
     std::uint64_t configuration_row{};  // version of the peer's newest configuration row
     config_progress configuration_progress;
   };
@@ -90,7 +90,7 @@
   rng random_;
   std::map<service_id, replica_controller> controllers_;
   std::set<target_id> checking_;  // heads whose replicas are being checked
-  std::set<target_id> probing_;
+  std::set<target_id> probing_;   // targets with a probe in progress
   std::map<node_id, positions> positions_;
   poison_exchange poison_exchange_;
   // Send grants for targets that announce a limit.
@@ -105,8 +105,8 @@
   std::vector<node_id> linked_peers_;
   std::size_t running_link_updates_ = 0;  // fibers that change the links
   bool ended_ = false;
-  std::set<data_centre_id> responsibilities_;
-  std::map<model_id, std::size_t> capacity_;  // replicas that may be sent requests, as last logged
+  std::set<data_centre_id> responsibilities_;  // data centres whose replicas this node controls
+  std::map<model_id, std::size_t> capacity_;   // replicas that may be sent requests, as last logged
   time_point heartbeats_sent_at_{};
   time_point plan_logged_at_{};
   time_point capacity_logged_at_{};
--- a/src/node/error_body.h
+++ b/src/node/error_body.h
@@ -14,10 +14,10 @@
 // The error that a caller gets when there is no answer to forward.
 struct call_error {
   int status = 500;
-  execution ran = execution::not_run;
-  std::string code;        // stable, for programs: "too_late", "unknown_model", ...
-  std::string message;     // for people
-  duration retry_after{};  // 0: not sent
+  execution ran = execution::not_run;  // whether a target may have run the request
+  std::string code;                    // stable, for programs: "too_late", "unknown_model", ...
+  std::string message;                 // for people
+  duration retry_after{};              // 0: not sent
 };
 
 // {"error":{"type":"not_run"|"unknown","code":...,"message":...}}
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -23,8 +23,8 @@
   const route* matched_route = nullptr;
   const service_spec* service = nullptr;
   workspace_id workspace;
-  std::optional<std::uint32_t> urgency;
-  request_fingerprint fingerprint;  // equal for repetitions of the same request
+  std::optional<std::uint32_t> urgency;  // 0 is the most urgent
+  request_fingerprint fingerprint;       // equal for repetitions of the same request
   time_point arrived;
   time_point deadline;
 
--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -78,6 +78,7 @@
   feed_log configuration_rows;
   hosted_metrics metrics;
   rng random;  // for decisions that must differ between nodes
+  // A caller's request has arrived at this node or, as reported, at a peer.
   bool requests_seen = false;
   bool stopping = false;
 
--- a/src/node/log_outcomes.h
+++ b/src/node/log_outcomes.h
@@ -23,8 +23,8 @@
   // Serving replicas by model: the highest count of any node, since nodes that are partitioned or
   // have just started count fewer.
   std::map<std::string, std::uint64_t> replicas;
-  std::uint64_t lost_targets = 0;
-  std::uint64_t orders_accepted = 0;
+  std::uint64_t lost_targets = 0;     // number of log lines that report a target as lost
+  std::uint64_t orders_accepted = 0;  // orders of nodes to targets, by outcome
   std::uint64_t orders_failed = 0;
 
   [[nodiscard]] std::uint64_t ended() const;
--- a/src/node/model_attempt.h
+++ b/src/node/model_attempt.h
@@ -18,7 +18,7 @@
   std::uint32_t priority{};
   workspace_id workspace;
   time_point deadline;
-  attempt_context note;
+  attempt_context note;  // attempt number and retry permission, sent with the request
 };
 
 struct attempt_outcome {
--- a/src/node/model_gate.h
+++ b/src/node/model_gate.h
@@ -24,7 +24,7 @@
 // How a request's wait for admission ended.
 struct admission_outcome {
   enum class kind { admitted, rejected, caller_disconnected } what = kind::admitted;
-  rejected why;  // for rejected
+  rejected why;  // reason if `what` is rejected
 };
 
 // A request that waits in the queue. Allocated in the request's stack frame; must exist until
@@ -62,17 +62,21 @@
                    duration latency);
   std::uint32_t ended(time_point now, const request_facts& facts, const attempt_result& result);
 
+  // Counts a request's first attempt, which allows retries in proportion.
   void first_attempt(time_point now);
+  // Whether and when a request whose last attempt failed may be sent again.
   retry_decision retry(time_point now, const attempt_context& context, execution last,
                        const request_facts& facts);
+  // When to decide whether a slow request is also sent to a second replica (hedging), and the
+  // decision.
   std::optional<time_point> hedge_decision_time(std::string_view request_class, time_point sent);
   bool decide_hedge(time_point now, std::string_view request_class, time_point sent,
                     const attempt_context& context, const request_facts& facts);
 
   [[nodiscard]] duration expected_wait(const request_facts& facts);
   [[nodiscard]] std::uint32_t in_flight_at(const replica_id& replica);
-  [[nodiscard]] std::size_t waiting();
-  [[nodiscard]] std::size_t running();
+  [[nodiscard]] std::size_t waiting();  // requests in the queue
+  [[nodiscard]] std::size_t running();  // admitted requests that have not ended
 
   // To be called with each new view, since the capacity may have changed.
   void refresh(const std::shared_ptr<const node_view>& view);
--- a/src/node/store_watch.h
+++ b/src/node/store_watch.h
@@ -82,8 +82,8 @@
 
   hosted_state& node_;
   time_point started_;
-  time_point nodes_read_at_{};
-  std::uint32_t nodes_reads_ = 0;
+  time_point nodes_read_at_{};             // when the rows of nodes were last read
+  std::uint32_t nodes_reads_ = 0;          // number of times that the rows of nodes were read
   bool nodes_known_ = false;               // the rows were read at least once
   bool configuration_positioned_ = false;  // the log has all rows up to its position
   bool targets_positioned_ = false;        // the log of target rows has all up to its position
@@ -104,8 +104,8 @@
       calls_;                       // calls to the store by purpose, since the start of the process
   std::uint64_t logged_calls_ = 0;  // number of calls at the last log line about them
   time_point calls_logged_at_{};
-  bool configuration_up_ = true;
-  bool targets_up_ = true;
+  bool configuration_up_ = true;  // the last query about the configuration was answered
+  bool targets_up_ = true;        // the last query about the targets was answered
 };
 
 }  // namespace arbutus
