--- a/src/connection/await.h
+++ b/src/connection/await.h
@@ -30,7 +30,7 @@
     changed_.wait(lock, [this] { return done_; });
   }
 
-  // False if `deadline` came first.
+  // Waits for the event at most until `deadline`. False if the deadline came first.
   [[nodiscard]] bool wait_until(time_point deadline) {
     if (deadline == time_point::max()) {
       wait();
--- a/src/connection/bench_connections.h
+++ b/src/connection/bench_connections.h
@@ -60,7 +60,7 @@
 // from a fiber.
 [[nodiscard]] connection_figures bench_connections(duration each);
 
-// One result per line, human-readable.
+// Writes the figures as text, with one result per line.
 void print(std::ostream& out, const connection_figures& figures);
 
 }  // namespace arbutus
--- a/src/connection/fiber_runtime.h
+++ b/src/connection/fiber_runtime.h
@@ -55,7 +55,7 @@
   // ended or were never started. Callable from any thread or fiber.
   void run_on(std::size_t worker, const std::function<void()>& work);
 
-  // Only for the .cpp files of this folder.
+  // Internal state of a worker. Only for the .cpp files of this folder.
   [[nodiscard]] fiber_worker& worker(std::size_t index) noexcept;
 
  private:
--- a/src/connection/link_wire.h
+++ b/src/connection/link_wire.h
@@ -23,7 +23,8 @@
 
 [[nodiscard]] std::vector<std::uint8_t> hello_payload(const node_id& self);
 
-// Empty if the payload is not a hello of the supported protocol version.
+// The node id in a hello frame. Empty if the payload is not a hello of the supported protocol
+// version.
 [[nodiscard]] std::optional<node_id> parse_hello(std::span<const std::uint8_t> payload);
 
 // Makes the kernel detect a peer that vanished without closing the connection: by data that is not
--- a/src/node/attempt_registry.h
+++ b/src/node/attempt_registry.h
@@ -13,7 +13,7 @@
 
 class attempt_registry {
  public:
-  // One attempt, allocated on the stack of its fiber.
+  // One attempt to run a request on a replica, allocated on the stack of its fiber.
   struct attempt {
     cancel_token cancel = cancel_token::make();
     bool moved = false;      // cancelled because its replica was lost, not for another reason
--- a/src/node/control.h
+++ b/src/node/control.h
@@ -32,8 +32,8 @@
 // A probe without an answer after this time counts as failed. Well below the time in which a lost
 // member has to be detected, and well above the response time of a busy VM.
 inline constexpr duration probe_timeout = 600ms;
-// Load and permissions are published at most this often; a change of the usable routes is
-// published immediately.
+// Minimum time between two views of the cluster that differ only in load or permissions; a change
+// of the usable routes is published immediately.
 inline constexpr duration publish_interval = 50ms;
 
 class control {
--- a/src/node/hosted_node.h
+++ b/src/node/hosted_node.h
@@ -1,5 +1,5 @@
-// A node on a hosted platform, which stores the configuration and the list of targets. Owns the
-// node's components and shuts them down gracefully.
+// A node on a hosted platform: the platform's store holds the configuration and the list of
+// targets. Owns the node's components and shuts them down gracefully.
 #pragma once
 
 #include <memory>
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -14,7 +14,7 @@
 
 namespace arbutus {
 
-// One request of a caller.
+// One request of a caller and what has become of it so far.
 struct hosted_request {
   const http_request& raw_request;
   response_writer& writer;
--- a/src/node/limit_exchange.h
+++ b/src/node/limit_exchange.h
@@ -33,8 +33,9 @@
   void configure(time_point now, const configuration& config);
   [[nodiscard]] limit_result take(time_point now, const workspace_id& workspace);
 
-  // A message to send to `peer` together with another one that is about to be sent. Empty if there
-  // is nothing to send, or if the peer got such a message since the last take_messages().
+  // A message with leases of rate limits, to be sent to `peer` together with another message that
+  // is about to be sent. Empty if there is nothing to send, or if the peer got such a message since
+  // the last take_messages().
   [[nodiscard]] std::optional<peer_send> piggyback_message(time_point now, const node_id& peer);
   // Messages to the peers that got none by piggyback_message() since the last call. To be called
   // once every limit_settings::message_interval.
--- a/src/node/log_outcomes.h
+++ b/src/node/log_outcomes.h
@@ -35,7 +35,7 @@
  public:
   explicit log_outcomes(std::chrono::seconds window) : window_(window) {}
 
-  // Returns the number of lines that could not be parsed.
+  // Counts the log lines of a file. Returns the number of lines that could not be parsed.
   std::size_t read(std::istream& lines);
 
   [[nodiscard]] bool empty() const { return by_window_.empty(); }
--- a/src/node/model_attempt.h
+++ b/src/node/model_attempt.h
@@ -23,13 +23,13 @@
 
 struct attempt_outcome {
   execution ran = execution::unknown;
-  int status = 0;      // of the engine's answer; 0: none
+  int status = 0;      // HTTP status of the engine's answer; 0: none
   std::string reason;  // why the attempt is not done, for logs and metrics
-  std::string body;    // of an answer that is not streamed
+  std::string body;    // body of an answer that is not streamed
   std::string content_type;
   bool engine_error = false;  // a complete answer with an error caused by the caller (4xx)
   bool target_lost = false;   // the connection was refused or broke
-  time_point first_token;     // min(): none was received
+  time_point first_token;     // when the first token was received; min(): none was
   duration total{};
 };
 
--- a/src/node/model_request.h
+++ b/src/node/model_request.h
@@ -18,7 +18,8 @@
   bool stream = false;
 };
 
-// Returns the error to answer with if the body is not a valid request.
+// Parses the body of a model call into `parsed`. Returns the error to answer with if it is not a
+// valid request.
 [[nodiscard]] std::optional<call_error> parse_model_request(model_api api, const std::string& text,
                                                             model_request& parsed);
 
--- a/src/node/peer_links.h
+++ b/src/node/peer_links.h
@@ -15,7 +15,7 @@
 
 namespace arbutus {
 
-// The receiver of a frame; sent as its first byte.
+// The component that a frame is meant for; sent as the frame's first byte.
 enum class link_channel : std::uint8_t { coordination, limits };
 inline constexpr std::size_t link_channels = 2;
 
--- a/src/node/poison_state.h
+++ b/src/node/poison_state.h
@@ -11,7 +11,8 @@
 
 namespace arbutus {
 
-// A run that broke off within the strike window, as observed by the node that sent it.
+// A run of a request that broke off within the strike window, that is, so soon that the request may
+// have crashed its target. As observed by the node that sent the request.
 struct broken_run {
   request_id request;
   request_fingerprint fingerprint;
@@ -21,7 +22,8 @@
   time_point broken_at;
 };
 
-// Whether a target has ended, as found by a query, and the runs that wait for the result.
+// Whether a target has ended, as found by a query to it, and the broken runs that wait for the
+// result.
 struct target_end_check {
   bool query_pending = false;
   bool ended = false;
--- a/src/node/poison_watch.h
+++ b/src/node/poison_watch.h
@@ -19,7 +19,8 @@
 // Finds out with a query whether the target has ended; if so, records a strike against the run's
 // request.
 void check_for_strike(hosted_state& node, broken_run run);
-// A run of the call succeeded or lasted long enough: clears the request.
+// Clears a request of the suspicion that it crashes targets, after a run of it succeeded or lasted
+// long enough.
 void note_harmless(hosted_state& node, const hosted_request& call);
 
 // Waits while strikes of other nodes against the request may still arrive. Returns false if the
--- a/src/node/request_timeline.h
+++ b/src/node/request_timeline.h
@@ -25,7 +25,7 @@
   std::string message;
   std::vector<std::pair<std::string, std::string>> fields;  // numbers as written, texts unquoted
 
-  // Empty if the line has no such field.
+  // The value of the field with this name. Empty if the line has no such field.
   [[nodiscard]] std::string_view field(std::string_view key) const;
   bool operator==(const logged_line&) const = default;
 };
@@ -55,7 +55,7 @@
   // not be parsed.
   std::size_t read(std::istream& lines, std::string_view request);
 
-  // Empty if no line names the request.
+  // Assembles the timeline of a request. Empty if no line names the request.
   [[nodiscard]] std::optional<request_timeline> timeline_of(std::string_view request) const;
 
  private:
--- a/src/node/service_health.h
+++ b/src/node/service_health.h
@@ -10,7 +10,7 @@
 
 namespace arbutus {
 
-// One per node, shared by all calls. Thread-safe.
+// Recent failures of service instances, as observed by this node. Shared by all calls. Thread-safe.
 class service_health {
  public:
   void note_failure(time_point now, const endpoint& instance);
--- a/src/node/spill_call.h
+++ b/src/node/spill_call.h
@@ -27,7 +27,7 @@
 struct spill_outcome {
   bool answered = false;  // the caller has an answer, complete or marked as truncated
   bool complete = false;
-  execution ran = execution::not_run;  // when not answered
+  execution ran = execution::not_run;  // whether the request ran; valid if it was not answered
 };
 
 // Forwards the call to `entry`, and its answer to the caller as it arrives.
--- a/src/node/sse.h
+++ b/src/node/sse.h
@@ -37,7 +37,7 @@
 struct engine_frame {
   frame_kind kind = frame_kind::malformed;
   request_id id;
-  std::uint64_t offset{};  // of the token; for finish: number of tokens in the answer
+  std::uint64_t offset{};  // index of the token; for finish: number of tokens in the answer
   bool last = false;       // this token completes the answer
 };
 
--- a/src/node/store_targets.cpp
+++ b/src/node/store_targets.cpp
@@ -252,7 +252,7 @@
   return node_.peers.is_hub(now) || at_start || now - records_missing_since_ >= hub_forward_timeout;
 }
 
-// Returns the pause until the next query.
+// Queries the store for changed targets. Returns the pause until the next query.
 duration store_watch::watch_targets(time_point requested_at) {
   const auto result = node_.store.watch(target_table, node_.target_rows.position(), target_wait,
                                         requested_at + target_wait + answer_slack);
