--- a/src/connection/fiber_runtime.h
+++ b/src/connection/fiber_runtime.h
@@ -28,7 +28,7 @@
 class fiber_runtime {
  public:
   explicit fiber_runtime(std::size_t workers);
-  ~fiber_runtime();  // stops and joins
+  ~fiber_runtime();  // stops the workers and waits for their threads
   fiber_runtime(const fiber_runtime&) = delete;
   fiber_runtime& operator=(const fiber_runtime&) = delete;
   fiber_runtime(fiber_runtime&&) = delete;
@@ -55,7 +55,7 @@
   // ended or were never started. Callable from any thread or fiber.
   void run_on(std::size_t worker, const std::function<void()>& work);
 
-  // Only for the .cpp files of this folder.
+  // Internal state of a worker. Only for the .cpp files of this folder.
   [[nodiscard]] fiber_worker& worker(std::size_t index) noexcept;
 
  private:
--- a/src/node/attempt_registry.h
+++ b/src/node/attempt_registry.h
@@ -1,5 +1,5 @@
-// The running attempts, indexed by the head of the replica they were sent to, so that all of them
-// can be moved to other replicas when the replica loses a member.
+// The running attempts of model requests, indexed by the head of the replica they were sent to, so
+// that all of them can be resumed on other replicas when the replica loses a member.
 #pragma once
 
 #include <map>
@@ -13,11 +13,11 @@
 
 class attempt_registry {
  public:
-  // One attempt, allocated on the stack of its fiber.
+  // One attempt to run a request on a replica, allocated on the stack of its fiber.
   struct attempt {
     cancel_token cancel = cancel_token::make();
-    bool moved = false;  // cancelled because its replica was lost, not for another reason
-    bool resumable = false;
+    bool moved = false;      // cancelled because its replica was lost, not for another reason
+    bool resumable = false;  // may be continued on another replica
   };
 
   // Registers an attempt for the lifetime of this object.
--- a/src/node/log_outcomes.h
+++ b/src/node/log_outcomes.h
@@ -23,8 +23,8 @@
   // Serving replicas by model: the highest count of any node, since nodes that are partitioned or
   // have just started count fewer.
   std::map<std::string, std::uint64_t> replicas;
-  std::uint64_t lost_targets = 0;
-  std::uint64_t orders_accepted = 0;
+  std::uint64_t lost_targets = 0;     // number of log lines that report a target as lost
+  std::uint64_t orders_accepted = 0;  // orders of nodes to targets, by outcome
   std::uint64_t orders_failed = 0;
 
   [[nodiscard]] std::uint64_t ended() const;
@@ -35,7 +35,7 @@
  public:
   explicit log_outcomes(std::chrono::seconds window) : window_(window) {}
 
-  // Returns the number of lines that could not be parsed.
+  // Counts the log lines of a file. Returns the number of lines that could not be parsed.
   std::size_t read(std::istream& lines);
 
   [[nodiscard]] bool empty() const { return by_window_.empty(); }
@@ -54,7 +54,7 @@
   std::map<std::string, outcome_counts> by_route_;
   std::map<std::string, outcome_counts> by_node_;
   std::map<std::string, std::string> data_centre_of_;  // by node, from its "started" line
-  // Replicas that a node counted, by model, node and time.
+  // Number of serving replicas that a node logged, by model, node and time.
   std::map<std::string, std::map<std::string, std::map<wall_clock_time, std::uint64_t>>> capacity_;
 };
 
--- a/src/node/peer_links.h
+++ b/src/node/peer_links.h
@@ -15,7 +15,7 @@
 
 namespace arbutus {
 
-// The receiver of a frame; sent as its first byte.
+// The component that a frame is meant for; sent as the frame's first byte.
 enum class link_channel : std::uint8_t { coordination, limits };
 inline constexpr std::size_t link_channels = 2;
 
@@ -47,10 +47,10 @@
 
   fiber_runtime& runtime_;
   node_id self_;
-  mutable std::mutex lock_;  // guards the two below
+  mutable std::mutex lock_;  // guards receivers_ and peers_
   std::array<on_message, link_channels> receivers_;
   std::map<node_id, peer> peers_;
-  std::unique_ptr<link_server> server_;  // last: its handlers use the rest
+  std::unique_ptr<link_server> server_;  // declared last, since its handlers use the other members
 };
 
 }  // namespace arbutus
--- a/src/node/service_health.h
+++ b/src/node/service_health.h
@@ -1,4 +1,5 @@
-// Tracks recent failures of instances of plain services; such instances are tried last.
+// Tracks recent failures of instances of services that are not models; instances with a recent
+// failure are tried last.
 #pragma once
 
 #include <map>
@@ -9,7 +10,7 @@
 
 namespace arbutus {
 
-// One per node, shared by all calls. Thread-safe.
+// Recent failures of service instances, as observed by this node. Shared by all calls. Thread-safe.
 class service_health {
  public:
   void note_failure(time_point now, const endpoint& instance);
--- a/src/node/spill_call.h
+++ b/src/node/spill_call.h
@@ -7,7 +7,8 @@
 
 namespace arbutus {
 
-// Marks a call that was forwarded already; it is not forwarded again.
+// Header of a call that another data centre's node forwarded to this one; such a call is not
+// forwarded again.
 inline constexpr std::string_view spilled_header = "x-spilled";
 
 // Assumed round-trip times between data centres, as links do not measure them: neighbouring sites
@@ -26,7 +27,7 @@
 struct spill_outcome {
   bool answered = false;  // the caller has an answer, complete or marked as truncated
   bool complete = false;
-  execution ran = execution::not_run;  // when not answered
+  execution ran = execution::not_run;  // whether the request ran; valid if it was not answered
 };
 
 // Forwards the call to `entry`, and its answer to the caller as it arrives.
