--- a/fuzz/decode_assignment.cpp
+++ b/fuzz/decode_assignment.cpp
@@ -1,4 +1,5 @@
-// Fuzz entry: the assignment row. A decoded value must be unchanged after encoding and decoding.
+// Fuzz entry: decodes the row of the table that assigns VMs to replicas. A decoded value must be
+// unchanged after encoding and decoding.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
--- a/fuzz/decode_report.cpp
+++ b/fuzz/decode_report.cpp
@@ -1,4 +1,4 @@
-// Fuzz entry: reports that targets send, and orders that nodes send.
+// Fuzz entry: decodes reports that targets send to nodes, and orders that nodes send to targets.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
--- a/fuzz/read_service_map.cpp
+++ b/fuzz/read_service_map.cpp
@@ -1,4 +1,5 @@
-// Fuzz entry: the operators' configuration as stored in the platform's store.
+// Fuzz entry: parses the configuration (services, routes, workspaces) that operators keep in the
+// platform's store.
 #include <cstddef>
 #include <cstdint>
 #include <string>
--- a/fuzz/read_store_rows.cpp
+++ b/fuzz/read_store_rows.cpp
@@ -1,4 +1,4 @@
-// Fuzz entry: responses of the platform's store.
+// Fuzz entry: parses the rows in responses of the platform's store.
 #include <cstddef>
 #include <cstdint>
 #include <string>
--- a/src/base/finding.h
+++ b/src/base/finding.h
@@ -29,7 +29,7 @@
 
 [[nodiscard]] bool has_errors(const findings& list);
 
-// "file:line:column: error: message (expected ...)"
+// Prints a finding as "file:line:column: error: message (expected ...)".
 std::ostream& operator<<(std::ostream& out, const finding& f);
 
 }  // namespace arbutus
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -7,7 +7,8 @@
 
 namespace arbutus {
 
-// Stable across machines and versions; not cryptographic.
+// Hash of `text` that is the same on all machines and in all versions of the program; not
+// cryptographic.
 [[nodiscard]] std::uint64_t stable_hash(std::string_view text, std::uint64_t seed = 0);
 
 // Hexadecimal 128-bit hash that names content in the object store.
--- a/src/base/outcome.h
+++ b/src/base/outcome.h
@@ -10,12 +10,12 @@
 
 namespace arbutus {
 
-// The other side answered that it did not carry out the call.
+// Outcome of a call: the called process answered that it did not carry the call out.
 struct refused {
   std::string reason;
 };
 
-// No response, or a truncated one: the call may or may not have taken effect.
+// Outcome of a call: no response, or a truncated one, so the call may or may not have taken effect.
 struct unknown {
   std::string reason;
 };
--- a/src/base/rng.h
+++ b/src/base/rng.h
@@ -26,13 +26,13 @@
     return z ^ (z >> 31);
   }
 
-  // Uniform in [0, 1).
+  // Random number, uniform in [0, 1).
   constexpr double unit() { return static_cast<double>((*this)() >> 11) * 0x1.0p-53; }
 
-  // Uniform in [0, bound); bound must be positive.
+  // Random integer, uniform in [0, bound); `bound` must be positive.
   constexpr std::uint64_t below(std::uint64_t bound) { return (*this)() % bound; }
 
-  // Uniform in [0, d]: for jitter.
+  // Random duration, uniform in [0, d], to add to a delay as jitter.
   constexpr duration jitter(duration d) {
     return duration{static_cast<duration::rep>(unit() * static_cast<double>(d.count()))};
   }
--- a/src/base/units.h
+++ b/src/base/units.h
@@ -11,7 +11,8 @@
 
 using duration = std::chrono::microseconds;
 
-// A tag, not a clock: it has no now(), so that decision code cannot read the time itself.
+// Only the tag type of `time_point`: unlike a real clock it has no now(), so that decision code
+// cannot read the time itself.
 struct monotonic_clock {
   using rep = std::chrono::microseconds::rep;
   using period = std::chrono::microseconds::period;
--- a/src/cli/apply.cpp
+++ b/src/cli/apply.cpp
@@ -131,8 +131,8 @@
                     proposal_ + " --base " + std::to_string(base));
   }
 
-  // Returns the exit status, or nothing if the outcome is still unknown and the request has to be
-  // sent again.
+  // Returns the exit status of the command, or nothing if the proposal's outcome is still unknown
+  // and the request has to be sent again.
   std::optional<int> handle_response(const http_response& response) {
     const json body = json::parse(response.body, nullptr, false);
     switch (response.status) {
@@ -158,8 +158,8 @@
          << (body.value("in_force_here", false)
                  ? ", in force on the node that accepted it\n"
                  : ", not yet in force on the node that accepted it\n");
-    // The list goes to standard error, so that standard output is the same for a repeated proposal,
-    // whose response lists no changes.
+    // The list of changed items is printed to standard error, so that standard output is the same
+    // for a repeated proposal, whose response lists no changes.
     for (const json& line : body.value("changed", json::array())) {
       std::cerr << "  " << line.get<std::string>() << '\n';
     }
--- a/src/cli/bench.cpp
+++ b/src/cli/bench.cpp
@@ -28,7 +28,7 @@
   return stable_hash(std::to_string(more), signature);
 }
 
-// ---- parts: each prints its figures and returns its signature ----
+// ---- benchmarks: each prints its figures and returns the signature of its decisions ----
 
 std::uint64_t bench_requests(std::ostream& figures, std::uint64_t seed) {
   return print_policy_bench(figures, seed);
@@ -129,7 +129,7 @@
   return signature;
 }
 
-// Returns the number of tables printed.
+// Prints the long tables whose names match the filter, and returns how many it printed.
 std::size_t print_tables(const bench_options& options, std::ostream& out) {
   std::size_t printed = 0;
   for (const bench_table& table : tables) {
@@ -158,8 +158,8 @@
     out << "bench: no part has \"" << options.filter << "\" in its name\n";
     return to_status(exit_code::failure);
   }
-  // The signature of a selection of parts differs from that of all parts and is labelled
-  // differently, so that the two are not confused.
+  // A run of only some benchmarks has another signature than a run of all of them, and prints it
+  // under another label, so that the two are not compared by mistake.
   if (run == parts.size()) {
     out << "Bench: " << signature << '\n';
   } else if (run > 0) {
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -40,8 +40,8 @@
     }
   }
 
-  // If exactly one configuration is given, checks that valid node settings agree with its
-  // inventory.
+  // If exactly one configuration is given, checks that each valid file of node settings agrees with
+  // the configuration's inventory.
   void compare() {
     if (directories_ != 1 || !assets_) {
       return;
@@ -114,7 +114,7 @@
   }
 
   findings problems_;
-  std::optional<inventory> assets_;  // of the last configuration without errors
+  std::optional<inventory> assets_;  // inventory of the last configuration that has no errors
   std::vector<named_settings> settings_;
   std::size_t directories_ = 0;
   std::size_t files_ = 0;
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -36,22 +36,23 @@
   std::string settings_file;
 };
 
-// A node on a platform that stores the configuration and runs the targets.
+// Runs a node on the hosted platform, which stores the configuration and runs the targets.
 struct hosted_options {
   std::string settings_file;
 };
 
-// A stand-in for such a platform, with some engines and a plain service, on loopback.
+// Runs a stand-in of the hosted platform on loopback: its store, some engines, and a service that
+// is not a model.
 struct platform_options {
   std::vector<std::string> data_centres;
   std::uint32_t engines_per_data_centre = 9;  // engines in each data centre
-  std::uint16_t store_port = 0;               // 0: any
+  std::uint16_t store_port = 0;               // port of the store; 0: any free port
   std::uint16_t control_port = 0;             // for commands that inject faults; 0: none
 };
 
 // Shows the timeline of one request, from the log lines of all nodes.
 struct explain_options {
-  std::string request;             // its id
+  std::string request;             // id of the request
   std::vector<std::string> files;  // empty: standard input
 };
 
@@ -62,16 +63,16 @@
 
 struct apply_options {
   std::string directory;
-  std::vector<endpoint> nodes;  // tried one after the other until one replies
+  std::vector<endpoint> nodes;  // endpoints of nodes, tried one after the other until one replies
   std::string key;              // the operators' key
-  std::uint64_t base = 0;       // version the change was made on; 0: the newest one
-  std::string proposal;         // id of an earlier attempt with unknown outcome; empty: a new id
+  std::uint64_t base = 0;  // configuration version that the change was made on; 0: the newest one
+  std::string proposal;    // id of an earlier attempt with unknown outcome; empty: a new id
   bool dry_run = false;
   duration timeout = 30s;
 };
 
 struct status_options {
-  std::vector<endpoint> nodes;  // their endpoints for callers
+  std::vector<endpoint> nodes;  // endpoints of the nodes for callers
   std::string key;              // the operators' key
   bool json = false;
   duration timeout = 2s;
@@ -96,10 +97,10 @@
   bool keep_up = false;  // keep the nodes running after the trial until interrupted
 };
 
-// Stand-ins for the platform and the targets, at the endpoints of a configuration.
+// Runs stand-ins of the platform and the targets at the endpoints that a configuration gives them.
 struct standin_options {
   std::string directory;
-  std::string settings_file;  // of any node; gives the platform's endpoints
+  std::string settings_file;  // settings file of any node, for the platform's endpoints
   bool platform = true;
   bool engines = true;
   bool services = true;
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -20,7 +20,7 @@
 
 using strings = std::vector<std::string>;
 
-// Thrown for a value that Boost accepts but the command does not.
+// Thrown for an option value that Boost.Program_options accepts but the subcommand does not.
 struct usage_error : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -57,8 +57,8 @@
   return from_seconds(positive(values, option));
 }
 
-// Boost would parse "-1" for an unsigned type as a huge number, so the options are signed and
-// checked here.
+// Boost would parse "-1" for an unsigned option as a huge number, so numeric options are parsed as
+// signed and checked here.
 std::uint64_t non_negative_integer(const po::variables_map& values, const char* option) {
   const auto value = values[option].as<std::int64_t>();
   if (value < 0) {
@@ -166,7 +166,7 @@
   return check_options{values["path"].as<strings>(), values["strict"].as<bool>()};
 }
 
-// The operators' key. It may come from an environment variable, since arguments are visible in the
+// Reads the operators' key, also from an environment variable, since arguments are visible in the
 // list of processes.
 std::string operator_key(const po::variables_map& values) {
   if (values.count("key") != 0) {
@@ -287,9 +287,9 @@
 struct command_spec {
   std::string_view name;
   std::string_view summary;
-  std::string_view arguments;   // as shown after the subcommand's name in the help
+  std::string_view arguments;   // text that the help shows after the subcommand's name
   std::string_view positional;  // name of the option that takes the positional arguments
-  int positional_count;         // -1: any number
+  int positional_count;         // maximum number of positional arguments; -1: any number
   void (*add)(po::options_description&);
   command (*make)(const po::variables_map&);
   std::string_view examples;
@@ -394,7 +394,7 @@
 
 // ---- parsing ----
 
-// Abbreviated options are rejected: a prefix that is unique now may become ambiguous or match
+// Abbreviated option names are rejected: a prefix that is unique now may become ambiguous or match
 // another option later.
 constexpr int option_style =
     po::command_line_style::default_style & ~po::command_line_style::allow_guessing;
--- a/src/cli/signals.h
+++ b/src/cli/signals.h
@@ -12,7 +12,8 @@
 
 enum class signal_kind { end, reload };
 
-// The same, also for SIGHUP, for a command that reloads its settings.
+// Block and wait for SIGINT, SIGTERM and also SIGHUP, for a command that reloads its settings on
+// SIGHUP.
 void block_signals();
 [[nodiscard]] signal_kind wait_for_signal();
 
--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -36,9 +36,9 @@
   return platform.table;
 }
 
-// Slots come from the rules; weights and speeds are the stand-in's defaults. Incarnations count up
-// from the start time, so that after a restart of this process no engine is mistaken for its
-// previous incarnation.
+// Engine settings for the models in the rules: slots come from the rules, weights and speeds are
+// the stand-in's defaults. Incarnation numbers count up from the start time, so that after a
+// restart of this process no engine is mistaken for its previous incarnation.
 engine_settings engines_for(const rules& desired, std::uint64_t seed) {
   engine_settings settings;
   settings.seed = seed;
--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t callers_per_workspace = 8;
 const service_id crew_service{"crew-api"};
 
-// Prints the steps of the trial with their times and records whether any failed.
+// Prints the steps of the trial run with their times, and records whether any failed.
 class trial_reporter {
  public:
   void print(const std::string& text) {
@@ -107,7 +107,7 @@
   return shape;
 }
 
-// Sends the same job card three times simultaneously, through two nodes.
+// Sends the same job card three times simultaneously, through two nodes, with one idempotency key.
 void send_job_card(fleet& f, trial_reporter& s) {
   const std::string key = "card-4711";
   std::atomic<int> answered{0};
--- a/src/cli/trial_callers.cpp
+++ b/src/cli/trial_callers.cpp
@@ -1,4 +1,4 @@
-// The callers of the trial.
+// Callers of the `trial` subcommand: send requests and count the outcomes.
 #include "cli/trial_callers.h"
 
 #include <thread>
--- a/src/cli/trial_callers.h
+++ b/src/cli/trial_callers.h
@@ -1,5 +1,5 @@
-// The callers of the trial. They know the one correct answer to each of their requests and count
-// every other result.
+// Callers of the `trial` subcommand. They know the one correct answer to each of their requests and
+// count every other result.
 #pragma once
 
 #include <atomic>
@@ -14,11 +14,12 @@
 namespace arbutus {
 
 struct trial_counts {
-  std::uint64_t complete{};  // complete and correct
-  std::uint64_t wrong{};     // the answer to another request, or a truncated one sent as complete
-  std::uint64_t not_run{};   // refused as not run
-  std::uint64_t unknown{};   // answered with an error that says that the request may have run
-  std::uint64_t no_response{};  // connection ended without an answer
+  std::uint64_t complete{};  // answers that were complete and correct
+  std::uint64_t wrong{};     // answers to another request, or truncated answers sent as complete
+  std::uint64_t not_run{};   // requests reported as not run
+  std::uint64_t
+      unknown{};  // requests answered with an error that says that the request may have run
+  std::uint64_t no_response{};  // requests whose connection ended without an answer
 };
 
 struct workspace_result {
@@ -34,7 +35,7 @@
   // Starts callers of every workspace at every node; each sends one request after the other until
   // stop().
   void start(std::size_t callers_per_workspace);
-  void stop();  // waits for the requests in flight
+  void stop();  // starts no further requests and waits for those in flight
 
   // Sends one request through `node` and counts its outcome.
   void call_once(std::size_t node, std::size_t workspace, std::uint64_t serial, bool stream);
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -60,7 +60,7 @@
   return request;
 }
 
-// Parses one answer as it arrives.
+// Parses the bytes of one answer as they arrive, and records the time of the first token.
 class answer_reader {
  public:
   explicit answer_reader(const planned_call& call) : call_(call) {}
--- a/src/load/caller.h
+++ b/src/load/caller.h
@@ -12,19 +12,22 @@
 
 struct timed_answer {
   raw_answer raw;
-  time_point first_token = time_point::min();  // of a stream; min: none arrived
+  time_point first_token =
+      time_point::min();  // when the first token of a stream arrived; min: none arrived
   time_point ended;
-  std::uint32_t tokens{};  // frames with text
+  std::uint32_t tokens{};  // number of server-sent events with text
 };
 
 struct call_address {
   socket_address target;
-  std::string key;            // of the workspace
-  std::string request_class;  // empty: not sent
-  std::string request_id;     // for stand-ins, which need one; nodes assign their own
+  std::string key;            // API key of the calling workspace
+  std::string request_class;  // class that the call names in its header; empty: header not sent
+  std::string
+      request_id;  // sent to stand-ins called directly, which need one; nodes assign their own
 };
 
-// Must run in a fiber of the client's runtime.
+// Makes the call and returns its answer with the times. Must run in a fiber of the client's
+// runtime.
 [[nodiscard]] timed_answer make_call(http_client& client, const call_address& to,
                                      const model_id& model, const std::string& booking_path,
                                      const planned_call& call, time_point deadline);
--- a/src/load/checker.cpp
+++ b/src/load/checker.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t max_samples = 8;
 
-// Describes how a wrong answer differs from the expected one.
+// Describes how a wrong answer differs from the expected answer, for the report.
 std::string difference(const std::string& expected, const std::string& got) {
   if (expected.starts_with(got)) {
     return "truncated after " + std::to_string(got.size()) + " of " +
--- a/src/load/checker.h
+++ b/src/load/checker.h
@@ -27,12 +27,12 @@
 
 // How a call ended, as its caller sees it.
 enum class caller_outcome {
-  complete,     // complete and correct
-  wrong,        // marked complete, but not the correct answer
+  complete,     // the answer is complete and correct
+  wrong,        // the answer is marked complete but is not the correct one
   not_run,      // reported as not run
-  unreached,    // nothing could be sent
+  unreached,    // no node or target could be connected to, so nothing was sent
   unknown,      // an error that says that the call may have run, or a visibly truncated answer
-  no_response,  // no status received
+  no_response,  // the call was sent, but no HTTP status was received
 };
 
 inline constexpr std::array<std::string_view, 6> caller_outcome_names = {
@@ -40,22 +40,23 @@
 
 struct raw_answer {
   bool reached = true;           // whether any byte of the call may have been sent
-  int status = 0;                // 0: none received
+  int status = 0;                // HTTP status; 0: none received
   bool marked_complete = false;  // the stream's end mark or the complete body was received
-  std::string text;              // of the answer
+  std::string text;              // text of the answer
   std::string error_type;        // of an error body or frame: "not_run", "unknown", ...
   std::string error_code;        // of an error body or frame: "too_late", "no_replica", ...
-  request_id id;                 // as assigned by the node
+  request_id id;                 // request id that the node assigned
 };
 
 class guarantee_checker {
  public:
   guarantee_checker(const model_id& model, const service_id& service, std::string booking_path);
 
-  // Classifies the answer and records violations. Not thread-safe.
+  // Classifies the answer to a call and records violations of the guarantees. Not thread-safe.
   caller_outcome check_answer(const planned_call& call, const raw_answer& answer);
 
-  // After the run: compares the reported outcomes with the executions counted by the stand-ins.
+  // After the load run: compares the outcomes reported to callers with the executions counted by
+  // the stand-ins.
   template <class RunsOf, class ExecutionsOf>
   void check_executions(RunsOf runs_of, ExecutionsOf executions_of) {
     for (const request_id& id : not_run_) {
@@ -72,10 +73,10 @@
     return counts_[static_cast<std::size_t>(which)];
   }
   [[nodiscard]] std::uint64_t violations() const;
-  // Descriptions of the first few violations.
+  // Descriptions of the first few violations of guarantees.
   [[nodiscard]] const std::vector<std::string>& samples() const { return samples_; }
-  // Number of calls reported as not run whose request id is known, which is needed to look them up
-  // at the stand-ins.
+  // Number of calls reported as not run that were compared with the stand-ins' counts, which is
+  // possible only if the request id is known.
   [[nodiscard]] std::uint64_t not_run_checked() const { return not_run_.size(); }
   [[nodiscard]] std::uint64_t bookings_checked() const { return bookings_.size(); }
 
--- a/src/load/experiment.h
+++ b/src/load/experiment.h
@@ -16,33 +16,38 @@
 namespace arbutus {
 
 enum class arrival_kind {
-  poisson,  // open loop: calls arrive at their times, however slow the answers are
-  closed,   // closed loop: a fixed number of callers with one call at a time, for the maximum rate
+  poisson,  // open loop: each call starts at its random planned time, however slow earlier answers
+            // are
+  closed,   // closed loop: a fixed number of callers, each with one call at a time, which measures
+            // the maximum rate
 };
 
 struct load_class {
   class_rule rule;
-  double fraction = 1.0;  // relative weight of the class among the model calls
+  double fraction = 1.0;  // relative weight of this class among the calls of models
 };
 
 struct load_workspace {
   fleet_workspace caller;
-  double weight = 1.0;  // relative share of the arrivals
+  double weight = 1.0;  // relative weight of this workspace among the calls
 };
 
 struct workload {
   duration length = 5s;
-  duration warm_up = 1s;  // calls that arrive during it are checked but not measured
+  duration warm_up = 1s;  // initial time in which calls are checked but not measured
   arrival_kind arrivals = arrival_kind::poisson;
-  double rate = 50;            // model calls a second, all workspaces together
-  std::uint32_t callers = 16;  // for closed arrivals
+  double rate = 50;            // calls of the model per second, all workspaces together
+  std::uint32_t callers = 16;  // number of callers with closed-loop arrivals
   std::uint32_t prompt_tokens = 200;
   std::uint32_t answer_tokens = 50;
-  double streamed = 0.5;           // fraction of the model calls
-  std::uint32_t sessions = 4;      // per workspace; the calls of one share a prompt prefix
-  double shared_prefix = 0.5;      // fraction of the prompt
-  double bookings_per_second = 0;  // calls that run at most once, in addition to `rate`
-  double repeated = 0.3;           // fraction of the bookings that are sent twice with one key
+  double streamed = 0.5;  // fraction of the model calls that request a streamed answer
+  std::uint32_t sessions =
+      4;  // sessions of each workspace; the calls of one session share a prompt prefix
+  double shared_prefix = 0.5;  // fraction of each prompt that the calls of a session share
+  double bookings_per_second =
+      0;  // calls with an idempotency key to the service, in addition to `rate`
+  double repeated =
+      0.3;  // fraction of the bookings that are sent twice with the same idempotency key
   duration timeout = 20s;
   std::vector<load_class> classes;
   std::vector<load_workspace> workspaces;
@@ -68,10 +73,11 @@
     "cut_off",     "crossed",   "late",    "truncated",  "service_cut", "stop_node"};
 
 struct scheduled_fault {
-  duration at{};                       // after the start of the run
-  std::optional<duration> undo_after;  // undone after this time; empty: never
+  duration at{};  // when the fault is injected, after the start of the run
+  std::optional<duration>
+      undo_after;  // time after injection at which the fault is undone; empty: never
   fault_kind kind = fault_kind::kill_member;
-  std::uint32_t data_centre = 0;  // index
+  std::uint32_t data_centre = 0;  // index of the data centre in the fleet
   double speed = 0.1;
   duration latency = 500ms;
   std::uint32_t count = 10;
@@ -81,7 +87,7 @@
   nodes,   // round robin over the nodes that are not stopping
   direct,  // round robin over the first members of the replicas: shows what a node adds
   direct_random,
-  direct_min_load,  // the first member with the lowest load in its last report, which may be
+  direct_min_load,  // the replica whose first member reported the lowest load; the report may be
                     // outdated
 };
 
@@ -91,9 +97,9 @@
 // Tests of the checker itself: a safeguard is disabled, and the checker has to detect it.
 enum class checker_test_kind {
   none,
-  swapped,     // stand-ins called directly swap answers
-  duplicated,  // stand-ins called directly send a token twice
-  repeated,    // bookings are sent to the service directly
+  swapped,     // calls go to the stand-ins directly, which swap answers
+  duplicated,  // calls go to the stand-ins directly, which send a token twice
+  repeated,    // bookings go to the service directly, which runs a repeated one twice
 };
 
 inline constexpr std::string_view checker_test_names[] = {"none", "crossed", "duplicated",
@@ -105,9 +111,9 @@
   double rate_factor = 1.0;
   std::string only_workspace;  // if set, only this workspace makes calls
   std::string without_workspace;
-  std::string workspace;  // arrivals of this workspace are multiplied by the factor below
+  std::string workspace;  // the call rate of this workspace is multiplied by `workspace_factor`
   double workspace_factor = 1.0;
-  std::uint32_t node_workers = 0;  // 0: as in the fleet's settings
+  std::uint32_t node_workers = 0;  // worker threads of each node; 0: as in the fleet's settings
   bool with_faults = true;
   checker_test_kind checker_test = checker_test_kind::none;
 };
@@ -116,19 +122,19 @@
   std::string name;
   std::string description;
   std::uint64_t seed = 1;
-  std::string excluded_workspace;  // the report also has a sum without this workspace
+  std::string excluded_workspace;  // the report also sums up the results without this workspace
   std::uint32_t rounds = 1;        // each round runs all variants in turn
   fleet_spec shape;                // workspaces and classes come from the workload
   std::vector<endpoint> nodes;     // existing nodes to call instead of a fleet in this process
   model_id model;
   workload work;
   std::vector<scheduled_fault> faults;
-  std::vector<variant> variants;  // at least one
+  std::vector<variant> variants;  // variants to run; at least one
 };
 
 struct experiment_result {
   experiment value;
-  findings problems;  // usable when has_errors(problems) is false
+  findings problems;  // errors and warnings; `value` is usable if there is no error
 };
 
 // `file_name` appears in the findings. Never throws on invalid text.
--- a/src/load/fault_injector.cpp
+++ b/src/load/fault_injector.cpp
@@ -163,8 +163,8 @@
   }
 }
 
-// The callers stop using the node after half of the balancer's lag, as a load balancer would; the
-// node keeps accepting calls until the lag has passed.
+// Stops a node in the planned way. The callers stop using it after half of the load balancer's lag,
+// as a load balancer would; the node keeps accepting calls until the whole lag has passed.
 void fault_injector::start_planned_stop(const scheduled_fault& fault, duration elapsed) {
   auto stop = std::make_unique<planned_stop>();
   stop->node = (fault.data_centre + 1) * fleet_.shape().nodes_per_data_centre - 1;
--- a/src/load/fault_injector.h
+++ b/src/load/fault_injector.h
@@ -19,18 +19,18 @@
   // would.
   fault_injector(fleet& f, std::vector<scheduled_fault> faults,
                  std::function<void(std::size_t)> exclude_node);
-  ~fault_injector();  // waits for planned stops
+  ~fault_injector();  // waits until nodes that are being stopped have ended
   fault_injector(const fault_injector&) = delete;
   fault_injector& operator=(const fault_injector&) = delete;
 
-  // Injects the faults that are due and undoes those whose duration has passed.
+  // Injects the faults whose time has come, and undoes those whose duration has passed.
   void apply_due(duration elapsed);
   // Undoes all remaining faults and waits for planned stops.
   void finish(duration elapsed);
 
   // The faults injected and undone so far, with their times.
   [[nodiscard]] const std::vector<fault_event>& events() const { return events_; }
-  // Planned stops that interrupted requests.
+  // Number of planned stops of nodes that interrupted requests.
   [[nodiscard]] std::size_t unclean_stops() const { return unclean_stops_; }
 
  private:
@@ -43,7 +43,7 @@
     std::size_t node{};
     duration exclude_at{};
     bool excluded = false;
-    bool clean = false;  // no request was interrupted; set by `thread`, read after joining it
+    bool clean = false;  // the stop interrupted no request; set by `thread`, read after joining it
     std::thread thread;
   };
 
@@ -57,7 +57,8 @@
                      std::function<void()> run);
 
   fleet& fleet_;
-  std::vector<scheduled_fault> faults_;  // by time; those before index next_ have been injected
+  std::vector<scheduled_fault>
+      faults_;  // sorted by time; those before index next_ have been injected
   std::size_t next_ = 0;
   std::function<void(std::size_t)> exclude_node_;
   std::vector<undo> undos_;
--- a/src/load/fleet.h
+++ b/src/load/fleet.h
@@ -1,5 +1,6 @@
 // A fleet inside this process, for `trial` and `load`: nodes in several data centres and stand-ins
-// for the platform, for target VMs and for a plain service, all on free loopback ports.
+// for the platform, for target VMs and for a service that is not a model, all on free loopback
+// ports.
 #pragma once
 
 #include <cstdint>
@@ -34,7 +35,8 @@
   std::uint32_t standbys_per_replica = 1;
   model_id model{"dispatch-llm"};
   std::size_t node_workers = 1;
-  std::size_t runtime_workers = 3;  // of the stand-ins and of the callers
+  std::size_t runtime_workers =
+      3;  // worker threads of the runtime that stand-ins and callers share
   fleet_settings standins;
   duration balancer_lag = 300ms;
   std::uint64_t seed = 1;
@@ -52,8 +54,9 @@
   fleet(const fleet&) = delete;
   fleet& operator=(const fleet&) = delete;
 
-  // Proposes rules with this share for the first workspace through the first node, as the `apply`
-  // subcommand does. Returns the version, or 0 if it was not accepted.
+  // Proposes a configuration that gives the first workspace this share of the capacity, through the
+  // first node, as the `apply` subcommand does. Returns the configuration's version, or 0 if it was
+  // not accepted.
   std::uint64_t apply(double first_share);
 
   [[nodiscard]] const fleet_spec& shape() const { return shape_; }
@@ -65,10 +68,11 @@
   [[nodiscard]] http_client& client() { return *client_; }
   [[nodiscard]] const std::vector<fleet_workspace>& workspaces() const { return shape_.workspaces; }
   [[nodiscard]] std::size_t desired_replicas() const;
-  // Sum over all data centres; in each, the lowest count that one of its nodes can route to.
+  // Number of serving replicas, summed over all data centres: in each, the lowest number that one
+  // of its nodes can route to.
   [[nodiscard]] std::size_t serving_replicas() const;
   [[nodiscard]] bool is_active_on_all_nodes(std::uint64_t version) const;
-  // A member of a replica that is serving, and the replica.
+  // A VM that is a member of a serving replica, with the id of that replica.
   struct member {
     vm_id vm;
     replica_id replica;
@@ -76,13 +80,13 @@
   };
   // The last member of the last serving replica of the data centre; `vm` is empty if none serves.
   [[nodiscard]] member find_member(std::size_t data_centre);
-  // The first member of a serving replica, which answers its requests.
+  // The head (first member) of a serving replica, which answers the replica's requests.
   struct replica_head {
     vm_id vm;
     socket_address address;
   };
   [[nodiscard]] std::vector<replica_head> heads() const;
-  // Whether the node routes to the replica and `without` is not one of its members.
+  // Whether the node routes to the replica in a composition that does not contain the VM `without`.
   [[nodiscard]] bool serves_without(std::size_t node, const replica_id& replica,
                                     const vm_id& without);
   [[nodiscard]] bool is_routed_to(std::size_t node, const replica_id& replica);
@@ -94,7 +98,7 @@
   void start_nodes();
 
   fleet_spec shape_;
-  // The order matters: the runtime must outlive everything that runs on it.
+  // The order of these members matters: the runtime must outlive everything that runs on it.
   fiber_runtime runtime_;
   std::unique_ptr<standin_fleet> standins_;
   std::unique_ptr<http_client> client_;
--- a/src/load/latency.cpp
+++ b/src/load/latency.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-// The range covers the gap between two tokens on loopback as well as a caller's timeout. A bin is
-// 0.8% wide, so that an increase by a tenth of a millisecond is visible in a few milliseconds.
+// Range and bins of the histograms. The range covers the gap between two tokens on loopback as well
+// as a caller's timeout. A bin is 0.8% wide, so that an increase by a tenth of a millisecond is
+// visible in a latency of a few milliseconds.
 constexpr double min_latency_ms = 0.01;
 constexpr double max_latency_ms = 120'000;
 constexpr unsigned bin_count = 2048;
--- a/src/load/latency.h
+++ b/src/load/latency.h
@@ -19,12 +19,13 @@
   latency_histogram& operator+=(const latency_histogram& other);
 
   [[nodiscard]] std::uint64_t count() const { return count_; }
-  // In milliseconds; 0 when empty. `p` in [0, 1].
+  // Latency in milliseconds that the fraction `p` (0 to 1) of the calls does not exceed; 0 without
+  // calls.
   [[nodiscard]] double quantile(double p) const;
   [[nodiscard]] double mean() const;
 
-  // For each non-empty bin: its upper edge in milliseconds, and the fraction of all latencies at or
-  // below it.
+  // One point of the cumulative distribution for each non-empty bin: the bin's upper edge in
+  // milliseconds, and the fraction of all latencies at or below it.
   struct point {
     double milliseconds{};
     double fraction{};
--- a/src/load/report.h
+++ b/src/load/report.h
@@ -8,13 +8,13 @@
 
 namespace arbutus {
 
-// Tables for a terminal.
+// Prints the report as tables for a terminal.
 void print_report(std::ostream& out, const experiment_report& report);
 
-// JSON for programs.
+// Returns the report as JSON, for programs.
 [[nodiscard]] std::string json_report(const experiment_report& report);
 
-// One self-contained page.
+// Returns the report as one self-contained HTML page.
 [[nodiscard]] std::string html_report(const experiment_report& report);
 
 }  // namespace arbutus
--- a/src/load/report_html.cpp
+++ b/src/load/report_html.cpp
@@ -1,4 +1,5 @@
-// The report as an HTML page: tables, latency distributions, and outcomes by second.
+// Writes the report of an experiment as an HTML page: tables, latency distributions, and outcomes
+// by second.
 #include <iomanip>
 #include <sstream>
 
--- a/src/load/report_json.cpp
+++ b/src/load/report_json.cpp
@@ -1,4 +1,4 @@
-// The report as JSON.
+// Writes the report of an experiment as JSON.
 #include <nlohmann/json.hpp>
 
 #include "load/report.h"
--- a/src/load/report_text.cpp
+++ b/src/load/report_text.cpp
@@ -1,4 +1,4 @@
-// The report as text.
+// Writes the report of an experiment as text tables.
 #include <algorithm>
 #include <iomanip>
 #include <ostream>
--- a/src/load/results.h
+++ b/src/load/results.h
@@ -16,18 +16,18 @@
 namespace arbutus {
 
 struct call_timing {
-  bool measured = false;   // arrived after the warm-up
-  bool useful = false;     // complete, and within the limits of its class
-  duration late_start{};   // delay of the caller itself after the intended arrival
-  duration first_token{};  // since the intended arrival; 0: no token
-  duration total{};        // since the intended arrival
-  duration per_token{};    // mean gap after the first token; 0: unknown
-  duration ended_at{};     // since the start of the run
+  bool measured = false;   // the call was planned after the warm-up, so it counts in the figures
+  bool useful = false;     // the answer was complete, and in time by the limits of its class
+  duration late_start{};   // how much later than planned the load generator started the call
+  duration first_token{};  // from the planned start of the call to its first token; 0: no token
+  duration total{};        // from the planned start of the call to its end
+  duration per_token{};    // mean time between two tokens after the first; 0: unknown
+  duration ended_at{};     // when the call ended, after the start of the run
 };
 
 // Results of the measured calls of one workspace and class.
 struct load_cell {
-  latency_histogram first_token;  // of streamed answers
+  latency_histogram first_token;  // time to the first token of streamed answers
   latency_histogram total;
   latency_histogram per_token;
   std::array<std::uint64_t, caller_outcome_names.size()> ends{};  // number of calls by outcome
@@ -44,8 +44,8 @@
 // Number of calls that ended within one second of the run, by outcome.
 struct second_counts {
   std::uint32_t complete{};
-  std::uint32_t refused{};  // not run or unreached
-  std::uint32_t failed{};   // unknown, wrong or no response
+  std::uint32_t refused{};  // calls with outcome not_run or unreached
+  std::uint32_t failed{};   // calls with outcome unknown, wrong or no_response
 };
 
 // A fault that was injected or undone, to be shown in the report.
@@ -59,31 +59,35 @@
 
 struct variant_result {
   std::string name;
-  std::string excluded_workspace;  // the report also has a sum without it; empty: none
+  std::string excluded_workspace;  // workspace without which the report also sums up the results;
+                                   // empty: none
   std::uint32_t rounds{};
   double measured_seconds{};
   std::map<cell_name, load_cell> cells;
   latency_histogram late_start;
   std::map<std::string, std::uint64_t> reasons;  // number of incomplete calls by error code
-  std::vector<second_counts> timeline;           // of all rounds, by second of the run
-  std::vector<fault_event> events;               // of the last round
+  std::vector<second_counts> timeline;           // outcomes in all rounds, by second of the run
+  std::vector<fault_event> events;               // faults of the last round
   std::array<std::uint64_t, guarantee_names.size()> violation_counts{};
   std::vector<std::string> samples;
   std::uint64_t not_run_checked{};
   std::uint64_t bookings_checked{};
-  // Set if the variant disables a safeguard: this guarantee has to be violated, and no other.
+  // Set if the variant disables a safeguard to test the checker: this guarantee must be violated,
+  // and no other.
   std::optional<guarantee> expected_violation;
-  std::vector<std::string> problems;  // failures of the run itself
+  std::vector<std::string>
+      problems;  // failures of the load run itself, such as a fleet that did not start
 
   void add(const cell_name& cell, const call_timing& timing, caller_outcome end);
   void add(const guarantee_checker& checker);
   variant_result& operator+=(const variant_result& other);
 
   [[nodiscard]] load_cell sum() const;
-  // Of all workspaces but this one.
+  // Sum of the results of all workspaces but this one.
   [[nodiscard]] load_cell sum_without(const std::string& workspace) const;
   [[nodiscard]] std::uint64_t violations() const;
-  // Whether all guarantees held; if one was expected to be violated, whether just that one was.
+  // Whether all guarantees held, or, if one was expected to be violated, whether exactly that one
+  // was.
   [[nodiscard]] bool passed() const;
 };
 
--- a/src/load/run.cpp
+++ b/src/load/run.cpp
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-// Runs round by round, so that a temporary load of the machine affects all variants alike.
+// Each round runs all variants once, so that a temporary load of the machine affects all variants
+// alike.
 experiment_report run_experiment(const experiment& experiment_spec,
                                  const load_run_options& options) {
   experiment_report report{
--- a/src/load/run.h
+++ b/src/load/run.h
@@ -23,8 +23,9 @@
 };
 
 struct load_run_options {
-  std::vector<std::string> only;                          // variants to run, by name; empty: all
-  std::function<void(const load_progress&)> on_progress;  // may be empty
+  std::vector<std::string> only;  // names of the variants to run; empty: all
+  std::function<void(const load_progress&)>
+      on_progress;  // called repeatedly during the run; may be empty
 };
 
 [[nodiscard]] experiment_report run_experiment(const experiment& experiment_spec,
--- a/src/load/schedule.cpp
+++ b/src/load/schedule.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// Maximum delay of a repeated booking: short enough that some overlap with the first.
+// Maximum time after which a booking is sent a second time: short enough that some repetitions
+// overlap with the first call.
 constexpr duration max_repeat_delay = 400ms;
 // Number of calls planned for a closed workload, whose callers cycle through them.
 constexpr std::size_t closed_loop_call_count = 4096;
@@ -78,8 +79,9 @@
     return name == variant_.workspace ? w.weight * variant_.workspace_factor : w.weight;
   }
 
-  // Variants that call engine stand-ins directly have no bookings, since those go to the service;
-  // the checker test for repeated bookings calls the service itself.
+  // Whether the variant sends bookings. Variants that call engine stand-ins directly send none,
+  // since bookings go to the service; only the checker test for repeated bookings calls the service
+  // itself.
   [[nodiscard]] bool has_bookings() const {
     const bool through_nodes =
         variant_.target == call_target::nodes && variant_.checker_test == checker_test_kind::none;
@@ -124,7 +126,8 @@
     return call;
   }
 
-  // The serial number makes every prompt, and therefore every correct answer, different.
+  // Makes the prompt of a call. Its serial number makes every prompt, and therefore every correct
+  // answer, different.
   std::string prompt_of(std::uint32_t workspace, std::uint64_t session) {
     rng of_session(workspace * 1000 + session + 1);
     const std::size_t bytes = std::size_t{work_.prompt_tokens} * standin::bytes_per_token;
--- a/src/load/schedule.h
+++ b/src/load/schedule.h
@@ -13,15 +13,16 @@
 enum class call_kind { streamed, buffered, booking };
 
 struct planned_call {
-  duration at{};  // intended arrival, after the start of the run
+  duration at{};  // planned start of the call, after the start of the run
   call_kind kind = call_kind::buffered;
-  std::uint32_t workspace{};  // index
+  std::uint32_t workspace{};  // index of the calling workspace
   std::uint32_t request_class{};
   std::uint32_t answer_tokens{};
-  std::string prompt;  // of a booking: its idempotency key
+  std::string prompt;  // prompt of a model call, or idempotency key of a booking
 };
 
-// Sorted by time. For a closed workload the times are unused: its callers take the calls in order.
+// Returns the planned calls sorted by time. In a closed loop the times are unused: callers take the
+// calls in order.
 [[nodiscard]] std::vector<planned_call> plan_calls(const workload& work,
                                                    const variant& variant_spec, std::uint64_t seed);
 
--- a/src/load/svg.cpp
+++ b/src/load/svg.cpp
@@ -16,7 +16,7 @@
 constexpr double width = 860;
 constexpr double height = 300;
 constexpr double left = 60;
-constexpr double right = 180;  // room for the names of the lines
+constexpr double right = 180;  // margin to the right of the chart, with the names of the lines
 constexpr double top = 30;
 constexpr double bottom = 45;
 constexpr int linear_steps = 5;
--- a/src/load/svg.h
+++ b/src/load/svg.h
@@ -21,9 +21,9 @@
   std::string title;
   std::string x_label;
   std::string y_label;
-  bool log_x = false;  // logarithmic; points with x <= 0 are omitted
+  bool log_x = false;  // logarithmic x axis; points with x <= 0 are omitted
   std::vector<chart_line> lines;
-  std::vector<chart_event> events;  // vertical lines
+  std::vector<chart_event> events;  // drawn as vertical lines
 };
 
 [[nodiscard]] std::string render_svg(const chart& c);
--- a/src/load/variant_run.cpp
+++ b/src/load/variant_run.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t caller_workers = 2;
 constexpr duration ready_timeout = 30s;
 constexpr std::chrono::milliseconds poll_interval{5};
-// How long after its own timeout a call may still be running before the run stops waiting for it.
+// How long after its timeout a call may still be running before the load run stops waiting for it.
 constexpr duration hung_call_grace = 5s;
 constexpr std::size_t idle_connections = 512;
 constexpr std::uint32_t unlimited_faults = 1'000'000;
@@ -167,7 +167,7 @@
   }
 }
 
-// Open loop: every call starts at its time, whether earlier ones have ended or not.
+// Open loop: starts every call at its planned time, whether earlier calls have ended or not.
 void variant_run::run_open_loop(std::size_t worker) {
   for (std::size_t i = worker; i < plan_.size(); i += caller_workers) {
     const planned_call& planned = plan_[i];
--- a/src/load/variant_run.h
+++ b/src/load/variant_run.h
@@ -25,7 +25,7 @@
   variant_result run(const std::function<void(const load_progress&)>& on_progress);
 
  private:
-  // The results of the callers of one worker; merged after the run.
+  // Results of the callers that run on one worker thread; merged after the load run.
   struct shard {
     std::mutex lock;  // guards result
     variant_result result;
@@ -58,7 +58,8 @@
   std::unique_ptr<http_client> client_;
   std::vector<std::unique_ptr<shard>> shards_;
   std::vector<socket_address> targets_;
-  std::vector<vm_id> target_vms_;  // of direct targets, in the order of targets_
+  std::vector<vm_id>
+      target_vms_;  // VMs of the engines that are called directly, in the order of targets_
   std::vector<std::unique_ptr<std::atomic<bool>>> excluded_nodes_;
   std::mutex checker_lock_;  // guards checker_ while callers run
   guarantee_checker checker_;
@@ -66,11 +67,11 @@
 
   time_point start_;
   std::atomic<std::uint64_t> next_target_{0};  // counter for round robin over the targets
-  std::atomic<std::uint64_t> serial_{0};       // of the request ids assigned here
+  std::atomic<std::uint64_t> serial_{0};       // counter for the request ids that this run assigns
   std::atomic<std::uint64_t> begun_{0};
   std::atomic<std::uint64_t> ended_{0};
   std::atomic<std::uint64_t> incomplete_calls_{0};
-  std::atomic<std::size_t> generators_{0};  // fibers that still start calls
+  std::atomic<std::size_t> generators_{0};  // number of fibers that still start calls
 };
 
 }  // namespace arbutus
--- a/src/standin/batch_standin.cpp
+++ b/src/standin/batch_standin.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-// Tolerance for sums of token fractions, which end slightly below integers: times are rounded to
-// whole microseconds.
+// Tolerance in tokens: times are rounded to whole microseconds, so sums of token fractions end
+// slightly below integers.
 constexpr double rounding = 1e-6;
 
 std::uint32_t whole_tokens(double produced) {
   return static_cast<std::uint32_t>(produced + rounding);
 }
 
-// Longer than any test, and still representable in microseconds.
+// Used as an infinite time: longer than any test, and still representable in microseconds.
 constexpr double max_seconds = 1e9;
 
-// Rounds up, so that the job has reached its target when this time has passed.
+// Rounds up, so that the job has produced the requested number of tokens when this time has passed.
 duration round_up(double seconds) {
   return duration{static_cast<duration::rep>(std::ceil(std::min(seconds, max_seconds) * 1e6))};
 }
--- a/src/standin/batch_standin.h
+++ b/src/standin/batch_standin.h
@@ -15,18 +15,19 @@
 
 struct batch_settings {
   std::uint32_t slots = 8;
-  double tokens_per_second = 50;            // of a request that runs alone
-  double prefill_tokens_per_second = 5000;  // for prompt tokens that are not cached
-  // Relative slowdown of each request in a full batch: at 1.0 each runs at half speed.
+  double tokens_per_second = 50;  // tokens per second that a request generates when it runs alone
+  double prefill_tokens_per_second =
+      5000;  // prompt tokens per second, for those that are not cached
+  // Relative slowdown of each request when all slots are taken: at 1.0 each runs at half speed.
   double slowdown_when_full = 0.5;
 };
 
 using batch_handle = std::uint64_t;
 
 struct batch_job {
-  std::uint32_t priority{};        // lowest number first
+  std::uint32_t priority{};        // jobs with a lower number start first
   std::uint32_t prefill_tokens{};  // prompt tokens that are not cached
-  std::uint32_t tokens{};          // to generate
+  std::uint32_t tokens{};          // number of tokens to generate
 };
 
 struct batch_progress {
@@ -41,22 +42,22 @@
  public:
   explicit batch_standin(const batch_settings& settings) : settings_(settings) {}
 
-  // Advances all jobs to `now` at `speed` (1: normal, 0: stopped).
+  // Generates the tokens of all jobs up to `now` at `speed` (1: normal, 0: stopped).
   void advance(time_point now, double speed);
 
-  // Call advance() first, also before remove(), reset() and progress().
+  // Adds a job. advance() has to be called first, also before remove(), reset() and progress().
   [[nodiscard]] batch_handle add(const batch_job& job);
   void remove(batch_handle handle);
   // Drops every job; later jobs run with `settings`. Handles are never reused.
   void reset(const batch_settings& settings);
 
-  // Progress of a job towards `desired` tokens.
+  // Progress of a job towards `desired` tokens, and the time that it still needs.
   [[nodiscard]] batch_progress progress(batch_handle handle, std::uint32_t desired,
                                         double speed) const;
 
   [[nodiscard]] std::uint32_t running() const;
   [[nodiscard]] std::uint32_t queued() const;
-  // Speed of one request in the current batch.
+  // Tokens per second that each running request generates with the current number of requests.
   [[nodiscard]] double tokens_per_second(double speed) const;
   [[nodiscard]] const batch_settings& settings() const noexcept { return settings_; }
 
--- a/src/standin/cache_standin.cpp
+++ b/src/standin/cache_standin.cpp
@@ -1,4 +1,5 @@
-// Least-recently-used order of the blocks, and the events about them.
+// Prefix cache of a stand-in engine: blocks in least-recently-used order, and events about stored
+// and removed blocks.
 #include "standin/cache_standin.h"
 
 #include <algorithm>
@@ -9,7 +10,7 @@
 
 namespace {
 
-// Engines keep a bounded backlog of events for late readers.
+// Like real engines, the stand-in keeps a bounded number of past events for readers that poll late.
 constexpr std::size_t max_kept_events = 4096;
 
 constexpr std::string_view blob_magic = "arbutus-kv";
--- a/src/standin/cache_standin.h
+++ b/src/standin/cache_standin.h
@@ -18,7 +18,8 @@
 enum class cache_change { stored, removed };
 
 struct cache_event {
-  std::uint64_t sequence{};  // from 1; a step of more than 1 shows a gap
+  std::uint64_t
+      sequence{};  // numbered from 1; a reader sees missing events as a step of more than 1
   cache_change change = cache_change::stored;
   std::uint64_t block{};
   time_point at;
@@ -34,29 +35,31 @@
  public:
   cache_standin(const cache_settings& settings, std::uint64_t seed);
 
-  // Number of leading blocks of the chain that are cached. Marks them as recently used.
+  // Number of blocks at the start of a prompt's chain of blocks that are cached. Marks them as
+  // recently used.
   [[nodiscard]] std::size_t cached(const std::vector<std::uint64_t>& chain);
 
-  // Caches the chain from its start, up to the capacity of the cache.
+  // Caches a prompt's chain of blocks from its start, up to the capacity of the cache.
   void store(time_point now, const std::vector<std::uint64_t>& chain);
 
-  // Serialises the chain that ends with `block`; opaque to whoever transfers it. Empty if the block
-  // or one before it is not cached.
+  // Serialises the chain of blocks that ends with `block`, to copy it to another engine. Empty if
+  // the block or one before it is not cached.
   [[nodiscard]] std::string export_prefix(std::uint64_t block) const;
-  // False if `blob` was not made by export_prefix().
+  // Caches the chain that export_prefix() of another engine returned. False if `blob` is something
+  // else.
   bool import_prefix(time_point now, std::string_view blob);
 
-  // Published events after sequence number `since`, oldest first. The oldest events are dropped,
-  // which also shows as a gap.
+  // Published cache events after sequence number `since`, oldest first. The number of stored events
+  // is limited; a reader sees dropped ones as a gap in the sequence numbers.
   [[nodiscard]] std::vector<cache_event> events(time_point now, std::uint64_t since) const;
 
-  // Fraction of the blocks in use.
+  // Fraction of the cache's capacity that is occupied.
   [[nodiscard]] double used() const;
   void clear();
 
  private:
   struct entry {
-    std::uint64_t previous{};  // the preceding block of the chain; 0: none
+    std::uint64_t previous{};  // block before this one in its chain; 0: none
     std::list<std::uint64_t>::iterator use;
   };
 
--- a/src/standin/completion_wire.cpp
+++ b/src/standin/completion_wire.cpp
@@ -1,5 +1,6 @@
-// JSON bodies and server-sent events. Frames are assembled as strings without a JSON library: they
-// are most of a stand-in engine's work, and the words of an answer need no escaping.
+// Parses requests for completions and writes JSON bodies and server-sent events. Events are
+// assembled as strings without a JSON library: they are most of a stand-in engine's work, and the
+// words of an answer need no escaping.
 #include "standin/completion_wire.h"
 
 #include <nlohmann/json.hpp>
--- a/src/standin/completion_wire.h
+++ b/src/standin/completion_wire.h
@@ -24,18 +24,20 @@
 [[nodiscard]] outcome<completion_call> parse_completion(completion_kind kind,
                                                         const http_request& request);
 
-// Writes the parts of one response. `id` is the request id in the response.
+// Writes the parts of the response to one completion request. `id` is the request id that the
+// response carries.
 class completion_writer {
  public:
   completion_writer(const completion_call& call, const request_id& id);
 
-  // One server-sent event per token.
+  // Returns one server-sent event for each token.
   [[nodiscard]] std::string frames(std::span<const standin_token> tokens) const;
-  // Follows the last token: an event without text that carries the finish reason and, as its
-  // offset, the number of tokens of the complete answer; then `data: [DONE]`.
+  // Returns the end of a stream, sent after the last token: an event without text that carries the
+  // finish reason and, as its offset, the number of tokens of the complete answer; then `data:
+  // [DONE]`.
   [[nodiscard]] std::string end() const;
 
-  // The complete answer as one JSON body.
+  // Returns the complete answer as one JSON body, for requests without streaming.
   [[nodiscard]] std::string body(std::span<const standin_token> tokens) const;
 
  private:
@@ -45,7 +47,7 @@
   model_id model_;
   std::uint32_t prompt_tokens_;
   std::uint32_t max_tokens_;
-  std::string id_;  // as a JSON string
+  std::string id_;  // request id, quoted as a JSON string
 };
 
 }  // namespace arbutus::standin
--- a/src/standin/countdown.h
+++ b/src/standin/countdown.h
@@ -1,9 +1,10 @@
-// Counters of faults that apply to a number of upcoming calls.
+// Counts down faults that a stand-in applies to its next N calls.
 #pragma once
 
 namespace arbutus::standin {
 
-// Consumes one pending fault; false if none is left, so that this call has no such fault.
+// Consumes one of the `count` pending faults. False if none is left, so that the current call has
+// no such fault.
 template <class Count>
 [[nodiscard]] bool decrement_if_positive(Count& count) {
   if (count == 0) {
--- a/src/standin/engine_completions.cpp
+++ b/src/standin/engine_completions.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Releases the slot of the request, also when its caller has disconnected.
+// Closes a request when the handler ends, which releases its slot, also when its caller has
+// disconnected.
 class request_closer {
  public:
   request_closer(std::mutex& mutex, engine_standin& engine, batch_handle handle)
@@ -41,13 +42,13 @@
   return headers;
 }
 
-// Writes the steps of one answer to the connection.
+// Writes the tokens of one answer to the caller's connection as they are generated.
 class answer_sender {
  public:
   answer_sender(const completion_call& call, response_writer& writer)
       : call_(call), writer_(writer) {}
 
-  // False if nothing more can be sent.
+  // Sends the tokens of one step; false if nothing more can be sent.
   bool send(const stream_step& step) {
     if (step.state == stream_state::open && step.tokens.empty()) {
       return true;
@@ -80,7 +81,8 @@
     return writer_.write(text) && (step.state != stream_state::finished || writer_.finish());
   }
 
-  // For a truncated answer, sends half of the body; the connection then closes.
+  // Sends the body of an answer without streaming. Of a truncated answer it sends half, and the
+  // connection then closes.
   bool send_body(const stream_step& step) {
     const http_headers headers = answer_headers(call_, step.response_id);
     const std::string body = wire_->body(step.tokens);
@@ -93,7 +95,7 @@
 
   const completion_call& call_;
   response_writer& writer_;
-  std::optional<completion_writer> wire_;  // from the first token on
+  std::optional<completion_writer> wire_;  // empty until the first token is sent
 };
 
 }  // namespace
--- a/src/standin/engine_fabric.cpp
+++ b/src/standin/engine_fabric.cpp
@@ -1,4 +1,4 @@
-// Groups of stand-in engines that form replicas.
+// Stand-in engines that form replicas with each other: lookup, speed and loss of members.
 #include "standin/engine_fabric.h"
 
 #include <algorithm>
--- a/src/standin/engine_fabric.h
+++ b/src/standin/engine_fabric.h
@@ -13,30 +13,34 @@
 
 class engine_standin;
 
-// Not synchronised: users on several threads hold one lock for the fabric and all its engines.
+// Not thread-safe: users on several threads hold one lock for the fabric and all its engines.
 class engine_fabric {
  public:
   explicit engine_fabric(const weight_standin& weights = weight_standin{}) : weights_(weights) {}
   engine_fabric(const engine_fabric&) = delete;
   engine_fabric& operator=(const engine_fabric&) = delete;
 
-  // Called by the constructor and destructor of engine_standin. The fabric outlives its engines.
+  // Add and remove an engine; called by the constructor and destructor of engine_standin. The
+  // fabric outlives its engines.
   void register_engine(engine_standin& engine);
   void unregister_engine(const vm_id& vm);
 
   [[nodiscard]] engine_standin* find(const vm_id& vm) const;
   [[nodiscard]] weight_standin& weights() noexcept { return weights_; }
 
-  // Whether every member is up, holds this composition and has its weights.
+  // Whether the replica can run requests: every member is up, is in this composition and has loaded
+  // its weights.
   [[nodiscard]] bool is_complete(time_point now, const composition& group) const;
 
-  // Speed of the slowest member; 0 while one is paused.
+  // Speed of the replica (1: normal), which is that of its slowest member; 0 while a member is
+  // paused.
   [[nodiscard]] double speed(const composition& group) const;
 
-  // Advances the replicas of this VM to `now`; to be called before its speed changes.
+  // Advances the requests of the replicas that this VM is a member of to `now`; to be called before
+  // the VM's speed changes.
   void advance_replicas_of(time_point now, const vm_id& vm);
 
-  // This VM has left its group: ends all requests of that replica.
+  // Called when a VM has left its replica: ends all requests of that replica.
   void on_member_left(time_point now, const vm_id& vm);
 
  private:
--- a/src/standin/engine_requests.cpp
+++ b/src/standin/engine_requests.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// How long an answer that is to be swapped waits for a second answer to be swapped with.
+// How long an answer with the fault "swapped" waits for a second answer to be swapped with.
 constexpr duration swap_wait = 300ms;
 
 constexpr int conflict_status = 409;
@@ -151,7 +151,8 @@
   return step;
 }
 
-// The request never had a slot, so the response may say that it did not run.
+// Ends a request that waited in the queue past its deadline. It never had a slot, so the response
+// may say that it did not run.
 stream_step engine_standin::expire(open_stream& stream, batch_handle handle) {
   ++counters_.not_run;
   --counters_.accepted;
@@ -163,7 +164,7 @@
   return {stream_state::expired, stream.id, {}, {}};
 }
 
-// The prompt is cached once the first token of its answer is produced.
+// Puts the prompt into the prefix cache once the first token of its answer is produced.
 void engine_standin::cache_prompt(time_point now, open_stream& stream) {
   if (!stream.prefix.empty()) {
     cache_.store(now, stream.prefix);
--- a/src/standin/engine_server.h
+++ b/src/standin/engine_server.h
@@ -22,11 +22,11 @@
 
 class engine_server {
  public:
-  // `mutex` guards the engine and its fabric. All outlive the server.
+  // `mutex` guards the engine and its fabric. All arguments passed by reference outlive the server.
   engine_server(fiber_runtime& runtime, const socket_address& address, std::mutex& mutex,
                 engine_standin& engine);
 
-  // Close and reopen the port when the engine's process dies and restarts.
+  // Closes or reopens the port, as when the engine's process dies or restarts.
   void close() { server_.close(); }
   void open() { server_.open(); }
 
@@ -43,7 +43,7 @@
   void cache_events(const std::string& since, response_writer& writer);
   void kv(const http_request& request, const std::string& block, response_writer& writer);
 
-  // Waits while the engine is paused or unresponsive. False: the caller disconnected meanwhile.
+  // Waits while the engine is paused or unresponsive. False if the caller disconnected meanwhile.
   bool wait_until_responsive(response_writer& writer);
   bool wait_while_paused(response_writer& writer);
   void send(response_writer& writer, int status, const http_headers& headers,
@@ -51,8 +51,8 @@
   void send_not_run(response_writer& writer, const not_run& refusal);
 
   std::mutex& mutex_;
-  engine_standin& engine_;     // under mutex_
-  restartable_server server_;  // last: its handlers use the others
+  engine_standin& engine_;     // guarded by mutex_
+  restartable_server server_;  // last member, since its handlers use the other members
 };
 
 }  // namespace arbutus::standin
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -39,8 +39,8 @@
   return found == settings_.models.end() ? settings_.default_profile : found->second;
 }
 
-// Each member holds its own part of the weights, by its rank: a VM whose rank changes has to load
-// again.
+// Name of the part (shard) of the model's weights that an order makes this engine load. It depends
+// on the member's rank, so a VM whose rank changes has to load again.
 std::string engine_standin::shard_name(const order& o) const {
   const std::vector<vm_id>& members = o.target.members;
   const auto rank = std::find(members.begin(), members.end(), vm_) - members.begin();
@@ -48,7 +48,7 @@
          std::to_string(members.size());
 }
 
-// Reason for refusing the order; empty: accepted.
+// Reason why the engine refuses the order; empty: it accepts the order.
 std::string engine_standin::refusal(const order& o, time_point now, time_point received_at) const {
   if (o.vm != vm_) {
     return "for another VM";
@@ -126,8 +126,8 @@
   batch_.reset(desired.batch);
 }
 
-// Truncates the running requests: only a drained engine can leave its replica without losing
-// requests.
+// Leaves the replica because of an order. Truncates the running requests: only a drained engine can
+// leave its replica without losing requests.
 void engine_standin::leave_group_by_order(time_point now) {
   const std::uint64_t before = counters_.cut;
   leave_group(now);
--- a/src/standin/engine_standin.h
+++ b/src/standin/engine_standin.h
@@ -23,24 +23,27 @@
 namespace arbutus::standin {
 
 struct model_profile {
-  std::uint64_t weight_bytes{};  // loaded by each member
+  std::uint64_t weight_bytes{};  // bytes of weights that each member of a replica loads
   batch_settings batch;
 };
 
 struct engine_settings {
-  bool checks_tokens = true;   // refuses an order with an old fencing token
-  duration form_time = 100ms;  // to join a group once the weights are loaded
+  bool checks_tokens =
+      true;  // whether the engine refuses an order with an older fencing token than it has seen
+  duration form_time = 100ms;  // time to join a replica once the weights are loaded
   std::uint32_t queue_limit = 64;
-  duration report_lag{};  // of the reported load; identity and state are always current
+  duration report_lag{};  // age of the load in a report; identity and state are always current
   cache_settings cache;
   model_profile default_profile;
-  std::map<model_id, model_profile> models;  // those that differ from `default_profile`
+  std::map<model_id, model_profile>
+      models;  // profiles of models that differ from `default_profile`
   std::uint64_t first_incarnation = 1;
   std::uint64_t seed = 1;
-  bool records_runs = false;  // counts the runs of every request id; grows without bound
+  bool records_runs =
+      false;  // whether to count the runs of every request id; the counts grow without bound
 };
 
-// Number of upcoming answers that get each fault; counted down with each answer.
+// For each fault, the number of upcoming answers that get it; counted down with each answer.
 struct pending_answer_faults {
   std::uint32_t swapped{};  // pairs of requests that get each other's answer and request id
   std::uint32_t late{};
@@ -52,9 +55,10 @@
 struct engine_counters {
   std::uint64_t accepted{};
   std::uint64_t completed{};
-  std::uint64_t cancelled{};  // by the caller
-  std::uint64_t cut{};        // truncated by the loss of a member; includes cut_by_order
-  // Truncated because an order made the engine leave its replica.
+  std::uint64_t cancelled{};  // requests that the caller cancelled
+  std::uint64_t
+      cut{};  // answers truncated because the replica lost a member; includes cut_by_order
+  // Answers truncated because an order made the engine leave its replica.
   std::uint64_t cut_by_order{};
   std::uint64_t not_run{};
   std::uint64_t orders_done{};
@@ -63,11 +67,11 @@
 
 struct order_reply {
   bool accepted = false;
-  engine_report report;  // after the order
-  std::string reason;    // of a refusal
+  engine_report report;  // state of the engine after the order
+  std::string reason;    // reason of a refusal
 };
 
-// The request was refused and is guaranteed not to have run.
+// Refusal of a request that is guaranteed not to have run.
 struct not_run {
   int status{};
   std::string reason;
@@ -75,16 +79,17 @@
 
 enum class stream_state {
   open,
-  finished,  // all tokens have been taken
+  finished,  // all tokens of the answer have been taken
   cut,       // the answer was truncated and has no further tokens
-  expired,   // dropped from the queue, not run
+  expired,   // the request was dropped from the queue at its deadline and did not run
 };
 
 struct stream_step {
   stream_state state = stream_state::open;
-  request_id response_id;  // the id to answer under
+  request_id response_id;  // request id that the response carries; another request's if answers are
+                           // swapped
   std::vector<standin_token> tokens;
-  std::optional<time_point> next_at;  // when the next tokens are due; none: not known
+  std::optional<time_point> next_at;  // when the next tokens can be taken; none: not known
 };
 
 class engine_standin {
@@ -98,8 +103,8 @@
 
   // ---- orders and reports ----
 
-  // `received_at`: when the order arrived. A paused engine handles it later, possibly after its
-  // validity period.
+  // Carries out an order that arrived at `received_at`. A paused engine handles an order later,
+  // possibly after the order's validity period.
   order_reply apply(time_point now, const order& o, time_point received_at);
   [[nodiscard]] engine_report report(time_point now);
 
@@ -107,24 +112,26 @@
 
   [[nodiscard]] std::variant<batch_handle, not_run> submit(time_point now,
                                                            const generation_request& request);
-  // Returns and removes the tokens that can be sent now. `complete_only`: returns none until the
-  // answer is complete.
+  // Returns and removes the tokens of an answer that can be sent now. With `complete_only` it
+  // returns none until the answer is complete.
   [[nodiscard]] stream_step take(time_point now, batch_handle handle, bool complete_only);
-  // The caller has read the answer or disconnected; cancels a request that still runs.
+  // Called when the caller has read the answer or disconnected; cancels a request that still runs.
   void close(time_point now, batch_handle handle);
-  // False: the request is not known or has ended.
+  // Cancels a request. False if the request is not known or has ended.
   bool cancel(time_point now, const request_id& id);
   [[nodiscard]] cache_standin& cache() noexcept { return cache_; }
 
   // ---- faults ----
 
-  void kill(time_point now);     // replica membership, weights and cache are lost
-  void restart(time_point now);  // up again, as a new incarnation
+  void kill(time_point now);     // the process dies: replica membership, weights and cache are lost
+  void restart(time_point now);  // the process starts again, as a new incarnation
   void pause(time_point now);
   void resume(time_point now);
   void set_straggler(time_point now, double speed);  // 1: normal
   void set_leaving(bool leaving) { leaving_ = leaving; }
-  void set_unresponsive(bool on) { unresponsive_ = on; }  // executes requests without answering
+  void set_unresponsive(bool on) {
+    unresponsive_ = on;
+  }  // while on, the engine executes requests without answering
   void set_checks_tokens(bool checks) { settings_.checks_tokens = checks; }
   [[nodiscard]] pending_answer_faults& faults() noexcept { return faults_; }
 
@@ -132,7 +139,7 @@
   [[nodiscard]] bool paused() const noexcept { return paused_at_.has_value(); }
   [[nodiscard]] bool unresponsive() const noexcept { return unresponsive_; }
   [[nodiscard]] const engine_counters& counters() const noexcept { return counters_; }
-  // How often this request was accepted; needs records_runs.
+  // How often the engine accepted the request with this id; needs records_runs.
   [[nodiscard]] std::uint32_t runs(const request_id& id) const;
 
   // ---- for the fabric ----
@@ -187,7 +194,8 @@
   double speed_ = 1.0;
   std::optional<time_point> paused_at_;
 
-  composition group_;  // an empty replica id: none
+  composition
+      group_;  // composition of the replica that the engine is in; an empty replica id: none
   model_id model_;
   std::string model_version_;
   bool draining_ = false;
@@ -199,7 +207,8 @@
   batch_standin batch_;
   cache_standin cache_;
   std::map<batch_handle, open_stream> streams_;
-  std::deque<load_sample> load_samples_;  // by time; the first is the newest that may be reported
+  std::deque<load_sample>
+      load_samples_;  // sorted by time; the first is the newest sample old enough to be reported
   std::unordered_map<request_id, std::uint32_t> runs_;
 };
 
--- a/src/standin/expected_answer.cpp
+++ b/src/standin/expected_answer.cpp
@@ -31,8 +31,8 @@
 }
 
 std::string answer_token(std::uint64_t seed, std::uint32_t offset) {
-  // The offset is hashed before it is combined with the seed. Otherwise seeds that differ by one
-  // would give the same words shifted by one position.
+  // The token's offset is hashed before it is combined with the answer's seed. Otherwise seeds that
+  // differ by one would give the same words shifted by one position.
   rng words(seed ^ rng(offset)());
   std::uint64_t bits = words();
   std::string token = " ";
--- a/src/standin/expected_answer.h
+++ b/src/standin/expected_answer.h
@@ -27,7 +27,7 @@
 // Converts a chat to a prompt: one line "role: content" for each message.
 [[nodiscard]] std::string chat_prompt(const std::vector<standin_message>& messages);
 
-// Determines the complete answer.
+// Seed from which all tokens of the answer to a prompt are generated.
 [[nodiscard]] std::uint64_t answer_seed(const model_id& model, std::string_view prompt);
 
 // The token at `offset` of the answer with this seed: a space and a short word.
--- a/src/standin/fault_commands.h
+++ b/src/standin/fault_commands.h
@@ -1,5 +1,6 @@
-// Fault commands as JSON, for stand-ins that run in separate processes. Unknown names are refused:
-// otherwise a mistyped fault would have no effect, and the system would seem to tolerate it.
+// Commands in JSON that set the faults of stand-ins running in separate processes. Commands with
+// unknown names are refused: otherwise a mistyped fault would have no effect, and the system would
+// seem to tolerate it.
 #pragma once
 
 #include <functional>
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -20,7 +20,7 @@
   engine_instance(engine_fabric& fabric, const vm_id& vm, const engine_settings& settings)
       : engine(fabric, vm, settings) {}
 
-  engine_standin engine;  // under the fleet's engine mutex
+  engine_standin engine;  // guarded by the fleet's engine_mutex
   std::unique_ptr<engine_server> server;
 };
 
@@ -51,7 +51,7 @@
   return value;
 }
 
-// Applies the command to an unused engine first, so that a refused command changes nothing.
+// Applies a fault command to a temporary engine first, so that a refused command changes nothing.
 outcome<faults_applied> validate_engine_faults(std::string_view command) {
   engine_fabric fabric;
   engine_standin unused(fabric, vm_id{}, {});
@@ -100,7 +100,8 @@
   std::mutex engine_mutex;  // guards the fabric and all engines
   engine_fabric fabric;
   platform_standin platform;
-  // Servers are declared after what their handlers use, so that they are destroyed first.
+  // Servers are declared after the members that their handlers use, so that servers are destroyed
+  // first.
   std::map<vm_id, std::unique_ptr<engine_instance>> engines;
   std::map<service_id, std::unique_ptr<service_group>> services;
   std::unique_ptr<platform_server> platform_http;
--- a/src/standin/fleet.h
+++ b/src/standin/fleet.h
@@ -25,11 +25,13 @@
   // case.
   bool engines = true;
   bool services = true;
-  engine_settings engine;              // checks_tokens comes from the inventory
-  double weight_bytes_per_second = 0;  // of the weight store, shared by all loads; 0: no limit
+  engine_settings
+      engine;  // settings of all engines; checks_tokens comes from the inventory instead
+  double weight_bytes_per_second =
+      0;  // rate of the weight store, shared by all engines that load weights; 0: no limit
   duration vm_list_lag{};
   endpoint platform{"127.0.0.1", 0};
-  store_faults table;  // initial latency and rate limits
+  store_faults table;  // initial faults of the table service: latency and rate limits
   store_faults objects;
 };
 
@@ -42,27 +44,31 @@
   standin_fleet(const standin_fleet&) = delete;
   standin_fleet& operator=(const standin_fleet&) = delete;
 
-  // As passed to the constructor, with the chosen ports.
+  // Inventory as passed to the constructor, with the ports that were chosen.
   [[nodiscard]] const inventory& assets() const noexcept;
   [[nodiscard]] const endpoint& platform() const noexcept;
 
   // ---- target VMs ----
-  void kill_vm(const vm_id& vm);     // the engine's process dies
-  void restart_vm(const vm_id& vm);  // it is up again, without replica, weights and cache
+  void kill_vm(const vm_id& vm);  // the engine's process dies
+  void restart_vm(
+      const vm_id& vm);  // the engine's process starts again, without replica, weights and cache
   void kill_fabric_domain(const fabric_domain_id& domain);
   void restart_fabric_domain(const fabric_domain_id& domain);
   void pause_vm(const vm_id& vm);
   void resume_vm(const vm_id& vm);
   void set_straggler(const vm_id& vm, double speed);  // 1: normal
-  void set_leaving(const vm_id& vm, bool leaving);    // in its report and in the VM list
-  void remove_vm(const vm_id& vm);                    // kills it and drops it from the VM list
+  void set_leaving(
+      const vm_id& vm,
+      bool leaving);  // announces in the engine's report and in the VM list that the VM leaves
+  void remove_vm(const vm_id& vm);  // kills it and drops it from the VM list
   void set_unresponsive(const vm_id& vm, bool unresponsive);  // executes requests without answering
   void set_checks_tokens(const vm_id& vm, bool checks);
   void set_answer_faults(const vm_id& vm, const pending_answer_faults& faults);
 
   // ---- platform ----
   void table_outage(bool down);
-  void lose_replies(std::uint64_t writes);  // of the table, after the write took effect
+  void lose_replies(std::uint64_t writes);  // loses the replies to the next `writes` writes of the
+                                            // table, after they took effect
   void set_table_faults(const std::function<void(store_faults&)>& change);
   void set_object_faults(const std::function<void(store_faults&)>& change);
   // `cut`: the data centre cannot reach any service of the platform.
@@ -79,7 +85,8 @@
   // ---- observations ----
   [[nodiscard]] engine_report report(const vm_id& vm);
   [[nodiscard]] engine_counters counters(const vm_id& vm);
-  // How often a request was accepted, summed over all VMs; needs engine.records_runs.
+  // How often engines accepted the request with this id, summed over all VMs; needs
+  // engine.records_runs.
   [[nodiscard]] std::uint32_t runs(const request_id& id);
   [[nodiscard]] store_counters table_counters();
   [[nodiscard]] service_counters counters(const service_id& service);
--- a/src/standin/hosted_control.cpp
+++ b/src/standin/hosted_control.cpp
@@ -1,4 +1,4 @@
-// HTTP handlers of the control commands.
+// HTTP handlers of the commands that control the stand-in platform.
 #include "standin/hosted_control.h"
 
 #include <nlohmann/json.hpp>
--- a/src/standin/hosted_control.h
+++ b/src/standin/hosted_control.h
@@ -5,8 +5,8 @@
 //                              that crashed them, requests that carried a caller's key, complete
 //                              replicas
 //   GET  /arrivals             how long ago each request arrived at each target, in seconds
-//   POST /kill?head=0|1        a member (or the head) of a serving replica dies without notice
-//   POST /restart?head=0|1     a member (or the head) of a serving replica restarts
+//   POST /kill?head=0|1        a non-head member (head=1: the head) of a serving replica dies
+//   without notice POST /restart?head=0|1     a member (or the head) of a serving replica restarts
 //   POST /foreign              writes two invalid records into the list of targets
 //   POST /store?down=0|1       the store answers 503 to every request
 //   POST /configure?keys=0|1   writes the next configuration, with or without the workspace's key
@@ -22,7 +22,7 @@
 
 class hosted_control {
  public:
-  // `platform` must outlive it. Port 0: any.
+  // `platform` must outlive this object. Port 0 takes any free port.
   hosted_control(fiber_runtime& runtime, hosted_platform& platform, const socket_address& at);
 
   [[nodiscard]] std::uint16_t port() const { return server_.port(); }
--- a/src/standin/hosted_engine.cpp
+++ b/src/standin/hosted_engine.cpp
@@ -1,4 +1,4 @@
-// Orders to a stand-in engine.
+// Orders that nodes send to a stand-in engine of the hosted platform, and their effects over time.
 #include "standin/hosted_engine.h"
 
 #include <algorithm>
--- a/src/standin/hosted_engine.h
+++ b/src/standin/hosted_engine.h
@@ -1,8 +1,9 @@
-// A stand-in engine of a platform whose engines hold their own replica membership. It runs in
-// virtual time.
+// A stand-in engine of the hosted platform, whose engines hold their own replica membership. It
+// runs in virtual time.
 //
-// It joins, opens, closes and leaves by order. It counts the orders that it has accepted, refuses
-// orders that were decided on another count, and keeps past states because its reports lag.
+// The engine joins, opens, closes and leaves a replica by orders of nodes. It counts the orders
+// that it has accepted and refuses an order that names another count. It keeps past states because
+// its reports lag.
 #pragma once
 
 #include <cstdint>
@@ -18,9 +19,10 @@
 namespace arbutus::standin {
 
 struct hosted_engine_settings {
-  duration rejoin_time = 200ms;  // if it had the same model in its last replica
-  duration warm_load_time = 1s;  // if the weights are staged on the host
-  duration load_time = 4s;       // otherwise
+  duration rejoin_time =
+      200ms;  // time to join a replica if the engine had the same model in its last one
+  duration warm_load_time = 1s;  // time to join if the weights are staged on the host
+  duration load_time = 4s;       // time to join otherwise
   duration open_time = 300ms;
   duration report_lag = 200ms;
 };
@@ -30,10 +32,10 @@
   hosted_engine(target_record record, const hosted_engine_settings& settings)
       : settings_(settings), record_(std::move(record)) {}
 
-  // Carries out an order that arrives at `now`.
+  // Carries out an order of a node that arrives at `now`.
   order_outcome execute(time_point now, const replica_order& order);
 
-  // Completes joins and openings that are due by `now`.
+  // Completes the joins and openings of the replica that end by `now`.
   void advance(time_point now);
 
   // The report that a query at `now` gets: the state of `report_lag` ago.
@@ -44,10 +46,10 @@
     return record_.member_of && record_.member_of->rank == 0 &&
            record_.member_of->state == member_state::open;
   }
-  // Members of its current or last replica; the first is the head.
+  // Members of the engine's current or last replica; the first is the head.
   [[nodiscard]] const std::vector<target_id>& members() const { return members_; }
   [[nodiscard]] std::uint64_t orders() const { return orders_; }
-  // Whether it has ever been ready in that replica.
+  // Whether the engine has ever been ready in that replica.
   [[nodiscard]] bool was_ready_in(const replica_key& key) const;
 
   void set_draining() { record_.draining = true; }
@@ -74,7 +76,7 @@
   std::vector<target_id> members_;
   std::uint64_t orders_ = 0;
   std::uint64_t highest_epoch_ = 0;
-  model_id last_model_;  // of its last replica
+  model_id last_model_;  // model of the engine's last replica
   std::optional<time_point> ready_at_;
   std::optional<time_point> open_at_;
   std::vector<replica_key> ready_replicas_;
--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -1,4 +1,4 @@
-// HTTP servers of the stand-in platform: store, engines, plain service.
+// HTTP servers of the stand-in platform: its store, its engines, and a service that is not a model.
 #include "standin/hosted_platform.h"
 
 #include <algorithm>
@@ -18,7 +18,8 @@
 using nlohmann::json;
 
 constexpr duration refresh_interval = 10ms;
-constexpr duration unlist_delay = 400ms;  // until a dead engine is removed from the list
+constexpr duration unlist_delay =
+    400ms;  // time until a dead engine is removed from the list of targets
 constexpr std::uint64_t first_start_stamp = 1'700'000'000'000;
 constexpr const char* plain_instance_id = "i-api";
 
@@ -39,7 +40,8 @@
           {"state", std::string(to_string(own->state))}};
 }
 
-// Adds the start stamp from the incarnation's id, as an integer, if the id has one.
+// Adds the start time that is part of the incarnation's id to the document, as an integer, if the
+// id has one.
 void add_start_stamp(json& document, const target_id& incarnation) {
   const std::string& text = incarnation.str();
   if (const auto at = text.find(incarnation_separator); at != std::string::npos) {
@@ -70,14 +72,16 @@
     hosted_engine engine;
     bool dead = false;
     time_point unlist_at{};
-    std::string listed_record;  // as last written to the list; empty: not listed
+    std::string listed_record;  // record of the engine as last written to the list of targets;
+                                // empty: not listed
     std::unique_ptr<restartable_server> server;
   };
 
-  // A process that a request has crashed: its server closes, and reopens as another incarnation.
+  // A process that a poison request has crashed: its server closes, and reopens as another
+  // incarnation.
   struct process_crash {
     restartable_server* server;
-    engine_process* engine;  // null: the plain service
+    engine_process* engine;  // engine that crashed; null: the service that is not a model
     bool closed = false;
     time_point starts_at{};
   };
@@ -124,7 +128,8 @@
     return json{{"rows", rows}, {"has-more", false}, {"ver", version}}.dump();
   }
 
-  // Empty while there are no changes and `until` is in the future.
+  // Response to a long poll for changes of a table; empty while there are none and `until` is in
+  // the future.
   std::string changes_if_ready(const std::string& table, std::uint64_t after, time_point until) {
     const std::lock_guard guard(mutex);
     const json rows = changes(table, after);
@@ -194,7 +199,8 @@
     send_json(writer, new_version == 0 ? 412 : 200, json{{"ver", new_version}}.dump());
   }
 
-  // Applies a transaction and returns the store's version; 0 if a precondition does not hold.
+  // Applies a transaction to the store and returns the store's new version; 0 if a precondition
+  // does not hold.
   std::uint64_t apply(const json& body) {
     const std::lock_guard guard(mutex);
     for (const json& c : body.value("precondition", json::array())) {
@@ -341,7 +347,7 @@
       if (incarnation_of_process(e) != incarnation) {
         return;  // the engine has restarted, and its connections are closed
       }
-      // A head that has lost a member stalls without reporting it.
+      // As with real engines, a head that has lost a member stalls without reporting the loss.
       const bool stalls = !wait_while(writer, [&] {
         const std::lock_guard guard(mutex);
         return e.engine.record().id == incarnation && !is_complete(e);
@@ -362,7 +368,8 @@
     return request.target.find(poison_path_marker) != std::string::npos;
   }
 
-  // Breaks the connections and closes the port until the process has restarted.
+  // Crashes the process of a server: breaks its connections and closes its port until the process
+  // has restarted.
   void crash_process(restartable_server& server, engine_process* engine, const std::string& path) {
     const std::lock_guard guard(mutex);
     const bool already_crashing =
@@ -392,8 +399,8 @@
     wait_for(writer, settings.restart_delay);
   }
 
-  // Runs on the refresher and never in a handler of these servers, because closing a server waits
-  // for its handlers.
+  // Restarts the processes whose restart is due. Runs on the refresher and never in a handler of
+  // these servers, because closing a server waits for its handlers.
   void restart_crashed_processes() {
     std::vector<restartable_server*> closing;
     {
@@ -434,7 +441,7 @@
     return opening;
   }
 
-  // ---- plain service ----
+  // ---- the service that is not a model ----
 
   void list_plain_service(std::uint64_t incarnation) {
     const json record = {{"service", "api"},
@@ -545,17 +552,18 @@
   std::map<std::string, std::unique_ptr<engine_process>> engines;
   std::map<std::string, int> runs;
   std::map<std::string, std::string> engine_of_run;
-  std::map<std::string, int> crashes;                       // by path of the request
-  std::map<std::string, std::vector<time_point>> arrivals;  // of requests, by target
+  std::map<std::string, int> crashes;  // number of crashes by path of the request
+  std::map<std::string, std::vector<time_point>> arrivals;  // arrival times of requests, by target
   std::string send_limit;
   std::vector<process_crash> process_crashes;
   int header_violations = 0;
   std::uint64_t last_start_stamp = first_start_stamp;
   std::atomic<bool> down{false};
-  std::atomic<std::size_t> bytes_per_s{0};  // of each response of the store; 0: no limit
+  std::atomic<std::size_t> bytes_per_s{
+      0};  // rate at which the store sends each response; 0: no limit
   std::unique_ptr<http_server> store;
   std::unique_ptr<restartable_server> plain;
-  std::unique_ptr<periodic> refresher;  // last: uses the other members
+  std::unique_ptr<periodic> refresher;  // last member, since it uses the other members
 };
 
 hosted_platform::hosted_platform(fiber_runtime& runtime, const hosted_platform_settings& settings)
--- a/src/standin/hosted_platform.h
+++ b/src/standin/hosted_platform.h
@@ -1,9 +1,10 @@
 // A stand-in for a platform that holds the configuration and the list of targets: its store, some
-// engines and a plain service, each an HTTP server on loopback, in the wire format of platform/.
+// engines and a service that is not a model, each an HTTP server on loopback, in the wire format of
+// platform/.
 //
 // Deliberately small: it covers the behaviour under faults (a store that is unavailable, engines
-// that die, that stall when a member is lost, and that accept orders by count), not the platform's
-// complete interface.
+// that die, that stall when a member is lost, and that refuse orders which name another count of
+// accepted orders than theirs), not the platform's complete interface.
 #pragma once
 
 #include <functional>
@@ -21,9 +22,9 @@
 
 struct hosted_platform_settings {
   std::vector<std::string> data_centres = {"lab-a"};
-  std::size_t engines_per_data_centre = 9;  // those of one data centre form one fabric domain
+  std::size_t engines_per_data_centre = 9;  // the engines of one data centre form one fabric domain
   std::string ip = "127.0.0.1";
-  std::uint16_t store_port = 0;  // 0: any
+  std::uint16_t store_port = 0;  // port of the store; 0: any free port
   int events = 10;               // number of events in each streamed answer
   duration event_gap = 20ms;
   duration crash_delay = 15ms;     // from the start of a poison request to the crash
@@ -38,7 +39,8 @@
 inline constexpr const char* hosted_host = "desk.example";
 inline constexpr const char* hosted_key = "key-of-the-desk";
 inline constexpr const char* hosted_model = "large";
-// A request whose path contains this crashes the engine or service instance that starts to run it.
+// A request whose path contains this text crashes the engine or service instance that starts to run
+// it.
 inline constexpr const char* poison_path_marker = "poison";
 
 class hosted_platform {
@@ -52,15 +54,16 @@
 
   [[nodiscard]] std::uint16_t store_port() const;
 
-  // Writes the next version of the configuration; without `keys` the workspace has no key. It has
-  // `extra_routes` additional routes; the path of each is extra_route(index).
+  // Writes the next version of the operators' configuration. Without `keys` its workspace has no
+  // API key. It has `extra_routes` additional routes; the path of each is extra_route(index).
   void configure(bool keys = true, std::size_t extra_routes = 0);
   [[nodiscard]] static std::string extra_route(std::size_t index);
   // Limits the rate at which the store sends each response; 0: no limit.
   void set_store_rate(std::size_t bytes_per_s);
   void set_store_down(bool down);
 
-  // An engine of a complete replica: its head, or its last member. Empty: there is none.
+  // Id of an engine of a complete replica: the head, or the last member. Empty if no replica is
+  // complete.
   [[nodiscard]] std::string find_member(bool head) const;
   void kill_engine(const std::string& id);
   // Restarts the engine under its id at its address; its running requests are lost.
@@ -68,21 +71,24 @@
   // Writes a record that does not come from an engine into the list of targets.
   void write_entry(const std::string& key, const std::string& value);
 
-  // All engines and the plain service announce this send limit in their responses; empty: none.
+  // All engines and the service that is not a model announce this send limit in their responses;
+  // empty: none.
   void set_send_limit(const std::string& value);
-  // Arrival times of requests at each engine and the plain service, also of those that did not run.
+  // Arrival times of requests at each engine and at the service that is not a model, also of
+  // requests that did not run.
   [[nodiscard]] std::map<std::string, std::vector<time_point>> arrivals() const;
 
-  // The engine where the request last started to run; empty: none.
+  // Id of the engine where the request last started to run; empty: none.
   [[nodiscard]] std::string engine_of_run(const std::string& request) const;
   // Number of rows in a table of the store.
   [[nodiscard]] std::size_t rows_of_table(const std::string& table) const;
 
   // Number of complete serving replicas.
   [[nodiscard]] std::size_t serving() const;
-  // How often each request has started to run, by its id.
+  // How often each request has started to run, by request id.
   [[nodiscard]] std::map<std::string, int> runs() const;
-  // How often each poison path has crashed an engine or the plain service.
+  // How often requests with a poison path crashed an engine or the service that is not a model, by
+  // path.
   [[nodiscard]] std::map<std::string, int> crashes() const;
   // Number of requests whose headers contained a caller's key or lacked the workspace.
   [[nodiscard]] int header_violations() const;
--- a/src/standin/object_standin.cpp
+++ b/src/standin/object_standin.cpp
@@ -1,4 +1,4 @@
-// Reads and writes of objects.
+// Reads and writes of objects in the stand-in object store.
 #include "standin/object_standin.h"
 
 #include <utility>
--- a/src/standin/platform_server.cpp
+++ b/src/standin/platform_server.cpp
@@ -29,7 +29,7 @@
   return 500;
 }
 
-// Sends the result of a store call after the store's latency.
+// Sends the result of a call to the table or the object store after that store's latency.
 void reply(response_writer& writer, store_status status, duration latency,
            const http_headers& headers, std::string_view body) {
   if (latency > duration{} && !wait_for(writer, latency)) {
@@ -42,7 +42,8 @@
   }
 }
 
-// The value of a row is sent on reads only; a writer gets the version and can read the row.
+// Sends the result of a table call. The value of a row is sent on reads only; a writer gets the
+// version and can read the row.
 void reply(response_writer& writer, const table_reply& r, bool with_value) {
   http_headers headers{{"content-type", "application/octet-stream"}};
   if (r.status == store_status::ok || r.status == store_status::conflict) {
--- a/src/standin/platform_server.h
+++ b/src/standin/platform_server.h
@@ -28,7 +28,7 @@
 
 namespace arbutus::standin {
 
-// `mutex` guards all other members.
+// Stand-ins of the platform's services. `mutex` guards all other members.
 struct platform_standin {
   std::mutex mutex;
   table_standin table;
@@ -58,7 +58,7 @@
 
   platform_standin& platform_;
   fault_handler other_faults_;
-  std::unique_ptr<http_server> server_;  // last: its handlers use the others
+  std::unique_ptr<http_server> server_;  // last member, since its handlers use the other members
 };
 
 }  // namespace arbutus::standin
--- a/src/standin/restartable_server.h
+++ b/src/standin/restartable_server.h
@@ -9,7 +9,7 @@
 
 class restartable_server {
  public:
-  // Listens immediately. The runtime outlives the server.
+  // Listens from construction on. The runtime outlives the server.
   restartable_server(fiber_runtime& runtime, const socket_address& address, http_handler handler);
   ~restartable_server();
   restartable_server(const restartable_server&) = delete;
@@ -20,7 +20,7 @@
   void close();
   void open();
 
-  // Stays the same across close() and open().
+  // Port of the server, the same after close() and open().
   [[nodiscard]] std::uint16_t port() const noexcept;
 
  private:
--- a/src/standin/service_server.cpp
+++ b/src/standin/service_server.cpp
@@ -1,4 +1,4 @@
-// HTTP interface of a stand-in service.
+// HTTP interface of a stand-in for a service that is not a model.
 #include "standin/service_server.h"
 
 #include "standin/fault_commands.h"
--- a/src/standin/service_server.h
+++ b/src/standin/service_server.h
@@ -16,16 +16,16 @@
   explicit shared_service(const service_id& id) : service(id) {}
 
   std::mutex mutex;
-  service_standin service;  // under mutex
+  service_standin service;  // guarded by mutex
 };
 
-// One instance of a service.
+// HTTP server of one instance of a stand-in service.
 class service_server {
  public:
-  // `shared` outlives the server.
+  // `shared` is the state of all instances of the service; it outlives the server.
   service_server(fiber_runtime& runtime, const socket_address& address, shared_service& shared);
 
-  // Close and reopen the port when the instance's process dies and restarts.
+  // Closes or reopens the port, as when the instance's process dies or restarts.
   void close() { server_.close(); }
   void open() { server_.open(); }
 
@@ -36,7 +36,7 @@
   void call(const http_request& request, response_writer& writer);
 
   shared_service& shared_;
-  restartable_server server_;  // last: its handlers use the members above
+  restartable_server server_;  // last member, since its handlers use the members above
 };
 
 }  // namespace arbutus::standin
--- a/src/standin/service_standin.h
+++ b/src/standin/service_standin.h
@@ -1,5 +1,5 @@
-// Stand-in for a plain service, such as one that writes job cards. It executes every call and
-// records it, so that a checker can detect calls that ran twice or not at all.
+// Stand-in for a service that is not a model, such as one that writes job cards. It executes and
+// records every call, so that a checker can detect calls that ran twice or not at all.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
   std::string body;
 };
 
-// Number of upcoming calls that get each fault; counted down with each call.
+// For each fault, the number of upcoming calls that get it; counted down with each call.
 struct service_faults {
   std::uint32_t late{};
   duration late_by{};
@@ -36,8 +36,9 @@
 
 struct service_counters {
   std::uint64_t executions{};
-  std::uint64_t keys{};         // distinct keys among the executions
-  std::uint32_t max_per_key{};  // above 1: a call ran more than once
+  std::uint64_t keys{};         // number of distinct idempotency keys among the executed calls
+  std::uint32_t max_per_key{};  // highest number of executions with one key; above 1, a call ran
+                                // more than once
 };
 
 class service_standin {
@@ -48,7 +49,8 @@
 
   [[nodiscard]] service_faults& faults() noexcept { return faults_; }
   [[nodiscard]] const service_counters& counters() const noexcept { return counters_; }
-  // `key`: the idempotency key, or the request id if the call had none.
+  // How often the service executed a call. `key` is the call's idempotency key, or its request id
+  // if it had none.
   [[nodiscard]] std::uint32_t executions_of(std::string_view key) const;
 
   [[nodiscard]] static std::string expected_body(const service_id& service, const service_call& c);
@@ -59,7 +61,8 @@
   service_id service_;
   service_faults faults_;
   service_counters counters_;
-  // Invariant: counters_.keys is its size, counters_.max_per_key its largest value.
+  // Number of executions by key. Invariant: counters_.keys is the size of this map, and
+  // counters_.max_per_key is its largest value.
   std::unordered_map<std::string, std::uint32_t> executions_;
 };
 
--- a/src/standin/standin_answer.h
+++ b/src/standin/standin_answer.h
@@ -18,21 +18,22 @@
   std::string prompt;
   std::uint32_t max_tokens = 16;
   std::uint32_t resume_offset{};   // number of tokens the caller already has
-  std::uint32_t priority{};        // 0 first
+  std::uint32_t priority{};        // requests with a lower number start first
   std::optional<duration> expiry;  // time from arrival after which a queued request is dropped
-  replica_id replica;              // the replica the caller expects here; empty: not specified
-  std::string gen;                 // its expected generation, as text; empty: not specified
+  replica_id replica;  // replica that the caller expects this engine to be in; empty: not specified
+  std::string gen;     // fencing generation that the caller expects of the replica, as text; empty:
+                       // not specified
 };
 
 struct standin_token {
-  std::uint32_t offset{};  // in the complete answer, from 0
+  std::uint32_t offset{};  // position of the token in the complete answer, from 0
   std::string text;
 };
 
 // Faults of one answer.
 struct answer_faults {
-  time_point not_before;   // nothing is sent earlier
-  bool truncate = false;   // ends without an end marker after half of the tokens
+  time_point not_before;   // no token is sent before this time
+  bool truncate = false;   // the answer ends after half of its tokens, without an end marker
   bool duplicate = false;  // one token in the middle is sent twice
 };
 
@@ -43,25 +44,28 @@
   // Number of tokens to generate for this answer.
   [[nodiscard]] std::uint32_t total() const noexcept { return end_ - first_; }
 
-  // Takes the next tokens when `produced` of total() are generated. Empty before not_before().
+  // Returns and removes the next tokens to send, when `produced` of total() tokens are generated.
+  // Empty before not_before().
   [[nodiscard]] std::vector<standin_token> take(time_point now, std::uint32_t produced);
 
   [[nodiscard]] bool complete() const noexcept { return next_ >= end_ && !faults_.truncate; }
   [[nodiscard]] bool truncated() const noexcept { return faults_.truncate && next_ >= last_; }
-  // Whether the caller may have received any of its tokens.
+  // Whether tokens of this answer may have reached the caller.
   [[nodiscard]] bool has_sent_tokens() const noexcept { return has_sent_tokens_; }
   [[nodiscard]] const request_id& response_id() const noexcept { return response_id_; }
   [[nodiscard]] time_point not_before() const noexcept { return faults_.not_before; }
   void hold_until(time_point t) { faults_.not_before = t; }
 
-  // Gives each the other's answer and request id, and removes their delays.
+  // Exchanges the answers and request ids of two requests, and removes their delays.
   static void swap_answers(standin_answer& a, standin_answer& b);
 
  private:
   request_id response_id_;
   std::uint64_t seed_;
   answer_faults faults_;
-  // Invariant: first_ <= next_ <= last_ <= end_; last_ < end_ only if truncated.
+  // Offsets of tokens: the first of this answer, the next to send, the end of what is sent, the end
+  // of the complete answer. Invariant: first_ <= next_ <= last_ <= end_; last_ < end_ only if
+  // truncated.
   std::uint32_t first_;
   std::uint32_t next_;
   std::uint32_t last_;
--- a/src/standin/standin_http.cpp
+++ b/src/standin/standin_http.cpp
@@ -9,8 +9,8 @@
 
 namespace arbutus::standin {
 
-// The server closes the connection of a response that is started and not finished; the caller gets
-// no valid response.
+// Starts a response and does not finish it: the server then closes the connection, and the caller
+// gets no valid response.
 void close_without_response(response_writer& writer) {
   writer.start(200, {});
 }
--- a/src/standin/standin_http.h
+++ b/src/standin/standin_http.h
@@ -17,16 +17,16 @@
 // How often a waiting server checks whether a fault has changed.
 inline constexpr duration fault_poll_interval = 10ms;
 
-// Ends the exchange without a response: the caller sees its connection close.
+// Ends an HTTP request without a response: the caller sees its connection close.
 void close_without_response(response_writer& writer);
 
 void send_json(response_writer& writer, int status, std::string_view body);
-// {"error":{"type":TYPE,"message":MESSAGE}}
+// Sends {"error":{"type":TYPE,"message":MESSAGE}}.
 void send_error(response_writer& writer, int status, std::string_view type,
                 std::string_view message);
 void send_fault_result(response_writer& writer, const outcome<faults_applied>& result);
 
-// Wait; false if the caller disconnects first.
+// Waits until a time or for a duration; false if the caller disconnects first.
 bool wait_until(response_writer& writer, time_point until);
 bool wait_for(response_writer& writer, duration d);
 
@@ -42,11 +42,11 @@
 }
 
 [[nodiscard]] std::string header_text(const http_request& request, std::string_view name);
-// Returns `fallback` if the field is missing or not a number.
+// Value of a numeric header field; `fallback` if the field is missing or not a number.
 [[nodiscard]] std::uint64_t header_number(const http_request& request, std::string_view name,
                                           std::uint64_t fallback);
 
-// The rest of `target` after `prefix`, if it starts with it.
+// The part of the request target after `prefix`; empty if the target does not start with it.
 [[nodiscard]] std::optional<std::string> after(std::string_view target, std::string_view prefix);
 
 }  // namespace arbutus::standin
--- a/src/standin/store_fault_model.h
+++ b/src/standin/store_fault_model.h
@@ -15,9 +15,9 @@
 struct store_faults {
   bool down = false;
   time_point down_until;             // the store is also down before this time
-  duration latency{};                // of every response
-  double writes_per_second = 0;      // 0: no limit
-  double reads_per_second = 0;       // 0: no limit
+  duration latency{};                // latency of every response
+  double writes_per_second = 0;      // limit on the rate of writes; 0: no limit
+  double reads_per_second = 0;       // limit on the rate of reads; 0: no limit
   std::uint64_t lose_requests = 0;   // number of upcoming writes lost before they take effect
   std::uint64_t lose_replies = 0;    // number of upcoming writes whose reply is lost
   double lose_fraction = 0;          // fraction of all further writes whose reply is lost
@@ -26,8 +26,8 @@
 
 struct store_counters {
   std::uint64_t reads{};
-  std::uint64_t writes{};   // that took effect
-  std::uint64_t refused{};  // by an outage, a rate limit or a partition
+  std::uint64_t writes{};   // writes that took effect
+  std::uint64_t refused{};  // calls refused because of an outage, a rate limit or a partition
   std::uint64_t conflicts{};
   std::uint64_t lost_replies{};
 };
@@ -39,8 +39,8 @@
 // Outcome of a call as its caller sees it.
 enum class store_status {
   ok,
-  missing,   // no such row or object
-  conflict,  // the row has another version
+  missing,   // there is no such row or object
+  conflict,  // the write names another version of the row than the current one
   down,
   limited,
   // The connection closes without a response: lost before or after the effect, or the caller's data
@@ -55,10 +55,11 @@
   duration latency{};
 };
 
-// Token bucket. Invariant: `tokens_` is between 0 and the tokens of one second (at least 1).
+// Token bucket that limits the calls per second. Invariant: `tokens_` is between 0 and the tokens
+// of one second (at least 1).
 class rate_limit {
  public:
-  // Takes one token; false if there is none. A rate of 0 means no limit.
+  // Takes one token of the bucket for a call; false if none is left. A rate of 0 means no limit.
   [[nodiscard]] bool take(time_point now, double per_second);
 
  private:
@@ -74,11 +75,11 @@
   [[nodiscard]] store_faults& faults() noexcept { return faults_; }
   [[nodiscard]] const store_counters& counters() const noexcept { return counters_; }
 
-  // Decides whether a call from data centre `from` reaches the store, and counts it.
+  // Decides whether a call from data centre `from` reaches the store, and counts the call.
   [[nodiscard]] access_decision admit(time_point now, store_access access,
                                       const data_centre_id& from);
 
-  // Whether this write is lost before it takes effect; consumes the fault.
+  // Whether the current write is lost before it takes effect; uses up one pending fault.
   [[nodiscard]] bool should_lose_request();
 
   // Counts a write that took effect. Returns whether its reply is lost.
--- a/src/standin/table_standin.cpp
+++ b/src/standin/table_standin.cpp
@@ -1,4 +1,4 @@
-// Reads, conditional writes and listings of rows.
+// Reads, conditional writes and listings of rows in the stand-in table.
 #include "standin/table_standin.h"
 
 #include <utility>
--- a/src/standin/table_standin.h
+++ b/src/standin/table_standin.h
@@ -16,8 +16,8 @@
 
 struct table_reply {
   store_status status = store_status::ok;
-  table_row row;       // as it is after the call; version 0: none
-  duration latency{};  // before the response is sent
+  table_row row;       // state of the row after the call; version 0: there is no row
+  duration latency{};  // time before the response is sent
 };
 
 // Content of a backup. It includes the version counter: after an old copy is restored, versions are
@@ -31,11 +31,11 @@
  public:
   explicit table_standin(std::uint64_t seed = 1) : fault_model_(seed) {}
 
-  // `from`: the caller's data centre, for network partitions; may be empty.
+  // Reads a row. `from` is the caller's data centre, for network partitions; may be empty.
   [[nodiscard]] table_reply read(time_point now, const std::string& key,
                                  const data_centre_id& from = {});
 
-  // `expected`: the current version of the row; 0: it must not exist.
+  // Writes a row if its current version is `expected`; 0: the row must not exist.
   table_reply write(time_point now, const std::string& key, std::string value,
                     std::uint64_t expected, const data_centre_id& from = {});
 
--- a/src/standin/vm_list_standin.cpp
+++ b/src/standin/vm_list_standin.cpp
@@ -1,4 +1,4 @@
-// The VM list and its lag.
+// Stand-in for the platform's VM list: records changes and shows them after a lag.
 #include "standin/vm_list_standin.h"
 
 namespace arbutus::standin {
--- a/src/standin/vm_list_standin.h
+++ b/src/standin/vm_list_standin.h
@@ -16,10 +16,10 @@
  public:
   void set_lag(duration lag) { lag_ = lag; }
 
-  // Changes of one VM must be added in order of time.
+  // Records a change of a VM. Changes of one VM must be recorded in order of time.
   void set(time_point now, const vm_id& vm, vm_presence presence);
 
-  // The list as it was one lag ago.
+  // Returns the VM list as it was one lag before `now`.
   [[nodiscard]] std::vector<vm_list_entry> read(time_point now) const;
 
  private:
--- a/src/standin/weight_standin.h
+++ b/src/standin/weight_standin.h
@@ -10,13 +10,14 @@
 
 class weight_standin {
  public:
-  // `bytes_per_second` is shared by all loads; 0: no limit.
+  // `bytes_per_second` is the rate that all engines loading weights share; 0: no limit.
   explicit weight_standin(double bytes_per_second = 0) : bytes_per_second_(bytes_per_second) {}
 
   void set_rate(double bytes_per_second) { bytes_per_second_ = bytes_per_second; }
 
-  // Duration of a load that starts now. Loads are served one after the other; the last of a group
-  // then finishes at the same time as with equal sharing.
+  // Duration of a load of weights that starts now. The store serves loads one after the other; the
+  // last one of a replica's members then finishes at the same time as if all shared the rate
+  // equally.
   [[nodiscard]] duration load_time(time_point now, std::uint64_t bytes) {
     if (bytes_per_second_ <= 0) {
       return duration{};
--- a/tests/core/activation_test.cpp
+++ b/tests/core/activation_test.cpp
@@ -1,4 +1,5 @@
-// Tests of standby activation: lost masks, and which node starts an activation and when.
+// Tests of standby activation: the bit mask of lost members, and which node starts an activation
+// and when.
 #include "process/activation.h"
 
 #include <gmock/gmock.h>
@@ -31,7 +32,8 @@
 class standby_activation : public ::testing::Test {
  protected:
   standby_activation() { first_.rebase(row_); }
-  // The node that has this rank for activations of the replica; rank 0 acts immediately.
+  // The node with this rank in the order in which nodes activate standbys of the replica; rank 0
+  // acts immediately.
   static node_id ranked(std::size_t rank) {
     for (const node_id& n : nodes) {
       if (rank_of("activate/" + r.str(), n, nodes) == rank) {
@@ -106,7 +108,7 @@
 
 TEST_F(standby_activation, adds_own_losses_to_what_it_follows) {
   EXPECT_TRUE(first_.adopt(row_, r, {7, 1, 0b0001}));
-  lost_ = {vm_id{"b"}};  // a has returned meanwhile
+  lost_ = {vm_id{"b"}};  // VM "a" has returned meanwhile
   EXPECT_THAT(first_.tick(now_, context()), ElementsAre(r));
   EXPECT_EQ(first_.in_force(plan()).gen, (generation{7, 2, 0b0011}));
 }
--- a/tests/core/assignment_test.cpp
+++ b/tests/core/assignment_test.cpp
@@ -63,7 +63,7 @@
 
 TEST(activate, replaces_in_place_by_first_usable_standby) {
   const replica_plan r = make_replica("r", 3, 2);
-  const auto c = activate(r, 5, 0b01010);  // member 1 and standby 0
+  const auto c = activate(r, 5, 0b01010);  // member 1 and standby 0 are lost
   ASSERT_TRUE(c);
   EXPECT_EQ(c->gen, (generation{5, 2, 0b01010}));
   EXPECT_EQ(c->members, (std::vector{r.members[0], r.standbys[1], r.members[2]}));
@@ -76,17 +76,17 @@
 
 TEST(activate, refuses_what_it_cannot_do) {
   const replica_plan r = make_replica("r", 3, 1);
-  EXPECT_FALSE(activate(r, 5, 0b0011));   // two lost, one standby
+  EXPECT_FALSE(activate(r, 5, 0b0011));   // two members lost, but only one standby
   EXPECT_FALSE(activate(r, 5, 0b1001));   // the standby is lost, too
-  EXPECT_FALSE(activate(r, 5, 0b10000));  // no such position
+  EXPECT_FALSE(activate(r, 5, 0b10000));  // the mask names a position that no member or standby has
   EXPECT_FALSE(activate(r, 2, 0b0001));   // a row older than the composition
   EXPECT_FALSE(activate(make_replica("r", 16, 17), 5, 1));
 }
 
-// Guards against a composition that depends on anything besides row and mask. Nodes that see
-// different losses, or the same ones in another order, while the table is unavailable would then
-// form different compositions under one token, and the targets, which compare tokens only, would
-// obey both.
+// Guards against a composition of a replica that depends on anything besides the row and the mask
+// of lost VMs. Nodes that see different losses, or the same ones in another order, while the table
+// is unavailable would then form different compositions under one token, and the targets, which
+// compare tokens only, would obey both.
 TEST(activate, equal_generations_mean_equal_compositions) {
   for (const std::size_t standbys : {0U, 1U, 3U}) {
     const replica_plan r = make_replica("r", 4, standbys);
@@ -171,7 +171,8 @@
   EXPECT_FALSE(is_ok(decode_assignment(bytes + '\0')));
 }
 
-// The same for flipped bits. Bytes that still decode must be a valid row.
+// Guards against a node that crashes or accepts an invalid row when bits were flipped. Bytes that
+// still decode must be a valid row.
 TEST(assignment_codec, survives_damaged_bytes) {
   const std::string bytes = encode(make_row());
   rng random(11);
--- a/tests/core/assignment_writer_test.cpp
+++ b/tests/core/assignment_writer_test.cpp
@@ -1,4 +1,4 @@
-// Tests of one node's copy of the row, with scripted answers of the table.
+// Tests of how one node reads and writes the assignment row, with scripted answers of the table.
 #include "process/assignment_writer.h"
 
 #include <gmock/gmock.h>
@@ -41,7 +41,8 @@
   void fail_read() {
     (void)writer_.on(now_, table_read_result{{row_key(hall)}, unknown{"timeout"}});
   }
-  // The last requested write, if any; clears the collected effects.
+  // Returns the last write of the row that the writer requested, if any; clears the collected
+  // effects.
   std::optional<table_write> take_write() {
     std::optional<table_write> found;
     for (const effect& e : effects_) {
@@ -80,7 +81,7 @@
   tick(2s);
   answer_read(4, row_of(4));
   EXPECT_EQ(writer_.row().version, 7U);
-  tick(500ms);  // sends the second read, which has to confirm it
+  tick(500ms);  // sends the second read, which has to confirm the older version
   EXPECT_FALSE(take_write());
   answer_read(4, row_of(4));
   tick(500ms);
--- a/tests/core/config_changes_test.cpp
+++ b/tests/core/config_changes_test.cpp
@@ -1,4 +1,5 @@
-// The differences that an operator is shown after a conflict.
+// Tests the differences between configurations that an operator is shown after a conflicting
+// change.
 #include "version/config_changes.h"
 
 #include <gmock/gmock.h>
--- a/tests/core/config_lease_test.cpp
+++ b/tests/core/config_lease_test.cpp
@@ -1,4 +1,5 @@
-// How long a node may check keys by its configuration version.
+// Tests how long a node may check callers' keys by its configuration version without a new proof
+// that it is the newest.
 #include "process/config_lease.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +20,7 @@
   config_lease lease({.bound = 5s});
   lease.renew(start);
   EXPECT_TRUE(lease.valid(start + 3s));
-  // A watch may have missed changes in the second before the query.
+  // The watch for configuration changes may have missed changes in the second before the query.
   EXPECT_FALSE(lease.valid(start + 4s));
 }
 
--- a/tests/core/config_replica_test.cpp
+++ b/tests/core/config_replica_test.cpp
@@ -26,8 +26,8 @@
   return head;
 }
 
-// Simulated nodes with a table and an object store on virtual time. Results arrive after `latency`;
-// the table may lose replies to reads.
+// Simulated nodes with a table and an object store in virtual time. Results of calls to these
+// stores arrive after `latency`; the table may lose replies to reads.
 class fake_fleet {
  public:
   explicit fake_fleet(std::size_t nodes, std::uint64_t seed = 1) : random_(seed) {
@@ -44,7 +44,7 @@
 
   config_replica& at(std::size_t i) { return *replicas.at(ids.at(i)); }
 
-  // As if a proposal was accepted through the table.
+  // Stores a configuration as if a proposal had been accepted through the table.
   void accept(std::uint64_t version, const std::string& content) {
     objects[content_hash(content)] = content;
     row = {head_of(version, content), row.row_version + 1};
@@ -242,8 +242,8 @@
   EXPECT_LT(times[198], 3s);
 }
 
-// An inventory is large and changes every few seconds; whole copies would exceed the traffic
-// budget.
+// Guards against sending whole inventories to other nodes: an inventory is large and changes every
+// few seconds, so whole copies would exceed the traffic budget.
 TEST(ConfigReplica, PeersAndStoreProvidePatches) {
   fake_fleet fleet(6);
   fleet.accept(1, content_of(1));
@@ -421,12 +421,13 @@
 
 // ---- proposals ----
 
-// A table for the steps of proposers. It loses requests and replies, and executes some writes late.
+// Fake table that proposers of configuration changes write to. It loses requests and replies, and
+// executes some writes late.
 struct fake_table {
   head_row row;
   rng random{1};
   double lost = 0.0;
-  std::map<std::string, int> accepted;  // by proposal
+  std::map<std::string, int> accepted;  // how often each proposal was accepted, by proposal id
   std::deque<write_head> late;
 
   bool write(const write_head& w) {
--- a/tests/core/config_transfer_test.cpp
+++ b/tests/core/config_transfer_test.cpp
@@ -1,5 +1,5 @@
-// Transfer of configurations from the hub to its nodes: deltas, parts, and the time until all nodes
-// have a change.
+// Transfer of configurations from the hub of a data centre to its nodes: deltas, transfer in parts,
+// and the time until all nodes have a change.
 #include "process/config_transfer.h"
 
 #include <gtest/gtest.h>
@@ -98,8 +98,8 @@
     std::uint32_t hub_mbps = 200;
     std::uint32_t node_mbps = 20;
     double lost = 0;                // fraction of heartbeats that are lost
-    bool base_known = true;         // the nodes have the version before the change
-    bool refused_by_store = false;  // the store serves no node but the hub
+    bool base_known = true;         // whether the nodes have the version before the change
+    bool refused_by_store = false;  // whether the store refuses all nodes but the hub
     std::uint64_t seed = 1;
   };
 
@@ -114,11 +114,11 @@
     }
   }
 
-  // Time from the moment at which the change is at the store until all nodes have it.
+  // Time from when a configuration change is in the store until all nodes have it.
   duration time_until_all_have(const std::string& text) {
     hub_.add(2, text);
     if (setup_.hub_mbps == setup_.node_mbps) {
-      now_ += read_time(text);  // the hub's own read from the store
+      now_ += read_time(text);  // time of the hub's own read from the store
     }
     while (!all_have() && now_ < time_point{} + 60s) {
       now_ += 200ms;
@@ -185,7 +185,8 @@
   std::size_t max_bytes_ = 0;
 };
 
-// The operators' bound, less the time for a proof, a heartbeat and decoding.
+// Maximum time to distribute a change: the operators' bound, less the time for a proof of
+// freshness, a heartbeat and decoding.
 constexpr duration distribution_bound = 2s;
 
 TEST(ConfigDistribution, TwoThousandAddedRoutesReachAllNodesInTime) {
@@ -229,7 +230,8 @@
   EXPECT_FALSE(lag.is_stale(start, bound));
   lag.row_reported(start, 20);
   EXPECT_FALSE(lag.is_stale(start + 1s, bound));
-  // Neither another new version nor a late report of an older one restarts the time.
+  // Neither a further version nor a late report of an older one restarts the time for which the
+  // node has been behind.
   lag.row_reported(start + 1s, 24);
   lag.row_reported(start + 1100ms, 16);
   EXPECT_TRUE(lag.is_stale(start + 1500ms, bound));
@@ -238,7 +240,8 @@
   EXPECT_TRUE(lag.is_stale(start + 2500ms, bound));
   lag.row_applied(24);
   EXPECT_FALSE(lag.is_stale(start + 10s, bound));
-  // A node that knows of no newer version, as in a partitioned data centre, is not stale.
+  // A node that knows of no newer configuration version, as in a partitioned data centre, is not
+  // stale.
   EXPECT_FALSE(lag.is_stale(start + 1000s, bound));
 }
 
--- a/tests/core/configuration_test.cpp
+++ b/tests/core/configuration_test.cpp
@@ -1,4 +1,5 @@
-// Codecs of content and head, and authentication of callers by key.
+// Encoding and decoding of configuration content and head, and authentication of callers by API
+// key.
 #include "version/configuration.h"
 
 #include <gtest/gtest.h>
@@ -129,11 +130,11 @@
   ASSERT_NE(authenticate(desired, "key-w"), nullptr);
   EXPECT_EQ(authenticate(desired, "key-w")->id, workspace_id{"w"});
   EXPECT_EQ(authenticate(desired, "other"), nullptr);
-  // An empty key is refused even if its hash is in the rules, as from a script with an empty
-  // variable.
+  // An empty API key is refused even if its hash is in the rules, which a script with an empty
+  // variable may have put there.
   desired.workspaces.push_back({workspace_id{"u"}, {sha256_hex("")}, {}});
   EXPECT_EQ(authenticate(desired, ""), nullptr);
-  // The hash itself is not accepted as a key.
+  // The hash of a key is not accepted as the key.
   EXPECT_EQ(authenticate(desired, sha256_hex("new")), nullptr);
 }
 
--- a/tests/core/coordination_fixture.h
+++ b/tests/core/coordination_fixture.h
@@ -14,7 +14,7 @@
 
 using ::testing::IsEmpty;
 
-// Long enough for the nodes to agree, send orders, load models and observe the result.
+// Long enough for simulated nodes to agree, send orders, load models and observe the result.
 inline constexpr duration test_timeout = 30s;
 
 // Runs a simulation in which all replicas serve and the row does not change.
@@ -59,7 +59,7 @@
 
   std::optional<fake_cluster> cluster_;
   std::size_t replicas_{};
-  assignment row_;  // after startup
+  assignment row_;  // assignment row after startup
 };
 
 }  // namespace arbutus::testing
--- a/tests/core/coordination_measures_test.cpp
+++ b/tests/core/coordination_measures_test.cpp
@@ -1,5 +1,5 @@
-// Repair times and wasted writes in the simulation over many seeds: printed and compared with the
-// required limits.
+// Measures repair times of replicas and wasted writes of the row in the simulated cluster over many
+// seeds; prints them and compares them with the required limits.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/core/coordinator_drains_test.cpp
+++ b/tests/core/coordinator_drains_test.cpp
@@ -14,14 +14,16 @@
   EXPECT_LT(time_to_no_route(r.id), 2s);
 }
 
-// As above, but the platform's list marks the VM as leaving.
+// Guards against new requests to a VM that is about to be removed, when only the platform's VM list
+// marks it as leaving.
 TEST_F(coordination, target_leaves_by_the_list) {
   bring_up();
   const replica_plan& r = row_.replicas.front();
   for (const vm_id& vm : cluster_->vms()) {
     cluster_->vm_list.push_back({vm, vm == r.members.back()});
   }
-  // Once one node knows, the update must not wait for a regular heartbeat or a new row.
+  // Once one node knows that the VM leaves, the other nodes must learn it without waiting for a
+  // regular heartbeat or a new row.
   const auto known = [&] {
     for (std::size_t i = 0; i < cluster_->node_count(); ++i) {
       if (cluster_->usable_routes(i).size() < replicas_) {
@@ -63,7 +65,7 @@
 }
 
 // Guards against cutting off an answer that a node is still forwarding when the replica is stopped.
-// The engine has finished and reports no running requests, so only the node knows of it.
+// The engine has finished and reports no running requests, so only that node knows of the answer.
 TEST_F(coordination, drain_waits_for_every_node) {
   bring_up();
   for (const replica_plan& r : row_.replicas) {
--- a/tests/core/coordinator_members_test.cpp
+++ b/tests/core/coordinator_members_test.cpp
@@ -18,7 +18,8 @@
 }
 
 // Guards against sending requests to a replica that has lost a VM. No connection is refused and
-// probes just get no answer, so nodes can only notice the age of their newest observation.
+// probes just get no answer, so nodes can notice the loss only by the age of their newest
+// observation of the VM.
 TEST_F(coordination, member_dies) {
   bring_up();
   const replica_plan& r = row_.replicas.front();
--- a/tests/core/coordinator_nodes_test.cpp
+++ b/tests/core/coordinator_nodes_test.cpp
@@ -35,7 +35,8 @@
   EXPECT_EQ(cluster_->row_in_table(), row_);
 }
 
-// As above, but the node still reaches most targets and loses only its peers and one member.
+// Guards against a node that dissolves a replica after it has lost its peers and one member of the
+// replica, although it still reaches the table and most targets.
 TEST_F(coordination, node_without_a_majority_waits) {
   bring_up();
   cluster_->isolate(0);
@@ -151,7 +152,7 @@
     SCOPED_TRACE(paused);
     bring_up({.checks_tokens = false});
     cluster_->kill(row_.replicas.front().members.back());
-    cluster_->run_for(1700ms);  // about the time when the loss is detected
+    cluster_->run_for(1700ms);  // until about the time at which nodes detect the loss
     cluster_->pause_node(paused, 15s);
     cluster_->run_for(18s);
     EXPECT_TRUE(serve_within(test_timeout));
@@ -173,7 +174,7 @@
   const replica_plan& r = row_.replicas.front();
   const std::vector<std::uint64_t> before{counters(0).orders_sent, counters(1).orders_sent,
                                           counters(2).orders_sent};
-  cluster_->restart(r.members.front());  // to be formed again
+  cluster_->restart(r.members.front());  // so that its replica has to be formed again
   std::size_t sender = 0;
   const auto ordered = [&] {
     for (sender = 0; sender < before.size(); ++sender) {
@@ -185,7 +186,7 @@
   };
   ASSERT_TRUE(cluster_->run_until(ordered, test_timeout));
   cluster_->pause_node(sender, GetParam());
-  cluster_->kill(r.members.back());  // the replica gets a newer composition
+  cluster_->kill(r.members.back());  // so that the replica gets a newer composition
   cluster_->run_for(GetParam() + 5s);
   EXPECT_GT(counters(sender).orders_withheld, 0U);
   EXPECT_EQ(cluster_->stale_orders_obeyed, 0U);
@@ -238,7 +239,7 @@
       cluster_->start_node(0);
       cluster_->run_for(1s + random.jitter(5s));
       cluster_->isolate(0, false);
-      cluster_->run_for(10s);  // its own observations from before expire
+      cluster_->run_for(10s);  // until its own observations from before the restart expire
       EXPECT_TRUE(all_serve()) << "restart " << i;
     }
   }
--- a/tests/core/coordinator_pairs_test.cpp
+++ b/tests/core/coordinator_pairs_test.cpp
@@ -5,7 +5,7 @@
 namespace arbutus::testing {
 namespace {
 
-// The table is down, and two members of a replica with two standbys die one after the other.
+// Fault: the table is down, and two members of a replica with two standbys die one after the other.
 TEST_F(coordination, two_members_die_while_the_table_is_down) {
   bring_up({.vms = 8, .fabric_domains = 1, .standbys_per_replica = 2});
   cluster_->table.up = false;
@@ -17,7 +17,7 @@
   EXPECT_TRUE(recovers());
 }
 
-// The table is down, a member dies, and the standby that replaces it dies while it loads.
+// Fault: the table is down, a member dies, and the standby that replaces it dies while it loads.
 TEST_F(coordination, standby_dies_while_it_loads) {
   bring_up({.vms = 8, .fabric_domains = 1, .standbys_per_replica = 2});
   cluster_->table.up = false;
@@ -30,7 +30,7 @@
   EXPECT_TRUE(recovers());
 }
 
-// A fabric domain fails while replies to writes are lost and a node is paused.
+// Fault: a fabric domain fails while replies to writes of the table are lost and a node is paused.
 TEST_F(coordination, fabric_domain_fails_with_lost_replies_and_a_paused_node) {
   bring_up({.vms = 8, .standbys_per_replica = 0, .spare_vms = 2});
   cluster_->table.lose_write_replies = 2;
@@ -42,7 +42,8 @@
   EXPECT_TRUE(serve_within(test_timeout));
 }
 
-// A member dies while the table is down, and then the only node that repairs dies, too.
+// Fault: a member dies while the table is down, and then the only node that repairs the replica
+// dies, too.
 TEST_F(coordination, repairing_node_dies) {
   bring_up({.nodes = 5});
   cluster_->table.up = false;
@@ -58,7 +59,8 @@
   EXPECT_TRUE(serve_within(test_timeout));
 }
 
-// Targets ignore fencing tokens; a member dies, then each node in turn is cut off from its peers.
+// Fault: targets ignore fencing tokens; a member dies, then each node in turn is cut off from its
+// peers.
 TEST_F(coordination, targets_without_token_check_and_partitions) {
   bring_up({.checks_tokens = false});
   cluster_->kill(row_.replicas.front().members.back());
@@ -71,7 +73,7 @@
   EXPECT_TRUE(serve_within(test_timeout));
 }
 
-// Messages are lost throughout, and one link works in one direction only.
+// Fault: messages between nodes are lost throughout, and one link works in one direction only.
 TEST_F(coordination, lossy_and_one_way_links) {
   bring_up();
   cluster_->drop = 0.05;
--- a/tests/core/coordinator_table_test.cpp
+++ b/tests/core/coordinator_table_test.cpp
@@ -41,7 +41,8 @@
   cluster_->kill(row_.replicas.front().members.back());
   EXPECT_TRUE(recovers());
   cluster_->run_for(5s);
-  // One write for the repair; others may follow to reserve a new standby or return a withdrawn VM.
+  // One write of the row is for the repair; others may follow to reserve a new standby or return a
+  // withdrawn VM.
   EXPECT_LE(cluster_->table.writes_won - before, 3U);
 }
 
--- a/tests/core/cross_check_test.cpp
+++ b/tests/core/cross_check_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the checks across records. Each case breaks one thing in a valid configuration.
+// Tests of the checks across records of a configuration, such as references to missing ones. Each
+// case breaks one thing in a valid configuration.
 #include "version/cross_check.h"
 
 #include <gmock/gmock.h>
--- a/tests/core/drain_tracker_test.cpp
+++ b/tests/core/drain_tracker_test.cpp
@@ -1,4 +1,5 @@
-// When a draining replica may be removed from the row: each test lacks one of the conditions.
+// Tests when a draining replica may be removed from the row: in each test one of the conditions
+// does not hold.
 #include "process/drain_tracker.h"
 
 #include <gmock/gmock.h>
--- a/tests/core/event_relay_test.cpp
+++ b/tests/core/event_relay_test.cpp
@@ -1,4 +1,5 @@
-// Events are forwarded complete and exactly once, also when a stream resumes on another target.
+// Tests that events of a stream are forwarded to the caller complete and exactly once, also when
+// the stream resumes on another target.
 #include "request/event_relay.h"
 
 #include <gtest/gtest.h>
--- a/tests/core/fake_cluster.cpp
+++ b/tests/core/fake_cluster.cpp
@@ -148,7 +148,8 @@
       return;
     }
     n.paused = false;
-    // Until it processes the inputs of the pause, the node still sends by its old routes.
+    // Until the resumed node processes the inputs that arrived during its pause, it still sends
+    // requests by its old routes.
     check();
     for (auto& run : std::exchange(n.waiting, {})) {
       run();
--- a/tests/core/fake_cluster.h
+++ b/tests/core/fake_cluster.h
@@ -38,10 +38,10 @@
   engine_report report;
   bool up = true;  // false: powered off, calls to it time out
   bool paused = false;
-  time_point ready_at{};                       // while loading
-  time_point changed_at{};                     // last change of what it serves
+  time_point ready_at{};                       // when a loading engine becomes ready
+  time_point changed_at{};                     // last change of the replica that the engine serves
   std::vector<std::function<void()>> waiting;  // calls that arrived during a pause
-  std::vector<vm_id> members;                  // from the last order
+  std::vector<vm_id> members;                  // members of the replica, as named in the last order
 };
 
 struct fake_table {
@@ -49,8 +49,9 @@
   std::map<std::string, std::string> objects;
   bool up = true;
   duration latency = 4ms;
-  std::size_t lose_write_replies = 0;  // the next writes whose reply is lost after they took effect
-  std::uint64_t writes_won = 0;        // of the assignment row
+  std::size_t lose_write_replies =
+      0;  // number of upcoming writes whose reply is lost after they took effect
+  std::uint64_t writes_won = 0;  // accepted writes of the assignment row
   std::uint64_t writes_refused = 0;
 };
 
@@ -61,7 +62,7 @@
   // ---- time ----
   [[nodiscard]] time_point now() const { return now_; }
   void run_for(duration d);
-  // False when `limit` has passed without the condition.
+  // Runs until the condition holds; false if it does not within `limit`.
   bool run_until(const std::function<bool()>& condition, duration limit);
 
   // ---- state that tests inspect ----
@@ -69,7 +70,7 @@
   [[nodiscard]] std::size_t node_count() const { return nodes_.size(); }
   [[nodiscard]] fake_engine& engine(const vm_id& vm) { return engines_.at(vm); }
   [[nodiscard]] std::vector<vm_id> vms() const;
-  // The published routes that the node may use now; none while it is paused or down.
+  // The routes that node `i` may send requests by now; none while the node is paused or down.
   [[nodiscard]] std::vector<replica_route> usable_routes(std::size_t i) const;
   [[nodiscard]] bool routed_anywhere(const replica_id& id) const;
   // Whether every node that is up routes to at least `replicas` replicas.
@@ -78,26 +79,28 @@
   [[nodiscard]] std::vector<std::string> notices() const { return notices_; }
 
   // ---- faults ----
-  void kill(const vm_id& vm);     // powers it off
-  void start(const vm_id& vm);    // powers it on with a new process
-  void restart(const vm_id& vm);  // replaces its process immediately
+  void kill(const vm_id& vm);     // powers the VM off
+  void start(const vm_id& vm);    // powers the VM on with a new engine process
+  void restart(const vm_id& vm);  // replaces the VM's engine process immediately
   void pause(const vm_id& vm, duration d);
-  // A connection of this node's request path to the VM fails.
+  // A connection over which node `i` sends requests to the VM breaks.
   void connection_error(std::size_t i, const vm_id& vm) { feed(i, target_error{vm}); }
   void set_leaving(const vm_id& vm) { engine(vm).report.leaving = true; }
   void kill_node(std::size_t i);
-  void start_node(std::size_t i);  // as a new process without state
+  void start_node(std::size_t i);  // starts the node as a new process without state
   void pause_node(std::size_t i, duration d);
   // Drops all messages from `a` to `b`, but not those in the other direction.
   void cut(std::size_t a, std::size_t b, bool on = true);
-  void isolate(std::size_t i, bool on = true);  // from all other nodes, in both directions
+  void isolate(std::size_t i,
+               bool on = true);  // cuts the node off from all other nodes, in both directions
   void cut_table(std::size_t i, bool on = true);
   void cut_target(std::size_t i, const vm_id& vm, bool on = true);
   void cut_targets(std::size_t i, bool on = true);
   void apply_rules(const std::function<void(rules&)>& change);
   fake_table table;
-  double drop = 0;                        // share of node-to-node messages that are lost
-  duration connect_time = 2ms;            // until the bytes of an order can be sent
+  double drop = 0;  // share of node-to-node messages that are lost
+  duration connect_time =
+      2ms;  // time to connect to a target before the bytes of an order can be sent
   std::uint64_t stale_orders_obeyed = 0;  // older orders obeyed by targets that ignore tokens
   std::vector<vm_list_entry> vm_list;
   std::vector<std::string> violations;
@@ -109,7 +112,7 @@
     std::uint64_t incarnation = 1;
     bool up = true;
     bool paused = false;
-    std::vector<std::function<void()>> waiting;  // what arrived during a pause
+    std::vector<std::function<void()>> waiting;  // inputs that arrived during a pause of the node
     time_point wake_at = time_point::max();
     routing_snapshot published;
     std::uint64_t last_row_version{};
@@ -125,14 +128,15 @@
   void at(time_point t, std::function<void()> run);
   bool step(time_point limit);
   void write_configuration();
-  // Runs `run` on the node: after the pause if it is paused, never if its process was replaced.
+  // Runs `run` on node `i`: after the pause if the node is paused, never if its process was
+  // replaced meanwhile.
   void deliver(std::size_t i, std::function<effects()> run);
   void feed(std::size_t i, input in);
   void after_call(std::size_t i, const effects& out);
   void wake(std::size_t i);
   void carry_out(std::size_t i, const effect& e);
-  // `work` runs at the table and returns the answer. If no answer arrives in time, the node gets
-  // `timeout_result` instead.
+  // Simulates a call of node `i` to the table. `work` runs at the table and returns the answer. If
+  // no answer arrives in time, the node gets `timeout_result` instead.
   void call_table(std::size_t i, std::function<input()> work, input timeout_result,
                   bool is_write = false);
   input read(const table_read& r) const;
@@ -142,8 +146,8 @@
   void do_probe(std::size_t i, const probe& p);
   void do_order(std::size_t i, const order& o);
   void do_send(std::size_t i, const peer_send& s);
-  // `work` runs at the engine and returns the answer. If no answer arrives in time, the node gets
-  // `timeout_result` instead.
+  // Simulates a call of node `i` to an engine. `work` runs at the engine and returns the answer. If
+  // no answer arrives in time, the node gets `timeout_result` instead.
   void call_engine(std::size_t i, const vm_id& vm, std::function<input(fake_engine&)> work,
                    input timeout_result);
   outcome<engine_report> apply_order(fake_engine& e, const order& o);
--- a/tests/core/fake_cluster_checks.cpp
+++ b/tests/core/fake_cluster_checks.cpp
@@ -1,4 +1,5 @@
-// Injected faults, state that tests inspect, and the invariants.
+// Simulated cluster: the faults to inject, the state that tests inspect, and the checked
+// invariants.
 #include <algorithm>
 #include <sstream>
 
@@ -10,7 +11,8 @@
 
 namespace {
 
-// Allowed in addition to permission_validity, which counts from when the probe was sent.
+// Time for which a node may use an outdated route in addition to permission_validity, which counts
+// from when the probe was sent.
 constexpr duration route_expiry_slack = 100ms;
 
 template <class T>
@@ -100,7 +102,7 @@
   }
 }
 
-// ---- views and invariants ----
+// ---- state that tests inspect, and invariants ----
 
 std::vector<vm_id> fake_cluster::vms() const {
   std::vector<vm_id> result;
@@ -172,8 +174,8 @@
   }
 }
 
-// A usable route must match what its members serve, or served until permission_validity ago. No VM
-// may be in the routes of two replicas.
+// Checks the routes of node `i`. A usable route must match the replica that its members serve, or
+// served until permission_validity ago. No VM may be in the routes of two replicas.
 void fake_cluster::check_routes(std::size_t i, std::map<vm_id, replica_id>& owners) {
   for (const replica_route& r : usable_routes(i)) {
     for (const vm_id& vm : r.members) {
--- a/tests/core/fake_cluster_io.cpp
+++ b/tests/core/fake_cluster_io.cpp
@@ -1,4 +1,4 @@
-// Answers of the fake table, network and engines.
+// Simulated cluster: answers of the fake table, network and engines to the nodes' calls.
 #include <algorithm>
 #include <sstream>
 
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr duration network_delay = 2ms;
-constexpr duration call_timeout = 900ms;  // of the program that embeds the coordinator
+constexpr duration call_timeout =
+    900ms;  // timeout of calls, which the program that embeds the coordinator sets
 template <class T>
 std::string text(const T& value) {
   std::ostringstream out;
@@ -134,7 +135,8 @@
 }
 
 void fake_cluster::do_order(std::size_t i, const order& o) {
-  // The connection is set up first; directly before the bytes are sent, may_send() is checked.
+  // The connection to the target is set up first; directly before the bytes of the order are sent,
+  // may_send() is checked.
   const auto incarnation = nodes_[i].incarnation;
   const auto send = [=, this] {
     fake_node& n = nodes_[i];
@@ -155,7 +157,7 @@
   at(now_ + connect_time, [=, this] {
     fake_node& n = nodes_[i];
     if (n.paused && n.incarnation == incarnation) {
-      n.waiting.insert(n.waiting.begin(), send);  // continues where it was paused
+      n.waiting.insert(n.waiting.begin(), send);  // the paused node continues with this send
     } else {
       send();
     }
--- a/tests/core/fake_data_centre.h
+++ b/tests/core/fake_data_centre.h
@@ -19,7 +19,7 @@
 struct fake_target {
   bool up = true;
   engine_report report;
-  // Reports over time, each valid from its time on.
+  // The target's reports over time; each is valid from its time until that of the next.
   std::vector<std::pair<time_point, engine_report>> history;
 };
 
@@ -113,11 +113,11 @@
   control_timing timing;
   duration step = 20ms;
   duration delay = 1ms;
-  duration jitter{};  // of the delay; reorders messages
+  duration jitter{};  // maximum random addition to `delay`; reorders messages
   double drop = 0.0;
   double repeat = 0.0;
   duration probe_timeout = 500ms;
-  std::size_t bytes = 0;  // of all messages sent
+  std::size_t bytes = 0;  // total size of all messages sent between nodes
   std::size_t messages = 0;
 
  private:
@@ -164,7 +164,8 @@
     }
   }
 
-  // Takes the row from the table, or at random times from a peer that reports a newer one.
+  // The node reads the newest row version from the table, or at random times from a peer that
+  // reports a newer one.
   void read_row(fake_node& n) {
     if (n.can_read_table) {
       n.row = table_row;
--- a/tests/core/gossip_test.cpp
+++ b/tests/core/gossip_test.cpp
@@ -1,5 +1,5 @@
-// Encoding of gossip messages: nothing is lost or made newer, damaged messages are refused, and
-// heartbeats stay small.
+// Tests the encoding of gossip messages between nodes: no field is lost, no observation becomes
+// newer, damaged messages are refused, and heartbeats stay small.
 #include "process/gossip.h"
 
 #include <gtest/gtest.h>
@@ -102,7 +102,7 @@
   EXPECT_EQ(quantise(shown), quantise(r));
 }
 
-// Control traffic is limited, and heartbeats are nearly all of it.
+// Guards against heartbeats that exceed the limit on control traffic, of which they are nearly all.
 TEST(Gossip, HeartbeatsAreSmall) {
   EXPECT_LT(encode(gossip_message{idle_heartbeat()}).size(), 40U);
   heartbeat busy = idle_heartbeat();
@@ -146,7 +146,7 @@
 TEST(Gossip, NegativeAndHugeNumbersAreRefused) {
   std::string bytes = encode(gossip_message{config_content{{9, "h", {}}, "", 1, 2, "x"}});
   ASSERT_TRUE(is_ok(decode_gossip(node_id{"x"}, bytes)));
-  bytes[2] = '\xff';  // -1 as version
+  bytes[2] = '\xff';  // -1 as the version of the message format
   EXPECT_FALSE(is_ok(decode_gossip(node_id{"x"}, bytes)));
 }
 
--- a/tests/core/hosted_values_test.cpp
+++ b/tests/core/hosted_values_test.cpp
@@ -1,5 +1,6 @@
-// Tests the smaller value types of a hosted node: stall detection, reports of lost targets, log
-// volume, instance choice, domain layouts, feeds, heartbeats, peers, the fleet view and settings.
+// Tests the smaller value types of a node on the hosted platform: stall detection, reports of lost
+// targets, log volume, instance choice, domain layouts, feeds, heartbeats, peers, the fleet view
+// and settings.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -80,7 +81,8 @@
     }
   }
   EXPECT_LE(alarms, 1);
-  // A member dies: this is still noticed before the caller sees a long gap.
+  // When a member of the replica dies, the stall is still noticed before the caller sees a long
+  // gap.
   now += 260ms;
   EXPECT_EQ(monitor.stalled(now).size(), 1U);
 }
@@ -131,17 +133,17 @@
   EXPECT_TRUE(suspected.contains(start, target_id{"x"}));
   EXPECT_TRUE(suspected.contains_any(start, {target_id{"z"}, target_id{"y"}}));
   EXPECT_FALSE(suspected.contains(start, target_id{"z"}));
-  // Only reports of hubs are passed on, and those only within the data centre; otherwise two hubs
-  // would keep each other's reports alive.
+  // Of the lost targets that peers report, only those that hubs report are passed on, and those
+  // only within the data centre; otherwise two hubs would keep each other's reports alive.
   EXPECT_EQ(suspected.reported_by_hubs(start), std::set<target_id>{target_id{"y"}});
-  // The hub withdraws its report.
+  // The hub withdraws its report of the lost target.
   suspected.store_report(start + 200ms, hub, true, {});
   EXPECT_FALSE(suspected.contains(start + 200ms, target_id{"y"}));
-  // A report that is not repeated expires, as that of a peer that has ended.
+  // A report of lost targets that is not repeated expires, as when the reporting peer has ended.
   EXPECT_FALSE(suspected.contains(start + lost_target_reports::retention, target_id{"x"}));
 }
 
-// ---- volume of the log ----
+// ---- limits on the volume of the log ----
 
 constexpr std::uint64_t hash_step = 0x9E3779B97F4A7C15;  // spreads evenly over all hashes
 
@@ -184,14 +186,15 @@
   ASSERT_TRUE(budget.spend(start, 2000));
   EXPECT_FALSE(budget.should_log_request(start, hash_step));
   EXPECT_TRUE(budget.spend(start, 200));
-  // These lines are limited, too: a fault that logs in a loop must not fill the collector's disk.
+  // Lines that belong to no request are limited, too: a fault that logs in a loop must not fill the
+  // log collector's disk.
   while (budget.spend(start, 200)) {
   }
   EXPECT_EQ(budget.lines_suppressed(), 1U);
   EXPECT_TRUE(budget.spend(start + 2s, 200));
 }
 
-// ---- instances of plain services ----
+// ---- instances of services that are not models ----
 
 service_instance instance(const std::string& id) {
   return {target_id{id}, {"10.0.0.1", 1}, data_centre_id{"a"}, 6};
@@ -221,7 +224,7 @@
   EXPECT_EQ(table.choose(start + 2s, two, data_centre_id{"a"}, {}), std::size_t{0});
 }
 
-// ---- domain layouts ----
+// ---- how many replicas of each model a fabric domain holds ----
 
 std::uint32_t total(const fleet_layout& layout, std::size_t model) {
   return std::accumulate(
@@ -267,7 +270,7 @@
   EXPECT_DOUBLE_EQ(replicas_after_losses(5, 8, 4, 1), 1);
   EXPECT_NEAR(replicas_after_losses(5, 8, 4, 2), (1 + 1 + 18 / 28.0) / 3, 1e-9);
   EXPECT_NEAR(replicas_after_losses(5, 8, 4, 3), (1 + 1 + 18 / 28.0 + 16 / 56.0) / 4, 1e-9);
-  // A domain of two engines that loses three has none left.
+  // A domain of two engines that loses three engines has none left.
   EXPECT_NEAR(replicas_after_losses(2, 2, 2, 3), 0.25, 1e-9);
 }
 
@@ -388,7 +391,7 @@
   peers.set_records(six_nodes());
   EXPECT_FALSE(peers.is_hub(start));
   peers.note_sent(start, node_id{"a1"});
-  // a1 never responds.
+  // Node a1 never responds.
   EXPECT_FALSE(peers.is_hub(start + 1s));
   EXPECT_TRUE(peers.is_hub(start + 2s));
   EXPECT_TRUE(peers.responsibilities(start + 2s, three).contains(data_centre_id{"a"}));
@@ -467,7 +470,7 @@
   EXPECT_EQ(second.recipients(start)[0], node_id{"a1"});
   EXPECT_EQ(third.recipients(start).size(), 2U);
 
-  // The store refuses all nodes: the one with the lowest name still manages the replicas.
+  // While the store refuses all nodes, the node with the lowest name still manages the replicas.
   second.set_refused_by_store(start, true);
   third.set_refused_by_store(start, true);
   third.received(start, node_id{"a2"}, refused_by_store);
@@ -515,7 +518,7 @@
   last.received(start, node_id{"a2"}, refused);
   last.set_refused_by_store(start + 100ms, false);
   EXPECT_EQ(last.hub_of(start + 100ms, data_centre_id{"a"}), node_id{"a1"});
-  // The store still refuses the others: this node becomes the hub.
+  // While the store still refuses the other nodes, this node becomes the hub.
   last.received(start + 600ms, node_id{"a1"}, refused);
   last.received(start + 600ms, node_id{"a2"}, refused);
   EXPECT_TRUE(last.is_hub(start + 100ms + peer_table::served_settle_time));
@@ -551,7 +554,8 @@
   fleet.apply_order(start + 3s, record.id, formed);
   fleet.replace_all(start + 8s, {{record, 40}});
   EXPECT_EQ(fleet.find(record.id)->record.member_of, formed);
-  // A newer row that was written before the order is ambiguous; one written after it is accepted.
+  // A row that is newer than the known one but was written before the order is ambiguous; a row
+  // written after the order is accepted.
   record.slots = 7;
   fleet.apply_record(start + 8s, record, 41, start + 1s);
   EXPECT_EQ(fleet.find(record.id)->record.member_of, formed);
@@ -609,20 +613,21 @@
     return serving_replicas(fleet, service_id{"s"}, model_id{"m"}, 3).size();
   };
   EXPECT_EQ(serving(), 1U);
-  // The list dropped a member: the replica serves as long as the member responds.
+  // After the list of targets dropped a member, the replica serves as long as that member responds.
   fleet.mark_unlisted(start, target_id{"i2"});
   EXPECT_EQ(serving(), 1U);
   fleet.probe_failed(start, target_id{"i2"});
   fleet.probe_failed(start, target_id{"i2"});
   EXPECT_EQ(serving(), 0U);
-  // Reports from others that it is not lost do not restore a target that is not in the list.
+  // Reports of other nodes that a target is not lost do not restore a target that is not in the
+  // list.
   fleet.apply_hub_losses(start + 10s, {});
   EXPECT_EQ(serving(), 0U);
 }
 
 TEST(FleetView, UnlistedHeadIsNotRoutedTo) {
-  // It may be leaving, and a request that is sent to it after the allowed delay violates a
-  // requirement.
+  // Guards against requests to a target that may be leaving: a request that is sent to it after the
+  // allowed delay violates a requirement.
   fleet_view fleet;
   target_record record;
   record.id = target_id{"i0"};
--- a/tests/core/hub_order_test.cpp
+++ b/tests/core/hub_order_test.cpp
@@ -53,7 +53,8 @@
   peer_table second = table_of("a9", strong);
   second.received(start, node_id{"a8"}, {.refused_by_store = true, .stamp_us = 1});
   EXPECT_TRUE(second.is_hub(start));
-  // Once the store serves the first node again, it becomes the hub and the second one stops.
+  // Once the store serves the first node again, that node becomes the hub and the second one stops
+  // being it.
   second.received(start + 1s, node_id{"a8"}, {.hub = true, .stamp_us = 2});
   EXPECT_FALSE(second.is_hub(start + 1s));
 }
@@ -75,14 +76,14 @@
   for (const node_record& n : many) {
     peers.note_sent(start, n.id);
   }
-  // The other nodes were sent heartbeats when they were assumed to be next, and respond now.
+  // Some nodes were sent heartbeats while they were assumed to be the next hub, and respond now.
   for (const node_record& n : many) {
     if (n.id.str() > "n102") {
       peers.received(start + 1s, n.id, {.refused_by_store = true, .stamp_us = 1});
     }
   }
   EXPECT_FALSE(peers.is_hub_or_next(start + 1s));
-  // Without heartbeats from others, a node sends to the first candidates only.
+  // A node that receives no heartbeats sends its own only to the first candidates for hub.
   peer_table idle(node_id{"n150"}, here, weak);
   idle.set_records(many);
   idle.set_refused_by_store(start, true);
@@ -97,7 +98,7 @@
 }
 
 TEST(HubOrder, OnlyAFewNodesOfAnUnreachableDataCentreAreSentHeartbeats) {
-  // The other data centre of a hub has 100 nodes, and none responds.
+  // A hub whose only other data centre has 100 nodes, none of which responds.
   std::vector<node_record> many;
   for (int i = 100; i < 200; ++i) {
     many.push_back({node_id{"n" + std::to_string(i)}, data_centre_id{"b"}, {}, {}, weak});
@@ -115,7 +116,7 @@
   EXPECT_TRUE(table_of("a8", strong).is_hub_or_next(start));
   EXPECT_TRUE(table_of("a9", strong).is_hub_or_next(start));
   EXPECT_FALSE(table_of("a1", weak).is_hub_or_next(start));
-  // If the store serves none of them, the first live nodes.
+  // If the store serves no node, heartbeats go to the first live nodes.
   peer_table second = table_of("a9", strong);
   second.set_refused_by_store(start, true);
   for (const char* name : {"a1", "a2", "a8"}) {
@@ -141,7 +142,8 @@
   EXPECT_TRUE(hub.is_alive(start, joined.id));
   const auto sent_to = hub.recipients(start);
   EXPECT_EQ(std::count(sent_to.begin(), sent_to.end(), joined.id), 1);
-  // Rows that do not contain it yet do not remove it; after they contained it, its removal does.
+  // Rows that do not contain the joining node yet do not remove it; once rows have contained it,
+  // its removal from them does.
   hub.set_records(nodes());
   EXPECT_TRUE(hub.is_alive(start, joined.id));
   EXPECT_EQ(std::count(hub.records().begin(), hub.records().end(), joined), 1);
--- a/tests/core/import_test.cpp
+++ b/tests/core/import_test.cpp
@@ -1,4 +1,5 @@
-// Import of inventory and rules: places of findings, invalid input, and the examples.
+// Tests the import of inventory and rules: the line and column of findings, invalid input, and the
+// example files.
 #include "version/import.h"
 
 #include <gmock/gmock.h>
@@ -208,8 +209,9 @@
   EXPECT_TRUE(has_errors(import_rules("a = " + std::string(100'000, '['), "r.toml").problems));
 }
 
-// The nesting of brackets and dotted keys adds up, since each pair of brackets may hold keys with
-// many dots. Brackets and dots inside strings and comments do not count.
+// The nesting depth of TOML text is limited over brackets and dotted keys together, since each pair
+// of brackets may hold keys with many dots. Brackets and dots inside strings and comments do not
+// count.
 TEST(import, nesting_is_counted_over_brackets_and_dots_together) {
   std::string dots = "a";
   for (int i = 0; i < 20; ++i) {
--- a/tests/core/list_budget_test.cpp
+++ b/tests/core/list_budget_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 TEST(ListBudget, SmallListIsSentToAllNodes) {
-  // Six nodes; a list of 57 targets.
+  // A hub sends a full list of 57 targets to six nodes.
   list_budget budget(20);
   budget.begin_round();
   for (int node = 0; node < 6; ++node) {
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -1,4 +1,5 @@
-// Liveness of peers, bounds on the age of messages, and votes on acting without the table.
+// Tests the liveness of peers, bounds on the age of messages, and the majority that nodes need to
+// act while the table service is unavailable.
 #include "process/membership.h"
 
 #include <gtest/gtest.h>
@@ -229,7 +230,7 @@
   }
 }
 
-// ---- acting without the table ----
+// ---- acting while the table is unavailable ----
 
 TEST(Votes, OfTwoNodesTheFirstCanActWithoutTheOther) {
   fake_data_centre dc(2, 0, 8);
@@ -248,7 +249,8 @@
   EXPECT_EQ(dc.node(0).peers->required_acknowledgers(2, dc.now).size(), 1U);
 }
 
-// A failed node must not block the others forever or prevent their repairs without the table.
+// Guards against a failed node that blocks the others forever, or prevents their repairs while the
+// table is unavailable.
 TEST(Votes, AFailedMinorityBlocksNothing) {
   fake_data_centre dc(5, 0, 9);
   dc.run_for(12s);
@@ -301,9 +303,9 @@
   EXPECT_EQ(dc.node(0).peers->acknowledged_by_all(2, dc.now), 2U);
 }
 
-// Guards against the same failure: B and C lose each other and report that to A; then both lose A
-// and the table, and reach each other again. Their earlier reports must not be used for a row that
-// neither of them knows.
+// Guards against one VM in two replicas: B and C lose each other and report that to A; then both
+// lose A and the table, and reach each other again. Their earlier reports must not be used for a
+// row that neither of them knows.
 TEST(Votes, AReportFromBeforeTheRowDoesNotCountForIt) {
   fake_data_centre dc(3, 0, 12);
   dc.run_for(12s);
@@ -319,7 +321,7 @@
   EXPECT_EQ(dc.node(0).peers->acknowledged_by_all(2, dc.now), 1U);
 }
 
-// Guards against the same failure: A and C replace a row while B is unreachable; C restarts,
+// Guards against one VM in two replicas: A and C replace a row while B is unreachable; C restarts,
 // reaches only B and gets the old row from it. C's echoes must not permit B to act, as C no longer
 // knows the new row.
 TEST(Votes, ResponsesOfARestartedUninformedNodeDoNotCount) {
@@ -334,7 +336,7 @@
   dc.cut_both(dc.ids()[2], dc.ids()[0]);
   dc.restore_links(dc.ids()[1], dc.ids()[2]);
   dc.node(2).up = false;
-  dc.run_for(100ms);  // until no message to it is in transit
+  dc.run_for(100ms);  // until no message to the restarted node is in transit
   dc.start(dc.ids()[2]);
   dc.node(2).can_read_table = false;
   dc.run_for(6s);
@@ -385,7 +387,8 @@
 }
 
 struct vote_counts {
-  std::uint64_t replaced = 0;  // rows older than this one are considered replaced everywhere
+  std::uint64_t replaced =
+      0;  // some node considers rows older than this version replaced on all nodes
   std::size_t acted = 0;
 };
 
--- a/tests/core/observations_test.cpp
+++ b/tests/core/observations_test.cpp
@@ -58,7 +58,7 @@
   return t.on_probe_result({vm, sent_at, unknown{"timeout"}}, sent_at + 500ms);
 }
 
-// ---- order ----
+// ---- order of messages ----
 
 // Guards against an outdated role that appears current, if an older report is reordered or arrives
 // late through a peer and the last message to arrive is used as the newest.
@@ -134,7 +134,7 @@
   EXPECT_FALSE(t.on_connection_error(vm, start + 310ms)) << "reported only once";
   EXPECT_EQ(t.condition(vm, start + 310ms), suspect);
   EXPECT_EQ(t.next_probes(start + 600ms).size(), 1U);
-  // Connection errors alone, even those of a second node, do not make it lost.
+  // Connection errors alone, even those of a second node, do not make a target lost.
   t.merge(heartbeat_with_failure(peer, 0ms, 0), composed(start + 400ms), start + 600ms);
   EXPECT_EQ(t.condition(vm, start + 610ms), suspect);
   t.on_probe_result({vm, start + 600ms, report()}, start + 610ms);
@@ -326,7 +326,7 @@
 
 // ---- several nodes ----
 
-// All nodes notice a dead target within the time limit, whichever node probes it.
+// Guards against a node that learns too late of a dead target that other nodes probe.
 TEST(Observations, ADeadTargetIsKnownEverywhereInTime) {
   duration worst{};
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -384,7 +384,8 @@
     total += dc.node(i).probes;
   }
   EXPECT_GE(total, 20 * 81 * 3 / 2U);
-  // An unreachable fabric domain, a third of the targets, does not raise the rate much.
+  // An unreachable fabric domain with a third of the targets does not raise the rate of probes
+  // much.
   for (std::size_t i = 0; i < 27; ++i) {
     dc.target(dc.vm(i)).up = false;
   }
@@ -489,7 +490,8 @@
   EXPECT_GT(checked, 10'000U);
 }
 
-// Without changes, nearly all observations are sent in short form.
+// Guards against heartbeats that repeat unchanged observations in full: without changes, nearly all
+// are sent in short form.
 TEST(Observations, IdleHeartbeatsAreShort) {
   fake_data_centre dc(21, 81, 5);
   dc.run_for(5s);
--- a/tests/core/orders_test.cpp
+++ b/tests/core/orders_test.cpp
@@ -1,4 +1,4 @@
-// Tests of orders: which are sent, by which node and how often.
+// Tests of orders from nodes to targets: which are sent, by which node and how often.
 #include "process/orders.h"
 
 #include <gmock/gmock.h>
--- a/tests/core/planner_cost_test.cpp
+++ b/tests/core/planner_cost_test.cpp
@@ -1,4 +1,5 @@
-// Processor time of a plan for one data centre of the fleet, and for one of ten times the size.
+// Limits the processor time of making a plan for one data centre of the fleet, and for one of ten
+// times the size.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -56,8 +57,8 @@
   return c;
 }
 
-// The bounds are far above the measured times: they detect a higher complexity, not a slowdown by a
-// constant factor.
+// The bounds on the planner's processor time are far above the usual times: they detect a higher
+// complexity, not a slowdown by a constant factor.
 TEST(planner_cost, milliseconds_and_near_linear) {
   for (const std::uint32_t vms_per_replica : {16U, 2U}) {
     const cost one = measure(5, vms_per_replica);
--- a/tests/core/planner_optimum_test.cpp
+++ b/tests/core/planner_optimum_test.cpp
@@ -19,7 +19,8 @@
   return counts;
 }
 
-// The largest number of replicas that fit, found by trying every way to fill the domains.
+// The largest number of replicas that fit into the fabric domains, found by trying every way to
+// fill them.
 std::size_t max_replicas(std::vector<std::size_t> domains,
                          std::vector<std::pair<std::size_t, int>> models) {
   std::size_t most = 0;
@@ -97,7 +98,7 @@
     short_of += w.serving() < most ? 1 : 0;
   }
   RecordProperty("short_of_optimum", short_of);
-  EXPECT_LT(short_of, 75);  // 5% of the cases
+  EXPECT_LT(short_of, 75);  // 5% of the cases may be below the optimum
 }
 
 }  // namespace
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -104,7 +104,8 @@
           << vm << " passes from " << found->second << " to " << owner << " undrained";
     }
     for (const withdrawal& w : in.current->withdrawals) {
-      const bool back = w.from == owner;  // a late record of the replica's own activation
+      const bool back =
+          w.from == owner;  // the replica's own activation of this VM is recorded late
       EXPECT_TRUE(w.vm != vm || back || w.since <= in.acknowledged)
           << vm << " reused before its withdrawal was acknowledged";
     }
@@ -179,7 +180,7 @@
   }
 }
 
-// Guards against rows that are written endlessly although nothing changes.
+// Guards against a planner that writes new rows endlessly although nothing changes.
 TEST_P(planner_history, stops_writing_rows) {
   rng random(GetParam() + 1000);
   for (int history = 0; history < 40; ++history) {
@@ -194,7 +195,8 @@
   }
 }
 
-// Seeds of histories that can make a planner lend capacity and take it back endlessly.
+// Seeds of histories in which a faulty planner lends VMs from one model to another and takes them
+// back endlessly.
 INSTANTIATE_TEST_SUITE_P(endless_lending, planner_history,
                          ::testing::Values<std::uint64_t>(150, 323, 468, 613));
 INSTANTIATE_TEST_SUITE_P(seeds, planner_history, ::testing::Range<std::uint64_t>(1, 41));
--- a/tests/core/planner_repair_test.cpp
+++ b/tests/core/planner_repair_test.cpp
@@ -10,7 +10,7 @@
 
 using testing::planner_simulation;
 
-// One domain with two replicas of three VMs each, and two further VMs.
+// One fabric domain with two replicas of three VMs each, and two further VMs.
 planner_simulation small_simulation() {
   planner_simulation w;
   w.add_domain(8);
@@ -223,7 +223,7 @@
 
   w.config.desired.models[0].version = "v3";
   planner_input in = w.input();
-  in.serving.pop_back();  // one still loads
+  in.serving.pop_back();  // one replica still loads
   EXPECT_FALSE(make_plan(in).changed);
 }
 
--- a/tests/core/planner_simulation.h
+++ b/tests/core/planner_simulation.h
@@ -1,4 +1,5 @@
-// A simulated data centre for planner tests: VMs, rules, the row, and the inputs of the planner.
+// A simulated data centre for planner tests: VMs, rules, the assignment row, and the other inputs
+// of the planner.
 #pragma once
 
 #include <algorithm>
@@ -17,9 +18,9 @@
   std::map<vm_id, vm_condition> conditions;
   std::vector<composition> in_force;
   std::vector<replica_demand> demand;
-  bool acknowledge = true;  // every live node acknowledges each row
+  bool acknowledge = true;  // whether every live node acknowledges each new row
   bool finish_drains = true;
-  std::vector<std::string> reasons;  // of the last plan
+  std::vector<std::string> reasons;  // reasons of the last plan for its changes
 
   planner_simulation() {
     row.data_centre = data_centre_id{"hall-a"};
@@ -95,7 +96,7 @@
     return in;
   }
 
-  // Plans once and writes the row; false if the plan changes nothing.
+  // Makes one plan and stores its row; false if the plan changes nothing.
   bool step() {
     const plan p = make_plan(input());
     reasons = p.reasons;
@@ -105,7 +106,7 @@
     return p.changed;
   }
 
-  // Plans until nothing changes. Returns the number of rows written, at most `limit`.
+  // Makes plans until one changes nothing. Returns the number of rows stored, at most `limit`.
   int settle(int limit = 50) {
     int rows = 0;
     while (rows < limit && step()) {
--- a/tests/core/planner_standby_test.cpp
+++ b/tests/core/planner_standby_test.cpp
@@ -1,4 +1,5 @@
-// Standbys: their cost compared with the downtime that they save, and which VMs are reserved.
+// Tests how many standbys are worthwhile, by their cost and the downtime that they save, and which
+// VMs are reserved as standbys.
 #include <gtest/gtest.h>
 
 #include "core/planner_simulation.h"
--- a/tests/core/poison_simulation.h
+++ b/tests/core/poison_simulation.h
@@ -22,8 +22,8 @@
   std::size_t heads = 13;
   std::size_t nodes = 6;  // two in each data centre; the first is its hub
   double requests_per_s = 165;
-  double popular_share = 0.05;  // of requests that many callers send identically
-  duration head_downtime = 3s;  // until an ended head serves again as a new incarnation
+  double popular_share = 0.05;  // share of requests that many callers send identically
+  duration head_downtime = 3s;  // time until an ended head serves again as a new incarnation
   poison_tracker_settings tracker;
   std::uint64_t seed = 1;
 };
@@ -38,7 +38,7 @@
     heads_.resize(settings.heads);
   }
 
-  // Called in each step to end heads or submit requests.
+  // Called in each step of the simulation, to end heads or submit requests.
   using fault = std::function<void(poison_simulation&)>;
 
   void run(duration length, const fault& each_step = {}) {
@@ -57,7 +57,7 @@
   [[nodiscard]] time_point now() const { return now_; }
   rng& random() { return random_; }
 
-  // Ends a head as by a kill; its runs are cut off.
+  // Ends the process of a head as a kill does; the requests that it runs are cut off.
   void end_head(std::size_t i) {
     head& h = heads_[i];
     if (now_ < h.up_at) {
@@ -90,7 +90,7 @@
   std::size_t any_node() { return static_cast<std::size_t>(random_.below(nodes_.size())); }
   std::size_t any_head() { return static_cast<std::size_t>(random_.below(heads_.size())); }
   [[nodiscard]] bool is_up(std::size_t i) const { return now_ >= heads_[i].up_at; }
-  // The head that runs this request; heads() if there is none.
+  // Index of the head that runs the request with this hash; heads() if there is none.
   [[nodiscard]] std::size_t head_of(std::uint64_t hash) const {
     for (const run_state& r : runs_) {
       if (r.fingerprint.hash == hash) {
@@ -105,7 +105,7 @@
     *nodes_[i] = {settings_.tracker,
                   "life-again-" + std::to_string(now_.time_since_epoch().count())};
   }
-  // Nodes of these data centres exchange no messages with the others.
+  // Data centres that are partitioned: their nodes exchange no messages with the others.
   std::set<std::size_t> cut_off;
 
   std::size_t submitted = 0;
@@ -231,7 +231,7 @@
     for (const run_state& r : done) {
       if (r.poison) {
         if (is_up(r.at_head)) {
-          runs_.push_back(r);  // cut off with the others there
+          runs_.push_back(r);  // end_head() cuts this run off with the head's others
           constexpr std::size_t crashes_before_bound = 3;
           if (++heads_ended_by[r.fingerprint.hash] == crashes_before_bound) {
             third_crash_at_[r.fingerprint.hash] = now_;
--- a/tests/core/poison_tracker_test.cpp
+++ b/tests/core/poison_tracker_test.cpp
@@ -18,7 +18,8 @@
   return target_id{"i-" + std::to_string(i)};
 }
 
-// The strike at target `i`: one a second, each run sent after the previous target had ended.
+// The strike of a request at target `i`: one a second, each run sent after the previous target had
+// ended.
 poison_strike strike_at(int i) {
   return {target(i), start + i * 1s, start + i * 1s + 300ms};
 }
@@ -54,7 +55,8 @@
   EXPECT_EQ(tracker.evaluate(last_end + 1s).size(), 1U);
 }
 
-// Guards against the quarantine of a request with many concurrent runs when a rack fails.
+// Guards against the quarantine of a harmless request that has many concurrent runs when a rack
+// fails.
 TEST(PoisonTracker, CrashesUnderConcurrentRunsAreOneEvent) {
   poison_tracker tracker;
   for (int i = 0; i < 8; ++i) {
@@ -106,7 +108,7 @@
   add_strikes(tracker, poison, 0, 3);
   EXPECT_TRUE(tracker.clear_request(start + 3s, poison));
   EXPECT_TRUE(tracker.all().at(poison).strikes.empty());
-  // Engines keep crashing under a request that succeeded a moment ago.
+  // Engines crash while they run a request that succeeded a moment ago.
   add_strikes(tracker, poison, 4, 40);
   EXPECT_TRUE(tracker.evaluate(start + 50s).empty());
   // A request that no longer succeeds, for example after a change of the engines, is still
@@ -207,7 +209,8 @@
   EXPECT_FALSE(decode_poison_row("\x96 damaged"));
 }
 
-// Guards against heartbeats that repeat rows the peer has, or never resend lost ones.
+// Guards against heartbeats that send poison rows again which the peer has, or never send lost ones
+// again.
 TEST(PoisonExchange, ResendsUntilAcknowledged) {
   poison_tracker tracker;
   add_strikes(tracker, poison, 0, 1);
@@ -218,7 +221,7 @@
   EXPECT_EQ(exchange.update_for(start + 1500ms, peer, tracker).rows.size(), 1U);
   exchange.acknowledged(peer, {"life-a", tracker.position()});
   EXPECT_TRUE(exchange.update_for(start + 4s, peer, tracker).rows.empty());
-  // The peer has restarted and has no rows.
+  // The peer has restarted and has no poison rows.
   exchange.acknowledged(peer, {});
   EXPECT_EQ(exchange.update_for(start + 6s, peer, tracker).rows.size(), 1U);
 }
@@ -257,7 +260,8 @@
   }
 }
 
-// A caller sends the same request every second, and its head is often ended for other reasons.
+// A caller sends the same harmless request every second, and the head that runs it is often ended
+// for other reasons.
 void end_under_one_caller(poison_simulation& w) {
   constexpr std::uint64_t hash = 7;
   if (is_multiple_of(w, 1s)) {
--- a/tests/core/replica_choice_test.cpp
+++ b/tests/core/replica_choice_test.cpp
@@ -1,4 +1,5 @@
-// Estimated response times of replicas and the choice by them, also under load.
+// Tests the estimated response times of replicas, and the choice of a replica by them, also under
+// load.
 #include "request/replica_choice.h"
 
 #include <gtest/gtest.h>
@@ -48,7 +49,8 @@
   const auto full = estimate(engine(), model, {27, 0}, {1000, 200}, 1, false);
   EXPECT_LT(idle.to_first_event, reading.to_first_event);
   EXPECT_LT(reading.to_first_event, full.to_first_event + 200ms);
-  // An idle replica prefills 1,000 tokens in 20 ms and runs a pass of seven steps of 6 ms.
+  // Expected time to the first event: an idle replica prefills 1,000 tokens in 20 ms and runs a
+  // pass of seven steps of 6 ms.
   EXPECT_NEAR(to_milliseconds(idle.to_first_event), 62, 5);
 }
 
--- a/tests/core/request_admission_test.cpp
+++ b/tests/core/request_admission_test.cpp
@@ -20,7 +20,7 @@
   return facts;
 }
 
-// One slot, taken by a request called "running".
+// Admission with one slot, taken by a request called "running".
 admission with_one_busy_slot(const admission_settings& settings = {}) {
   admission a(settings);
   EXPECT_TRUE(a.on_capacity(start, {1, 1, 0us}).empty());
@@ -108,7 +108,8 @@
   admission a;
   ASSERT_NE(refusal(a.submit(start, request("r"))), nullptr);
   EXPECT_EQ(refusal(a.submit(start, request("r")))->reason, reject_reason::no_capacity);
-  // A repair is expected to complete before the deadline: the request waits for it.
+  // A repair that restores capacity is expected to complete before the deadline, so the request
+  // waits for it.
   EXPECT_TRUE(a.on_capacity(start, {0, 0, 3s}).empty());
   EXPECT_TRUE(is_queued(a.submit(start, request("patient", "w", 0, 30s))));
   EXPECT_NE(refusal(a.submit(start, request("hasty", "w", 0, 4s))), nullptr);
@@ -147,8 +148,8 @@
     EXPECT_TRUE(a.finished(start + 20ms, request_id(std::to_string(i)), false).empty());
   }
   const std::vector<rejection> given_up = a.tick(start + 40ms);
-  // Ten seconds to start and two for each request: five can be served; up to twice as many may
-  // wait.
+  // Requests have a deadline of ten seconds to start and take two seconds each: five can start in
+  // time; up to twice as many may wait.
   EXPECT_GE(a.waiting(), 5U);
   EXPECT_LE(a.waiting(), 10U);
   EXPECT_EQ(given_up.size() + a.waiting(), 30U);
--- a/tests/core/request_answer_test.cpp
+++ b/tests/core/request_answer_test.cpp
@@ -1,4 +1,4 @@
-// Responses reach the right caller, complete and with each token once.
+// Tests that responses reach the right caller, complete and with each token once.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -78,7 +78,7 @@
         if (kind < 0.02) {
           EXPECT_NE(s.accept(other, at), token_status::deliver);
         } else if (kind < 0.05) {
-          ++at;  // lost
+          ++at;  // the token is lost
         } else {
           const std::uint64_t offset = kind < 0.1 ? random.below(at + 1) : at++;
           if (s.accept(mine, offset) == token_status::deliver) {
--- a/tests/core/request_keyed_fakes.h
+++ b/tests/core/request_keyed_fakes.h
@@ -1,4 +1,5 @@
-// Shared by the tests of keyed calls: an in-memory table and calls with the same key.
+// Shared by the tests of calls with an idempotency key: an in-memory table, and calls with the same
+// key.
 #pragma once
 
 #include <map>
--- a/tests/core/request_keyed_random_test.cpp
+++ b/tests/core/request_keyed_random_test.cpp
@@ -1,5 +1,5 @@
-// Keyed calls under random sequences of lost replies, late writes, outages, pauses, crashes and
-// calls with the same key on other nodes.
+// Calls with an idempotency key under random sequences of lost replies, late writes, outages,
+// pauses, crashes and calls with the same key on other nodes.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -15,11 +15,11 @@
 
 struct actor {
   keyed_call call;
-  std::int64_t skew{};  // of its wall clock
+  std::int64_t skew{};  // error of the node's wall clock
   bool paused = false;
   bool crashed = false;
   bool send_requested = false;
-  bool checked = false;  // may_send() returned true; the send follows directly
+  bool checked = false;  // may_send() returned true, and the call is sent next
   bool executed = false;
   int executions_seen = 0;
   std::vector<keyed_reply> replies{};
@@ -28,7 +28,8 @@
 struct table_call {
   std::size_t from{};
   keyed_effect asked;
-  bool replied = false;  // possibly as lost; a write may still take effect
+  bool replied =
+      false;  // the table call got a reply or counts as lost; a lost write may still take effect
   bool applied = false;
   outcome<table_written> written = unknown{"lost"};
   outcome<table_row> row = unknown{"lost"};
@@ -149,7 +150,8 @@
     } else if (a.send_requested && chance(0.5)) {
       a.send_requested = false;
       a.checked = a.call.may_send(now_);
-      a.paused = !settling_ && chance(0.3);  // between the check and the send
+      a.paused = !settling_ &&
+                 chance(0.3);  // the node is paused between the check of may_send() and the send
     } else {
       take(n, a.call.tick(now_, wall(a)));
     }
@@ -158,13 +160,13 @@
   void execute(std::size_t n) {
     actor& a = *actors_[n];
     a.checked = false;
-    if (chance(0.15)) {  // no connection
+    if (chance(0.15)) {  // the target could not be connected to
       take(n, a.call.ended(now_, wall(a), execution::not_run));
       return;
     }
     a.call.sent();
     if (chance(0.1)) {
-      take(n, a.call.ended(now_, wall(a), execution::not_run));  // refused by the target
+      take(n, a.call.ended(now_, wall(a), execution::not_run));  // the target refused the call
       return;
     }
     ++executions_;
@@ -176,7 +178,7 @@
     }
   }
 
-  // Without further faults, every call that did not crash has to finish.
+  // Runs without further faults, in which every call whose node did not crash has to finish.
   void settle() {
     table_unavailable_ = false;
     settling_ = true;
@@ -236,7 +238,7 @@
       }
     }
   }
-  // The sequences cover the relevant cases.
+  // Checks that the random sequences cover the relevant cases.
   EXPECT_GT(executed, 1000);
   EXPECT_GT(reported_not_run, 500);
   EXPECT_GT(taken_over, 100);
--- a/tests/core/request_keyed_test.cpp
+++ b/tests/core/request_keyed_test.cpp
@@ -7,7 +7,7 @@
 namespace arbutus {
 namespace {
 
-// One call with a table that replies immediately.
+// Runs one call with an idempotency key, with a table that replies immediately.
 struct driven_call {
   fake_table& table;
   keyed_call call;
@@ -133,8 +133,8 @@
   EXPECT_TRUE(second.replies.at(0).body.empty());
 }
 
-// Guards against refusing a call as a duplicate of itself: its insert takes effect, the reply is
-// lost, and the node mistakes its own record for that of another call.
+// Guards against refusing a call as a duplicate of itself: the insert of its record takes effect,
+// the reply is lost, and the node mistakes its own record for that of another call.
 TEST(Keyed, LostWriteReplyIsResolvedByReadingBack) {
   fake_table table;
   driven_call call(table, facts_of("n1", 1, time_point{} + 30s));
@@ -152,7 +152,7 @@
 TEST(Keyed, PausedOwnerNoticesThatItWasReplaced) {
   fake_table table;
   driven_call paused(table, facts_of("n1", 1, time_point{} + 60s));
-  paused.start();  // its record is in `sending` from here on
+  paused.start();  // the call's record is in state `sending` from here on
   fake_table table_before_sending;
   driven_call early(table_before_sending, facts_of("n1", 1, time_point{} + 60s));
   early.hold = true;
@@ -219,7 +219,7 @@
   driven_call call(table, facts_of("n1", 1, time_point{} + 60s));
   call.hold = true;
   call.start();
-  call.release();  // the record is in `sending`
+  call.release();  // the call's record is in state `sending`
   ASSERT_TRUE(call.send_requested);
   call.table_unavailable = true;
   call.take(call.call.ended(call.now, call.wall, execution::not_run));
@@ -234,8 +234,9 @@
   EXPECT_TRUE(again.send());
 }
 
-// As above, but the caller disconnects during the write to `sending`, which takes effect after the
-// call was given up. Its reply must not be mistaken for the reply to the write of `not_run`.
+// Guards against a call that was reported as not run but blocks its key: its caller disconnects
+// during the write to `sending`, which takes effect after the call was given up. The reply to that
+// write must not be mistaken for the reply to the write of `not_run`.
 TEST(Keyed, LateMarkOfUnsentCallIsClosed) {
   fake_table table;
   driven_call call(table, facts_of("n1", 1, time_point{} + 60s));
--- a/tests/core/request_limits_test.cpp
+++ b/tests/core/request_limits_test.cpp
@@ -1,4 +1,5 @@
-// Rate limits over six nodes that exchange messages, with network partitions.
+// Tests rate limits of workspaces over six nodes that lend shares to each other by messages, with
+// network partitions.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -53,9 +54,9 @@
   EXPECT_DOUBLE_EQ(limits.share(time_point{} + 1s, w), 20);
 }
 
-// Guards against exceeding a limit while a resumed node reads old messages: a lends to b; b is
-// paused with the message unread and resumes after the lease. The lease must not start when its
-// message is read.
+// Guards against exceeding a limit while a resumed node reads old messages: node a lends a part of
+// its share of the limit to b; b is paused with the message unread and resumes after the lease. The
+// lease must not start when its message is read.
 TEST(Limits, LeaseReadAfterADelayHasExpired) {
   const node_id a("a");
   const node_id b("b");
@@ -161,7 +162,7 @@
 TEST(Limits, FollowDemandAndStayBounded) {
   const std::vector<limit_phase_figures> figures = run_limits(5);
   for (const limit_phase_figures& f : figures) {
-    // A second may include the burst, a tenth of the limit, in addition to the rate.
+    // Requests in one second may include the burst, a tenth of the limit, in addition to the rate.
     EXPECT_LT(f.worst_second, 1.11) << f.phase;
     if (f.phase == "that demand, settled" || f.phase == "even demand, joined" ||
         f.phase == "cut in halves, all want 2x" || f.phase == "joined again") {
--- a/tests/core/request_prefix_test.cpp
+++ b/tests/core/request_prefix_test.cpp
@@ -1,4 +1,4 @@
-// Prefix hashes and the estimate of the replicas' cache contents.
+// Tests prefix hashes of prompts, and the estimate of what the replicas' prefix caches contain.
 #include <gtest/gtest.h>
 
 #include "request/prefix_hash.h"
--- a/tests/core/request_retry_test.cpp
+++ b/tests/core/request_retry_test.cpp
@@ -1,4 +1,4 @@
-// Outcomes, retries and hedging.
+// Tests outcomes of attempts, the retry budget, and hedging of slow requests.
 #include <gtest/gtest.h>
 
 #include <array>
--- a/tests/core/request_router_test.cpp
+++ b/tests/core/request_router_test.cpp
@@ -1,4 +1,5 @@
-// Routing: permission, estimates, and a comparison of the policies under load.
+// Tests routing of requests to replicas: permission, estimated times, and a comparison of the
+// policies under load.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -61,8 +62,8 @@
     ASSERT_TRUE(choice);
     ASSERT_EQ(choice->replica, only);
   }
-  // The only replica is chosen again after it was tried, but never after its permission has
-  // expired.
+  // If there is only one replica, it is chosen again after a failed attempt, but never after the
+  // permission to route to it has expired.
   ASSERT_TRUE(policy.choose(now, routes, request(), {}, tried_replicas(&only, 1)));
   routes.replicas[3].valid_until = now - 1us;
   EXPECT_FALSE(policy.choose(now, routes, request(), {}, {}));
@@ -88,7 +89,7 @@
   EXPECT_FALSE(choice->last_resort);
 }
 
-// Guards against all nodes sending to the replica that was idle at the last report.
+// Guards against all nodes sending requests to the replica that was idle at the last report.
 TEST(Router, OwnSendsCorrectTheReport) {
   routing_snapshot routes;
   routes.replicas = {route("a", 0), route("b", 2)};
@@ -117,7 +118,7 @@
     learn(policy, id, i < 4 ? 10s : 1s);
   }
   for (replica_route& r : routes.replicas) {
-    r.running = r.id.str() < "r4" ? 0 : 8;  // the fast ones have a queue
+    r.running = r.id.str() < "r4" ? 0 : 8;  // the fast replicas have a queue
   }
   const auto counts = count_choices(policy, routes);
   for (const auto& [id, count] : counts) {
@@ -208,7 +209,8 @@
   for (int i = 0; i < 50; ++i) {
     EXPECT_EQ(policy.choose(now, routes, f, {}, {})->replica.str(), "b");
   }
-  // Three of four slots in use, the others idle: no wait yet, but more than its share of the load.
+  // Three of this replica's four slots are in use and the other replicas are idle: requests would
+  // not wait yet, but the replica has more than its share of the load.
   routes.replicas[1].running = 3;
   int to_warm = 0;
   for (int i = 0; i < 300; ++i) {
--- a/tests/core/retry_window_test.cpp
+++ b/tests/core/retry_window_test.cpp
@@ -1,4 +1,4 @@
-// The budget of retries that all nodes share without communicating.
+// Tests the budget of retries that all nodes share without communicating.
 #include "request/retry_window.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   std::vector<retry_window> windows(nodes,
                                     retry_window({.ratio = ratio, .burst = burst, .nodes = nodes}));
   rng random(1);
-  std::vector<std::pair<time_point, bool>> sends;  // time, repeated
+  std::vector<std::pair<time_point, bool>> sends;  // time of each send, and whether it was a retry
   time_point now{1000s};
   for (int i = 0; i < 20000; ++i) {
     now += 3ms;
--- a/tests/core/send_limits_test.cpp
+++ b/tests/core/send_limits_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_EQ(limits.on_response(start + 1500ms, start + 3s, target, {}),
             send_limits::change::removed);
   EXPECT_TRUE(limits.may_send(start + 3s, target));
-  // An older observation of a peer does not restore the limit.
+  // An older observation of the limit by a peer does not restore it.
   limits.received(target, {2.0, start + 1s});
   EXPECT_TRUE(limits.may_send(start + 3s, target));
 }
@@ -80,11 +80,11 @@
   EXPECT_TRUE(receiver.receive(start, start, hub, "a", "me", three).empty());
   EXPECT_TRUE(receiver.receive(start, start, hub, "a", "me", {"me", {{target, 2}}}).empty());
   EXPECT_TRUE(receiver.receive(start, start, hub, "a", "me-again", three).empty());
-  // Grants in a heartbeat that was in transit for too long have expired.
+  // Grants of calls in a heartbeat that was in transit for too long have expired.
   const grant_update five{"me", {{target, 5}}};
   EXPECT_TRUE(receiver.receive(start, start + 2s, hub, "a", "me", five).empty());
   EXPECT_TRUE(receiver.receive(start + 2s, start + 2s, hub, "a", "me", five).empty());
-  // Another incarnation of the hub has its own totals.
+  // Another incarnation of the hub counts its grants from zero.
   EXPECT_EQ(receiver.receive(start, start, hub, "b", "me", {"me", {{target, 1}}}).at(target), 1U);
 }
 
@@ -108,9 +108,10 @@
     std::size_t data_centres = 3;
     std::size_t nodes_per_data_centre = 2;
     double limit = 2;
-    double calls_per_node = 15;    // calls a second of each node
-    double heartbeat_loss = 0.05;  // share of heartbeats that are lost
-    bool granted = true;           // false: each node applies the whole limit to itself alone
+    double calls_per_node = 15;    // calls per second of each node
+    double heartbeat_loss = 0.05;  // fraction of heartbeats that are lost
+    bool granted = true;  // whether hubs grant calls to nodes; false: each node applies the whole
+                          // limit to itself alone
     std::uint64_t seed = 1;
   };
 
@@ -179,7 +180,8 @@
     send_limits limits;
     send_grants grants;
     grant_receiver receiver;
-    std::vector<time_point> own_sends;  // used without grants
+    std::vector<time_point>
+        own_sends;  // calls that this node sent itself; counted when there are no grants
   };
   struct message {
     std::size_t from;
@@ -232,8 +234,8 @@
     }
   }
 
-  // The target is in the first data centre. The hub of a data centre that is partitioned from it
-  // issues grants as well.
+  // Issues grants of calls if node `i` is to do so. The target is in the first data centre, whose
+  // hub issues them; the hub of a data centre that is partitioned from it does so as well.
   void grant(std::size_t i) {
     node& n = *nodes_[i];
     const bool issues =
@@ -338,7 +340,7 @@
   std::size_t incarnations_ = 0;
 };
 
-// From here on all nodes know the limit.
+// Time from which on all nodes know the target's limit.
 constexpr time_point measured_from = start + 3s;
 
 TEST(LimitSimulation, NodesTogetherRespectAndUseTheLimit) {
@@ -390,7 +392,8 @@
   simulation.run(6s);
   simulation.set_partitioned(2, true);
   simulation.run(8s);
-  // Both sides reach the target, but not each other.
+  // Nodes of both sides of the partition reach the target, but not each other, so each side may use
+  // the whole limit.
   EXPECT_LE(simulation.max_in_four_seconds(measured_from), 2 * simulation.allowed());
   simulation.set_partitioned(2, false);
   simulation.run(2s);
--- a/tests/core/service_map_test.cpp
+++ b/tests/core/service_map_test.cpp
@@ -1,4 +1,4 @@
-// Lookups in an accepted version.
+// Tests lookups of services and routes in an accepted version of the configuration.
 #include "version/service_map.h"
 
 #include <gtest/gtest.h>
--- a/tests/core/serving_feed_test.cpp
+++ b/tests/core/serving_feed_test.cpp
@@ -102,13 +102,13 @@
 TEST(ServingFeed, NodeSeesTheReplicasOfItsHub) {
   hub_and_follower both{12};
   add_replica(both.hub_fleet, 0, 12, 7);
-  add_replica(both.hub_fleet, 20, 12, 8);          // spans two domains
-  both.hub_fleet.apply_record(start, engine(70));  // a spare
+  add_replica(both.hub_fleet, 20, 12, 8);          // the replica spans two fabric domains
+  both.hub_fleet.apply_record(start, engine(70));  // an engine that is a spare
   both.hub_fleet.set_slowdown_factor(engine(3).id, 1.5);
   both.send_heartbeat();
   expect_same(both);
   EXPECT_EQ(both.follower_fleet.find(engine(70).id), nullptr);
-  // Without changes nothing is sent.
+  // Without changes of replicas the hub sends no rows.
   EXPECT_EQ(both.send_heartbeat(), 0U);
 }
 
@@ -242,7 +242,7 @@
   }
   const std::size_t whole = both.send_heartbeat();
   EXPECT_EQ(both.follower_replicas().size(), static_cast<std::size_t>(replicas));
-  // All nodes get all rows within a second.
+  // All nodes get the rows of all serving replicas within a second.
   list_budget budget(200);
   std::size_t served = 0;
   for (int round = 0; round < 5; ++round) {
@@ -271,7 +271,8 @@
   EXPECT_FALSE(subscription.follows_records());
   subscription.update(start + 100ms, false, true);
   EXPECT_FALSE(subscription.follows_records());
-  // A single late heartbeat does not make it follow the records.
+  // A single late heartbeat does not make the node switch from the hub's rows to the targets' own
+  // records.
   subscription.update(start + 200ms, false, false);
   subscription.update(start + 300ms, false, true);
   subscription.update(start + 300ms + record_subscription::subscribe_after, false, true);
--- a/tests/core/settings_test.cpp
+++ b/tests/core/settings_test.cpp
@@ -126,7 +126,8 @@
   EXPECT_THAT(found, HasSubstr("id: \"n1\" is this node itself"));
 }
 
-// A value that is not the hash of any key would lock operators out without an error.
+// Guards against a value that is not the hash of any key, which would lock operators out without an
+// error.
 TEST(settings, the_operators_key_is_a_hash) {
   const std::string hash(64, 'a');
   EXPECT_EQ(load_settings(minimal_settings + "[operators]\nkey_hash = \"" + hash + "\"\n", "n.toml")
@@ -136,7 +137,8 @@
               HasSubstr("n.toml:12:12: error: [operators] key_hash"));
 }
 
-// Timing that all nodes of a data centre must share cannot be set for one of them.
+// Guards against a setting for timing that all nodes of a data centre must share: it cannot be set
+// for one node.
 TEST(settings, shared_timing_is_not_a_setting) {
   EXPECT_THAT(problems_of(minimal_settings + "[timing]\nprobe_ms = 500\n"), HasSubstr("probe_ms"));
 }
--- a/tests/core/summaries_test.cpp
+++ b/tests/core/summaries_test.cpp
@@ -1,4 +1,5 @@
-// Summaries of other data centres: how often they are sent, and how long they are valid.
+// Tests the summaries of capacity that data centres send each other: how often they are sent, and
+// how long they are valid.
 #include "process/summaries.h"
 
 #include <gtest/gtest.h>
--- a/tests/core/target_incarnation_test.cpp
+++ b/tests/core/target_incarnation_test.cpp
@@ -14,7 +14,8 @@
 
 constexpr time_point start{1h};
 const target_id first = incarnation_of("i-7", 1000);
-const target_id second = incarnation_of("i-7", 400);  // the wall clock went back meanwhile
+const target_id second =
+    incarnation_of("i-7", 400);  // the start time is lower, as after the wall clock was set back
 const target_id third = incarnation_of("i-7", 2000);
 
 target_record record_of(const target_id& incarnation) {
@@ -65,7 +66,8 @@
   EXPECT_FALSE(fleet.apply_record(start + 2s, late));
   EXPECT_EQ(fleet.current_incarnation("i-7"), second);
   EXPECT_TRUE(serving_replicas(fleet, service_id{"s"}, model_id{"m"}, 1).empty());
-  // Responses of the ended incarnation and failed probes of it have no effect either.
+  // Responses of the ended incarnation, and failed probes of it, do not change the state of the new
+  // one either.
   EXPECT_FALSE(fleet.apply_answer(start + 3s, start + 3s, second, {first, late.member_of, {}, 1}));
   fleet.probe_failed(start + 3s, first);
   fleet.probe_failed(start + 3s, first);
@@ -166,7 +168,7 @@
   fleet.apply_answer(time_point{3s}, time_point{3s}, before.id,
                      {before.id, other, model_id{"large"}});
   EXPECT_EQ(fleet.find(before.id), nullptr);
-  // The row of the ended engine expires later; until then it is in the list.
+  // The row of the ended engine stays in the list until it expires.
   fleet.replace_all(time_point{4s}, {{before, 5}, {after, 9}});
   EXPECT_EQ(fleet.find(before.id), nullptr);
   ASSERT_NE(fleet.find(after.id), nullptr);
--- a/tests/shell/cli_check_test.cpp
+++ b/tests/shell/cli_check_test.cpp
@@ -1,4 +1,4 @@
-// The `check` subcommand: findings, summary and exit status.
+// Tests the `check` subcommand: findings, summary and exit status.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
--- a/tests/shell/cli_log_test.cpp
+++ b/tests/shell/cli_log_test.cpp
@@ -1,4 +1,4 @@
-// Log lines: format, levels, and untrusted values.
+// Tests log lines: format, levels, and values from callers that must not forge lines.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
--- a/tests/shell/cli_options_test.cpp
+++ b/tests/shell/cli_options_test.cpp
@@ -1,4 +1,4 @@
-// The command line: parsed options, and the messages for invalid ones.
+// Tests the command line: parsed options, and the messages for invalid ones.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
--- a/tests/shell/connection_bad_http_test.cpp
+++ b/tests/shell/connection_bad_http_test.cpp
@@ -27,7 +27,8 @@
         });
   }
 
-  // Returns the complete response to `bytes`, and expects the server to close the connection.
+  // Sends `bytes` as a request, returns the complete response, and expects the server to close the
+  // connection.
   std::string answer_to(std::string_view bytes, bool end_after = false) {
     auto caller = raw_connection::to(server->port());
     caller.send(bytes);
--- a/tests/shell/connection_client_test.cpp
+++ b/tests/shell/connection_client_test.cpp
@@ -18,7 +18,7 @@
  protected:
   ~connection_client() override { join(); }
 
-  // Runs the script of the target in its own thread.
+  // Runs the script of the scripted target in a thread of its own.
   void run_target(std::function<void()> script) { thread = std::thread(std::move(script)); }
   void join() {
     if (thread.joinable()) {
--- a/tests/shell/connection_fixture.h
+++ b/tests/shell/connection_fixture.h
@@ -24,7 +24,7 @@
   return monotonic_now() + 10s;
 }
 
-// A value that threads and fibers change and for which the test's thread can wait.
+// A value that threads and fibers change, and whose changes the test's thread can wait for.
 template <class T>
 class awaitable_value {
  public:
@@ -46,8 +46,8 @@
     return value_;
   }
 
-  // Blocks the thread, so it must not be called on a thread that runs fibers. False after ten
-  // seconds.
+  // Waits until `holds(value)` is true; false after ten seconds. Blocks the thread, so it must not
+  // be called on a thread that runs fibers.
   template <class Predicate>
   [[nodiscard]] bool wait(Predicate&& holds) {
     std::unique_lock lock(mutex_);
