--- a/tests/shell/connection_http_test.cpp
+++ b/tests/shell/connection_http_test.cpp
@@ -42,8 +42,9 @@
   http_server server(runtime, any_port, {}, [&](const http_request&, response_writer& writer) {
     writer.start(200, {{"Content-Type", "text/event-stream"}});
     writer.write("one");
-    first_chunk_read.wait();  // the second chunk is written only after the first was read
-    writer.write("");         // must not end the stream
+    first_chunk_read
+        .wait();       // the second chunk is written only after the client has read the first one
+    writer.write("");  // an empty write must not end the stream
     writer.write("two");
     writer.finish();
   });
@@ -171,7 +172,8 @@
     EXPECT_EQ(result.outcome, call_outcome::unknown);
     EXPECT_EQ(result.failure, call_failure::cancelled);
   });
-  // The second caller sends its next request before it disconnects. That request must not be run.
+  // The second caller sends a further request on its connection before it disconnects. That request
+  // must not be run.
   const std::string get = "GET / HTTP/1.1\r\n\r\n";
   for (const auto& early : {std::string{}, get}) {
     handled = 0;
--- a/tests/shell/connection_link_test.cpp
+++ b/tests/shell/connection_link_test.cpp
@@ -70,7 +70,7 @@
   EXPECT_TRUE(client->send(frame_of("one"), frame_priority::state));
   EXPECT_TRUE(client->send(frame_of("two"), frame_priority::state));
   ASSERT_TRUE(received.wait_for({"a:one", "a:two"}));
-  EXPECT_EQ(client->counters().frames_out, 3U);  // with the hello
+  EXPECT_EQ(client->counters().frames_out, 3U);  // two frames and the hello
   EXPECT_EQ(client->counters().bytes_out, hello_of_a.size() + 14);
   EXPECT_EQ(server->counters().frames_in, 3U);
   EXPECT_EQ(server->counters().bytes_in, client->counters().bytes_out);
@@ -161,11 +161,11 @@
   const std::vector<std::string> invalid_hellos = {
       "GET / HTTP/1.1\r\n\r\n",  // its first bytes are not a valid length
       wire_of("\x02"
-              "a"),                             // another version of the protocol
-      wire_of("\x01"),                          // no name
-      wire_of("\x01" + std::string(256, 'a')),  // a name too long
-      std::string(4, '\0'),                     // an empty frame
-      hello_of_a.substr(0, 5),                  // half a hello, then nothing
+              "a"),                             // a hello of another version of the protocol
+      wire_of("\x01"),                          // a hello without a node name
+      wire_of("\x01" + std::string(256, 'a')),  // a hello with a node name that is too long
+      std::string(4, '\0'),                     // a frame of length 0
+      hello_of_a.substr(0, 5),                  // half of a hello, then nothing
   };
   for (const auto& hello : invalid_hellos) {
     auto caller = raw_connection::to(server->port());
--- a/tests/shell/connection_runtime_test.cpp
+++ b/tests/shell/connection_runtime_test.cpp
@@ -1,4 +1,4 @@
-// The fiber runtime: scheduling of fibers and timers on a worker.
+// Tests the fiber runtime: scheduling of fibers and timers on a worker thread.
 #include <boost/fiber/operations.hpp>
 #include <thread>
 #include <vector>
--- a/tests/shell/controller_simulation.h
+++ b/tests/shell/controller_simulation.h
@@ -76,20 +76,22 @@
     nodes_[node]->data_centres = {data_centre_id{data_centre}};
   }
 
-  // The engine dies without notice; the list drops it after three heartbeats.
+  // The engine dies without notice; the list of targets drops it after three missed heartbeats.
   void kill(const target_id& id) {
     dead_.insert(id);
     unlist_at_[id] = now_ + 3600ms;
   }
-  // The engine dies, and another one starts at its address. Reports do not name their sender.
+  // The engine dies, and another one starts at its address. Reports do not name their sender, so
+  // its answers look like those of the dead engine.
   target_id replace_engine(const target_id& id) {
     kill(id);
     const target_record& old = engines_.at(id).record();
     return add_engine(old.domain.str(), old.data_centre.str(), old.address);
   }
-  // The engine loses its connection to the list, which drops it, but continues to work.
+  // The engine loses its connection to the list of targets, which drops it, but the engine
+  // continues to work.
   void unlist_engine(const target_id& id) { unlist_at_[id] = now_; }
-  // The node receives no list updates and goes on deciding on its last view.
+  // The node receives no updates of the list of targets and goes on deciding on its last view.
   void block_list_updates(std::size_t node, bool blocked) {
     nodes_[node]->receives_list = !blocked;
   }
@@ -139,7 +141,7 @@
     return condition();
   }
 
-  // Number of open heads whose members are all present and alive.
+  // Number of serving replicas of the model: those with an open head and all members alive.
   [[nodiscard]] std::size_t serving(const model_id& model) const {
     std::size_t count = 0;
     for (const auto& [id, engine] : engines_) {
@@ -168,7 +170,8 @@
     const auto all = heads(model);
     return all.empty() ? target_id{} : all.front();
   }
-  // An open head in whose domain a spare is ready for its model; empty if there is none.
+  // Open head of a replica for which a spare with the same model is ready in the fabric domain;
+  // empty if there is none.
   [[nodiscard]] target_id head_with_spare() const {
     for (const model_id& model : {large, small}) {
       for (const auto& [id, engine] : engines_) {
@@ -210,7 +213,7 @@
     replica_controller controller;
     bool receives_list = true;
     bool partitioned = false;
-    // Last records received from the list.
+    // Last records of targets that the node received from the list.
     std::map<target_id, target_record> received_records = {};
     std::set<data_centre_id> data_centres = {data_centre_id{"a"}};
   };
@@ -278,7 +281,8 @@
     }
   }
 
-  // Like controller_loop: probes unlisted members of replicas, which may still work or be dead.
+  // As controller_loop does, probes members of replicas that are not in the list of targets, since
+  // they may still work or be dead.
   void probe_unlisted() {
     for (const auto& n : nodes_) {
       for (const auto& [id, engine] : engines_) {
@@ -308,8 +312,8 @@
     return nullptr;
   }
 
-  // Like controller_loop: a lost engine that answers a probe is reachable again. After a partition
-  // engines become reachable one by one, as connections are retried at different times.
+  // As controller_loop does, probes lost engines: one that answers is reachable again. After a
+  // partition engines become reachable one by one, as connections are retried at different times.
   void probe_lost() {
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       for (const auto& [id, engine] : engines_) {
@@ -388,7 +392,7 @@
     const auto before = engine.record().member_of;
     const auto members = engine.members();
     const order_outcome outcome = engine.execute(now_, order);
-    // No engine joins another replica while the head of its own serves.
+    // Checks that no engine joins another replica while the head of its own one serves.
     if (order.action == order_action::join && outcome == order_outcome::accepted && before &&
         before->replica != order.replica) {
       const standin::hosted_engine& head = find_engine(members.front());
@@ -401,7 +405,7 @@
     return outcome;
   }
 
-  // Orders and queries reach the engine of that name in any incarnation.
+  // The engine with the name in `id`: orders and queries reach it in any incarnation.
   [[nodiscard]] standin::hosted_engine& find_engine(const target_id& id) {
     const auto found = std::find_if(engines_.begin(), engines_.end(), [&id](const auto& entry) {
       return engine_of(entry.first) == engine_of(id);
@@ -424,7 +428,8 @@
     return true;
   }
 
-  // An open head whose replica was never complete would accept requests that cannot run.
+  // Checks the invariants. An open head whose replica was never complete would accept requests that
+  // cannot run.
   void check() {
     for (const auto& [id, engine] : engines_) {
       if (dead_.contains(id) || !engine.is_open()) {
--- a/tests/shell/cross_domain_replica_test.cpp
+++ b/tests/shell/cross_domain_replica_test.cpp
@@ -1,4 +1,5 @@
-// Replicas across fabric domains and data centres, with controllers that own some members each.
+// Tests replicas whose members are in several fabric domains or data centres, and whose replica
+// controllers each manage only some of the members.
 #include <gtest/gtest.h>
 
 #include "controller_simulation.h"
@@ -49,8 +50,8 @@
   sim.kill(sim.engine(sim.head(large)).members().back());
   sim.run(100ms);
   EXPECT_LT(sim.serving(large), before);
-  // It takes 3.6 s until the list drops the engine and 1 s to dissolve the replica and form it
-  // again.
+  // After an engine died, it takes 3.6 s until the list of targets drops it and 1 s to dissolve the
+  // replica and form it again.
   EXPECT_TRUE(sim.run_until([&] { return sim.serving(large) >= before; }, 6s));
 }
 
--- a/tests/shell/error_body_test.cpp
+++ b/tests/shell/error_body_test.cpp
@@ -1,4 +1,4 @@
-// Error answers of the HTTP server to requests that no handler answered.
+// Tests the error bodies that the HTTP server sends for requests that no handler answered.
 #include "node/error_body.h"
 
 #include <gtest/gtest.h>
--- a/tests/shell/explain_test.cpp
+++ b/tests/shell/explain_test.cpp
@@ -43,7 +43,8 @@
   std::ostringstream log_;
 };
 
-// One replica of the model with 16 slots and room for 2 more requests; answers take 2 s.
+// Fixture with one replica of the model, which has 16 slots and room for 2 waiting requests;
+// answers take 2 s.
 class ExplainLoad : public Explain {
  protected:
   ExplainLoad() : Explain({.engines_per_data_centre = 3, .events = 40, .event_gap = 50ms}) {}
@@ -87,7 +88,8 @@
   for (std::thread& t : threads) {
     t.join();
   }
-  // The nodes choose which streams are on that replica; they are the ones that ran twice.
+  // The nodes choose which streams run on the killed replica; these are the requests that ran
+  // twice.
   std::string moved;
   for (const auto& [id, count] : platform_.runs()) {
     moved = count > 1 ? id : moved;
--- a/tests/shell/hosted_fixture.h
+++ b/tests/shell/hosted_fixture.h
@@ -1,4 +1,4 @@
-// Fixture with two hosted nodes and a stand-in of the platform, over real sockets in one process.
+// Fixture with two nodes on a stand-in of the hosted platform, over real sockets in one process.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -27,8 +27,8 @@
   return !error;
 }
 
-// Tests run in parallel, and together with a soak whose nodes listen in the same range: ports that
-// another process uses are skipped.
+// Returns an unused port. Tests run in parallel, and together with a soak test whose nodes listen
+// in the same range, so ports that another process uses are skipped.
 inline std::uint16_t next_port() {
   static std::uint16_t port = static_cast<std::uint16_t>(20000 + (getpid() % 300) * 32);
   while (!is_free(port)) {
@@ -83,7 +83,7 @@
     return result;
   }
 
-  // Sends a request to the address for operators.
+  // Sends a request to the first node's address for operators and metrics.
   call_result send_operator_request(const std::string& method, const std::string& target) {
     http_request request;
     request.method = method;
--- a/tests/shell/hosted_limit_test.cpp
+++ b/tests/shell/hosted_limit_test.cpp
@@ -1,4 +1,5 @@
-// Two hosted nodes with targets that announce how many requests a second they accept.
+// Tests two nodes on the hosted platform whose targets announce how many requests per second they
+// accept.
 #include "hosted_fixture.h"
 
 namespace arbutus::testing_support {
@@ -56,8 +57,8 @@
   }
 };
 
-// Requests in four seconds with a limit of 5 a second: one and a half times the limit, and five
-// more.
+// Maximum number of requests that arrive in four seconds with a limit of 5 a second: one and a half
+// times the limit, and five more.
 constexpr std::size_t max_arrivals_with_limit_five = 35;
 
 TEST_F(HostedLimit, AllNodesTogetherRespectTheLimitOfATarget) {
@@ -65,7 +66,7 @@
   const time_point counted = announce_limit("5", "/card/1");
   const std::map<int, int> answers = send_load(8s, "/card/1");
   EXPECT_LE(max_at_a_target(counted), max_arrivals_with_limit_five);
-  // Requests above the limit are refused, and have no other outcome.
+  // Requests above the limit are refused with status 503, and have no other outcome.
   EXPECT_TRUE(answers.contains(503));
   EXPECT_EQ(answers.size(), 2U);
 }
--- a/tests/shell/hosted_node_test.cpp
+++ b/tests/shell/hosted_node_test.cpp
@@ -1,4 +1,4 @@
-// Hosted nodes with a stand-in of the platform, over real sockets in one process.
+// Tests nodes on a stand-in of the hosted platform, over real sockets in one process.
 #include "hosted_fixture.h"
 #include "node/hosted_state.h"
 #include "node/store_watch.h"
@@ -97,7 +97,8 @@
 }
 
 TEST_F(HostedNode, RevokedKeyIsRefusedWithinTheBound) {
-  // Guards against requests that run with a key that the newest version no longer has.
+  // Guards against requests that run with an API key that the newest version of the configuration
+  // no longer has.
   ASSERT_TRUE(serves());
   platform_.configure(false);
   EXPECT_TRUE(eventually([&] {
@@ -107,8 +108,8 @@
 }
 
 TEST_F(HostedNode, ConfigurationLargerThanOneReadTimeoutComesIntoForce) {
-  // At the rate below, the response takes 1.4 s to transfer, three times as long as a node waits
-  // for the store.
+  // At the rate below, the store's response takes 1.4 s to transfer, three times the read timeout
+  // of a node.
   ASSERT_TRUE(serves());
   constexpr std::size_t routes = 1400;
   platform_.set_store_rate(250'000);
@@ -133,7 +134,7 @@
 }
 
 TEST_F(HostedNode, WithheldListChangesNothing) {
-  // An update without rows because they are withheld must not count as an update: this node's list
+  // A hub's update whose rows are withheld must not count as an update: this node's list of targets
   // is as old as before.
   fiber_runtime own_runtime(1);
   hosted_state state(nodes_[0]->settings, own_runtime);
@@ -168,11 +169,11 @@
   EXPECT_EQ(state.configuration_rows.position(), 0U);
   EXPECT_EQ(state.target_rows.position(), 0U);
   EXPECT_FALSE(state.lease.age(now));
-  // Changes to a table that this node never had completely are ignored, too.
+  // Changes to a table whose full content this node never received are ignored, too.
   message.targets = feed_update{{{"i-1", "{}", 85, true}}, false, 90, 0, 0ms, false};
   watch.apply_hub_update(now, now, message);
   EXPECT_EQ(state.target_rows.position(), 0U);
-  // The full table is applied, and then changes that continue from it.
+  // The full content of the table is applied, and then the changes that continue from it.
   message.targets = feed_update{{{"i-1", "{}", 85, false}}, true, 90, 0, 0ms, false};
   watch.apply_hub_update(now, now, message);
   EXPECT_EQ(state.target_rows.position(), 90U);
@@ -201,17 +202,17 @@
   EXPECT_TRUE(state.fleet_known);
   EXPECT_NE(state.fleet.find(target_id{"i-7"}), nullptr);
   EXPECT_EQ(state.followed.at(), (serving_follower::position{"0a1b2c3d", 1}));
-  // The node may not control replicas with this data, and continues at the store from the position
-  // of its hub.
+  // The node may not control replicas with rows from its hub alone, and continues to read at the
+  // store from the hub's position.
   EXPECT_FALSE(state.fleet_complete);
   EXPECT_EQ(watch.records_position(), 0U);
   EXPECT_EQ(state.target_rows.position(), 90U);
-  // Rows of another incarnation of the hub do not continue from these.
+  // Rows of another incarnation of the hub do not continue from the rows received so far.
   message.incarnation = "4e5f6a7b";
   message.served = feed_update{{{"i-7", {}, 2, true}}, false, 2, 1, 0ms, false};
   watch.apply_hub_update(now, now, message);
   EXPECT_TRUE(state.fleet.find(target_id{"i-7"})->listed);
-  // With the full table the node may control replicas.
+  // With the full content of the table the node may control replicas.
   message.targets = feed_update{{}, true, 95, 0, 0ms, false};
   watch.apply_hub_update(now, now, message);
   EXPECT_TRUE(state.fleet_complete);
--- a/tests/shell/hosted_poison_test.cpp
+++ b/tests/shell/hosted_poison_test.cpp
@@ -1,4 +1,5 @@
-// Hosted nodes and poison requests, which crash the engines that run them; over real sockets.
+// Tests nodes on the hosted platform with poison requests, which crash the engines that run them;
+// over real sockets.
 #include <atomic>
 
 #include "hosted_fixture.h"
@@ -10,7 +11,8 @@
 constexpr const char* poison_stream = "/llm/poison";
 constexpr const char* poison_call = "/card/poison";
 
-// Crashes needed for a quarantine: this many on each node, if no node knows the strikes of others.
+// Crashes that a node has to see before it quarantines a request, if no node knows the strikes of
+// others.
 constexpr int crashes_before_quarantine = 4;
 constexpr int nodes_of_fixture = 2;
 // The operators' bound: from 3 s after the third crash, at most three visits (repetitions of the
@@ -37,7 +39,8 @@
 
   int crashes(const std::string& path) { return platform_.crashes()[path]; }
 
-  // Sends the request once more, to the nodes in turn. Returns whether it reached a target.
+  // Sends the poison request once more, as its caller does, to the nodes in turn. Returns whether
+  // it reached a target.
   bool visit(const std::string& path) {
     const std::string id = path + "-" + std::to_string(visits_);
     last_ = send_request(visits_ % nodes_of_fixture, path, id);
@@ -63,8 +66,8 @@
     return eventually([&] { return is_refused(path) && is_refused(path); });
   }
 
-  // Number of visits that reach a target within 3 s, in which a replica can form again several
-  // times.
+  // Number of repetitions of the request that reach a target within 3 s, in which a replica can
+  // form again several times.
   int late_visits(const std::string& path) {
     std::this_thread::sleep_for(bound_counts_after);
     const time_point from = monotonic_now();
@@ -76,7 +79,7 @@
     return reached;
   }
 
-  // Number of crashes within a second after every node refuses the request.
+  // Number of crashes that the request causes within a second after every node refuses it.
   int crashes_after_quarantine(const std::string& path) {
     const int before = crashes(path);
     const time_point from = monotonic_now();
@@ -114,7 +117,8 @@
 }
 
 TEST_F(HostedPoison, PoisonCallIsRefused) {
-  // The same for a plain service, whose only instance crashed eight times without a quarantine.
+  // Guards against a request that crashes the instances of a service that is not a model: without a
+  // quarantine, its only instance crashed eight times.
   ASSERT_TRUE(serves());
   repeat_visits(poison_call, [&] { return crashes(poison_call) >= crashes_of_bound; });
   const int late = late_visits(poison_call);
--- a/tests/shell/limit_exchange_test.cpp
+++ b/tests/shell/limit_exchange_test.cpp
@@ -1,4 +1,4 @@
-// When rate limit leases are sent to which peers.
+// Tests when a node sends leases of rate limits, and to which peers.
 #include "node/limit_exchange.h"
 
 #include <gtest/gtest.h>
@@ -47,7 +47,7 @@
   EXPECT_EQ(with_heartbeat->to, near_peer);
   EXPECT_FALSE(exchange->piggyback_message(start + 600ms, near_peer));
   EXPECT_EQ(receivers(exchange->take_messages(start + 1s)), (std::vector<node_id>{far_peer}));
-  // Without a heartbeat in the meantime, both peers get a separate message.
+  // If no heartbeat is sent in the meantime, both peers get a separate message about limits.
   EXPECT_EQ(receivers(exchange->take_messages(start + 2s)),
             (std::vector<node_id>{near_peer, far_peer}));
   EXPECT_TRUE(exchange->piggyback_message(start + 2500ms, near_peer));
--- a/tests/shell/load_checker_test.cpp
+++ b/tests/shell/load_checker_test.cpp
@@ -1,4 +1,5 @@
-// The checker of the guarantees detects each kind of violation, and reports no others.
+// Tests that the checker of load runs detects each kind of violated guarantee, and reports no
+// others.
 #include <gtest/gtest.h>
 
 #include "load/checker.h"
--- a/tests/shell/log_outcomes_test.cpp
+++ b/tests/shell/log_outcomes_test.cpp
@@ -1,4 +1,4 @@
-// Counts of request outcomes from the log lines of several nodes.
+// Tests the counts of request outcomes that are read from the log lines of several nodes.
 #include "node/log_outcomes.h"
 
 #include <gtest/gtest.h>
@@ -52,7 +52,7 @@
 }
 
 TEST(LogOutcomes, ShowsTheHighestReplicaCountOfAnyNode) {
-  // A partitioned node counts none although the model is served.
+  // A partitioned node reports no serving replicas although other nodes serve the model.
   const std::string text =
       read(line("10:00:00.000000", "a1", "fleet", "capacity", R"(,"model":"m","replicas":7)") +
            line("10:00:00.000000", "b1", "fleet", "capacity", R"(,"model":"m","replicas":0)"))
--- a/tests/shell/platform_mutation_test.cpp
+++ b/tests/shell/platform_mutation_test.cpp
@@ -1,5 +1,5 @@
-// Mutation tests of the parsers of external documents: bytes are changed, removed and duplicated at
-// random.
+// Mutation tests of the parsers of documents that other processes send: bytes are changed, removed
+// and duplicated at random.
 #include <gtest/gtest.h>
 
 #include <string>
--- a/tests/shell/platform_test.cpp
+++ b/tests/shell/platform_test.cpp
@@ -1,4 +1,4 @@
-// Parsing of the platform's documents and HTTP headers.
+// Tests the parsing of the platform's documents and HTTP headers.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -191,7 +191,7 @@
 }
 
 TEST(PlatformDialect, AcceptsOnlyASignedResponseToItsOwnRequest) {
-  // Guards against a caller that gets another caller's response, or one that no engine made.
+  // Guards against a caller that gets another caller's response, or one that no engine generated.
   const request_id id{"b7e2"};
   const http_headers signed_own = {{"X-Request-Id", "b7e2"}, {"X-Response-Seal", "s"}};
   EXPECT_EQ(read_response_fields(200, signed_own, id).kind, answer_kind::target_response);
--- a/tests/shell/raw_peer.h
+++ b/tests/shell/raw_peer.h
@@ -68,14 +68,14 @@
     }
   }
 
-  // Closes with a reset instead of an orderly close.
+  // Closes the connection with a TCP reset instead of an orderly close.
   void reset() {
     const linger reset_on_close{1, 0};
     ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     close();
   }
 
-  // Reads up to and including `mark`, or up to the end of the connection if that comes first.
+  // Reads bytes up to and including `mark`, or up to the end of the connection if that comes first.
   std::string read_until(std::string_view mark) {
     std::string seen;
     while (!seen.ends_with(mark)) {
@@ -104,7 +104,7 @@
     }
   }
 
-  // How the last read_all() ended: by an orderly close, a reset, or the timeout.
+  // How the last read_all() ended: by an orderly close or a reset of the peer, or by the timeout.
   [[nodiscard]] bool ended() const { return ended_; }
   [[nodiscard]] bool was_reset() const { return reset_; }
   [[nodiscard]] bool timed_out() const { return timed_out_; }
--- a/tests/shell/replica_controller_test.cpp
+++ b/tests/shell/replica_controller_test.cpp
@@ -81,7 +81,7 @@
     }
   }
   sim.run(5s);
-  // A spare may replace the member where there is one.
+  // Where a spare is ready, it may replace the member that the list dropped.
   EXPECT_GE(sim.serving(large) + sim.serving(small), before);
   EXPECT_GE(dropped, 4U);
 }
@@ -281,7 +281,7 @@
     ASSERT_GE(before, 4U);
     sim.set_partitioned(1, true);
     for (const target_id& id : sim.living()) {
-      sim.mark_lost(1, id);  // its streams stalled, and probes got no answer
+      sim.mark_lost(1, id);  // as if the engine's streams had stalled and probes had got no answer
     }
     sim.run(6s);
     sim.set_partitioned(1, false);
--- a/tests/shell/request_timeline_test.cpp
+++ b/tests/shell/request_timeline_test.cpp
@@ -1,4 +1,5 @@
-// Timelines of requests from log lines: which lines are included, and which cause is reported.
+// Tests timelines of requests made from log lines: which lines are included, and which cause is
+// reported.
 #include "node/request_timeline.h"
 
 #include <gmock/gmock.h>
@@ -84,8 +85,8 @@
 }
 
 TEST(RequestTimeline, IncludesTheStrikesOfARefusedPoisonRequest) {
-  // The same request came earlier with other ids, at other nodes, longer ago than the events that
-  // are included.
+  // An identical request came earlier with other ids, at other nodes, longer ago than the events
+  // that the timeline includes.
   const std::string fingerprint = R"("print":"00000000000000aa")";
   const std::string text =
       line("01.000000", "n-2",
--- a/tests/shell/standin_engine_test.cpp
+++ b/tests/shell/standin_engine_test.cpp
@@ -1,4 +1,4 @@
-// Tests of stand-in engines, single and in groups, in virtual time.
+// Tests of stand-in engines, single and as members of a replica, in virtual time.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -402,7 +402,8 @@
   EXPECT_EQ(head().take(now, submit(r), true).next_at, now + 3s);
   now += 3s;
   const batch_handle again = submit(r);
-  // The prompt is cached only when the first answer's tokens are taken, which has not happened yet.
+  // The prompt enters the prefix cache only when the first answer's tokens are taken, which has not
+  // happened yet.
   EXPECT_EQ(head().take(now, again, true).next_at, now + 3s);
   head().close(now, again);
   EXPECT_EQ(head().take(now, 1, true).state, stream_state::finished);
--- a/tests/shell/standin_http_test.cpp
+++ b/tests/shell/standin_http_test.cpp
@@ -107,7 +107,8 @@
             {}};
   }
 
-  // Call in a fiber. `on_token` is called after each event with text; false aborts the stream.
+  // Makes a streamed call; must run in a fiber. `on_token` is called after each event with text; if
+  // it returns false, the stream is aborted.
   answer stream(const http_request& request, const std::function<bool()>& on_token = {}) {
     answer a;
     std::string buffer;
@@ -264,7 +265,7 @@
     EXPECT_EQ(a.result.outcome, call_outcome::unknown);
     EXPECT_EQ(a.text, expected_answer(dispatch, "q1", 20));
   });
-  // At speed 0 a request that still held its slot would never end.
+  // The engine is stopped (speed 0), so a request that still held its slot would never end.
   fleet->set_straggler(a1, 0.0);
   await([&] { return fleet->report(a1).running == 0; });
 }
@@ -357,7 +358,7 @@
 TEST_F(standin_http, refuses_unknown_faults) {
   EXPECT_EQ(call(platform(), "POST", "/faults", R"({"table":{"dwon":true}})").response.status, 400);
   EXPECT_EQ(call(address(a1), "POST", "/faults", R"({"silnet":true})").response.status, 400);
-  // A command with one unknown name changes nothing.
+  // A fault command with one unknown name changes nothing.
   EXPECT_EQ(call(platform(), "POST", "/faults/vm/a2", R"({"killed":true,"zzz":1})").response.status,
             400);
   EXPECT_TRUE(call(address(a2), "GET", "/report").ok());
--- a/tests/shell/standin_store_test.cpp
+++ b/tests/shell/standin_store_test.cpp
@@ -42,8 +42,8 @@
   EXPECT_EQ(table.list(start, "c").keys, std::vector<std::string>{});
 }
 
-// The connection breaks after the write took effect and before the reply: the writer gets no
-// response, and its retry conflicts with its own write.
+// The connection to the table breaks after a write took effect and before the reply: the writer
+// gets no response, and its retry conflicts with its own write.
 TEST(standin_table, loses_the_reply_after_the_write_took_effect) {
   table_standin table;
   table.faults().lose_replies = 1;
@@ -101,8 +101,9 @@
   EXPECT_EQ(table.read(start, "k", data_centre_id{"hall-b"}).status, store_status::missing);
 }
 
-// The table restores its version counter with the rows: a backup is taken, a row is written, the
-// backup is restored and the row is written again. Both contents then have the same version.
+// The stand-in table restores its version counter with the rows: a backup is taken, a row is
+// written, the backup is restored and the row is written again. Both contents then have the same
+// version.
 TEST(standin_table, reuses_versions_after_an_old_copy_was_restored) {
   table_standin table;
   table.write(start, "k", "one", 0);
