--- a/src/cli/admin_client.cpp
+++ b/src/cli/admin_client.cpp
@@ -1,4 +1,4 @@
-// HTTP calls of the subcommands to nodes.
+// HTTP client that subcommands use to call the nodes' addresses for operators.
 #include "cli/admin_client.h"
 
 #include "connection/clock.h"
--- a/src/cli/hosted.cpp
+++ b/src/cli/hosted.cpp
@@ -1,5 +1,5 @@
-// The `hosted` subcommand: runs one node on a platform that stores the configuration and runs the
-// targets, until SIGTERM.
+// The `hosted` subcommand: runs one node on the hosted platform, which stores the configuration and
+// runs the targets, until SIGTERM.
 #include <boost/system/system_error.hpp>
 #include <iostream>
 
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -1,5 +1,5 @@
-// The `platform` subcommand: a stand-in for a platform that stores the configuration and runs the
-// targets.
+// The `platform` subcommand: runs a stand-in of the hosted platform, which stores the configuration
+// and runs the targets.
 #include <boost/system/system_error.hpp>
 #include <iostream>
 #include <optional>
--- a/src/cli/standin.cpp
+++ b/src/cli/standin.cpp
@@ -1,5 +1,5 @@
-// The `standin` subcommand: stand-ins for the platform and the targets of a configuration in a
-// process of their own, for trials and for process tests.
+// The `standin` subcommand: runs stand-ins for the platform and the targets of a configuration in a
+// process of their own, for trials and process tests.
 #include <boost/system/system_error.hpp>
 #include <iostream>
 
--- a/src/load/fault_injector.cpp
+++ b/src/load/fault_injector.cpp
@@ -1,4 +1,4 @@
-// Injects the faults of an experiment.
+// Injects the faults of an experiment into a fleet and undoes them.
 #include "load/fault_injector.h"
 
 #include <algorithm>
--- a/src/load/fleet.cpp
+++ b/src/load/fleet.cpp
@@ -1,4 +1,5 @@
-// A fleet of nodes and stand-ins inside this process.
+// Starts a fleet of nodes and stand-ins inside this process, and inspects its state for `trial` and
+// `load`.
 #include "load/fleet.h"
 
 #include <algorithm>
--- a/src/load/latency.cpp
+++ b/src/load/latency.cpp
@@ -1,4 +1,4 @@
-// Latency histograms.
+// Latency histograms: bins, quantiles and cumulative distribution.
 #include "load/latency.h"
 
 #include <algorithm>
--- a/src/load/results.h
+++ b/src/load/results.h
@@ -25,7 +25,7 @@
   duration ended_at{};     // when the call ended, after the start of the run
 };
 
-// Results of the measured calls of one workspace and class.
+// Results of the measured calls of one workspace and one request class.
 struct load_cell {
   latency_histogram first_token;  // time to the first token of streamed answers
   latency_histogram total;
@@ -54,7 +54,7 @@
   std::string text;
 };
 
-// Workspace and class, by name.
+// Names of a workspace and a request class.
 using cell_name = std::pair<std::string, std::string>;
 
 struct variant_result {
--- a/src/load/run.cpp
+++ b/src/load/run.cpp
@@ -1,4 +1,4 @@
-// Runs experiments.
+// Runs the variants of an experiment and collects their results.
 #include "load/run.h"
 
 #include <algorithm>
--- a/src/load/variant_run.cpp
+++ b/src/load/variant_run.cpp
@@ -1,4 +1,4 @@
-// Runs one round of one variant.
+// Runs one round of one variant of an experiment.
 #include "load/variant_run.h"
 
 #include <algorithm>
--- a/src/standin/service_standin.cpp
+++ b/src/standin/service_standin.cpp
@@ -1,4 +1,4 @@
-// Executes and records the calls of a stand-in service.
+// Executes and records the calls of a stand-in for a service that is not a model.
 #include "standin/service_standin.h"
 
 #include <algorithm>
--- a/src/standin/standin_answer.cpp
+++ b/src/standin/standin_answer.cpp
@@ -1,4 +1,4 @@
-// Produces the tokens of one answer in order, with its faults.
+// Produces the tokens of one answer of a stand-in engine in order, with the faults of that answer.
 #include "standin/standin_answer.h"
 
 #include <algorithm>
--- a/src/standin/standin_answer.h
+++ b/src/standin/standin_answer.h
@@ -18,7 +18,7 @@
   std::string prompt;
   std::uint32_t max_tokens = 16;
   std::uint32_t resume_offset{};   // number of tokens the caller already has
-  std::uint32_t priority{};        // requests with a lower number start first
+  std::uint32_t priority{};        // lower numbers start first, 0 before all others
   std::optional<duration> expiry;  // time from arrival after which a queued request is dropped
   replica_id replica;  // replica that the caller expects this engine to be in; empty: not specified
   std::string gen;     // fencing generation that the caller expects of the replica, as text; empty:
@@ -30,7 +30,7 @@
   std::string text;
 };
 
-// Faults of one answer.
+// Faults that a stand-in engine applies to one answer.
 struct answer_faults {
   time_point not_before;   // no token is sent before this time
   bool truncate = false;   // the answer ends after half of its tokens, without an end marker
--- a/tests/core/assignment_test.cpp
+++ b/tests/core/assignment_test.cpp
@@ -1,4 +1,5 @@
-// The assignment: generations, standby activations without the table, invariants, codec.
+// Tests the assignment row: fencing generations, standby activations while the table is
+// unavailable, invariants, encoding.
 #include "version/assignment.h"
 
 #include <gtest/gtest.h>
--- a/tests/core/config_replica_test.cpp
+++ b/tests/core/config_replica_test.cpp
@@ -1,4 +1,5 @@
-// Distribution of the configuration among nodes, and proposals that are never applied twice.
+// Tests the distribution of the configuration among nodes, and that proposals are never applied
+// twice.
 #include "process/config_replica.h"
 
 #include <gtest/gtest.h>
@@ -492,7 +493,7 @@
   EXPECT_EQ(table.row.head->proposals.size(), 2U);
   config_proposer late(proposal_id{"p3"}, "three", 1, 1);
   EXPECT_EQ(std::get<proposal_conflict>(run(late, table)).current->version, 2U);
-  // The table is an old copy: the proposer knows a newer version and does not write.
+  // The table was restored from an old copy: the proposer knows a newer version and does not write.
   config_proposer proposer(proposal_id{"p4"}, "four", 2, 5);
   EXPECT_EQ(std::get<proposal_conflict>(run(proposer, table)).current->version, 2U);
 }
--- a/tests/core/coordinator_random_test.cpp
+++ b/tests/core/coordinator_random_test.cpp
@@ -1,5 +1,5 @@
-// Random faults over bounded schedules: the invariants hold throughout, and all replicas serve
-// again after the faults have ended.
+// Tests with random faults in a limited time: the invariants hold throughout, and all replicas
+// serve again after the faults have ended.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
--- a/tests/core/coordinator_table_test.cpp
+++ b/tests/core/coordinator_table_test.cpp
@@ -5,9 +5,9 @@
 namespace arbutus::testing {
 namespace {
 
-// Guards against targets that refuse every order of a valid row. Two nodes without the table
-// replace a member that only they have lost; the third, unaware of it, writes a row for another
-// reason. The targets then obey a newer generation than the row's.
+// Guards against targets that refuse every order of a valid row. Two nodes that cannot reach the
+// table replace a member that only they have lost; the third, unaware of it, writes a row for
+// another reason. The targets then obey a newer generation than the row's.
 TEST_F(coordination, row_that_missed_an_activation_supersedes_it) {
   bring_up();
   const vm_id member = row_.replicas.front().members.back();
--- a/tests/core/engine_wire_test.cpp
+++ b/tests/core/engine_wire_test.cpp
@@ -1,4 +1,4 @@
-// Tests the encoding of reports and orders: round trips, and numbers out of range.
+// Tests the encoding of targets' reports and nodes' orders: round trips, and numbers out of range.
 #include "process/engine_wire.h"
 
 #include <gtest/gtest.h>
--- a/tests/core/hub_order_test.cpp
+++ b/tests/core/hub_order_test.cpp
@@ -1,4 +1,5 @@
-// Election of the hub of a data centre: the strongest live node that the store serves.
+// Tests the election of the hub of a data centre: the strongest live node whose requests the store
+// serves.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -116,7 +117,7 @@
   EXPECT_TRUE(table_of("a8", strong).is_hub_or_next(start));
   EXPECT_TRUE(table_of("a9", strong).is_hub_or_next(start));
   EXPECT_FALSE(table_of("a1", weak).is_hub_or_next(start));
-  // If the store serves no node, heartbeats go to the first live nodes.
+  // If the store serves no node, the first live nodes are the hub and the next hub.
   peer_table second = table_of("a9", strong);
   second.set_refused_by_store(start, true);
   for (const char* name : {"a1", "a2", "a8"}) {
--- a/tests/core/permission_test.cpp
+++ b/tests/core/permission_test.cpp
@@ -1,4 +1,4 @@
-// Conditions for permission to route to a replica; each test violates one of them.
+// Tests the conditions under which a node may route to a replica; each test violates one of them.
 #include "process/permission.h"
 
 #include <gmock/gmock.h>
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -1,4 +1,5 @@
-// Properties that hold for every plan, tested over seeded random histories.
+// Tests properties that hold for every plan of the planner, over seeded random histories of a data
+// centre.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/core/planner_repair_test.cpp
+++ b/tests/core/planner_repair_test.cpp
@@ -1,4 +1,5 @@
-// Repairs, handover of VMs, drains and rolling updates, one scenario per test.
+// Tests the planner's repairs, handover of VMs between replicas, drains and rolling updates, one
+// scenario per test.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/core/poison_tracker_test.cpp
+++ b/tests/core/poison_tracker_test.cpp
@@ -1,4 +1,5 @@
-// Tests strikes against requests and quarantines, in virtual time.
+// Tests the poison tracker in virtual time: strikes against requests whose targets crashed, and
+// quarantines.
 #include "process/poison_tracker.h"
 
 #include <gtest/gtest.h>
@@ -65,8 +66,8 @@
   EXPECT_TRUE(tracker.evaluate(start + 10s).empty());
 }
 
-// Guards against several crashes being counted as one: a target may be back before the list reports
-// its new incarnation.
+// Guards against several crashes being counted as one: a target may be back before the list of
+// targets reports its new incarnation.
 TEST(PoisonTracker, CrashesUnderAStaleTargetIdCountSeparately) {
   poison_tracker tracker;
   tracker.run_sent(start, target(0));
@@ -349,8 +350,8 @@
   }
 }
 
-// Guards against a bound that holds only while all nodes are connected: each side of a partition
-// needs its own strikes, but no more than that.
+// Guards against a bound on crashes that holds only while all nodes are connected: each side of a
+// partition needs its own strikes for a quarantine, but no more than that.
 TEST(PoisonWorld, EachSideOfAPartitionNeedsItsOwnStrikes) {
   poison_simulation w({});
   w.poison_hashes = {42};
--- a/tests/core/request_admission_test.cpp
+++ b/tests/core/request_admission_test.cpp
@@ -1,4 +1,5 @@
-// Admission control in virtual time: order, fairness, refusal by deadline, and estimates.
+// Tests admission control of requests in virtual time: order, fairness, refusal by deadline, and
+// estimates.
 #include <gtest/gtest.h>
 
 #include "request/admission.h"
--- a/tests/shell/connection_bad_http_test.cpp
+++ b/tests/shell/connection_bad_http_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server with callers that are broken, slow or malicious.
+// Tests the HTTP server with callers that are broken, slow or malicious.
 #include <string>
 #include <vector>
 
--- a/tests/shell/connection_client_test.cpp
+++ b/tests/shell/connection_client_test.cpp
@@ -1,4 +1,4 @@
-// Outcomes of failed calls of the HTTP client, against targets scripted with raw sockets.
+// Tests the outcomes of failed calls of the HTTP client, against targets scripted with raw sockets.
 #include <thread>
 
 #include "connection/http_client.h"
--- a/tests/shell/connection_http_test.cpp
+++ b/tests/shell/connection_http_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP client with the HTTP server, callers that disconnect, and draining.
+// Tests the HTTP client with the HTTP server, callers that disconnect, and draining of the server.
 #include <boost/fiber/future.hpp>
 #include <set>
 
--- a/tests/shell/connection_link_test.cpp
+++ b/tests/shell/connection_link_test.cpp
@@ -1,4 +1,5 @@
-// Links between nodes, with real peers and with peers scripted with raw sockets.
+// Tests the connections (links) between nodes, with real peers and with peers scripted with raw
+// sockets.
 #include "connection/frame_queue.h"
 #include "connection/link.h"
 #include "shell/connection_fixture.h"
--- a/tests/shell/controller_simulation.h
+++ b/tests/shell/controller_simulation.h
@@ -439,7 +439,8 @@
       ASSERT_FALSE(is_spare_name(key.name)) << "a spare serves";
       for (const target_id& member : engine.members()) {
         const auto found = engines_.find(member);
-        // A member that has restarted since it was ready is a loss, not an error of the controller.
+        // A member that has restarted since it was ready is a lost member, not an error of the
+        // controller.
         ASSERT_TRUE(found == engines_.end() || found->second.was_ready_in(key))
             << member << " was never ready in " << key.name << " epoch " << key.epoch;
       }
--- a/tests/shell/load_experiment_test.cpp
+++ b/tests/shell/load_experiment_test.cpp
@@ -1,4 +1,4 @@
-// Experiment files, the calls planned from them, and a short run of an experiment.
+// Tests experiment files, the calls planned from them, and a short run of an experiment.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
