--- a/src/load/experiment.h
+++ b/src/load/experiment.h
@@ -40,9 +40,8 @@
   std::uint32_t callers = 16;  // number of callers with closed-loop arrivals
   std::uint32_t prompt_tokens = 200;
   std::uint32_t answer_tokens = 50;
-  double streamed = 0.5;  // fraction of the model calls that request a streamed answer
-  std::uint32_t sessions =
-      4;  // sessions of each workspace; the calls of one session share a prompt prefix
+  double streamed = 0.5;       // fraction of the model calls that request a streamed answer
+  std::uint32_t sessions = 4;  // per workspace; the calls of one session share a prompt prefix
   double shared_prefix = 0.5;  // fraction of each prompt that the calls of a session share
   double bookings_per_second =
       0;  // calls with an idempotency key to the service, in addition to `rate`
--- a/tests/core/observations_test.cpp
+++ b/tests/core/observations_test.cpp
@@ -490,7 +490,7 @@
   EXPECT_GT(checked, 10'000U);
 }
 
-// Guards against heartbeats that repeat unchanged observations in full: without changes, nearly all
+// Guards against heartbeats that carry unchanged observations in full: without changes, nearly all
 // are sent in short form.
 TEST(Observations, IdleHeartbeatsAreShort) {
   fake_data_centre dc(21, 81, 5);
