--- a/src/base/finding.h
+++ b/src/base/finding.h
@@ -11,8 +11,8 @@
 
 struct place {
   std::string file;
-  std::uint32_t line{};    // 1-based; 0: the whole file
-  std::uint32_t column{};  // 1-based; 0: the whole line
+  std::uint32_t line{};    // line number from 1; 0: the whole file
+  std::uint32_t column{};  // column number from 1; 0: the whole line
   auto operator<=>(const place&) const = default;
 };
 
@@ -21,7 +21,7 @@
 struct finding {
   severity level = severity::error;
   place where;
-  std::string message;   // what is wrong
+  std::string message;   // what is wrong at this place
   std::string expected;  // what would be valid; may be empty
 };
 
--- a/src/base/id.h
+++ b/src/base/id.h
@@ -38,15 +38,16 @@
 using replica_id = name_id<struct replica_tag>;
 using service_id = name_id<struct service_tag>;
 using node_id = name_id<struct node_tag>;
-// One incarnation of a target's process: a restart at the same address is another target.
+// Identifies one incarnation of a target's process: after a restart at the same address it is
+// another target.
 using target_id = name_id<struct target_tag>;
 
-// Identifies one request from its first hop to its last.
+// Identifies one request on all nodes and targets that it passes.
 using request_id = name_id<struct request_tag>;
-// Sent by the caller so that a repeated call is recognised.
+// Key that a caller sends with a call, so that nodes recognise a repetition of the call.
 using idempotency_key = name_id<struct idempotency_key_tag>;
-// Identifies one attempt to change a row. If the reply is lost, the proposer reads the row back and
-// looks for this id.
+// Identifies one attempt to change a row of the platform's table. If the reply to the write is
+// lost, the proposer reads the row back and looks for this id.
 using proposal_id = name_id<struct proposal_tag>;
 
 }  // namespace arbutus
--- a/src/cli/bench.cpp
+++ b/src/cli/bench.cpp
@@ -78,7 +78,8 @@
   return control_signature(nodes, targets, seed);
 }
 
-// ---- the long tables of --full: measurements on this machine, not part of the signature ----
+// ---- long tables, printed with --full: measurements on this machine, not part of the signature
+// ----
 
 void print_connections(std::ostream& out, const bench_options& options) {
   print(out, bench_connections(options.length));
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -47,7 +47,7 @@
   std::vector<std::string> data_centres;
   std::uint32_t engines_per_data_centre = 9;  // engines in each data centre
   std::uint16_t store_port = 0;               // port of the store; 0: any free port
-  std::uint16_t control_port = 0;             // for commands that inject faults; 0: none
+  std::uint16_t control_port = 0;             // port for commands that inject faults; 0: none
 };
 
 // Shows the timeline of one request, from the log lines of all nodes.
@@ -79,17 +79,17 @@
 };
 
 struct bench_options {
-  std::string filter;    // part of a benchmark's name; empty: all
-  bool full = false;     // also print the long tables
+  std::string filter;    // runs the benchmarks whose name contains this text; empty: all
+  bool full = false;     // whether to print the long tables of measurements, too
   duration length = 1s;  // duration of each connection measurement in the long tables
   std::uint64_t seed = 1;
 };
 
 struct load_options {
   std::string experiment_file;
-  std::string out_directory;          // for the result files; empty: none are written
+  std::string out_directory;          // directory for the result files; empty: none are written
   std::vector<std::string> variants;  // names of the variants to run; empty: all
-  std::uint64_t seed = 0;             // 0: the seed of the experiment file
+  std::uint64_t seed = 0;  // seed of the random choices; 0: the one in the experiment file
   bool json = false;
 };
 
--- a/src/cli/load.cpp
+++ b/src/cli/load.cpp
@@ -36,7 +36,7 @@
   }
 }
 
-// A progress line that overwrites itself; shown on a terminal only.
+// Progress line of a load run that overwrites itself; shown on a terminal only.
 class progress_line {
  public:
   explicit progress_line(bool shown) : shown_(shown) {}
--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -30,7 +30,8 @@
     std::cout << std::fixed << std::setprecision(2) << std::setw(6)
               << to_seconds(monotonic_now() - begun_) << " s  " << text << std::endl;
   }
-  // Waits until `holds` returns true and prints how long it took; fails after `step_timeout`.
+  // Waits until `holds` returns true and prints how long that took; the step fails after
+  // `step_timeout`.
   bool wait(const std::string& what, const std::function<bool()>& holds) {
     const time_point from = monotonic_now();
     while (!holds()) {
--- a/src/load/caller.h
+++ b/src/load/caller.h
@@ -1,4 +1,4 @@
-// One call as a caller makes it: sends the request, parses the answer and records the times.
+// Makes one call of a load run: sends the request, parses the answer and records the times.
 #pragma once
 
 #include <string>
--- a/src/load/fault_injector.h
+++ b/src/load/fault_injector.h
@@ -28,7 +28,7 @@
   // Undoes all remaining faults and waits for planned stops.
   void finish(duration elapsed);
 
-  // The faults injected and undone so far, with their times.
+  // Injections and undoings of faults so far, with their times.
   [[nodiscard]] const std::vector<fault_event>& events() const { return events_; }
   // Number of planned stops of nodes that interrupted requests.
   [[nodiscard]] std::size_t unclean_stops() const { return unclean_stops_; }
--- a/src/load/fleet.h
+++ b/src/load/fleet.h
@@ -17,14 +17,14 @@
 
 namespace arbutus {
 
-// A calling workspace. Its key is valid in this process only.
+// A workspace whose callers send requests. Its API key is valid in this process only.
 struct fleet_workspace {
   std::string name;
   std::string key;
   double share = 1.0;
 };
 
-// What the fleet consists of. All data centres are alike.
+// What a fleet of nodes and stand-ins consists of. All data centres are alike.
 struct fleet_spec {
   std::size_t data_centres = 3;
   std::size_t nodes_per_data_centre = 2;
--- a/src/load/variant_run.h
+++ b/src/load/variant_run.h
@@ -21,7 +21,7 @@
   variant_run(const variant_run&) = delete;
   variant_run& operator=(const variant_run&) = delete;
 
-  // May be called only once.
+  // Runs the round and returns its results. May be called only once.
   variant_result run(const std::function<void(const load_progress&)>& on_progress);
 
  private:
@@ -53,7 +53,7 @@
   const variant& variant_;
   std::uint32_t round_;
   std::vector<planned_call> plan_;
-  std::unique_ptr<fleet> fleet_;  // null if existing nodes are called
+  std::unique_ptr<fleet> fleet_;  // fleet in this process; null if existing nodes are called
   fiber_runtime callers_;
   std::unique_ptr<http_client> client_;
   std::vector<std::unique_ptr<shard>> shards_;
@@ -66,8 +66,9 @@
   variant_result result_;
 
   time_point start_;
-  std::atomic<std::uint64_t> next_target_{0};  // counter for round robin over the targets
-  std::atomic<std::uint64_t> serial_{0};       // counter for the request ids that this run assigns
+  std::atomic<std::uint64_t> next_target_{
+      0};  // counter for the round robin over the called nodes or engines
+  std::atomic<std::uint64_t> serial_{0};  // counter for the request ids that this run assigns
   std::atomic<std::uint64_t> begun_{0};
   std::atomic<std::uint64_t> ended_{0};
   std::atomic<std::uint64_t> incomplete_calls_{0};
--- a/src/standin/batch_standin.cpp
+++ b/src/standin/batch_standin.cpp
@@ -21,13 +21,14 @@
 // Used as an infinite time: longer than any test, and still representable in microseconds.
 constexpr double max_seconds = 1e9;
 
-// Rounds up, so that the job has produced the requested number of tokens when this time has passed.
+// Rounds seconds up to a duration, so that the job has produced the requested number of tokens when
+// this time has passed.
 duration round_up(double seconds) {
   return duration{static_cast<duration::rep>(std::ceil(std::min(seconds, max_seconds) * 1e6))};
 }
 
-// Rounds down, so that a finished job does not hold its slot while others wait; at least 1 us, so
-// that time always advances.
+// Rounds seconds down to a duration, so that a finished job does not hold its slot while others
+// wait; at least 1 us, so that time always advances.
 duration round_down(double seconds) {
   return std::max(duration{1}, from_seconds(std::min(seconds, max_seconds)));
 }
--- a/src/standin/hosted_engine.h
+++ b/src/standin/hosted_engine.h
@@ -54,7 +54,8 @@
 
   void set_draining() { record_.draining = true; }
 
-  // Restarts as another incarnation: everything is lost except the weights on its host.
+  // Restarts the engine as another incarnation: it loses everything except the weights staged on
+  // its host.
   void restart_as(const target_id& incarnation);
 
  private:
--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -545,7 +545,7 @@
 
   fiber_runtime& runtime;
   hosted_platform_settings settings;
-  mutable std::mutex mutex;  // guards the data below; never held across a wait
+  mutable std::mutex mutex;  // guards the data below; never locked while a handler waits
   std::map<std::string, std::map<std::string, stored_row>> tables;
   std::uint64_t version = 0;
   std::uint64_t config_version = 0;
--- a/src/standin/hosted_platform.h
+++ b/src/standin/hosted_platform.h
@@ -27,8 +27,8 @@
   std::uint16_t store_port = 0;  // port of the store; 0: any free port
   int events = 10;               // number of events in each streamed answer
   duration event_gap = 20ms;
-  duration crash_delay = 15ms;     // from the start of a poison request to the crash
-  duration restart_delay = 600ms;  // from a crash to the restart
+  duration crash_delay = 15ms;     // time from the start of a poison request to the crash
+  duration restart_delay = 600ms;  // time from a crash to the restart
   hosted_engine_settings engine = {.rejoin_time = 50ms,
                                    .warm_load_time = 200ms,
                                    .load_time = 300ms,
@@ -90,7 +90,8 @@
   // How often requests with a poison path crashed an engine or the service that is not a model, by
   // path.
   [[nodiscard]] std::map<std::string, int> crashes() const;
-  // Number of requests whose headers contained a caller's key or lacked the workspace.
+  // Number of requests that reached targets with a caller's API key or without the workspace in
+  // their headers.
   [[nodiscard]] int header_violations() const;
 
  private:
--- a/src/standin/platform_server.h
+++ b/src/standin/platform_server.h
@@ -39,7 +39,8 @@
 
 class platform_server {
  public:
-  // `other_faults` handles POST /faults/NAME; see standin_fleet. `platform` outlives the server.
+  // `other_faults` handles POST /faults/NAME, which sets the faults of engines and services; see
+  // standin_fleet. `platform` outlives the server.
   using fault_handler = std::function<void(const http_request&, response_writer&)>;
   platform_server(fiber_runtime& runtime, const socket_address& address, platform_standin& platform,
                   fault_handler other_faults = {});
--- a/src/standin/store_fault_model.h
+++ b/src/standin/store_fault_model.h
@@ -14,13 +14,13 @@
 
 struct store_faults {
   bool down = false;
-  time_point down_until;             // the store is also down before this time
+  time_point down_until;             // the store is down until this time even if `down` is false
   duration latency{};                // latency of every response
   double writes_per_second = 0;      // limit on the rate of writes; 0: no limit
   double reads_per_second = 0;       // limit on the rate of reads; 0: no limit
   std::uint64_t lose_requests = 0;   // number of upcoming writes lost before they take effect
   std::uint64_t lose_replies = 0;    // number of upcoming writes whose reply is lost
-  double lose_fraction = 0;          // fraction of all further writes whose reply is lost
+  double lose_fraction = 0;          // fraction of all other writes whose reply is lost
   std::set<data_centre_id> cut_off;  // data centres that cannot reach the store
 };
 
--- a/tests/core/assignment_test.cpp
+++ b/tests/core/assignment_test.cpp
@@ -80,7 +80,7 @@
   EXPECT_FALSE(activate(r, 5, 0b0011));   // two members lost, but only one standby
   EXPECT_FALSE(activate(r, 5, 0b1001));   // the standby is lost, too
   EXPECT_FALSE(activate(r, 5, 0b10000));  // the mask names a position that no member or standby has
-  EXPECT_FALSE(activate(r, 2, 0b0001));   // a row older than the composition
+  EXPECT_FALSE(activate(r, 2, 0b0001));   // the row is older than the composition
   EXPECT_FALSE(activate(make_replica("r", 16, 17), 5, 1));
 }
 
--- a/tests/core/assignment_writer_test.cpp
+++ b/tests/core/assignment_writer_test.cpp
@@ -98,7 +98,7 @@
 TEST_F(assignment_writing, outdated_read_is_not_a_restored_copy) {
   tick();
   answer_read(3, row_of(3));
-  tick(2s);  // sends a read that is answered later
+  tick(2s);  // sends a read of the row that is answered later
   propose(row_of(4));
   const auto write = take_write();
   ASSERT_TRUE(write);
--- a/tests/core/fake_cluster.cpp
+++ b/tests/core/fake_cluster.cpp
@@ -1,4 +1,4 @@
-// Set-up of the simulated cluster, its event loop and the nodes.
+// Simulated cluster: set-up, event loop, and the simulated nodes.
 #include "fake_cluster.h"
 
 #include <algorithm>
--- a/tests/core/fake_cluster.h
+++ b/tests/core/fake_cluster.h
@@ -36,11 +36,11 @@
 struct fake_engine {
   vm_record record;
   engine_report report;
-  bool up = true;  // false: powered off, calls to it time out
+  bool up = true;  // false: the VM is powered off, and calls to it time out
   bool paused = false;
   time_point ready_at{};                       // when a loading engine becomes ready
   time_point changed_at{};                     // last change of the replica that the engine serves
-  std::vector<std::function<void()>> waiting;  // calls that arrived during a pause
+  std::vector<std::function<void()>> waiting;  // calls that arrived while the engine was paused
   std::vector<vm_id> members;                  // members of the replica, as named in the last order
 };
 
--- a/tests/core/list_budget_test.cpp
+++ b/tests/core/list_budget_test.cpp
@@ -1,4 +1,5 @@
-// Tests the limit on full lists that a hub sends to its nodes.
+// Tests the limit on the full lists of targets that a hub sends to its nodes, which must not
+// saturate its link.
 #include "process/list_budget.h"
 
 #include <gtest/gtest.h>
--- a/tests/core/poison_simulation.h
+++ b/tests/core/poison_simulation.h
@@ -20,7 +20,7 @@
 
 struct poison_simulation_settings {
   std::size_t heads = 13;
-  std::size_t nodes = 6;  // two in each data centre; the first is its hub
+  std::size_t nodes = 6;  // number of nodes: two in each data centre, of which the first is the hub
   double requests_per_s = 165;
   double popular_share = 0.05;  // share of requests that many callers send identically
   duration head_downtime = 3s;  // time until an ended head serves again as a new incarnation
@@ -79,7 +79,8 @@
     }
   }
 
-  // A caller submits a request to node `at`.
+  // A caller sends a request with this hash to node `at`; if `poison`, the request ends the head
+  // that runs it.
   void submit(std::size_t at, std::uint64_t hash, bool poison = false) {
     run_state r;
     r.at_node = at;
@@ -111,10 +112,11 @@
   std::size_t submitted = 0;
   std::size_t served = 0;
   std::size_t ended_heads = 0;
-  std::size_t refused_harmless = 0;  // harmless requests that were refused by a quarantine
+  std::size_t refused_harmless = 0;  // number of harmless requests refused because of a quarantine
   std::size_t held_harmless = 0;
   std::set<std::uint64_t> quarantined_harmless;
-  std::map<std::uint64_t, std::size_t> heads_ended_by;  // number of ended heads by poison request
+  std::map<std::uint64_t, std::size_t>
+      heads_ended_by;  // number of heads that each poison request ended, by its hash
   std::map<std::uint64_t, time_point> quarantined_at;
   // Submissions of a poison request that reached a head later than `detection_delay` after the
   // third head that it ended.
--- a/tests/core/request_keyed_random_test.cpp
+++ b/tests/core/request_keyed_random_test.cpp
@@ -35,7 +35,7 @@
   outcome<table_row> row = unknown{"lost"};
 };
 
-// Calls with the same key at several nodes.
+// Simulates calls with the same idempotency key at several nodes.
 class keyed_fuzz {
  public:
   explicit keyed_fuzz(std::uint64_t seed) : random_(seed) {}
--- a/tests/core/request_keyed_test.cpp
+++ b/tests/core/request_keyed_test.cpp
@@ -16,8 +16,8 @@
   bool send_requested = false;
   std::vector<keyed_reply> replies;
   bool table_unavailable = false;
-  bool lose_replies = false;  // writes take effect, their replies are lost
-  bool hold = false;          // table calls are kept in `held`
+  bool lose_replies = false;  // whether the table loses the replies to writes that took effect
+  bool hold = false;  // whether calls to the table are kept in `held` instead of being answered
   keyed_effects held;
 
   driven_call(fake_table& t, const keyed_call_facts& facts) : table(t), call(facts) {}
--- a/tests/shell/controller_simulation.h
+++ b/tests/shell/controller_simulation.h
@@ -40,7 +40,8 @@
  public:
   struct faults {
     double order_lost = 0;  // probability that an order is carried out and its answer is lost
-    double order_late = 0;  // probability that an order is carried out seconds later, unanswered
+    double order_late =
+        0;  // probability that an order gets no answer and is carried out seconds later
     duration max_order_delay = 6s;
   };
 
@@ -111,7 +112,7 @@
     nodes_[node]->receives_list = !blocked;
     nodes_[node]->partitioned = blocked;
   }
-  // The node marks the engine as lost after failed probes.
+  // The node marks the engine as lost, as it does after failed probes.
   void mark_lost(std::size_t node, const target_id& id) {
     for (std::uint32_t i = 0; i < fleet_view::probes_until_lost; ++i) {
       nodes_[node]->fleet.probe_failed(now_, id);
--- a/tests/shell/hosted_limit_test.cpp
+++ b/tests/shell/hosted_limit_test.cpp
@@ -7,7 +7,8 @@
 
 class HostedLimit : public hosted_fixture {
  protected:
-  // Two callers per node send requests 10 ms apart; returns how often each status occurred.
+  // Two callers per node send requests 10 ms apart for the given time; returns how often each HTTP
+  // status occurred.
   std::map<int, int> send_load(duration time, const std::string& path) {
     const time_point until = monotonic_now() + time;
     std::vector<std::map<int, int>> counts(4);
--- a/tests/shell/hosted_node_test.cpp
+++ b/tests/shell/hosted_node_test.cpp
@@ -220,7 +220,7 @@
 }
 
 TEST_F(HostedNode, StoppingNodeCompletesRunningStreams) {
-  // Guards against a planned stop that cuts off responses in flight.
+  // Guards against a planned stop of a node that cuts off responses in flight.
   ASSERT_TRUE(serves());
   call_result result;
   std::thread caller([&] { result = send_request(0, "/llm/2f", "stop"); });
