--- a/src/cli/trial_callers.h
+++ b/src/cli/trial_callers.h
@@ -17,8 +17,8 @@
   std::uint64_t complete{};  // answers that were complete and correct
   std::uint64_t wrong{};     // answers to another request, or truncated answers sent as complete
   std::uint64_t not_run{};   // requests reported as not run
-  std::uint64_t
-      unknown{};  // requests answered with an error that says that the request may have run
+  // Requests answered with an error that says that the request may have run.
+  std::uint64_t unknown{};
   std::uint64_t no_response{};  // requests whose connection ended without an answer
 };
 
--- a/src/load/caller.h
+++ b/src/load/caller.h
@@ -12,8 +12,8 @@
 
 struct timed_answer {
   raw_answer raw;
-  time_point first_token =
-      time_point::min();  // when the first token of a stream arrived; min: none arrived
+  // When the first token of a stream arrived; min: none arrived.
+  time_point first_token = time_point::min();
   time_point ended;
   std::uint32_t tokens{};  // number of server-sent events with text
 };
@@ -22,8 +22,8 @@
   socket_address target;
   std::string key;            // API key of the calling workspace
   std::string request_class;  // class that the call names in its header; empty: header not sent
-  std::string
-      request_id;  // sent to stand-ins called directly, which need one; nodes assign their own
+  // Sent to stand-ins called directly, which need one; nodes assign their own.
+  std::string request_id;
 };
 
 // Makes the call and returns its answer with the times. Must run in a fiber of the client's
--- a/src/load/experiment.h
+++ b/src/load/experiment.h
@@ -43,10 +43,10 @@
   double streamed = 0.5;       // fraction of the model calls that request a streamed answer
   std::uint32_t sessions = 4;  // per workspace; the calls of one session share a prompt prefix
   double shared_prefix = 0.5;  // fraction of each prompt that the calls of a session share
-  double bookings_per_second =
-      0;  // calls with an idempotency key to the service, in addition to `rate`
-  double repeated =
-      0.3;  // fraction of the bookings that are sent twice with the same idempotency key
+  // Calls with an idempotency key to the service, in addition to `rate`.
+  double bookings_per_second = 0;
+  // Fraction of the bookings that are sent twice with the same idempotency key.
+  double repeated = 0.3;
   duration timeout = 20s;
   std::vector<load_class> classes;
   std::vector<load_workspace> workspaces;
@@ -73,8 +73,8 @@
 
 struct scheduled_fault {
   duration at{};  // when the fault is injected, after the start of the run
-  std::optional<duration>
-      undo_after;  // time after injection at which the fault is undone; empty: never
+  // Time after injection at which the fault is undone; empty: never.
+  std::optional<duration> undo_after;
   fault_kind kind = fault_kind::kill_member;
   std::uint32_t data_centre = 0;  // index of the data centre in the fleet
   double speed = 0.1;
--- a/src/load/fault_injector.h
+++ b/src/load/fault_injector.h
@@ -57,8 +57,8 @@
                      std::function<void()> run);
 
   fleet& fleet_;
-  std::vector<scheduled_fault>
-      faults_;  // sorted by time; those before index next_ have been injected
+  // Sorted by time; those before index next_ have been injected.
+  std::vector<scheduled_fault> faults_;
   std::size_t next_ = 0;
   std::function<void(std::size_t)> exclude_node_;
   std::vector<undo> undos_;
--- a/src/load/fleet.h
+++ b/src/load/fleet.h
@@ -35,8 +35,8 @@
   std::uint32_t standbys_per_replica = 1;
   model_id model{"dispatch-llm"};
   std::size_t node_workers = 1;
-  std::size_t runtime_workers =
-      3;  // worker threads of the runtime that stand-ins and callers share
+  // Worker threads of the runtime that stand-ins and callers share.
+  std::size_t runtime_workers = 3;
   fleet_settings standins;
   duration balancer_lag = 300ms;
   std::uint64_t seed = 1;
--- a/src/load/results.h
+++ b/src/load/results.h
@@ -75,8 +75,8 @@
   // Set if the variant disables a safeguard to test the checker: this guarantee must be violated,
   // and no other.
   std::optional<guarantee> expected_violation;
-  std::vector<std::string>
-      problems;  // failures of the load run itself, such as a fleet that did not start
+  // Failures of the load run itself, such as a fleet that did not start.
+  std::vector<std::string> problems;
 
   void add(const cell_name& cell, const call_timing& timing, caller_outcome end);
   void add(const guarantee_checker& checker);
--- a/src/load/run.h
+++ b/src/load/run.h
@@ -24,8 +24,8 @@
 
 struct load_run_options {
   std::vector<std::string> only;  // names of the variants to run; empty: all
-  std::function<void(const load_progress&)>
-      on_progress;  // called repeatedly during the run; may be empty
+  // Called repeatedly during the run; may be empty.
+  std::function<void(const load_progress&)> on_progress;
 };
 
 [[nodiscard]] experiment_report run_experiment(const experiment& experiment_spec,
--- a/src/load/variant_run.h
+++ b/src/load/variant_run.h
@@ -58,16 +58,16 @@
   std::unique_ptr<http_client> client_;
   std::vector<std::unique_ptr<shard>> shards_;
   std::vector<socket_address> targets_;
-  std::vector<vm_id>
-      target_vms_;  // VMs of the engines that are called directly, in the order of targets_
+  // VMs of the engines that are called directly, in the order of targets_.
+  std::vector<vm_id> target_vms_;
   std::vector<std::unique_ptr<std::atomic<bool>>> excluded_nodes_;
   std::mutex checker_lock_;  // guards checker_ while callers run
   guarantee_checker checker_;
   variant_result result_;
 
   time_point start_;
-  std::atomic<std::uint64_t> next_target_{
-      0};  // counter for the round robin over the called nodes or engines
+  // Counter for the round robin over the called nodes or engines.
+  std::atomic<std::uint64_t> next_target_{0};
   std::atomic<std::uint64_t> serial_{0};  // counter for the request ids that this run assigns
   std::atomic<std::uint64_t> begun_{0};
   std::atomic<std::uint64_t> ended_{0};
--- a/src/standin/batch_standin.h
+++ b/src/standin/batch_standin.h
@@ -16,8 +16,8 @@
 struct batch_settings {
   std::uint32_t slots = 8;
   double tokens_per_second = 50;  // tokens per second that a request generates when it runs alone
-  double prefill_tokens_per_second =
-      5000;  // prompt tokens per second, for those that are not cached
+  // Prompt tokens per second, for those that are not cached.
+  double prefill_tokens_per_second = 5000;
   // Relative slowdown of each request when all slots are taken: at 1.0 each runs at half speed.
   double slowdown_when_full = 0.5;
 };
--- a/src/standin/cache_standin.h
+++ b/src/standin/cache_standin.h
@@ -18,8 +18,8 @@
 enum class cache_change { stored, removed };
 
 struct cache_event {
-  std::uint64_t
-      sequence{};  // numbered from 1; a reader sees missing events as a step of more than 1
+  // Numbered from 1; a reader sees missing events as a step of more than 1.
+  std::uint64_t sequence{};
   cache_change change = cache_change::stored;
   std::uint64_t block{};
   time_point at;
--- a/src/standin/engine_standin.h
+++ b/src/standin/engine_standin.h
@@ -28,19 +28,19 @@
 };
 
 struct engine_settings {
-  bool checks_tokens =
-      true;  // whether the engine refuses an order with an older fencing token than it has seen
+  // Whether the engine refuses an order with an older fencing token than it has seen.
+  bool checks_tokens = true;
   duration form_time = 100ms;  // time to join a replica once the weights are loaded
   std::uint32_t queue_limit = 64;
   duration report_lag{};  // age of the load in a report; identity and state are always current
   cache_settings cache;
   model_profile default_profile;
-  std::map<model_id, model_profile>
-      models;  // profiles of models that differ from `default_profile`
+  // Profiles of models that differ from `default_profile`.
+  std::map<model_id, model_profile> models;
   std::uint64_t first_incarnation = 1;
   std::uint64_t seed = 1;
-  bool records_runs =
-      false;  // whether to count the runs of every request id; the counts grow without bound
+  // Whether to count the runs of every request id; the counts grow without bound.
+  bool records_runs = false;
 };
 
 // For each fault, the number of upcoming answers that get it; counted down with each answer.
@@ -56,8 +56,8 @@
   std::uint64_t accepted{};
   std::uint64_t completed{};
   std::uint64_t cancelled{};  // requests that the caller cancelled
-  std::uint64_t
-      cut{};  // answers truncated because the replica lost a member; includes cut_by_order
+  // Answers truncated because the replica lost a member; includes cut_by_order.
+  std::uint64_t cut{};
   // Answers truncated because an order made the engine leave its replica.
   std::uint64_t cut_by_order{};
   std::uint64_t not_run{};
@@ -194,8 +194,8 @@
   double speed_ = 1.0;
   std::optional<time_point> paused_at_;
 
-  composition
-      group_;  // composition of the replica that the engine is in; an empty replica id: none
+  // Composition of the replica that the engine is in; an empty replica id: none.
+  composition group_;
   model_id model_;
   std::string model_version_;
   bool draining_ = false;
@@ -207,8 +207,8 @@
   batch_standin batch_;
   cache_standin cache_;
   std::map<batch_handle, open_stream> streams_;
-  std::deque<load_sample>
-      load_samples_;  // sorted by time; the first is the newest sample old enough to be reported
+  // Sorted by time; the first is the newest sample old enough to be reported.
+  std::deque<load_sample> load_samples_;
   std::unordered_map<request_id, std::uint32_t> runs_;
 };
 
--- a/src/standin/fleet.h
+++ b/src/standin/fleet.h
@@ -25,10 +25,10 @@
   // case.
   bool engines = true;
   bool services = true;
-  engine_settings
-      engine;  // settings of all engines; checks_tokens comes from the inventory instead
-  double weight_bytes_per_second =
-      0;  // rate of the weight store, shared by all engines that load weights; 0: no limit
+  // Settings of all engines; checks_tokens comes from the inventory instead.
+  engine_settings engine;
+  // Rate of the weight store, shared by all engines that load weights; 0: no limit.
+  double weight_bytes_per_second = 0;
   duration vm_list_lag{};
   endpoint platform{"127.0.0.1", 0};
   store_faults table;  // initial faults of the table service: latency and rate limits
@@ -50,8 +50,8 @@
 
   // ---- target VMs ----
   void kill_vm(const vm_id& vm);  // the engine's process dies
-  void restart_vm(
-      const vm_id& vm);  // the engine's process starts again, without replica, weights and cache
+  // The engine's process starts again, without replica, weights and cache.
+  void restart_vm(const vm_id& vm);
   void kill_fabric_domain(const fabric_domain_id& domain);
   void restart_fabric_domain(const fabric_domain_id& domain);
   void pause_vm(const vm_id& vm);
--- a/src/standin/hosted_engine.h
+++ b/src/standin/hosted_engine.h
@@ -19,8 +19,8 @@
 namespace arbutus::standin {
 
 struct hosted_engine_settings {
-  duration rejoin_time =
-      200ms;  // time to join a replica if the engine had the same model in its last one
+  // Time to join a replica if the engine had the same model in its last one.
+  duration rejoin_time = 200ms;
   duration warm_load_time = 1s;  // time to join if the weights are staged on the host
   duration load_time = 4s;       // time to join otherwise
   duration open_time = 300ms;
--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -18,8 +18,8 @@
 using nlohmann::json;
 
 constexpr duration refresh_interval = 10ms;
-constexpr duration unlist_delay =
-    400ms;  // time until a dead engine is removed from the list of targets
+// Time until a dead engine is removed from the list of targets.
+constexpr duration unlist_delay = 400ms;
 constexpr std::uint64_t first_start_stamp = 1'700'000'000'000;
 constexpr const char* plain_instance_id = "i-api";
 
@@ -559,8 +559,8 @@
   int header_violations = 0;
   std::uint64_t last_start_stamp = first_start_stamp;
   std::atomic<bool> down{false};
-  std::atomic<std::size_t> bytes_per_s{
-      0};  // rate at which the store sends each response; 0: no limit
+  // Rate at which the store sends each response; 0: no limit.
+  std::atomic<std::size_t> bytes_per_s{0};
   std::unique_ptr<http_server> store;
   std::unique_ptr<restartable_server> plain;
   std::unique_ptr<periodic> refresher;  // last member, since it uses the other members
--- a/src/standin/restartable_server.cpp
+++ b/src/standin/restartable_server.cpp
@@ -37,8 +37,8 @@
   fiber_runtime& runtime;
   socket_address address;
   http_handler handler;
-  boost::fibers::mutex
-      mutex;  // guards the two members below; stays locked while waiting for fibers
+  // Guards the two members below; stays locked while waiting for fibers.
+  boost::fibers::mutex mutex;
   std::unique_ptr<http_server> server;
   std::optional<port_reservation> holder;
 };
--- a/tests/core/fake_cluster.h
+++ b/tests/core/fake_cluster.h
@@ -49,8 +49,8 @@
   std::map<std::string, std::string> objects;
   bool up = true;
   duration latency = 4ms;
-  std::size_t lose_write_replies =
-      0;  // number of upcoming writes whose reply is lost after they took effect
+  // Number of upcoming writes whose reply is lost after they took effect.
+  std::size_t lose_write_replies = 0;
   std::uint64_t writes_won = 0;  // accepted writes of the assignment row
   std::uint64_t writes_refused = 0;
 };
@@ -91,16 +91,16 @@
   void pause_node(std::size_t i, duration d);
   // Drops all messages from `a` to `b`, but not those in the other direction.
   void cut(std::size_t a, std::size_t b, bool on = true);
-  void isolate(std::size_t i,
-               bool on = true);  // cuts the node off from all other nodes, in both directions
+  // Cuts the node off from all other nodes, in both directions.
+  void isolate(std::size_t i, bool on = true);
   void cut_table(std::size_t i, bool on = true);
   void cut_target(std::size_t i, const vm_id& vm, bool on = true);
   void cut_targets(std::size_t i, bool on = true);
   void apply_rules(const std::function<void(rules&)>& change);
   fake_table table;
   double drop = 0;  // share of node-to-node messages that are lost
-  duration connect_time =
-      2ms;  // time to connect to a target before the bytes of an order can be sent
+  // Time to connect to a target before the bytes of an order can be sent.
+  duration connect_time = 2ms;
   std::uint64_t stale_orders_obeyed = 0;  // older orders obeyed by targets that ignore tokens
   std::vector<vm_list_entry> vm_list;
   std::vector<std::string> violations;
--- a/tests/core/fake_cluster_io.cpp
+++ b/tests/core/fake_cluster_io.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr duration network_delay = 2ms;
-constexpr duration call_timeout =
-    900ms;  // timeout of calls, which the program that embeds the coordinator sets
+// Timeout of calls, which the program that embeds the coordinator sets.
+constexpr duration call_timeout = 900ms;
 template <class T>
 std::string text(const T& value) {
   std::ostringstream out;
--- a/tests/core/hosted_values_test.cpp
+++ b/tests/core/hosted_values_test.cpp
@@ -145,8 +145,8 @@
 
 // ---- limits on the volume of the log ----
 
-constexpr std::uint64_t hash_step =
-    0x9E3779B97F4A7C15;  // multiples of this step are spread evenly over all 64-bit hashes
+// Multiples of this step are spread evenly over all 64-bit hashes.
+constexpr std::uint64_t hash_step = 0x9E3779B97F4A7C15;
 
 TEST(LogBudget, WritesEverythingBelowTheRate) {
   log_budget budget(10'000);
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -387,8 +387,8 @@
 }
 
 struct vote_counts {
-  std::uint64_t replaced =
-      0;  // some node considers rows older than this version replaced on all nodes
+  // Some node considers rows older than this version replaced on all nodes.
+  std::uint64_t replaced = 0;
   std::size_t acted = 0;
 };
 
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -105,8 +105,8 @@
           << vm << " passes from " << found->second << " to " << owner << " undrained";
     }
     for (const withdrawal& w : in.current->withdrawals) {
-      const bool back =
-          w.from == owner;  // the replica's own activation of this VM is recorded late
+      // The replica's own activation of this VM is recorded late.
+      const bool back = w.from == owner;
       EXPECT_TRUE(w.vm != vm || back || w.since <= in.acknowledged)
           << vm << " reused before its withdrawal was acknowledged";
     }
--- a/tests/core/poison_simulation.h
+++ b/tests/core/poison_simulation.h
@@ -115,8 +115,8 @@
   std::size_t refused_harmless = 0;  // number of harmless requests refused because of a quarantine
   std::size_t held_harmless = 0;
   std::set<std::uint64_t> quarantined_harmless;
-  std::map<std::uint64_t, std::size_t>
-      heads_ended_by;  // number of heads that each poison request ended, by its hash
+  // Number of heads that each poison request ended, by its hash.
+  std::map<std::uint64_t, std::size_t> heads_ended_by;
   std::map<std::uint64_t, time_point> quarantined_at;
   // Submissions of a poison request that reached a head later than `detection_delay` after the
   // third head that it ended.
--- a/tests/core/request_keyed_random_test.cpp
+++ b/tests/core/request_keyed_random_test.cpp
@@ -28,8 +28,8 @@
 struct table_call {
   std::size_t from{};
   keyed_effect asked;
-  bool replied =
-      false;  // the table call got a reply or counts as lost; a lost write may still take effect
+  // The table call got a reply or counts as lost; a lost write may still take effect.
+  bool replied = false;
   bool applied = false;
   outcome<table_written> written = unknown{"lost"};
   outcome<table_row> row = unknown{"lost"};
@@ -150,8 +150,8 @@
     } else if (a.send_requested && chance(0.5)) {
       a.send_requested = false;
       a.checked = a.call.may_send(now_);
-      a.paused = !settling_ &&
-                 chance(0.3);  // the node is paused between the check of may_send() and the send
+      // The node is paused between the check of may_send() and the send.
+      a.paused = !settling_ && chance(0.3);
     } else {
       take(n, a.call.tick(now_, wall(a)));
     }
--- a/tests/core/send_limits_test.cpp
+++ b/tests/core/send_limits_test.cpp
@@ -180,8 +180,8 @@
     send_limits limits;
     send_grants grants;
     grant_receiver receiver;
-    std::vector<time_point>
-        own_sends;  // calls that this node sent itself; counted when there are no grants
+    // Calls that this node sent itself; counted when there are no grants.
+    std::vector<time_point> own_sends;
   };
   struct message {
     std::size_t from;
--- a/tests/core/target_incarnation_test.cpp
+++ b/tests/core/target_incarnation_test.cpp
@@ -14,8 +14,8 @@
 
 constexpr time_point start{1h};
 const target_id first = incarnation_of("i-7", 1000);
-const target_id second =
-    incarnation_of("i-7", 400);  // the start time is lower, as after the wall clock was set back
+// The start time is lower, as after the wall clock was set back.
+const target_id second = incarnation_of("i-7", 400);
 const target_id third = incarnation_of("i-7", 2000);
 
 target_record record_of(const target_id& incarnation) {
--- a/tests/shell/connection_http_test.cpp
+++ b/tests/shell/connection_http_test.cpp
@@ -42,8 +42,8 @@
   http_server server(runtime, any_port, {}, [&](const http_request&, response_writer& writer) {
     writer.start(200, {{"Content-Type", "text/event-stream"}});
     writer.write("one");
-    first_chunk_read
-        .wait();       // the second chunk is written only after the client has read the first one
+    // The second chunk is written only after the client has read the first one.
+    first_chunk_read.wait();
     writer.write("");  // an empty write must not end the stream
     writer.write("two");
     writer.finish();
--- a/tests/shell/controller_simulation.h
+++ b/tests/shell/controller_simulation.h
@@ -40,8 +40,8 @@
  public:
   struct faults {
     double order_lost = 0;  // probability that an order is carried out and its answer is lost
-    double order_late =
-        0;  // probability that an order gets no answer and is carried out seconds later
+    // Probability that an order gets no answer and is carried out seconds later.
+    double order_late = 0;
     duration max_order_delay = 6s;
   };
 
