--- a/src/standin/platform_server.h
+++ b/src/standin/platform_server.h
@@ -28,7 +28,7 @@
 
 namespace arbutus::standin {
 
-// `mutex` guards all other members.
+// Stand-ins of the platform's services. `mutex` guards all other members.
 struct platform_standin {
   std::mutex mutex;
   table_standin table;
@@ -39,7 +39,8 @@
 
 class platform_server {
  public:
-  // `other_faults` handles POST /faults/NAME; see standin_fleet. `platform` outlives the server.
+  // `other_faults` handles POST /faults/NAME, which sets the faults of engines and services; see
+  // standin_fleet. `platform` outlives the server.
   using fault_handler = std::function<void(const http_request&, response_writer&)>;
   platform_server(fiber_runtime& runtime, const socket_address& address, platform_standin& platform,
                   fault_handler other_faults = {});
@@ -58,7 +59,7 @@
 
   platform_standin& platform_;
   fault_handler other_faults_;
-  std::unique_ptr<http_server> server_;  // last: its handlers use the others
+  std::unique_ptr<http_server> server_;  // last member, since its handlers use the other members
 };
 
 }  // namespace arbutus::standin
--- a/tests/core/coordinator_table_test.cpp
+++ b/tests/core/coordinator_table_test.cpp
@@ -5,9 +5,9 @@
 namespace arbutus::testing {
 namespace {
 
-// Guards against targets that refuse every order of a valid row. Two nodes without the table
-// replace a member that only they have lost; the third, unaware of it, writes a row for another
-// reason. The targets then obey a newer generation than the row's.
+// Guards against targets that refuse every order of a valid row. Two nodes that cannot reach the
+// table replace a member that only they have lost; the third, unaware of it, writes a row for
+// another reason. The targets then obey a newer generation than the row's.
 TEST_F(coordination, row_that_missed_an_activation_supersedes_it) {
   bring_up();
   const vm_id member = row_.replicas.front().members.back();
@@ -41,7 +41,8 @@
   cluster_->kill(row_.replicas.front().members.back());
   EXPECT_TRUE(recovers());
   cluster_->run_for(5s);
-  // One write for the repair; others may follow to reserve a new standby or return a withdrawn VM.
+  // One write of the row is for the repair; others may follow to reserve a new standby or return a
+  // withdrawn VM.
   EXPECT_LE(cluster_->table.writes_won - before, 3U);
 }
 
--- a/tests/core/list_budget_test.cpp
+++ b/tests/core/list_budget_test.cpp
@@ -1,4 +1,5 @@
-// Tests the limit on full lists that a hub sends to its nodes.
+// Tests the limit on the full lists of targets that a hub sends to its nodes, which must not
+// saturate its link.
 #include "process/list_budget.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +8,7 @@
 namespace {
 
 TEST(ListBudget, SmallListIsSentToAllNodes) {
-  // Six nodes; a list of 57 targets.
+  // A hub sends a full list of 57 targets to six nodes.
   list_budget budget(20);
   budget.begin_round();
   for (int node = 0; node < 6; ++node) {
--- a/tests/shell/connection_client_test.cpp
+++ b/tests/shell/connection_client_test.cpp
@@ -1,4 +1,4 @@
-// Outcomes of failed calls of the HTTP client, against targets scripted with raw sockets.
+// Tests the outcomes of failed calls of the HTTP client, against targets scripted with raw sockets.
 #include <thread>
 
 #include "connection/http_client.h"
@@ -18,7 +18,7 @@
  protected:
   ~connection_client() override { join(); }
 
-  // Runs the script of the target in its own thread.
+  // Runs the script of the scripted target in a thread of its own.
   void run_target(std::function<void()> script) { thread = std::thread(std::move(script)); }
   void join() {
     if (thread.joinable()) {
