--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -96,7 +96,7 @@
     for (const auto& [id, node] : nodes_) {
       std::size_t count = 0;
       for (const replica_route& route : node->routes(now_).replicas) {
-        count += may_use(now_, route) ? 1 : 0;
+        count += may_use_route(now_, route) ? 1 : 0;
       }
       min_count = std::min(min_count, count);
     }
@@ -232,10 +232,11 @@
   // Refuses an old fencing token. A repeated order changes nothing.
   outcome<engine_report> execute_order(const order& o) {
     engine& e = engines_.at(o.vm);
-    if (o.target.gen < e.report.gen) {
+    if (o.target.fencing_generation < e.report.fencing_generation) {
       return refused{"old token"};
     }
-    const bool same = e.report.replica == o.target.replica && e.report.gen == o.target.gen;
+    const bool same = e.report.replica == o.target.replica &&
+                      e.report.fencing_generation == o.target.fencing_generation;
     if (o.kind == order_kind::form && !same) {
       e.report.replica = o.target.replica;
       e.report.state = engine_state::loading;
@@ -246,7 +247,7 @@
       e.report.replica = {};
       e.report.state = engine_state::idle;
     }
-    e.report.gen = o.target.gen;
+    e.report.fencing_generation = o.target.fencing_generation;
     return report_of(o.vm);
   }
 
--- a/src/cli/apply.cpp
+++ b/src/cli/apply.cpp
@@ -67,7 +67,7 @@
   }
 
   int run() {
-    std::uint64_t base = options_.base;
+    std::uint64_t base = options_.base_version;
     if (base == 0) {
       const auto known = newest_version();
       if (!known) {
--- a/src/cli/bench.cpp
+++ b/src/cli/bench.cpp
@@ -82,7 +82,7 @@
 // ----
 
 void print_connections(std::ostream& out, const bench_options& options) {
-  print(out, bench_connections(options.length));
+  print(out, bench_connections(options.measurement_length));
 }
 
 struct bench_part {
--- a/src/cli/commands.h
+++ b/src/cli/commands.h
@@ -65,8 +65,9 @@
   std::string directory;
   std::vector<endpoint> nodes;  // endpoints of nodes, tried one after the other until one replies
   std::string key;              // the operators' key
-  std::uint64_t base = 0;  // configuration version that the change was made on; 0: the newest one
-  std::string proposal;    // id of an earlier attempt with unknown outcome; empty: a new id
+  std::uint64_t base_version =
+      0;                 // configuration version that the change was made on; 0: the newest one
+  std::string proposal;  // id of an earlier attempt with unknown outcome; empty: a new id
   bool dry_run = false;
   duration timeout = 30s;
 };
@@ -79,9 +80,9 @@
 };
 
 struct bench_options {
-  std::string filter;    // runs the benchmarks whose name contains this text; empty: all
-  bool full = false;     // whether to print the long tables of measurements, too
-  duration length = 1s;  // duration of each connection measurement in the long tables
+  std::string filter;  // runs the benchmarks whose name contains this text; empty: all
+  bool full = false;   // whether to print the long tables of measurements, too
+  duration measurement_length = 1s;  // duration of each connection measurement in the long tables
   std::uint64_t seed = 1;
 };
 
@@ -94,7 +95,7 @@
 };
 
 struct trial_options {
-  bool keep_up = false;  // keep the nodes running after the trial until interrupted
+  bool keep_nodes_running = false;  // keep the nodes running after the trial until interrupted
 };
 
 // Runs stand-ins of the platform and the targets at the endpoints that a configuration gives them.
--- a/src/cli/hosted.cpp
+++ b/src/cli/hosted.cpp
@@ -41,8 +41,8 @@
     return;
   }
   set_log_level(changed->log.level);
-  const bool same =
-      changed->store == current.store && changed->listen.callers == current.listen.callers;
+  const bool same = changed->store == current.store &&
+                    changed->listen.caller_endpoint == current.listen.caller_endpoint;
   log_line(same ? log_level::info : log_level::warning, "settings",
            same ? "reloaded" : "reloaded; changed addresses take effect after a restart",
            {{"file", file}});
@@ -54,7 +54,7 @@
   running.start();
   log_line(log_level::info, "node", "started",
            {{"data_centre", settings.data_centre},
-            {"callers", to_string(settings.listen.callers)},
+            {"callers", to_string(settings.listen.caller_endpoint)},
             {"store", to_string(settings.store)},
             {"cold_start", settings.cold_start}});
   while (wait_for_signal() == signal_kind::reload) {
--- a/src/cli/load.cpp
+++ b/src/cli/load.cpp
@@ -55,8 +55,8 @@
     std::ostringstream line;
     line << "\r\033[K" << p.variant << " round " << p.round << ": " << std::fixed
          << std::setprecision(1) << p.elapsed_seconds << " of " << p.planned_seconds << " s, "
-         << p.begun << " calls, " << p.begun - p.ended << " running, " << p.incomplete_calls
-         << " not whole";
+         << p.begun_calls << " calls, " << p.begun_calls - p.ended_calls << " running, "
+         << p.incomplete_calls << " not whole";
     std::cerr << line.str() << std::flush;
   }
 
@@ -93,7 +93,7 @@
   }
   const progress_line line(::isatty(STDERR_FILENO) != 0);
   load_run_options run_options;
-  run_options.only = options.variants;
+  run_options.variant_names = options.variants;
   run_options.on_progress = [&line](const load_progress& p) { line.show(p); };
   const experiment_report report = run_experiment(loaded.value, run_options);
   if (!options.out_directory.empty()) {
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -24,9 +24,9 @@
 
 http_server_limits limits_of(const connection_limits& from) {
   http_server_limits limits;
-  limits.header_bytes = from.header_bytes;
-  limits.body_bytes = from.body_bytes;
-  limits.connections = from.connections;
+  limits.max_header_bytes = from.header_bytes;
+  limits.max_body_bytes = from.body_bytes;
+  limits.max_connections = from.connections;
   limits.read_timeout = from.header_timeout + from.body_timeout;
   limits.idle_timeout = from.idle_timeout;
   limits.write_timeout = from.write_timeout;
@@ -42,8 +42,8 @@
   node_setup setup;
   setup.self = settings.id;
   setup.data_centre = settings.data_centre;
-  setup.callers = address_of(settings.listen.callers);
-  setup.links = address_of(settings.listen.links);
+  setup.caller_address = address_of(settings.listen.caller_endpoint);
+  setup.link_address = address_of(settings.listen.link_endpoint);
   setup.platform = {address_of(settings.platform.table), address_of(settings.platform.objects),
                     address_of(settings.platform.vms)};
   for (const peer_settings& peer : settings.peers) {
@@ -55,8 +55,8 @@
   setup.operator_key_hash = settings.operator_key_hash;
   setup.incarnation = static_cast<std::uint64_t>(wall_now().milliseconds);
   setup.seed = random_seed();
-  setup.balancer_lag = settings.timing.balancer_lag.value_or(setup.balancer_lag);
-  setup.drain_timeout = settings.timing.stop_limit.value_or(setup.drain_timeout);
+  setup.load_balancer_lag = settings.timing.load_balancer_lag.value_or(setup.load_balancer_lag);
+  setup.drain_timeout = settings.timing.planned_stop_timeout.value_or(setup.drain_timeout);
   setup.on_notice = [](const notice& n) { log_line(log_level::info, n.part, n.text); };
   return setup;
 }
@@ -81,8 +81,9 @@
 int serve(const node_settings& settings, std::ostream& out) {
   node running(setup_of(settings));
   running.start();
-  out << "node " << settings.id << " listens for callers at " << to_string(settings.listen.callers)
-      << " and for nodes at " << to_string(settings.listen.links) << std::endl;
+  out << "node " << settings.id << " listens for callers at "
+      << to_string(settings.listen.caller_endpoint) << " and for nodes at "
+      << to_string(settings.listen.link_endpoint) << std::endl;
   wait_for_termination_signal();
   log_line(log_level::info, "node", "stopping: readiness fails, requests in flight finish");
   const bool clean = running.stop();
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -30,7 +30,7 @@
 endpoint endpoint_from(const std::string& text, std::string_view option) {
   const auto parsed = parse_endpoint(text);
   if (!parsed) {
-    throw usage_error("--" + std::string(option) + ": " + in_quotes(text) +
+    throw usage_error("--" + std::string(option) + ": " + quoted_for_message(text) +
                       " is no valid endpoint; " + std::string(endpoint_expected));
   }
   return *parsed;
@@ -194,7 +194,7 @@
   options.directory = values["directory"].as<std::string>();
   options.nodes = endpoints_of(values, "node");
   options.key = operator_key(values);
-  options.base = non_negative_integer(values, "base");
+  options.base_version = non_negative_integer(values, "base");
   options.proposal = text_or_empty(values, "proposal");
   options.dry_run = values["dry-run"].as<bool>();
   options.timeout = seconds_of(values, "timeout");
@@ -275,7 +275,7 @@
   options.seed = seed_of(values);
   const std::string only = text_or_empty(values, "only");
   if (!only.empty() && only != "platform" && only != "engines" && only != "services") {
-    throw usage_error("--only: " + in_quotes(only) +
+    throw usage_error("--only: " + quoted_for_message(only) +
                       " is not known; expected platform, engines or services");
   }
   options.platform = only.empty() || only == "platform";
--- a/src/cli/platform.cpp
+++ b/src/cli/platform.cpp
@@ -26,8 +26,8 @@
       control.emplace(runtime, platform, socket_address{settings.ip, options.control_port});
     }
     out << "store at " << settings.ip << ':' << platform.store_port() << "; host "
-        << standin::hosted_host << ", key " << standin::hosted_key << ", paths /llm/ and /card/"
-        << std::endl;
+        << standin::hosted_host_name << ", key " << standin::hosted_caller_key
+        << ", paths /llm/ and /card/" << std::endl;
     wait_for_termination_signal();
   } catch (const boost::system::system_error& e) {
     std::cerr << "platform: cannot listen: " << e.what() << '\n';
--- a/src/cli/trial.cpp
+++ b/src/cli/trial.cpp
@@ -94,18 +94,18 @@
 }
 
 fleet_spec make_trial_fleet_spec() {
-  fleet_spec shape;
-  shape.workspaces = {{"sk-west-dispatch", "key-dispatch", 4.0},
-                      {"crew-tablets", "key-tablets", 1.0},
-                      {"night-desk", "key-night", 1.0}};
-  shape.classes = {{"interactive", 0, 20s, 5s}};
-  standin::engine_settings& engine = shape.standins.engine;
+  fleet_spec fleet_config;
+  fleet_config.workspaces = {{"sk-west-dispatch", "key-dispatch", 4.0},
+                             {"crew-tablets", "key-tablets", 1.0},
+                             {"night-desk", "key-night", 1.0}};
+  fleet_config.classes = {{"interactive", 0, 20s, 5s}};
+  standin::engine_settings& engine = fleet_config.standins.engine;
   engine.default_profile.batch.tokens_per_second = 400;
   engine.default_profile.batch.prefill_tokens_per_second = 20'000;
-  engine.form_time = 150ms;
+  engine.group_join_time = 150ms;
   engine.report_lag = 100ms;
-  shape.standins.vm_list_lag = 500ms;
-  return shape;
+  fleet_config.standins.vm_list_lag = 500ms;
+  return fleet_config;
 }
 
 // Sends the same job card three times simultaneously, through two nodes, with one idempotency key.
@@ -143,8 +143,9 @@
   s.print("killing " + lost.vm.str() + ", a member of " + lost.replica.str() + suffix);
   f.standins().kill_vm(lost.vm);
   s.wait("not routed to", [&] { return !f.is_routed_to(lost.node, lost.replica); });
-  const bool repaired = s.wait("repaired and serving again",
-                               [&] { return f.serves_without(lost.node, lost.replica, lost.vm); });
+  const bool repaired = s.wait("repaired and serving again", [&] {
+    return f.routes_without_member(lost.node, lost.replica, lost.vm);
+  });
   if (!repaired) {
     s.print("what the node knows: " + status_json(f.nodes()[lost.node]->status(), monotonic_now()));
   }
@@ -197,7 +198,7 @@
 }  // namespace
 
 int run_trial(const trial_options& options, std::ostream& /*out*/) {
-  if (options.keep_up) {
+  if (options.keep_nodes_running) {
     block_termination_signals();
   }
   trial_reporter s;
@@ -213,7 +214,7 @@
   s.check("no answer was swapped, truncated or duplicated", counts.wrong == 0);
   s.check("every request got an answer", counts.no_response == 0);
   std::cout << (s.failed() ? "\nThe trial FAILED.\n" : "\nEvery promise held.\n");
-  if (options.keep_up && !s.failed()) {
+  if (options.keep_nodes_running && !s.failed()) {
     keep_fleet_running(f);
   } else if (!s.failed()) {
     std::cout << "To keep the fleet running for your own calls: build/release/arbutusworks trial "
--- a/src/cli/trial_callers.cpp
+++ b/src/cli/trial_callers.cpp
@@ -45,8 +45,8 @@
   const time_point begun = monotonic_now();
   const timed_answer answer =
       make_call(fleet_.client(), {fleet_.caller_address(node), who.key, {}, {}},
-                fleet_.shape().model, {}, call, begun + call_timeout);
-  guarantee_checker checker(fleet_.shape().model, service_id{fleet_service}, {});
+                fleet_.fleet_config().model, {}, call, begun + call_timeout);
+  guarantee_checker checker(fleet_.fleet_config().model, service_id{fleet_service_name}, {});
   switch (checker.check_answer(call, answer.raw)) {
     case caller_outcome::complete: {
       const time_point first = stream ? answer.first_token : answer.ended;
@@ -81,14 +81,14 @@
     call_once(target, workspace, serial, serial % 2 == 0);
     ++serial;
   }
-  --running_;
+  --running_callers_;
 }
 
 void trial_load::start(std::size_t callers_per_workspace) {
   std::size_t index = 0;
   for (std::size_t w = 0; w < fleet_.workspaces().size(); ++w) {
     for (std::size_t i = 0; i < callers_per_workspace; ++i, ++index) {
-      ++running_;
+      ++running_callers_;
       fleet_.runtime().post(index % fleet_.runtime().workers(),
                             [this, w, index] { caller(w, index); });
     }
@@ -97,7 +97,7 @@
 
 void trial_load::stop() {
   stopping_ = true;
-  while (running_ > 0) {
+  while (running_callers_ > 0) {
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
 }
--- a/src/cli/trial_callers.h
+++ b/src/cli/trial_callers.h
@@ -53,7 +53,7 @@
 
   fleet& fleet_;
   std::atomic<bool> stopping_{false};
-  std::atomic<std::size_t> running_{0};
+  std::atomic<std::size_t> running_callers_{0};
   std::atomic<std::size_t> excluded_node_{static_cast<std::size_t>(-1)};
   mutable std::mutex lock_;  // guards results_
   std::map<std::string, workspace_result> results_;
--- a/src/connection/bench_connections.cpp
+++ b/src/connection/bench_connections.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t open_connections = 400;
 
 // About the size of a small JSON response and of one token as a server-sent event.
-constexpr std::size_t answer_bytes = 256;
+constexpr std::size_t answer_body_bytes = 256;
 constexpr std::size_t chunk_bytes = 64;
 constexpr std::size_t frame_bytes = 110;
 
@@ -77,7 +77,7 @@
   fiber_runtime client_side(workers);
   server_side.run();
   client_side.run();
-  const std::string body(answer_bytes, 'x');
+  const std::string body(answer_body_bytes, 'x');
   const http_server server(server_side, any_port, {},
                            [&](const http_request&, response_writer& writer) {
                              writer.send(200, {{"Content-Type", "application/json"}}, body);
@@ -190,7 +190,7 @@
                              writer.send(200, {}, "");
                            });
   http_client_limits limits;
-  limits.idle_per_target = open_connections;
+  limits.max_idle_per_target = open_connections;
   http_client client(runtime, limits);
   const std::size_t before = resident_bytes();
   std::size_t busy = 0;
@@ -239,7 +239,7 @@
 }
 
 void print(std::ostream& out, const connection_figures& figures) {
-  out << "idle, " << figures.idle.workers << " workers: " << figures.idle.core_fraction * 100
+  out << "idle, " << figures.idle.workers << " workers: " << figures.idle.cpu_core_fraction * 100
       << "% of a core\n";
   for (const request_rate& r : figures.requests) {
     out << "requests, " << r.workers << " + " << r.workers << " workers, " << r.callers
@@ -254,8 +254,8 @@
   out << "frames, 1 link: " << static_cast<std::uint64_t>(figures.frames.per_second) << "/s, "
       << figures.frames.dropped << " dropped before they were sent\n";
   out << "memory, " << figures.memory.connections
-      << " connections, both ends: " << figures.memory.busy_bytes_each << " bytes each while busy, "
-      << figures.memory.idle_bytes_each << " while idle\n";
+      << " connections, both ends: " << figures.memory.busy_bytes_per_connection
+      << " bytes each while busy, " << figures.memory.idle_bytes_per_connection << " while idle\n";
 }
 
 }  // namespace arbutus
--- a/src/connection/bench_connections.h
+++ b/src/connection/bench_connections.h
@@ -13,7 +13,7 @@
 // CPU use of an idle runtime with open connections and links that carry no traffic.
 struct idle_cost {
   std::size_t workers{};
-  double core_fraction{};  // processor time over wall time, of the whole process
+  double cpu_core_fraction{};  // processor time over wall time, of the whole process
 };
 
 // Throughput and latency of complete requests. Client and server each have their own runtime.
@@ -44,8 +44,8 @@
 // afterwards. Stacks of finished fibers are kept for reuse.
 struct connection_memory {
   std::size_t connections{};
-  std::size_t busy_bytes_each{};  // while each connection carries a request
-  std::size_t idle_bytes_each{};  // after the requests have ended
+  std::size_t busy_bytes_per_connection{};  // while each connection carries a request
+  std::size_t idle_bytes_per_connection{};  // after the requests have ended
 };
 
 struct connection_figures {
--- a/src/connection/connection_registry.h
+++ b/src/connection/connection_registry.h
@@ -35,11 +35,11 @@
     return total;
   }
 
-  // Counts a connection that is being passed to `worker`. Callable from any thread. Each opened()
-  // is followed by one closed() on that worker.
-  void opened(std::size_t worker) { ++shards_[worker].open; }
+  // Counts a connection that is being passed to `worker`. Callable from any thread. Each
+  // count_opened() is followed by one count_closed() on that worker.
+  void count_opened(std::size_t worker) { ++shards_[worker].open; }
 
-  void closed() {
+  void count_closed() {
     shard& own = shards_[current_worker()];
     --own.open;
     own.changed.notify_all();
--- a/src/connection/fiber_runtime.cpp
+++ b/src/connection/fiber_runtime.cpp
@@ -44,15 +44,15 @@
     if (on_dispatcher && !ready_.empty()) {
       io_.poll();
     }
-    const bool dispatcher_due = ready_.empty() || picks_ >= fibers_between_polls;
+    const bool dispatcher_due = ready_.empty() || picks_since_dispatch_ >= fibers_between_polls;
     if (dispatcher_ != nullptr && dispatcher_due) {
-      picks_ = 0;
+      picks_since_dispatch_ = 0;
       return std::exchange(dispatcher_, nullptr);
     }
     if (ready_.empty()) {
       return nullptr;
     }
-    ++picks_;
+    ++picks_since_dispatch_;
     context* next = &ready_.front();
     ready_.pop_front();
     return next;
@@ -94,23 +94,23 @@
   asio::steady_timer wake_up_;
   steady_time armed_until_{steady_time::max()};
   boost::fibers::scheduler::ready_queue_type ready_;
-  context* dispatcher_{nullptr};  // the dispatcher fiber while it is ready to run, else null
-  std::size_t picks_{0};          // fibers picked since the dispatcher last ran
+  context* dispatcher_{nullptr};         // the dispatcher fiber while it is ready to run, else null
+  std::size_t picks_since_dispatch_{0};  // fibers picked since the dispatcher last ran
 };
 
 void run_worker(fiber_worker& worker) {
   worker_of_thread = &worker;
   boost::fibers::use_scheduling_algorithm<io_scheduler>(worker.io);
   no_lock lock;
-  worker.ended.wait(lock, [&worker] { return worker.stopping && worker.live_fibers == 0; });
+  worker.fibers_ended.wait(lock, [&worker] { return worker.stopping && worker.live_fibers == 0; });
 }
 
 void begin_stop(fiber_worker& worker) {
   worker.stopping = true;
-  for (asio::steady_timer* sleeper : worker.sleepers) {
+  for (asio::steady_timer* sleeper : worker.sleep_timers) {
     sleeper->cancel();
   }
-  worker.ended.notify_all();
+  worker.fibers_ended.notify_all();
 }
 
 }  // namespace
@@ -204,10 +204,10 @@
     return false;
   }
   asio::steady_timer timer(worker.io, to_steady(until));
-  worker.sleepers.insert(&timer);
+  worker.sleep_timers.insert(&timer);
   await_result<boost::system::error_code>(
       [&timer](auto handler) { timer.async_wait(std::move(handler)); });
-  worker.sleepers.erase(&timer);
+  worker.sleep_timers.erase(&timer);
   return !worker.stopping;
 }
 
--- a/src/connection/fiber_stream.cpp
+++ b/src/connection/fiber_stream.cpp
@@ -36,7 +36,7 @@
 // A cancellation between two operations has no operation to cancel. Each operation therefore first
 // checks for an abort and for the deadline. Otherwise a timed-out exchange would continue for as
 // long as bytes arrive.
-bool fiber_stream::begin(error_code& error) {
+bool fiber_stream::begin_operation(error_code& error) {
   error = {};
   if (aborted_) {
     error = asio::error::operation_aborted;
@@ -46,7 +46,7 @@
   return !error;
 }
 
-fiber_stream::error_code fiber_stream::finish(error_code result, bool timed_out) const {
+fiber_stream::error_code fiber_stream::finish_operation(error_code result, bool timed_out) const {
   if (timed_out && result == asio::error::operation_aborted && !aborted_) {
     return asio::error::timed_out;
   }
@@ -54,7 +54,7 @@
 }
 
 void fiber_stream::connect(const tcp::endpoint& peer, error_code& error) {
-  if (!begin(error)) {
+  if (!begin_operation(error)) {
     return;
   }
   socket_.open(peer.protocol(), error);
@@ -65,7 +65,7 @@
   auto [result] = await_result_until<error_code>(
       deadline_, timed_out, [&](auto handler) { socket_.async_connect(peer, std::move(handler)); },
       [this] { interrupt(); });
-  error = finish(result, timed_out);
+  error = finish_operation(result, timed_out);
   if (error) {
     return;
   }
@@ -111,14 +111,14 @@
 }
 
 void fiber_stream::wait_for(tcp::socket::wait_type what, error_code& error) {
-  if (!begin(error)) {
+  if (!begin_operation(error)) {
     return;
   }
   bool timed_out = false;
   auto [result] = await_result_until<error_code>(
       deadline_, timed_out, [&](auto handler) { socket_.async_wait(what, std::move(handler)); },
       [this] { interrupt(); });
-  error = finish(result, timed_out);
+  error = finish_operation(result, timed_out);
 }
 
 }  // namespace arbutus
--- a/src/connection/fiber_stream.h
+++ b/src/connection/fiber_stream.h
@@ -59,7 +59,7 @@
 
   template <class Buffers>
   std::size_t read_some(const Buffers& buffers, error_code& error) {
-    if (!begin(error)) {
+    if (!begin_operation(error)) {
       return 0;
     }
     bool timed_out = false;
@@ -67,7 +67,7 @@
         deadline_, timed_out,
         [&](auto handler) { socket_.async_read_some(buffers, std::move(handler)); },
         [this] { interrupt(); });
-    error = finish(result, timed_out);
+    error = finish_operation(result, timed_out);
     return count;
   }
 
@@ -82,7 +82,7 @@
   // Writes as much as the kernel accepts immediately; waits only if it accepts nothing.
   template <class Buffers>
   std::size_t write_some(const Buffers& buffers, error_code& error) {
-    while (begin(error)) {
+    while (begin_operation(error)) {
       const auto count = socket_.write_some(buffers, error);
       written_ += count;
       if (error != boost::asio::error::would_block) {
@@ -106,8 +106,8 @@
 
  private:
   static void throw_if(const error_code& error);
-  bool begin(error_code& error);
-  error_code finish(error_code result, bool timed_out) const;
+  bool begin_operation(error_code& error);
+  error_code finish_operation(error_code result, bool timed_out) const;
   void wait_for(boost::asio::ip::tcp::socket::wait_type what, error_code& error);
   void wait_writable(error_code& error);
 
--- a/src/connection/fiber_worker.h
+++ b/src/connection/fiber_worker.h
@@ -29,21 +29,21 @@
 
   std::size_t index;
   boost::asio::io_context io{1};
-  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> busy{
+  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_guard{
       boost::asio::make_work_guard(io)};
   std::thread thread;
 
   // The members below are accessed only on the worker's own thread.
-  boost::fibers::pooled_fixedsize_stack stacks{fiber_stack_size};
+  boost::fibers::pooled_fixedsize_stack stack_pool{fiber_stack_size};
   std::size_t live_fibers{};
   bool stopping{};
-  boost::fibers::condition_variable_any ended;
-  std::unordered_set<boost::asio::steady_timer*> sleepers;
+  boost::fibers::condition_variable_any fibers_ended;
+  std::unordered_set<boost::asio::steady_timer*> sleep_timers;
 
   void fiber_returned() {
     --live_fibers;
     if (stopping && live_fibers == 0) {
-      ended.notify_all();
+      fibers_ended.notify_all();
     }
   }
 };
@@ -59,7 +59,7 @@
     work();
     worker.fiber_returned();
   };
-  boost::fibers::fiber(boost::fibers::launch::post, std::allocator_arg, worker.stacks,
+  boost::fibers::fiber(boost::fibers::launch::post, std::allocator_arg, worker.stack_pool,
                        std::move(body))
       .detach();
 }
--- a/src/connection/frame_queue.h
+++ b/src/connection/frame_queue.h
@@ -21,13 +21,13 @@
   std::size_t push(std::vector<std::uint8_t> frame, frame_priority priority);
 
   // Drops all frames of priority `state` and returns their number.
-  std::size_t drop_state();
+  std::size_t drop_state_frames();
 
   // Appends frames with their length prefixes to `out`, urgent ones first, until it holds at least
   // `batch_bytes` bytes or the queue is empty. Returns the number of frames.
-  std::size_t take(std::vector<std::uint8_t>& out, std::size_t batch_bytes);
+  std::size_t take_batch(std::vector<std::uint8_t>& out, std::size_t batch_bytes);
 
-  [[nodiscard]] bool empty() const { return urgent_.empty() && state_.empty(); }
+  [[nodiscard]] bool empty() const { return urgent_frames_.empty() && state_frames_.empty(); }
   [[nodiscard]] std::size_t bytes() const { return bytes_; }
 
  private:
@@ -36,8 +36,8 @@
 
   std::size_t max_bytes_;
   std::size_t bytes_{0};  // total payload in both queues
-  frames urgent_;
-  frames state_;
+  frames urgent_frames_;
+  frames state_frames_;
 };
 
 }  // namespace arbutus
--- a/src/connection/http_call.cpp
+++ b/src/connection/http_call.cpp
@@ -16,7 +16,7 @@
 
 // Time limit for reading a response that the target sent before it had read the whole request. That
 // response has already been sent, so a short limit suffices.
-constexpr duration early_answer_wait = 250ms;
+constexpr duration early_answer_timeout = 250ms;
 
 http_headers headers_of(const http::fields& fields) {
   http_headers headers;
@@ -86,11 +86,11 @@
   connection_.stream.set_deadline(deadline_);
   error_code write_error;
   http::write(connection_.stream, request_, write_error);
-  if (write_error && (!sent() || !await_early_answer(write_error))) {
+  if (write_error && (!any_byte_sent() || !await_early_answer(write_error))) {
     return broken(write_error);
   }
   error_code error;
-  auto parser = read_headers(limits, sink.bounded, error);
+  auto parser = read_headers(limits, sink.limit_body, error);
   if (error) {
     return broken(write_error ? write_error : error);
   }
@@ -115,7 +115,7 @@
   if (write_error == asio::error::timed_out || write_error == asio::error::operation_aborted) {
     return false;
   }
-  connection_.stream.set_deadline(std::min(deadline_, monotonic_now() + early_answer_wait));
+  connection_.stream.set_deadline(std::min(deadline_, monotonic_now() + early_answer_timeout));
   return true;
 }
 
@@ -125,9 +125,9 @@
                                                                   error_code& error) {
   for (;;) {
     auto parser = std::make_unique<answer_parser>();
-    parser->header_limit(static_cast<std::uint32_t>(limits.header_bytes));
+    parser->header_limit(static_cast<std::uint32_t>(limits.max_header_bytes));
     if (bounded_body) {
-      parser->body_limit(limits.body_bytes);
+      parser->body_limit(limits.max_body_bytes);
     } else {
       parser->body_limit(boost::none);
     }
@@ -153,7 +153,7 @@
 // `error` clear, if the sink stops the transfer.
 bool http_call::read_body(answer_parser& parser, const answer_sink& sink,
                           const http_client_limits& limits, error_code& error) {
-  const bool extends = sink.bounded && limits.body_stall_timeout > duration::zero();
+  const bool extends = sink.limit_body && limits.body_stall_timeout > duration::zero();
   const time_point headers_at = monotonic_now();
   const auto buffer = std::make_unique_for_overwrite<char[]>(read_buffer_size);
   while (!parser.is_done()) {
@@ -180,7 +180,7 @@
 }
 
 call_result http_call::broken(const error_code& error) {
-  result_.outcome = sent() ? call_outcome::unknown : call_outcome::not_sent;
+  result_.outcome = any_byte_sent() ? call_outcome::unknown : call_outcome::not_sent;
   result_.failure = failure_of(error);
   result_.detail = error.message();
   return std::move(result_);
--- a/src/connection/http_call.h
+++ b/src/connection/http_call.h
@@ -37,7 +37,7 @@
 struct answer_sink {
   const http_client::headers_handler& on_headers;
   const http_client::chunk_handler& on_chunk;
-  bool bounded;  // whether the size limit for response bodies applies
+  bool limit_body;  // whether the size limit for response bodies applies
 };
 
 class http_call {
@@ -49,7 +49,9 @@
   call_result run(const answer_sink& sink, const http_client_limits& limits);
 
   // True if any byte of the request may have been sent.
-  [[nodiscard]] bool sent() const { return connection_.stream.written() != written_before_; }
+  [[nodiscard]] bool any_byte_sent() const {
+    return connection_.stream.written() != written_before_;
+  }
 
   // Whether another request may use the connection: only after a complete response that no further
   // bytes follow.
--- a/src/connection/http_client.cpp
+++ b/src/connection/http_client.cpp
@@ -61,7 +61,7 @@
   void put_idle(const socket_address& target, connection_ptr connection) {
     connection->idle_since = monotonic_now();
     idle_list& idle = pool().idle[target];
-    if (idle.size() < limits.idle_per_target) {
+    if (idle.size() < limits.max_idle_per_target) {
       idle.push_back(std::move(connection));
     }
     sweep_later(pool());
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -59,9 +59,9 @@
 
 struct http_client_limits {
   duration connect_timeout{1s};
-  std::size_t header_bytes{64UL * 1024};
-  std::size_t body_bytes{64UL * 1024 * 1024};  // for fetch(); stream() has no limit
-  std::size_t idle_per_target{32};             // idle connections per target and worker
+  std::size_t max_header_bytes{64UL * 1024};
+  std::size_t max_body_bytes{64UL * 1024 * 1024};  // for fetch(); stream() has no limit
+  std::size_t max_idle_per_target{32};             // idle connections per target and worker
   duration idle_expiry{30s};  // then the connection is closed; less than the targets' idle timeout
   // For fetch(): each time bytes of the body arrive, the deadline is extended to at least this long
   // after them. 0: the deadline is not extended.
--- a/src/connection/http_exchange.cpp
+++ b/src/connection/http_exchange.cpp
@@ -17,7 +17,7 @@
 using request_parser = http::request_parser<http::string_body>;
 
 // How long a caller whose connection is being closed may go on sending before it is reset.
-constexpr duration linger_time = 1s;
+constexpr duration linger_timeout = 1s;
 
 // Connections over the limit that still get a 503 response; any further ones are closed without
 // one.
@@ -82,7 +82,7 @@
     core.registry().register_connection(exchange);
     if (core.closing()) {
       exchange.close_now();
-    } else if (core.connections() > core.limits().connections) {
+    } else if (core.connections() > core.limits().max_connections) {
       exchange.reject_over_limit();
     } else {
       exchange.serve();
@@ -107,7 +107,7 @@
 }
 
 void http_exchange::reject_over_limit() {
-  if (core_.connections() > core_.limits().connections + max_rejected_connections) {
+  if (core_.connections() > core_.limits().max_connections + max_rejected_connections) {
     return;
   }
   refuse(503, "too many connections");
@@ -119,8 +119,8 @@
     return;
   }
   const bool unread = input_.size() > 0 || stream_.peek() == peek_state::readable;
-  if (linger_ || unread) {
-    stream_.close_gracefully(monotonic_now() + linger_time);
+  if (discard_input_on_close_ || unread) {
+    stream_.close_gracefully(monotonic_now() + linger_timeout);
   }
 }
 
@@ -148,8 +148,8 @@
   keep_alive_ = false;
   stream_.set_deadline(monotonic_now() + core_.limits().read_timeout);
   request_parser parser;
-  parser.header_limit(static_cast<std::uint32_t>(core_.limits().header_bytes));
-  parser.body_limit(core_.limits().body_bytes);
+  parser.header_limit(static_cast<std::uint32_t>(core_.limits().max_header_bytes));
+  parser.body_limit(core_.limits().max_body_bytes);
   error_code error;
   http::read_header(stream_, input_, parser, error);
   if (error) {
@@ -174,9 +174,9 @@
     return false;
   }
   auto& message = parser.get();
-  version_ = message.version();
+  http_version_ = message.version();
   keep_alive_ = message.keep_alive();
-  head_only_ = message.method() == http::verb::head;
+  is_head_request_ = message.method() == http::verb::head;
   request.method = std::string(message.method_string());
   request.target = std::string(message.target());
   request.body = std::move(message.body());
@@ -196,7 +196,7 @@
 
 void http_exchange::refuse(int status, std::string_view reason) {
   keep_alive_ = false;
-  linger_ = true;
+  discard_input_on_close_ = true;
   send(status, {{"Content-Type", "application/json"}}, core_.error_body()(status, reason));
 }
 
@@ -223,7 +223,7 @@
 
 template <class Message>
 void http_exchange::put_head(Message& message, int status, const http_headers& headers) const {
-  message.version(version_);
+  message.version(http_version_);
   message.result(static_cast<unsigned>(status));
   for (const auto& [name, value] : headers) {
     if (is_safe_field(name, value) && !is_framing_field(name)) {
@@ -253,7 +253,7 @@
     return false;
   }
   keep_alive_ = keep_alive_ && !core_.close_after_answers();
-  if (head_only_ || !may_have_body(status)) {
+  if (is_head_request_ || !may_have_body(status)) {
     http::response<http::empty_body> message;
     put_head(message, status, headers);
     if (may_have_body(status)) {
@@ -273,10 +273,10 @@
     return false;
   }
   // HTTP/1.0 has no chunks: closing the connection ends the response.
-  keep_alive_ = keep_alive_ && !core_.close_after_answers() && version_ >= 11;
+  keep_alive_ = keep_alive_ && !core_.close_after_answers() && http_version_ >= 11;
   http::response<http::empty_body> message;
   put_head(message, status, headers);
-  message.chunked(version_ >= 11);
+  message.chunked(http_version_ >= 11);
   http::response_serializer<http::empty_body> serializer(message);
   return put(phase::streaming,
              [&](error_code& error) { http::write_header(stream_, serializer, error); });
@@ -288,12 +288,12 @@
   }
   // In the chunked encoding an empty chunk marks the end of a response, so none is written before
   // that.
-  if (chunk.empty() || head_only_) {
+  if (chunk.empty() || is_head_request_) {
     return true;
   }
   const asio::const_buffer bytes(chunk.data(), chunk.size());
   return put(phase::streaming, [&](error_code& error) {
-    if (version_ >= 11) {
+    if (http_version_ >= 11) {
       asio::write(stream_, http::make_chunk(bytes), error);
     } else {
       asio::write(stream_, bytes, error);
@@ -306,7 +306,7 @@
     return false;
   }
   return put(phase::complete, [&](error_code& error) {
-    if (version_ >= 11 && !head_only_) {
+    if (http_version_ >= 11 && !is_head_request_) {
       asio::write(stream_, http::make_chunk_last(), error);
     }
   });
@@ -328,20 +328,20 @@
     std::exchange(disconnect_handler_, nullptr)();
     return;
   }
-  watch();
+  watch_for_disconnect();
 }
 
-void http_exchange::watch() {
-  if (watching_) {
+void http_exchange::watch_for_disconnect() {
+  if (watching_for_disconnect_) {
     return;
   }
-  watching_ = true;
+  watching_for_disconnect_ = true;
   stream_.socket().async_wait(tcp::socket::wait_read, [this](const error_code& error) {
-    watching_ = false;
+    watching_for_disconnect_ = false;
     if (!error) {
       check_for_end();
     }
-    watch_ended_.notify_all();
+    disconnect_watch_ended_.notify_all();
   });
 }
 
@@ -359,18 +359,18 @@
   if (error && error != asio::error::would_block) {
     caller_disconnected_ = true;
     std::exchange(disconnect_handler_, nullptr)();
-  } else if (input_.size() < core_.limits().header_bytes) {
-    watch();
+  } else if (input_.size() < core_.limits().max_header_bytes) {
+    watch_for_disconnect();
   }
 }
 
 void http_exchange::stop_watching() {
   disconnect_handler_ = nullptr;
-  if (watching_) {
+  if (watching_for_disconnect_) {
     stream_.interrupt();
   }
   no_lock lock;
-  watch_ended_.wait(lock, [this] { return !watching_; });
+  disconnect_watch_ended_.wait(lock, [this] { return !watching_for_disconnect_; });
 }
 
 void http_exchange::close_if_idle() {
--- a/src/connection/http_exchange.h
+++ b/src/connection/http_exchange.h
@@ -59,7 +59,7 @@
   std::atomic<bool> close_after_answers_{false};
   std::atomic<bool> closing_{false};
   boost::fibers::mutex empty_mutex_;  // held while a connection is removed, so no wait misses it
-  boost::fibers::condition_variable empty_;
+  boost::fibers::condition_variable registry_empty_;
 };
 
 // One connection and its current request. Allocated on the stack of its fiber.
@@ -102,7 +102,7 @@
   template <class Write>
   bool put(phase after, Write&& write);
 
-  void watch();
+  void watch_for_disconnect();
   void check_for_end();
   void stop_watching();
 
@@ -113,18 +113,20 @@
 
   bool idle_{false};        // waiting for the first byte of a request
   bool keep_alive_{false};  // whether the caller may send another request
-  bool linger_{false};      // whether the caller may still send bytes that will not be read
-  bool head_only_{false};   // the request has the method HEAD, so its response has no body
-  unsigned version_{11};    // HTTP version of the request; 11 is HTTP/1.1
+  bool discard_input_on_close_{
+      false};                    // whether the caller may still send bytes that will not be read
+  bool is_head_request_{false};  // the request has the method HEAD, so its response has no body
+  unsigned http_version_{11};    // HTTP version of the request; 11 is HTTP/1.1
   phase phase_{phase::waiting};
 
   std::function<void()> disconnect_handler_;
   bool caller_disconnected_{false};
-  bool watching_{false};  // a wait for the caller to close is pending; its handler refers to this
-  boost::fibers::condition_variable_any watch_ended_;
+  bool watching_for_disconnect_{
+      false};  // a wait for the caller to close is pending; its handler refers to this
+  boost::fibers::condition_variable_any disconnect_watch_ended_;
 };
 
-// Main function of a connection's fiber. `socket` was counted by opened().
+// Main function of a connection's fiber. `socket` was counted by count_opened().
 void serve_connection(server_core& core, boost::asio::ip::tcp::socket socket);
 
 }  // namespace arbutus
--- a/src/connection/http_server.cpp
+++ b/src/connection/http_server.cpp
@@ -20,7 +20,7 @@
             }) {}
 
   void accept_connection(fiber_worker& worker, tcp::socket socket) {
-    core.registry().opened(worker.index);
+    core.registry().count_opened(worker.index);
     spawn_on(worker, [this, socket = std::move(socket)]() mutable {
       serve_connection(core, std::move(socket));
     });
@@ -75,13 +75,14 @@
 
 void server_core::closed() {
   const std::lock_guard lock(empty_mutex_);
-  registry_.closed();
-  empty_.notify_all();
+  registry_.count_closed();
+  registry_empty_.notify_all();
 }
 
 bool server_core::wait_until_empty(time_point deadline) {
   std::unique_lock lock(empty_mutex_);
-  return empty_.wait_until(lock, to_steady(deadline), [this] { return registry_.size() == 0; });
+  return registry_empty_.wait_until(lock, to_steady(deadline),
+                                    [this] { return registry_.size() == 0; });
 }
 
 void server_core::close_idle() {
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -48,9 +48,9 @@
 };
 
 struct http_server_limits {
-  std::size_t header_bytes{32UL * 1024};
-  std::size_t body_bytes{8UL * 1024 * 1024};
-  std::size_t connections{4096};
+  std::size_t max_header_bytes{32UL * 1024};
+  std::size_t max_body_bytes{8UL * 1024 * 1024};
+  std::size_t max_connections{4096};
   duration read_timeout{15s};   // from the first byte of a request to its last
   duration idle_timeout{60s};   // between requests
   duration write_timeout{20s};  // for one write to complete
--- a/src/connection/link.h
+++ b/src/connection/link.h
@@ -37,7 +37,7 @@
   duration write_timeout{3s};    // a peer that accepts no data for this long counts as down
   duration first_backoff{50ms};  // pause before the first repeated attempt to connect
   duration max_backoff{2s};      // upper bound of that pause, which doubles with each attempt
-  std::size_t queue_bytes{256UL * 1024};  // size limit of the frames that wait to be sent
+  std::size_t max_queue_bytes{256UL * 1024};  // size limit of the frames that wait to be sent
 };
 
 // Totals since the start. Bytes are counted as passed to TCP: with length prefixes and hello
--- a/src/connection/link_client.cpp
+++ b/src/connection/link_client.cpp
@@ -30,7 +30,7 @@
         limits(l),
         on_change(std::move(handler)),
         random(seed),
-        queue(l.queue_bytes) {}
+        queue(l.max_queue_bytes) {}
 
   // Main function of the client's fiber: connects to the peer, and again whenever the link breaks.
   void keep_connected() {
@@ -68,7 +68,7 @@
 
   void run_link(fiber_stream& stream) {
     error_code ignored;
-    stream.socket().set_option(tcp::socket::send_buffer_size(link_kernel_buffer), ignored);
+    stream.socket().set_option(tcp::socket::send_buffer_size(link_kernel_buffer_bytes), ignored);
     detect_dead_peer(stream.socket(), limits.write_timeout);
     frame_reader reader(stream, counters);
     const auto peer = exchange_hellos(stream, reader);
@@ -136,14 +136,14 @@
 
   std::size_t take_frames(std::vector<std::uint8_t>& bytes) {
     const std::lock_guard lock(mutex);
-    return queue.take(bytes, max_batch_bytes);
+    return queue.take_batch(bytes, max_batch_bytes);
   }
 
   void set_up(const node_id& peer, bool now_up) {
     {
       const std::lock_guard lock(mutex);
       up = now_up;
-      counters.frames_dropped += now_up ? 0 : queue.drop_state();
+      counters.frames_dropped += now_up ? 0 : queue.drop_state_frames();
     }
     counters.connects += now_up ? 1 : 0;
     on_change(peer, now_up);
--- a/src/connection/link_server.cpp
+++ b/src/connection/link_server.cpp
@@ -21,13 +21,13 @@
         on_change(std::move(change_handler)),
         registry(r.workers()),
         acceptor(
-            r, address, link_kernel_buffer, [this] { return registry.least_loaded(); },
+            r, address, link_kernel_buffer_bytes, [this] { return registry.least_loaded(); },
             [this](fiber_worker& worker, tcp::socket socket) {
               accept_connection(worker, std::move(socket));
             }) {}
 
   void accept_connection(fiber_worker& worker, tcp::socket socket) {
-    registry.opened(worker.index);
+    registry.count_opened(worker.index);
     spawn_on(worker, [this, socket = std::move(socket)]() mutable {
       {
         fiber_stream stream(std::move(socket));
@@ -37,7 +37,7 @@
         }
         registry.unregister_connection(stream);
       }
-      registry.closed();
+      registry.count_closed();
     });
   }
 
--- a/src/connection/link_wire.cpp
+++ b/src/connection/link_wire.cpp
@@ -64,13 +64,13 @@
   // carry a frame every few minutes, and a node has hundreds of such links. With keep-alives after
   // 15 s without traffic, these alone would use half of the node's traffic budget. The next frame
   // that is sent detects a dead peer as well.
-  constexpr int idle_seconds = 120;
+  constexpr int keepalive_idle_seconds = 120;
   constexpr int probe_seconds = 2;
   constexpr int probes = 3;
   const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(timeout);
   set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(milliseconds.count()));
   set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
-  set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, idle_seconds);
+  set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, keepalive_idle_seconds);
   set_option(socket, IPPROTO_TCP, TCP_KEEPINTVL, probe_seconds);
   set_option(socket, IPPROTO_TCP, TCP_KEEPCNT, probes);
 }
@@ -83,25 +83,27 @@
   if (!fill(frame_prefix_bytes)) {
     return std::nullopt;
   }
-  const std::size_t length = read_prefix(buffer_.data() + begin_);
+  const std::size_t length = read_prefix(buffer_.data() + unread_begin_);
   if (length == 0 || length > max_frame_bytes || !fill(frame_prefix_bytes + length)) {
     return std::nullopt;
   }
-  const std::span<const std::uint8_t> payload(buffer_.data() + begin_ + frame_prefix_bytes, length);
-  begin_ += frame_prefix_bytes + length;
+  const std::span<const std::uint8_t> payload(buffer_.data() + unread_begin_ + frame_prefix_bytes,
+                                              length);
+  unread_begin_ += frame_prefix_bytes + length;
   ++counters_.frames_in;
   counters_.bytes_in += frame_prefix_bytes + length;
   return payload;
 }
 
-// Reads until at least `desired` bytes are buffered from begin_ on. False if the stream ends before
-// that.
+// Reads until at least `desired` bytes are buffered from unread_begin_ on. False if the stream ends
+// before that.
 bool frame_reader::fill(std::size_t desired) {
   make_room(desired);
-  while (end_ - begin_ < desired) {
+  while (unread_end_ - unread_begin_ < desired) {
     boost::system::error_code error;
-    const auto free = boost::asio::buffer(buffer_.data() + end_, buffer_.size() - end_);
-    end_ += stream_.read_some(free, error);
+    const auto free =
+        boost::asio::buffer(buffer_.data() + unread_end_, buffer_.size() - unread_end_);
+    unread_end_ += stream_.read_some(free, error);
     if (error) {
       return false;
     }
@@ -110,14 +112,14 @@
 }
 
 void frame_reader::make_room(std::size_t desired) {
-  const std::size_t held = end_ - begin_;
+  const std::size_t held = unread_end_ - unread_begin_;
   if (held >= desired) {
     return;
   }
-  std::copy(buffer_.begin() + static_cast<std::ptrdiff_t>(begin_),
-            buffer_.begin() + static_cast<std::ptrdiff_t>(end_), buffer_.begin());
-  begin_ = 0;
-  end_ = held;
+  std::copy(buffer_.begin() + static_cast<std::ptrdiff_t>(unread_begin_),
+            buffer_.begin() + static_cast<std::ptrdiff_t>(unread_end_), buffer_.begin());
+  unread_begin_ = 0;
+  unread_end_ = held;
   const std::size_t size = std::max({desired, held, default_buffer_bytes});
   if (buffer_.size() > 2 * size) {
     std::vector<std::uint8_t>(buffer_.begin(), buffer_.begin() + static_cast<std::ptrdiff_t>(size))
--- a/src/connection/link_wire.h
+++ b/src/connection/link_wire.h
@@ -16,7 +16,7 @@
 
 // Size of the kernel's socket buffers of a link, in bytes. State frames in them can no longer be
 // superseded, so they are small; still, many control messages fit.
-constexpr int link_kernel_buffer = 64 * 1024;
+constexpr int link_kernel_buffer_bytes = 64 * 1024;
 
 // Appends `payload` with its length prefix to `out`.
 void append_frame(std::vector<std::uint8_t>& out, std::span<const std::uint8_t> payload);
@@ -60,8 +60,9 @@
   fiber_stream& stream_;
   atomic_link_counters& counters_;
   std::vector<std::uint8_t> buffer_;
-  std::size_t begin_{0};  // first byte not yet returned
-  std::size_t end_{0};    // past the last byte received; begin_ <= end_ <= buffer_.size()
+  std::size_t unread_begin_{0};  // first byte not yet returned
+  std::size_t unread_end_{
+      0};  // past the last byte received; unread_begin_ <= unread_end_ <= buffer_.size()
 };
 
 // Writes `frames`, which contains `count` complete frames. False on an error.
--- a/src/connection/listener.cpp
+++ b/src/connection/listener.cpp
@@ -38,7 +38,7 @@
   runtime_.post(0, [this] {
     accept_all();
     accepting_ = false;
-    ended_.notify_all();
+    accept_loop_ended_.notify_all();
   });
 }
 
@@ -70,7 +70,7 @@
     error_code ignored;
     acceptor_.close(ignored);
     no_lock lock;
-    ended_.wait(lock, [this] { return !accepting_; });
+    accept_loop_ended_.wait(lock, [this] { return !accepting_; });
   });
 }
 
--- a/src/connection/listener.h
+++ b/src/connection/listener.h
@@ -43,7 +43,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;  // used on worker 0
   std::uint16_t port_{};
   bool accepting_{true};  // until accept_all() has ended; accessed on worker 0
-  boost::fibers::condition_variable_any ended_;
+  boost::fibers::condition_variable_any accept_loop_ended_;
 };
 
 }  // namespace arbutus
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -37,7 +37,7 @@
                         const std::string& booking_path, const planned_call& call) {
   http_request request;
   request.method = "POST";
-  request.headers.add("authorization", "Bearer " + to.key);
+  request.headers.add("authorization", "Bearer " + to.workspace_key);
   request.headers.add("content-type", "application/json");
   if (!to.request_class.empty()) {
     request.headers.add("x-class", to.request_class);
@@ -88,7 +88,7 @@
   timed_answer finish(const call_result& result) {
     answer_.ended = monotonic_now();
     raw_answer& raw = answer_.raw;
-    raw.reached = result.outcome != call_outcome::not_sent;
+    raw.may_have_been_sent = result.outcome != call_outcome::not_sent;
     if (raw.status != status_ok) {
       read_error(json::parse(body_, nullptr, false), raw);
     } else if (call_.kind == call_kind::booking) {
--- a/src/load/caller.h
+++ b/src/load/caller.h
@@ -20,7 +20,7 @@
 
 struct call_address {
   socket_address target;
-  std::string key;            // API key of the calling workspace
+  std::string workspace_key;  // API key of the calling workspace
   std::string request_class;  // class that the call names in its header; empty: header not sent
   // Sent to stand-ins called directly, which need one; nodes assign their own.
   std::string request_id;
--- a/src/load/checker.cpp
+++ b/src/load/checker.cpp
@@ -43,11 +43,11 @@
   return expected_answer(model_, call.prompt, call.answer_tokens);
 }
 
-caller_outcome guarantee_checker::end_of(const raw_answer& answer) {
+caller_outcome guarantee_checker::classify_answer(const raw_answer& answer) {
   if (answer.marked_complete) {
     return caller_outcome::complete;
   }
-  if (!answer.reached) {
+  if (!answer.may_have_been_sent) {
     return caller_outcome::unreached;
   }
   if (answer.status == 0) {
@@ -58,24 +58,26 @@
 }
 
 caller_outcome guarantee_checker::check_answer(const planned_call& call, const raw_answer& answer) {
-  caller_outcome end = end_of(answer);
+  caller_outcome end = classify_answer(answer);
   if (end == caller_outcome::complete) {
     const std::string right = expected(call);
     if (answer.text != right) {
       end = caller_outcome::wrong;
-      report_violation(guarantee::own_answer,
+      report_violation(guarantee::complete_means_correct,
                        "request " + answer.id.str() + ": " + difference(right, answer.text));
     }
   }
   if (end == caller_outcome::no_response) {
-    report_violation(guarantee::answered, "a call of workspace " + std::to_string(call.workspace) +
-                                              " at " + std::to_string(to_seconds(call.at)) +
-                                              " s ended without any answer");
+    report_violation(guarantee::every_call_answered,
+                     "a call of workspace " + std::to_string(call.workspace) + " at " +
+                         std::to_string(to_seconds(call.at)) + " s ended without any answer");
   }
   if (call.kind == call_kind::booking) {
-    booking_outcomes& seen = bookings_[call.prompt];
+    booking_outcomes& reported = bookings_[call.prompt];
     const bool did_not_run = end == caller_outcome::not_run || end == caller_outcome::unreached;
-    ++(end == caller_outcome::complete ? seen.done : did_not_run ? seen.not_run : seen.other);
+    ++(end == caller_outcome::complete ? reported.done
+       : did_not_run                   ? reported.not_run
+                                       : reported.other);
   } else if (end == caller_outcome::not_run && !answer.id.empty()) {
     not_run_.push_back(answer.id);
   }
@@ -90,23 +92,23 @@
   }
 }
 
-void guarantee_checker::check_booking(const std::string& key, const booking_outcomes& seen,
+void guarantee_checker::check_booking(const std::string& key, const booking_outcomes& reported,
                                       std::uint32_t executions) {
   const std::string ran = key + " ran " + std::to_string(executions) + " times";
   if (executions > 1) {
     report_violation(guarantee::at_most_once, ran);
-  } else if (seen.done > 0 && executions == 0) {
+  } else if (reported.done > 0 && executions == 0) {
     report_violation(guarantee::at_most_once, ran + ", but was reported as done");
-  } else if (seen.done == 0 && seen.other == 0 && executions > 0) {
+  } else if (reported.done == 0 && reported.other == 0 && executions > 0) {
     report_violation(guarantee::not_run, ran + ", but was reported to every caller as not run");
   }
 }
 
 void guarantee_checker::report_violation(guarantee which, std::string what) {
   ++counts_[static_cast<std::size_t>(which)];
-  if (samples_.size() < max_samples) {
-    samples_.push_back(std::string(guarantee_names[static_cast<std::size_t>(which)]) + ": " +
-                       std::move(what));
+  if (violation_examples_.size() < max_samples) {
+    violation_examples_.push_back(std::string(guarantee_names[static_cast<std::size_t>(which)]) +
+                                  ": " + std::move(what));
   }
 }
 
--- a/src/load/checker.h
+++ b/src/load/checker.h
@@ -14,11 +14,12 @@
 namespace arbutus {
 
 enum class guarantee {
-  own_answer,    // an answer marked complete is exactly the answer to the caller's request
-  not_run,       // a call reported as not run was not run
+  complete_means_correct,  // an answer marked complete is exactly the answer to the caller's
+                           // request
+  not_run,                 // a call reported as not run was not run
   at_most_once,  // a booking key runs at most once, and exactly once if any call reported it done
-  answered,      // every call that was sent gets a response, if only an error
-  clean_stop,    // a planned stop interrupts no request
+  every_call_answered,      // every call that was sent gets a response, if only an error
+  stop_interrupts_nothing,  // a planned stop interrupts no request
 };
 
 inline constexpr std::array<std::string_view, 5> guarantee_names = {
@@ -39,13 +40,13 @@
     "whole", "wrong", "not_run", "unreached", "unknown", "silent"};
 
 struct raw_answer {
-  bool reached = true;           // whether any byte of the call may have been sent
-  int status = 0;                // HTTP status; 0: none received
-  bool marked_complete = false;  // the stream's end mark or the complete body was received
-  std::string text;              // text of the answer
-  std::string error_type;        // of an error body or frame: "not_run", "unknown", ...
-  std::string error_code;        // of an error body or frame: "too_late", "no_replica", ...
-  request_id id;                 // request id that the node assigned
+  bool may_have_been_sent = true;  // whether any byte of the call may have been sent
+  int status = 0;                  // HTTP status; 0: none received
+  bool marked_complete = false;    // the stream's end mark or the complete body was received
+  std::string text;                // text of the answer
+  std::string error_type;          // of an error body or frame: "not_run", "unknown", ...
+  std::string error_code;          // of an error body or frame: "too_late", "no_replica", ...
+  request_id id;                   // request id that the node assigned
 };
 
 class guarantee_checker {
@@ -62,8 +63,8 @@
     for (const request_id& id : not_run_) {
       check_not_run(id, runs_of(id));
     }
-    for (const auto& [key, seen] : bookings_) {
-      check_booking(key, seen, executions_of(key));
+    for (const auto& [key, reported] : bookings_) {
+      check_booking(key, reported, executions_of(key));
     }
   }
 
@@ -74,7 +75,9 @@
   }
   [[nodiscard]] std::uint64_t violations() const;
   // Descriptions of the first few violations of guarantees.
-  [[nodiscard]] const std::vector<std::string>& samples() const { return samples_; }
+  [[nodiscard]] const std::vector<std::string>& violation_examples() const {
+    return violation_examples_;
+  }
   // Number of calls reported as not run that were compared with the stand-ins' counts, which is
   // possible only if the request id is known.
   [[nodiscard]] std::uint64_t not_run_checked() const { return not_run_.size(); }
@@ -91,16 +94,16 @@
   };
 
   [[nodiscard]] std::string expected(const planned_call& call) const;
-  [[nodiscard]] static caller_outcome end_of(const raw_answer& answer);
+  [[nodiscard]] static caller_outcome classify_answer(const raw_answer& answer);
   void check_not_run(const request_id& id, std::uint32_t runs);
-  void check_booking(const std::string& key, const booking_outcomes& seen,
+  void check_booking(const std::string& key, const booking_outcomes& reported,
                      std::uint32_t executions);
 
   model_id model_;
   service_id service_;
   std::string booking_path_;
   std::array<std::uint64_t, guarantee_names.size()> counts_{};
-  std::vector<std::string> samples_;
+  std::vector<std::string> violation_examples_;
   std::vector<request_id> not_run_;
   std::map<std::string, booking_outcomes> bookings_;
 };
--- a/src/load/experiment.cpp
+++ b/src/load/experiment.cpp
@@ -61,43 +61,46 @@
   }
 
   void read_fleet() {
-    fleet_spec& shape = result_.shape;
+    fleet_spec& fleet_config = result_.fleet_config;
     if (auto table = root_.table("fleet")) {
-      read_size(*table, "data_centres", shape.data_centres);
-      read_size(*table, "nodes_per_data_centre", shape.nodes_per_data_centre);
-      read_size(*table, "vms_per_data_centre", shape.vms_per_data_centre);
-      table->read("replicas_per_data_centre", shape.replicas_per_data_centre, presence::optional,
+      read_size(*table, "data_centres", fleet_config.data_centres);
+      read_size(*table, "nodes_per_data_centre", fleet_config.nodes_per_data_centre);
+      read_size(*table, "vms_per_data_centre", fleet_config.vms_per_data_centre);
+      table->read("replicas_per_data_centre", fleet_config.replicas_per_data_centre,
+                  presence::optional, positive_count);
+      table->read("vms_per_replica", fleet_config.vms_per_replica, presence::optional,
                   positive_count);
-      table->read("vms_per_replica", shape.vms_per_replica, presence::optional, positive_count);
-      table->read("slots", shape.slots, presence::optional, positive_count);
-      table->read("standbys_per_replica", shape.standbys_per_replica, presence::optional, {0, 10});
-      read_size(*table, "node_workers", shape.node_workers);
-      read_size(*table, "runtime_workers", shape.runtime_workers);
-      table->read_ms("balancer_lag_ms", shape.balancer_lag, presence::optional, any_ms);
-      table->read("model", shape.model, presence::optional);
+      table->read("slots", fleet_config.slots, presence::optional, positive_count);
+      table->read("standbys_per_replica", fleet_config.standbys_per_replica, presence::optional,
+                  {0, 10});
+      read_size(*table, "node_workers", fleet_config.node_workers);
+      read_size(*table, "runtime_workers", fleet_config.runtime_workers);
+      table->read_ms("balancer_lag_ms", fleet_config.load_balancer_lag, presence::optional, any_ms);
+      table->read("model", fleet_config.model, presence::optional);
       read_standins(*table);
       read_existing_nodes(*table);
       table->finish();
     }
-    result_.model = shape.model;
+    result_.model = fleet_config.model;
   }
 
   void read_standins(table_reader& table) {
-    standin::engine_settings& engine = result_.shape.standins.engine;
-    engine.form_time = 150ms;
+    standin::engine_settings& engine = result_.fleet_config.standins.engine;
+    engine.group_join_time = 150ms;
     engine.report_lag = 100ms;
-    engine.records_runs = true;
+    engine.counts_runs_by_request = true;
     standin::batch_settings& batch = engine.default_profile.batch;
     table.read("tokens_per_second", batch.tokens_per_second, presence::optional, positive);
     table.read("prefill_tokens_per_second", batch.prefill_tokens_per_second, presence::optional,
                positive);
     table.read("slowdown_when_full", batch.slowdown_when_full, presence::optional,
                non_negative_real);
-    table.read("engine_queue", engine.queue_limit, presence::optional, {0, 1'000'000});
-    table.read_ms("form_ms", engine.form_time, presence::optional, any_ms);
+    table.read("engine_queue", engine.max_queued_requests, presence::optional, {0, 1'000'000});
+    table.read_ms("form_ms", engine.group_join_time, presence::optional, any_ms);
     table.read_ms("report_lag_ms", engine.report_lag, presence::optional, any_ms);
-    table.read_ms("vm_list_lag_ms", result_.shape.standins.vm_list_lag, presence::optional, any_ms);
-    batch.slots = result_.shape.slots;
+    table.read_ms("vm_list_lag_ms", result_.fleet_config.standins.vm_list_lag, presence::optional,
+                  any_ms);
+    batch.slots = result_.fleet_config.slots;
   }
 
   void read_existing_nodes(table_reader& table) {
@@ -106,7 +109,7 @@
         result_.nodes.push_back(*parsed);
       } else {
         problems_.push_back({severity::error, text.at,
-                             in_quotes(text.value) + " is no valid endpoint",
+                             quoted_for_message(text.value) + " is no valid endpoint",
                              std::string(endpoint_expected)});
       }
     }
@@ -127,12 +130,12 @@
     table->read("callers", work.callers, presence::optional, positive_count);
     table->read("prompt_tokens", work.prompt_tokens, presence::optional, token_count);
     table->read("answer_tokens", work.answer_tokens, presence::optional, token_count);
-    table->read("streamed", work.streamed, presence::optional, fraction);
-    table->read("sessions", work.sessions, presence::optional, positive_count);
-    table->read("shared_prefix", work.shared_prefix, presence::optional, fraction);
+    table->read("streamed", work.streamed_fraction, presence::optional, fraction);
+    table->read("sessions", work.sessions_per_workspace, presence::optional, positive_count);
+    table->read("shared_prefix", work.shared_prefix_fraction, presence::optional, fraction);
     table->read("bookings_per_second", work.bookings_per_second, presence::optional,
                 non_negative_real);
-    table->read("repeated", work.repeated, presence::optional, fraction);
+    table->read("repeated", work.repeated_booking_fraction, presence::optional, fraction);
     table->read_ms("timeout_ms", work.timeout, presence::optional, timeout_ms);
     table->finish();
   }
@@ -163,7 +166,7 @@
       w.weight = w.caller.share;
       table.read("weight", w.weight, presence::optional, positive);
       if (find_workspace(w.caller.name)) {
-        table.problem("name", in_quotes(w.caller.name) + " is taken", "names that differ");
+        table.problem("name", quoted_for_message(w.caller.name) + " is taken", "names that differ");
       }
       table.finish();
       result_.work.workspaces.push_back(w);
@@ -196,7 +199,7 @@
       }
       f.kind = static_cast<fault_kind>(kind);
       table.read("data_centre", f.data_centre, presence::optional,
-                 {0, static_cast<std::uint32_t>(result_.shape.data_centres - 1)});
+                 {0, static_cast<std::uint32_t>(result_.fleet_config.data_centres - 1)});
       table.read("speed", f.speed, presence::optional, positive);
       table.read_ms("latency_ms", f.latency, presence::optional, any_ms);
       table.read("count", f.count, presence::optional, {1, 1'000'000});
@@ -232,7 +235,7 @@
     table.read("rate_factor", v.rate_factor, presence::optional, positive);
     read_workspace_name(table, "only_workspace", v.only_workspace);
     read_workspace_name(table, "without_workspace", v.without_workspace);
-    read_workspace_name(table, "workspace", v.workspace);
+    read_workspace_name(table, "workspace", v.scaled_workspace);
     table.read("workspace_factor", v.workspace_factor, presence::optional, positive);
     table.read("node_workers", v.node_workers, presence::optional, {1, 64});
     table.read("faults", v.with_faults);
@@ -249,7 +252,7 @@
   void read_workspace_name(table_reader& table, std::string_view key, std::string& name) {
     table.read_name(key, name, presence::optional);
     if (!name.empty() && !find_workspace(name)) {
-      table.problem(key, "no [[workspace]] is called " + in_quotes(name));
+      table.problem(key, "no [[workspace]] is called " + quoted_for_message(name));
     }
   }
 
@@ -267,13 +270,13 @@
     return result;
   }
   result.value = experiment_reader(*document, result.problems).read();
-  fleet_spec& shape = result.value.shape;
-  shape.seed = result.value.seed;
+  fleet_spec& fleet_config = result.value.fleet_config;
+  fleet_config.seed = result.value.seed;
   for (const load_workspace& w : result.value.work.workspaces) {
-    shape.workspaces.push_back(w.caller);
+    fleet_config.workspaces.push_back(w.caller);
   }
   for (const load_class& c : result.value.work.classes) {
-    shape.classes.push_back(c.rule);
+    fleet_config.classes.push_back(c.rule);
   }
   return result;
 }
--- a/src/load/experiment.h
+++ b/src/load/experiment.h
@@ -40,13 +40,14 @@
   std::uint32_t callers = 16;  // number of callers with closed-loop arrivals
   std::uint32_t prompt_tokens = 200;
   std::uint32_t answer_tokens = 50;
-  double streamed = 0.5;       // fraction of the model calls that request a streamed answer
-  std::uint32_t sessions = 4;  // per workspace; the calls of one session share a prompt prefix
-  double shared_prefix = 0.5;  // fraction of each prompt that the calls of a session share
+  double streamed_fraction = 0.5;  // fraction of the model calls that request a streamed answer
+  std::uint32_t sessions_per_workspace =
+      4;  // per workspace; the calls of one session share a prompt prefix
+  double shared_prefix_fraction = 0.5;  // fraction of each prompt that the calls of a session share
   // Calls with an idempotency key to the service, in addition to `rate`.
   double bookings_per_second = 0;
   // Fraction of the bookings that are sent twice with the same idempotency key.
-  double repeated = 0.3;
+  double repeated_booking_fraction = 0.3;
   duration timeout = 20s;
   std::vector<load_class> classes;
   std::vector<load_workspace> workspaces;
@@ -110,7 +111,8 @@
   double rate_factor = 1.0;
   std::string only_workspace;  // if set, only this workspace makes calls
   std::string without_workspace;
-  std::string workspace;  // the call rate of this workspace is multiplied by `workspace_factor`
+  std::string
+      scaled_workspace;  // the call rate of this workspace is multiplied by `workspace_factor`
   double workspace_factor = 1.0;
   std::uint32_t node_workers = 0;  // worker threads of each node; 0: as in the fleet's settings
   bool with_faults = true;
@@ -123,7 +125,7 @@
   std::uint64_t seed = 1;
   std::string excluded_workspace;  // the report also sums up the results without this workspace
   std::uint32_t rounds = 1;        // each round runs all variants in turn
-  fleet_spec shape;                // workspaces and classes come from the workload
+  fleet_spec fleet_config;         // workspaces and classes come from the workload
   std::vector<endpoint> nodes;     // existing nodes to call instead of a fleet in this process
   model_id model;
   workload work;
--- a/src/load/fault_injector.cpp
+++ b/src/load/fault_injector.cpp
@@ -13,7 +13,7 @@
 }
 
 fault_injector::~fault_injector() {
-  for (const auto& stop : stops_) {
+  for (const auto& stop : planned_stops_) {
     if (stop->thread.joinable()) {
       stop->thread.join();
     }
@@ -25,17 +25,17 @@
     begin(faults_[next_], elapsed);
     ++next_;
   }
-  for (std::size_t i = 0; i < undos_.size();) {
-    if (undos_[i].at > elapsed) {
+  for (std::size_t i = 0; i < pending_undos_.size();) {
+    if (pending_undos_[i].at > elapsed) {
       ++i;
       continue;
     }
-    const undo due = std::move(undos_[i]);
-    undos_.erase(undos_.begin() + static_cast<std::ptrdiff_t>(i));
+    const pending_undo due = std::move(pending_undos_[i]);
+    pending_undos_.erase(pending_undos_.begin() + static_cast<std::ptrdiff_t>(i));
     due.run();
     record_event(elapsed, due.text);
   }
-  for (const auto& stop : stops_) {
+  for (const auto& stop : planned_stops_) {
     if (!stop->excluded && stop->exclude_at <= elapsed) {
       stop->excluded = true;
       exclude_node_(stop->node);
@@ -44,12 +44,12 @@
 }
 
 void fault_injector::finish(duration elapsed) {
-  for (const undo& last : undos_) {
+  for (const pending_undo& last : pending_undos_) {
     last.run();
     record_event(elapsed, last.text);
   }
-  undos_.clear();
-  for (const auto& stop : stops_) {
+  pending_undos_.clear();
+  for (const auto& stop : planned_stops_) {
     if (stop->thread.joinable()) {
       stop->thread.join();
       unclean_stops_ += stop->clean ? 0U : 1U;
@@ -64,7 +64,7 @@
 void fault_injector::schedule_undo(const scheduled_fault& fault, duration elapsed, std::string text,
                                    std::function<void()> run) {
   if (fault.undo_after) {
-    undos_.push_back({elapsed + *fault.undo_after, std::move(text), std::move(run)});
+    pending_undos_.push_back({elapsed + *fault.undo_after, std::move(text), std::move(run)});
   }
 }
 
@@ -73,19 +73,19 @@
     case fault_kind::kill_member:
     case fault_kind::straggler:
     case fault_kind::leaving:
-      begin_on_member(fault, elapsed);
+      inject_member_fault(fault, elapsed);
       return;
     case fault_kind::table_down:
     case fault_kind::table_slow:
     case fault_kind::lose_replies:
     case fault_kind::cut_off:
-      begin_on_table(fault, elapsed);
+      inject_table_fault(fault, elapsed);
       return;
     case fault_kind::swapped:
     case fault_kind::late:
     case fault_kind::truncated:
     case fault_kind::service_cut:
-      begin_on_answers(fault, elapsed);
+      inject_answer_fault(fault, elapsed);
       return;
     case fault_kind::stop_node:
       start_planned_stop(fault, elapsed);
@@ -93,7 +93,7 @@
   }
 }
 
-void fault_injector::begin_on_member(const scheduled_fault& fault, duration elapsed) {
+void fault_injector::inject_member_fault(const scheduled_fault& fault, duration elapsed) {
   const vm_id vm = fleet_.find_member(fault.data_centre).vm;
   if (vm.empty()) {
     record_event(elapsed, "no serving replica to inject the fault into");
@@ -118,7 +118,7 @@
   }
 }
 
-void fault_injector::begin_on_table(const scheduled_fault& fault, duration elapsed) {
+void fault_injector::inject_table_fault(const scheduled_fault& fault, duration elapsed) {
   standin_fleet& standins = fleet_.standins();
   if (fault.kind == fault_kind::table_down) {
     standins.table_outage(true);
@@ -143,14 +143,14 @@
   }
 }
 
-void fault_injector::begin_on_answers(const scheduled_fault& fault, duration elapsed) {
+void fault_injector::inject_answer_fault(const scheduled_fault& fault, duration elapsed) {
   const std::string kind(fault_names[static_cast<std::size_t>(fault.kind)]);
   record_event(elapsed, std::to_string(fault.count) + ' ' + kind);
   standin_fleet& standins = fleet_.standins();
   if (fault.kind == fault_kind::service_cut) {
     standin::service_faults faults;
     faults.cut_after = fault.count;
-    standins.set_service_faults(service_id{fleet_service}, faults);
+    standins.set_service_faults(service_id{fleet_service_name}, faults);
     return;
   }
   standin::pending_answer_faults faults;
@@ -167,12 +167,12 @@
 // as a load balancer would; the node keeps accepting calls until the whole lag has passed.
 void fault_injector::start_planned_stop(const scheduled_fault& fault, duration elapsed) {
   auto stop = std::make_unique<planned_stop>();
-  stop->node = (fault.data_centre + 1) * fleet_.shape().nodes_per_data_centre - 1;
-  stop->exclude_at = elapsed + fleet_.shape().balancer_lag / 2;
+  stop->node = (fault.data_centre + 1) * fleet_.fleet_config().nodes_per_data_centre - 1;
+  stop->exclude_at = elapsed + fleet_.fleet_config().load_balancer_lag / 2;
   planned_stop& begun = *stop;
   begun.thread = std::thread([this, &begun] { begun.clean = fleet_.nodes()[begun.node]->stop(); });
   record_event(elapsed, "node stops in " + fleet_.data_centre(fault.data_centre).str());
-  stops_.push_back(std::move(stop));
+  planned_stops_.push_back(std::move(stop));
 }
 
 }  // namespace arbutus
--- a/src/load/fault_injector.h
+++ b/src/load/fault_injector.h
@@ -34,7 +34,7 @@
   [[nodiscard]] std::size_t unclean_stops() const { return unclean_stops_; }
 
  private:
-  struct undo {
+  struct pending_undo {
     duration at;
     std::string text;
     std::function<void()> run;
@@ -48,9 +48,9 @@
   };
 
   void begin(const scheduled_fault& fault, duration elapsed);
-  void begin_on_member(const scheduled_fault& fault, duration elapsed);
-  void begin_on_table(const scheduled_fault& fault, duration elapsed);
-  void begin_on_answers(const scheduled_fault& fault, duration elapsed);
+  void inject_member_fault(const scheduled_fault& fault, duration elapsed);
+  void inject_table_fault(const scheduled_fault& fault, duration elapsed);
+  void inject_answer_fault(const scheduled_fault& fault, duration elapsed);
   void start_planned_stop(const scheduled_fault& fault, duration elapsed);
   void record_event(duration elapsed, std::string text);
   void schedule_undo(const scheduled_fault& fault, duration elapsed, std::string text,
@@ -61,8 +61,8 @@
   std::vector<scheduled_fault> faults_;
   std::size_t next_ = 0;
   std::function<void(std::size_t)> exclude_node_;
-  std::vector<undo> undos_;
-  std::vector<std::unique_ptr<planned_stop>> stops_;
+  std::vector<pending_undo> pending_undos_;
+  std::vector<std::unique_ptr<planned_stop>> planned_stops_;
   std::vector<fault_event> events_;
   std::size_t unclean_stops_ = 0;
 };
--- a/src/load/fleet.cpp
+++ b/src/load/fleet.cpp
@@ -25,10 +25,10 @@
 
 inventory fleet::assets_without_ports() const {
   inventory assets;
-  for (std::size_t c = 0; c < shape_.data_centres; ++c) {
+  for (std::size_t c = 0; c < fleet_config_.data_centres; ++c) {
     const data_centre_id centre = data_centre(c);
     assets.data_centres.push_back({centre, "sk-west"});
-    for (std::size_t v = 0; v < shape_.vms_per_data_centre; ++v) {
+    for (std::size_t v = 0; v < fleet_config_.vms_per_data_centre; ++v) {
       vm_record vm;
       vm.id = vm_id{centre.str() + "-vm-" + std::to_string(v + 1)};
       vm.address = {loopback, 0};
@@ -37,34 +37,37 @@
       vm.accelerators = accelerators_per_vm;
       assets.vms.push_back(vm);
     }
-    assets.services.push_back({service_id{fleet_service}, centre, {loopback, 0}});
+    assets.services.push_back({service_id{fleet_service_name}, centre, {loopback, 0}});
   }
   return assets;
 }
 
-fleet::fleet(fleet_spec shape) : shape_(std::move(shape)), runtime_(shape_.runtime_workers) {
+fleet::fleet(fleet_spec fleet_config)
+    : fleet_config_(std::move(fleet_config)), runtime_(fleet_config_.runtime_workers) {
   runtime_.run();
-  standins_ = std::make_unique<standin_fleet>(runtime_, assets_without_ports(), shape_.standins);
+  standins_ =
+      std::make_unique<standin_fleet>(runtime_, assets_without_ports(), fleet_config_.standins);
   client_ = std::make_unique<http_client>(runtime_);
   start_nodes();
 }
 
 void fleet::start_nodes() {
   const socket_address platform{standins_->platform().host, standins_->platform().port};
-  for (std::size_t i = 0; i < shape_.data_centres * shape_.nodes_per_data_centre; ++i) {
+  for (std::size_t i = 0; i < fleet_config_.data_centres * fleet_config_.nodes_per_data_centre;
+       ++i) {
     node_setup options;
-    const std::string centre = data_centre_name(i / shape_.nodes_per_data_centre);
+    const std::string centre = data_centre_name(i / fleet_config_.nodes_per_data_centre);
     options.self =
-        node_id{centre + "-node-" + std::to_string(i % shape_.nodes_per_data_centre + 1)};
+        node_id{centre + "-node-" + std::to_string(i % fleet_config_.nodes_per_data_centre + 1)};
     options.data_centre = data_centre_id{centre};
-    options.callers = {loopback, 0};
-    options.links = {loopback, 0};
+    options.caller_address = {loopback, 0};
+    options.link_address = {loopback, 0};
     options.platform = {platform, platform, platform};
-    options.workers = shape_.node_workers;
+    options.workers = fleet_config_.node_workers;
     options.operator_key_hash = sha256_hex(operator_key);
     options.incarnation = static_cast<std::uint64_t>(wall_now().milliseconds);
-    options.seed = 1000 * shape_.seed + i;
-    options.balancer_lag = shape_.balancer_lag;
+    options.seed = 1000 * fleet_config_.seed + i;
+    options.load_balancer_lag = fleet_config_.load_balancer_lag;
     nodes_.push_back(std::make_unique<node>(std::move(options)));
   }
   for (const auto& n : nodes_) {
@@ -81,7 +84,7 @@
 }
 
 std::size_t fleet::desired_replicas() const {
-  return shape_.data_centres * shape_.replicas_per_data_centre;
+  return fleet_config_.data_centres * fleet_config_.replicas_per_data_centre;
 }
 
 socket_address fleet::caller_address(std::size_t i) const {
@@ -101,9 +104,9 @@
         << v.fabric_domain << ',' << v.accelerators << ",yes,,\n";
   }
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    const std::string centre = data_centre_name(i / shape_.nodes_per_data_centre);
-    out << "node," << centre << "-node-" << i % shape_.nodes_per_data_centre + 1 << ',' << centre
-        << ",,,,,," << loopback << ':' << nodes_[i]->link_port() << ',' << loopback << ':'
+    const std::string centre = data_centre_name(i / fleet_config_.nodes_per_data_centre);
+    out << "node," << centre << "-node-" << i % fleet_config_.nodes_per_data_centre + 1 << ','
+        << centre << ",,,,,," << loopback << ':' << nodes_[i]->link_port() << ',' << loopback << ':'
         << nodes_[i]->caller_port() << '\n';
   }
   for (const service_target& s : assets.services) {
@@ -113,40 +116,41 @@
   return out.str();
 }
 
-std::string fleet::rules_text(double first_share) const {
+std::string fleet::rules_text(double first_workspace_share) const {
   std::ostringstream out;
   out << "[weights]\ngroup_downtime = 3.0\nstranded_accelerators = 1.0\n\n"
-      << "[planning]\nstandbys_per_replica = " << shape_.standbys_per_replica
+      << "[planning]\nstandbys_per_replica = " << fleet_config_.standbys_per_replica
       << "\nvm_failures_per_day = 1.0\n\n"
-      << "[[model]]\nid = \"" << shape_.model
-      << "\"\nversion = \"1\"\nvms_per_replica = " << shape_.vms_per_replica
-      << "\naccelerators_per_vm = " << accelerators_per_vm << "\nslots = " << shape_.slots
+      << "[[model]]\nid = \"" << fleet_config_.model
+      << "\"\nversion = \"1\"\nvms_per_replica = " << fleet_config_.vms_per_replica
+      << "\naccelerators_per_vm = " << accelerators_per_vm << "\nslots = " << fleet_config_.slots
       << "\nreplicas = { ";
-  for (std::size_t c = 0; c < shape_.data_centres; ++c) {
-    out << (c == 0 ? "" : ", ") << data_centre_name(c) << " = " << shape_.replicas_per_data_centre;
+  for (std::size_t c = 0; c < fleet_config_.data_centres; ++c) {
+    out << (c == 0 ? "" : ", ") << data_centre_name(c) << " = "
+        << fleet_config_.replicas_per_data_centre;
   }
-  out << " }\n\n[[service]]\nid = \"" << fleet_service << "\"\npath_prefix = \""
+  out << " }\n\n[[service]]\nid = \"" << fleet_service_name << "\"\npath_prefix = \""
       << fleet_service_path << "\"\nidempotent_calls = [\"GET " << fleet_service_path << "\"]\n\n";
-  for (const class_rule& c : shape_.classes) {
+  for (const class_rule& c : fleet_config_.classes) {
     out << "[[class]]\nname = \"" << c.name << "\"\npriority = " << c.priority
         << "\ndeadline_ms = " << static_cast<std::int64_t>(to_milliseconds(c.deadline))
         << "\nfirst_token_ms = " << static_cast<std::int64_t>(to_milliseconds(c.first_token))
         << "\n\n";
   }
-  for (std::size_t i = 0; i < shape_.workspaces.size(); ++i) {
-    const fleet_workspace& w = shape_.workspaces[i];
+  for (std::size_t i = 0; i < fleet_config_.workspaces.size(); ++i) {
+    const fleet_workspace& w = fleet_config_.workspaces[i];
     out << "[[workspace]]\nid = \"" << w.name << "\"\nkey_hashes = [\"" << sha256_hex(w.key)
-        << "\"]\nmodels = [\"" << shape_.model << "\"]\nshare = " << std::fixed
-        << (i == 0 ? first_share : w.share) << "\n\n";
+        << "\"]\nmodels = [\"" << fleet_config_.model << "\"]\nshare = " << std::fixed
+        << (i == 0 ? first_workspace_share : w.share) << "\n\n";
   }
   return out.str();
 }
 
-std::uint64_t fleet::apply(double first_share) {
+std::uint64_t fleet::apply(double first_workspace_share) {
   const nlohmann::json body = {{"base_version", version_},
                                {"proposal", "fleet-" + std::to_string(version_ + 1)},
                                {"inventory", inventory_text()},
-                               {"rules", rules_text(first_share)}};
+                               {"rules", rules_text(first_workspace_share)}};
   http_request request;
   request.method = "POST";
   request.target = "/admin/configuration";
@@ -177,9 +181,9 @@
 
 std::size_t fleet::serving_replicas() const {
   std::size_t sum = 0;
-  for (std::size_t first = 0; first < nodes_.size(); first += shape_.nodes_per_data_centre) {
+  for (std::size_t first = 0; first < nodes_.size(); first += fleet_config_.nodes_per_data_centre) {
     std::size_t min_count = nodes_[first]->routable_replicas();
-    for (std::size_t i = 1; i < shape_.nodes_per_data_centre; ++i) {
+    for (std::size_t i = 1; i < fleet_config_.nodes_per_data_centre; ++i) {
       min_count = std::min(min_count, nodes_[first + i]->routable_replicas());
     }
     sum += min_count;
@@ -189,7 +193,7 @@
 
 std::vector<fleet::replica_head> fleet::heads() const {
   std::vector<replica_head> result;
-  for (std::size_t first = 0; first < nodes_.size(); first += shape_.nodes_per_data_centre) {
+  for (std::size_t first = 0; first < nodes_.size(); first += fleet_config_.nodes_per_data_centre) {
     for (const replica_status& r : nodes_[first]->status().replicas) {
       if (r.serving && !r.members.empty()) {
         const endpoint& at = standins_->assets().find_vm(r.members.front())->address;
@@ -202,7 +206,7 @@
 
 fleet::member fleet::find_member(std::size_t centre) {
   member found;
-  found.node = centre * shape_.nodes_per_data_centre;
+  found.node = centre * fleet_config_.nodes_per_data_centre;
   for (const replica_status& r : nodes_[found.node]->status().replicas) {
     if (r.serving && r.members.size() > 1) {
       found.replica = r.id;
@@ -212,7 +216,7 @@
   return found;
 }
 
-bool fleet::serves_without(std::size_t n, const replica_id& replica, const vm_id& without) {
+bool fleet::routes_without_member(std::size_t n, const replica_id& replica, const vm_id& without) {
   for (const replica_status& r : nodes_[n]->status().replicas) {
     if (r.id == replica) {
       return r.serving && std::find(r.members.begin(), r.members.end(), without) == r.members.end();
--- a/src/load/fleet.h
+++ b/src/load/fleet.h
@@ -38,18 +38,18 @@
   // Worker threads of the runtime that stand-ins and callers share.
   std::size_t runtime_workers = 3;
   fleet_settings standins;
-  duration balancer_lag = 300ms;
+  duration load_balancer_lag = 300ms;
   std::uint64_t seed = 1;
   std::vector<fleet_workspace> workspaces;
   std::vector<class_rule> classes;
 };
 
-inline constexpr std::string_view fleet_service = "crew-api";
+inline constexpr std::string_view fleet_service_name = "crew-api";
 inline constexpr std::string_view fleet_service_path = "/crew";
 
 class fleet {
  public:
-  explicit fleet(fleet_spec shape);
+  explicit fleet(fleet_spec fleet_config);
   ~fleet();
   fleet(const fleet&) = delete;
   fleet& operator=(const fleet&) = delete;
@@ -57,16 +57,18 @@
   // Proposes a configuration that gives the first workspace this share of the capacity, through the
   // first node, as the `apply` subcommand does. Returns the configuration's version, or 0 if it was
   // not accepted.
-  std::uint64_t apply(double first_share);
+  std::uint64_t apply(double first_workspace_share);
 
-  [[nodiscard]] const fleet_spec& shape() const { return shape_; }
+  [[nodiscard]] const fleet_spec& fleet_config() const { return fleet_config_; }
   [[nodiscard]] standin_fleet& standins() { return *standins_; }
   [[nodiscard]] std::vector<std::unique_ptr<node>>& nodes() { return nodes_; }
   [[nodiscard]] socket_address caller_address(std::size_t node) const;
   [[nodiscard]] data_centre_id data_centre(std::size_t index) const;
   [[nodiscard]] fiber_runtime& runtime() { return runtime_; }
   [[nodiscard]] http_client& client() { return *client_; }
-  [[nodiscard]] const std::vector<fleet_workspace>& workspaces() const { return shape_.workspaces; }
+  [[nodiscard]] const std::vector<fleet_workspace>& workspaces() const {
+    return fleet_config_.workspaces;
+  }
   [[nodiscard]] std::size_t desired_replicas() const;
   // Number of serving replicas, summed over all data centres: in each, the lowest number that one
   // of its nodes can route to.
@@ -87,17 +89,17 @@
   };
   [[nodiscard]] std::vector<replica_head> heads() const;
   // Whether the node routes to the replica in a composition that does not contain the VM `without`.
-  [[nodiscard]] bool serves_without(std::size_t node, const replica_id& replica,
-                                    const vm_id& without);
+  [[nodiscard]] bool routes_without_member(std::size_t node, const replica_id& replica,
+                                           const vm_id& without);
   [[nodiscard]] bool is_routed_to(std::size_t node, const replica_id& replica);
 
  private:
   [[nodiscard]] inventory assets_without_ports() const;
   [[nodiscard]] std::string inventory_text() const;
-  [[nodiscard]] std::string rules_text(double first_share) const;
+  [[nodiscard]] std::string rules_text(double first_workspace_share) const;
   void start_nodes();
 
-  fleet_spec shape_;
+  fleet_spec fleet_config_;
   // The order of these members matters: the runtime must outlive everything that runs on it.
   fiber_runtime runtime_;
   std::unique_ptr<standin_fleet> standins_;
--- a/src/load/report_html.cpp
+++ b/src/load/report_html.cpp
@@ -28,7 +28,7 @@
   return line;
 }
 
-chart cells_chart(const variant_result& v, latency_histogram load_cell::*which,
+chart cells_chart(const variant_result& v, latency_histogram workspace_class_results::*which,
                   const std::string& title) {
   chart c{v.name + ": " + title, "ms, logarithmic", "fraction", true, {}, {}};
   for (const auto& [name, cell] : v.cells) {
@@ -39,11 +39,11 @@
   return c;
 }
 
-chart variants_chart(const experiment_report& report, latency_histogram load_cell::*which,
-                     const std::string& title) {
+chart variants_chart(const experiment_report& report,
+                     latency_histogram workspace_class_results::*which, const std::string& title) {
   chart c{title, "ms, logarithmic", "fraction", true, {}, {}};
   for (const variant_result& v : report.variants) {
-    const load_cell all = v.sum();
+    const workspace_class_results all = v.sum();
     if ((all.*which).count() > 0) {
       c.lines.push_back(distribution(v.name, all.*which));
     }
@@ -70,10 +70,10 @@
 }
 
 void row(std::ostream& out, const std::string& workspace, const std::string& request_class,
-         const load_cell& cell) {
+         const workspace_class_results& cell) {
   out << "<tr><td>" << html_escape(workspace) << "</td><td>" << html_escape(request_class)
       << "</td><td>" << cell.calls() << "</td><td>" << cell.of(caller_outcome::complete)
-      << "</td><td>" << cell.useful << "</td><td>"
+      << "</td><td>" << cell.complete_in_time << "</td><td>"
       << cell.of(caller_outcome::not_run) + cell.of(caller_outcome::unreached) << "</td><td>"
       << cell.of(caller_outcome::unknown) + cell.of(caller_outcome::no_response) << "</td><td>"
       << cell.of(caller_outcome::wrong) << "</td>";
@@ -105,7 +105,7 @@
       << (v.passed() ? ">passed" : " class=\"bad\">FAILED") << ", " << v.violations()
       << " broken promises" << (v.expected_violation ? " (a safeguard was disabled)" : "")
       << "</p>\n";
-  for (const std::string& sample : v.samples) {
+  for (const std::string& sample : v.violation_examples) {
     out << "<p class=\"bad\">" << html_escape(sample) << "</p>\n";
   }
   for (const std::string& problem : v.problems) {
@@ -113,9 +113,9 @@
   }
   table(out, v);
   out << render_svg(timeline_chart(v))
-      << render_svg(cells_chart(v, &load_cell::total, "whole answer"));
+      << render_svg(cells_chart(v, &workspace_class_results::total, "whole answer"));
   if (v.sum().first_token.count() > 0) {
-    out << render_svg(cells_chart(v, &load_cell::first_token, "first token"));
+    out << render_svg(cells_chart(v, &workspace_class_results::first_token, "first token"));
   }
 }
 
@@ -127,8 +127,10 @@
       << "</h1>\n<p>" << html_escape(report.description) << "</p>\n<p>seed " << report.seed
       << "</p>\n";
   if (report.variants.size() > 1) {
-    out << render_svg(variants_chart(report, &load_cell::total, "whole answer, all variants"))
-        << render_svg(variants_chart(report, &load_cell::first_token, "first token, all variants"));
+    out << render_svg(variants_chart(report, &workspace_class_results::total,
+                                     "whole answer, all variants"))
+        << render_svg(variants_chart(report, &workspace_class_results::first_token,
+                                     "first token, all variants"));
   }
   for (const variant_result& v : report.variants) {
     section(out, v);
--- a/src/load/report_json.cpp
+++ b/src/load/report_json.cpp
@@ -15,7 +15,7 @@
 }
 
 json cell_of(const std::string& workspace, const std::string& request_class,
-             const load_cell& cell) {
+             const workspace_class_results& cell) {
   json ends;
   for (std::size_t i = 0; i < caller_outcome_names.size(); ++i) {
     ends[std::string(caller_outcome_names[i])] = cell.ends[i];
@@ -24,7 +24,7 @@
           {"class", request_class},
           {"calls", cell.calls()},
           {"ends", ends},
-          {"useful", cell.useful},
+          {"useful", cell.complete_in_time},
           {"first_token", quantiles_of(cell.first_token)},
           {"total", quantiles_of(cell.total)},
           {"per_token", quantiles_of(cell.per_token)}};
@@ -58,7 +58,7 @@
           {"late_start", quantiles_of(v.late_start)},
           {"not_whole", v.reasons},
           {"broken", violations},
-          {"samples", v.samples},
+          {"samples", v.violation_examples},
           {"problems", v.problems},
           {"not_run_checked", v.not_run_checked},
           {"bookings_checked", v.bookings_checked},
--- a/src/load/report_text.cpp
+++ b/src/load/report_text.cpp
@@ -22,10 +22,10 @@
 }
 
 void print_cell(std::ostream& out, const std::string& workspace, const std::string& request_class,
-                const load_cell& cell, double seconds) {
+                const workspace_class_results& cell, double seconds) {
   out << "  " << std::left << std::setw(16) << workspace << std::setw(13) << request_class
       << std::right << std::setw(8) << cell.calls() << std::setw(8)
-      << cell.of(caller_outcome::complete) << std::setw(8) << cell.useful << std::setw(8)
+      << cell.of(caller_outcome::complete) << std::setw(8) << cell.complete_in_time << std::setw(8)
       << cell.of(caller_outcome::not_run) + cell.of(caller_outcome::unreached) << std::setw(8)
       << cell.of(caller_outcome::unknown) + cell.of(caller_outcome::no_response) << std::setw(7)
       << cell.of(caller_outcome::wrong) << std::setprecision(1) << std::setw(10)
@@ -43,7 +43,7 @@
       out << "  BROKEN " << v.violation_counts[i] << " times: " << guarantee_names[i] << '\n';
     }
   }
-  for (const std::string& sample : v.samples) {
+  for (const std::string& sample : v.violation_examples) {
     out << "    " << sample << '\n';
   }
   for (const std::string& problem : v.problems) {
--- a/src/load/results.cpp
+++ b/src/load/results.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-void load_cell::add(const call_timing& timing, caller_outcome end) {
+void workspace_class_results::add(const call_timing& timing, caller_outcome end) {
   ++ends[static_cast<std::size_t>(end)];
-  useful += timing.useful ? 1U : 0U;
+  complete_in_time += timing.complete_in_time ? 1U : 0U;
   if (end != caller_outcome::complete) {
     return;
   }
@@ -35,22 +35,23 @@
   }
 }
 
-load_cell& load_cell::operator+=(const load_cell& other) {
+workspace_class_results& workspace_class_results::operator+=(const workspace_class_results& other) {
   first_token += other.first_token;
   total += other.total;
   per_token += other.per_token;
   for (std::size_t i = 0; i < ends.size(); ++i) {
     ends[i] += other.ends[i];
   }
-  useful += other.useful;
+  complete_in_time += other.complete_in_time;
   return *this;
 }
 
-std::uint64_t load_cell::calls() const {
+std::uint64_t workspace_class_results::calls() const {
   return std::accumulate(ends.begin(), ends.end(), std::uint64_t{0});
 }
 
-void variant_result::add(const cell_name& cell, const call_timing& timing, caller_outcome end) {
+void variant_result::add(const workspace_and_class& cell, const call_timing& timing,
+                         caller_outcome end) {
   const auto second = static_cast<std::size_t>(std::max(0.0, to_seconds(timing.ended_at)));
   if (timeline.size() <= second) {
     timeline.resize(second + 1);
@@ -68,7 +69,7 @@
   for (std::size_t i = 0; i < violation_counts.size(); ++i) {
     violation_counts[i] += checker.count(static_cast<guarantee>(i));
   }
-  append(samples, checker.samples());
+  append(violation_examples, checker.violation_examples());
   not_run_checked += checker.not_run_checked();
   bookings_checked += checker.bookings_checked();
 }
@@ -95,23 +96,23 @@
   for (std::size_t i = 0; i < violation_counts.size(); ++i) {
     violation_counts[i] += other.violation_counts[i];
   }
-  append(samples, other.samples);
+  append(violation_examples, other.violation_examples);
   append(problems, other.problems);
   not_run_checked += other.not_run_checked;
   bookings_checked += other.bookings_checked;
   return *this;
 }
 
-load_cell variant_result::sum() const {
-  load_cell all;
+workspace_class_results variant_result::sum() const {
+  workspace_class_results all;
   for (const auto& [name_of, cell] : cells) {
     all += cell;
   }
   return all;
 }
 
-load_cell variant_result::sum_without(const std::string& workspace) const {
-  load_cell all;
+workspace_class_results variant_result::sum_without(const std::string& workspace) const {
+  workspace_class_results all;
   for (const auto& [name_of, cell] : cells) {
     if (name_of.first != workspace) {
       all += cell;
--- a/src/load/results.h
+++ b/src/load/results.h
@@ -16,9 +16,9 @@
 namespace arbutus {
 
 struct call_timing {
-  bool measured = false;   // the call was planned after the warm-up, so it counts in the figures
-  bool useful = false;     // the answer was complete, and in time by the limits of its class
-  duration late_start{};   // how much later than planned the load generator started the call
+  bool measured = false;  // the call was planned after the warm-up, so it counts in the figures
+  bool complete_in_time = false;  // the answer was complete, and in time by the limits of its class
+  duration late_start{};          // how much later than planned the load generator started the call
   duration first_token{};  // from the planned start of the call to its first token; 0: no token
   duration total{};        // from the planned start of the call to its end
   duration per_token{};    // mean time between two tokens after the first; 0: unknown
@@ -26,15 +26,15 @@
 };
 
 // Results of the measured calls of one workspace and one request class.
-struct load_cell {
+struct workspace_class_results {
   latency_histogram first_token;  // time to the first token of streamed answers
   latency_histogram total;
   latency_histogram per_token;
   std::array<std::uint64_t, caller_outcome_names.size()> ends{};  // number of calls by outcome
-  std::uint64_t useful{};
+  std::uint64_t complete_in_time{};
 
   void add(const call_timing& timing, caller_outcome end);
-  load_cell& operator+=(const load_cell& other);
+  workspace_class_results& operator+=(const workspace_class_results& other);
   [[nodiscard]] std::uint64_t calls() const;
   [[nodiscard]] std::uint64_t of(caller_outcome end) const {
     return ends[static_cast<std::size_t>(end)];
@@ -55,7 +55,7 @@
 };
 
 // Names of a workspace and a request class.
-using cell_name = std::pair<std::string, std::string>;
+using workspace_and_class = std::pair<std::string, std::string>;
 
 struct variant_result {
   std::string name;
@@ -63,13 +63,13 @@
                                    // empty: none
   std::uint32_t rounds{};
   double measured_seconds{};
-  std::map<cell_name, load_cell> cells;
+  std::map<workspace_and_class, workspace_class_results> cells;
   latency_histogram late_start;
   std::map<std::string, std::uint64_t> reasons;  // number of incomplete calls by error code
   std::vector<second_counts> timeline;           // outcomes in all rounds, by second of the run
   std::vector<fault_event> events;               // faults of the last round
   std::array<std::uint64_t, guarantee_names.size()> violation_counts{};
-  std::vector<std::string> samples;
+  std::vector<std::string> violation_examples;
   std::uint64_t not_run_checked{};
   std::uint64_t bookings_checked{};
   // Set if the variant disables a safeguard to test the checker: this guarantee must be violated,
@@ -78,13 +78,13 @@
   // Failures of the load run itself, such as a fleet that did not start.
   std::vector<std::string> problems;
 
-  void add(const cell_name& cell, const call_timing& timing, caller_outcome end);
+  void add(const workspace_and_class& cell, const call_timing& timing, caller_outcome end);
   void add(const guarantee_checker& checker);
   variant_result& operator+=(const variant_result& other);
 
-  [[nodiscard]] load_cell sum() const;
+  [[nodiscard]] workspace_class_results sum() const;
   // Sum of the results of all workspaces but this one.
-  [[nodiscard]] load_cell sum_without(const std::string& workspace) const;
+  [[nodiscard]] workspace_class_results sum_without(const std::string& workspace) const;
   [[nodiscard]] std::uint64_t violations() const;
   // Whether all guarantees held, or, if one was expected to be violated, whether exactly that one
   // was.
--- a/src/load/run.cpp
+++ b/src/load/run.cpp
@@ -12,8 +12,9 @@
 namespace {
 
 bool is_chosen(const load_run_options& options, const std::string& name) {
-  return options.only.empty() ||
-         std::find(options.only.begin(), options.only.end(), name) != options.only.end();
+  return options.variant_names.empty() ||
+         std::find(options.variant_names.begin(), options.variant_names.end(), name) !=
+             options.variant_names.end();
 }
 
 }  // namespace
--- a/src/load/run.h
+++ b/src/load/run.h
@@ -16,14 +16,14 @@
   std::uint32_t round{};
   double elapsed_seconds{};
   double planned_seconds{};
-  std::uint64_t begun{};
-  std::uint64_t ended{};
+  std::uint64_t begun_calls{};
+  std::uint64_t ended_calls{};
   std::uint64_t incomplete_calls{};
   std::uint64_t violations{};
 };
 
 struct load_run_options {
-  std::vector<std::string> only;  // names of the variants to run; empty: all
+  std::vector<std::string> variant_names;  // names of the variants to run; empty: all
   // Called repeatedly during the run; may be empty.
   std::function<void(const load_progress&)> on_progress;
 };
--- a/src/load/schedule.cpp
+++ b/src/load/schedule.cpp
@@ -76,7 +76,7 @@
     if (is_excluded) {
       return 0;
     }
-    return name == variant_.workspace ? w.weight * variant_.workspace_factor : w.weight;
+    return name == variant_.scaled_workspace ? w.weight * variant_.workspace_factor : w.weight;
   }
 
   // Whether the variant sends bookings. Variants that call engine stand-ins directly send none,
@@ -119,9 +119,10 @@
     call.at = at;
     call.workspace = pick(weights_);
     call.request_class = pick(class_weights_);
-    call.kind = random_.unit() < work_.streamed ? call_kind::streamed : call_kind::buffered;
+    call.kind =
+        random_.unit() < work_.streamed_fraction ? call_kind::streamed : call_kind::buffered;
     call.answer_tokens = work_.answer_tokens;
-    const std::uint64_t session = random_.below(work_.sessions);
+    const std::uint64_t session = random_.below(work_.sessions_per_workspace);
     call.prompt = prompt_of(call.workspace, session);
     return call;
   }
@@ -131,7 +132,8 @@
   std::string prompt_of(std::uint32_t workspace, std::uint64_t session) {
     rng of_session(workspace * 1000 + session + 1);
     const std::size_t bytes = std::size_t{work_.prompt_tokens} * standin::bytes_per_token;
-    const auto shared = static_cast<std::size_t>(work_.shared_prefix * static_cast<double>(bytes));
+    const auto shared =
+        static_cast<std::size_t>(work_.shared_prefix_fraction * static_cast<double>(bytes));
     std::string prefix = "session " + std::to_string(workspace) + '-' + std::to_string(session);
     prefix = padded_to(prefix + ": ", std::max(shared, prefix.size() + 2), of_session);
     prefix += " call " + std::to_string(++serial_) + ' ';
@@ -146,7 +148,7 @@
     call.request_class = pick(class_weights_);
     call.prompt = "booking-" + std::to_string(++serial_);
     calls_.push_back(call);
-    if (random_.unit() < work_.repeated) {
+    if (random_.unit() < work_.repeated_booking_fraction) {
       call.at += random_.jitter(max_repeat_delay);
       calls_.push_back(call);
     }
--- a/src/load/variant_run.cpp
+++ b/src/load/variant_run.cpp
@@ -24,7 +24,7 @@
 
 http_client_limits caller_limits() {
   http_client_limits limits;
-  limits.idle_per_target = idle_connections;
+  limits.max_idle_per_target = idle_connections;
   return limits;
 }
 
@@ -34,7 +34,7 @@
       break;
     case checker_test_kind::swapped:
     case checker_test_kind::duplicated:
-      return guarantee::own_answer;
+      return guarantee::complete_means_correct;
     case checker_test_kind::repeated:
       return guarantee::at_most_once;
   }
@@ -53,15 +53,15 @@
     : experiment_(experiment_spec),
       variant_(variant_spec),
       round_(round),
-      plan_(plan_calls(experiment_spec.work, variant_spec, experiment_spec.seed + round)),
+      planned_calls_(plan_calls(experiment_spec.work, variant_spec, experiment_spec.seed + round)),
       callers_(caller_workers),
-      checker_(experiment_spec.model, service_id{fleet_service}, booking_path) {
+      checker_(experiment_spec.model, service_id{fleet_service_name}, booking_path) {
   result_.name = variant_spec.name;
   result_.excluded_workspace = experiment_spec.excluded_workspace;
   result_.rounds = 1;
   result_.expected_violation = expected_violation_for(variant_spec.checker_test);
   for (std::size_t i = 0; i < caller_workers; ++i) {
-    shards_.push_back(std::make_unique<shard>());
+    worker_results_.push_back(std::make_unique<worker_result>());
   }
 }
 
@@ -81,7 +81,7 @@
   disable_safeguard();
   start_callers();
   run_timeline(on_progress);
-  for (const auto& part : shards_) {
+  for (const auto& part : worker_results_) {
     const std::lock_guard guard(part->lock);
     result_ += part->result;
   }
@@ -94,13 +94,13 @@
   if (!experiment_.nodes.empty()) {
     return true;
   }
-  fleet_spec shape = experiment_.shape;
+  fleet_spec fleet_config = experiment_.fleet_config;
   if (variant_.node_workers != 0) {
-    shape.node_workers = variant_.node_workers;
+    fleet_config.node_workers = variant_.node_workers;
   }
-  const double first_share = shape.workspaces.front().share;
-  fleet_ = std::make_unique<fleet>(std::move(shape));
-  const std::uint64_t version = fleet_->apply(first_share);
+  const double first_workspace_share = fleet_config.workspaces.front().share;
+  fleet_ = std::make_unique<fleet>(std::move(fleet_config));
+  const std::uint64_t version = fleet_->apply(first_workspace_share);
   if (version == 0) {
     result_.problems.emplace_back("the configuration was not accepted");
     return false;
@@ -152,7 +152,7 @@
 void variant_run::start_callers() {
   const bool closed = experiment_.work.arrivals == arrival_kind::closed;
   const std::size_t generators = closed ? experiment_.work.callers : caller_workers;
-  generators_ = generators;
+  starting_fibers_ = generators;
   start_ = monotonic_now();
   for (std::size_t i = 0; i < generators; ++i) {
     const std::size_t worker = i % caller_workers;
@@ -162,20 +162,20 @@
       } else {
         run_open_loop(worker);
       }
-      --generators_;
+      --starting_fibers_;
     });
   }
 }
 
 // Open loop: starts every call at its planned time, whether earlier calls have ended or not.
 void variant_run::run_open_loop(std::size_t worker) {
-  for (std::size_t i = worker; i < plan_.size(); i += caller_workers) {
-    const planned_call& planned = plan_[i];
+  for (std::size_t i = worker; i < planned_calls_.size(); i += caller_workers) {
+    const planned_call& planned = planned_calls_[i];
     const time_point intended = start_ + planned.at;
     if (intended > monotonic_now() && !sleep_until(intended)) {
       return;
     }
-    ++begun_;
+    ++begun_calls_;
     callers_.post(worker, [this, worker, &planned, intended] { call(worker, planned, intended); });
   }
 }
@@ -187,8 +187,8 @@
     if (now >= end) {
       return;
     }
-    ++begun_;
-    call(worker, plan_[i % plan_.size()], now);
+    ++begun_calls_;
+    call(worker, planned_calls_[i % planned_calls_.size()], now);
   }
 }
 
@@ -223,7 +223,7 @@
 
 call_address variant_run::address_for(const planned_call& planned) {
   call_address to;
-  to.key = experiment_.work.workspaces[planned.workspace].caller.key;
+  to.workspace_key = experiment_.work.workspaces[planned.workspace].caller.key;
   to.request_class = experiment_.work.classes[planned.request_class].rule.name;
   const std::size_t target = pick_target();
   to.target = targets_[target];
@@ -242,7 +242,7 @@
   const timed_answer answer = make_call(*client_, address_for(planned), experiment_.model,
                                         booking_path, planned, begun + experiment_.work.timeout);
   record(worker, planned, intended, begun, answer);
-  ++ended_;
+  ++ended_calls_;
 }
 
 void variant_run::record(std::size_t worker, const planned_call& planned, time_point intended,
@@ -260,12 +260,13 @@
     timing.per_token = (answer.ended - answer.first_token) / (answer.tokens - 1);
   }
   const std::string request_class = planned.kind == call_kind::booking ? "booking" : limits.name;
-  const cell_name cell{experiment_.work.workspaces[planned.workspace].caller.name, request_class};
+  const workspace_and_class cell{experiment_.work.workspaces[planned.workspace].caller.name,
+                                 request_class};
   const caller_outcome end = check(planned, answer.raw);
   const bool in_time = timing.total <= limits.deadline && timing.first_token <= limits.first_token;
-  timing.useful = end == caller_outcome::complete && in_time;
+  timing.complete_in_time = end == caller_outcome::complete && in_time;
   incomplete_calls_ += end == caller_outcome::complete ? 0U : 1U;
-  shard& own = *shards_[worker];
+  worker_result& own = *worker_results_[worker];
   const std::lock_guard guard(own.lock);
   own.result.add(cell, timing, end);
   if (timing.measured && end != caller_outcome::complete) {
@@ -290,14 +291,15 @@
   }
   const duration planned = experiment_.work.warm_up + experiment_.work.length;
   const time_point latest = start_ + planned + experiment_.work.timeout + hung_call_grace;
-  while (generators_ > 0 || ended_ < begun_) {
+  while (starting_fibers_ > 0 || ended_calls_ < begun_calls_) {
     const time_point now = monotonic_now();
     if (faults) {
       faults->apply_due(now - start_);
     }
     report_progress(on_progress, now - start_);
     if (now > latest) {
-      result_.problems.push_back(std::to_string(begun_ - ended_) + " calls did not end in time");
+      result_.problems.push_back(std::to_string(begun_calls_ - ended_calls_) +
+                                 " calls did not end in time");
       break;
     }
     std::this_thread::sleep_for(poll_interval);
@@ -307,7 +309,7 @@
     faults->finish(monotonic_now() - start_);
     result_.events = faults->events();
     for (std::size_t i = 0; i < faults->unclean_stops(); ++i) {
-      checker_.report_violation(guarantee::clean_stop,
+      checker_.report_violation(guarantee::stop_interrupts_nothing,
                                 "a planned stop of a node interrupted requests");
     }
   }
@@ -323,8 +325,8 @@
   progress.round = round_ + 1;
   progress.elapsed_seconds = to_seconds(elapsed);
   progress.planned_seconds = to_seconds(experiment_.work.warm_up + experiment_.work.length);
-  progress.begun = begun_;
-  progress.ended = ended_;
+  progress.begun_calls = begun_calls_;
+  progress.ended_calls = ended_calls_;
   progress.incomplete_calls = incomplete_calls_;
   on_progress(progress);
 }
@@ -336,7 +338,7 @@
   standin_fleet& standins = fleet_->standins();
   checker_.check_executions([&](const request_id& id) { return standins.runs(id); },
                             [&](const std::string& key) {
-                              return standins.executions_of(service_id{fleet_service}, key);
+                              return standins.executions_of(service_id{fleet_service_name}, key);
                             });
 }
 
--- a/src/load/variant_run.h
+++ b/src/load/variant_run.h
@@ -26,7 +26,7 @@
 
  private:
   // Results of the callers that run on one worker thread; merged after the load run.
-  struct shard {
+  struct worker_result {
     std::mutex lock;  // guards result
     variant_result result;
   };
@@ -52,11 +52,11 @@
   const experiment& experiment_;
   const variant& variant_;
   std::uint32_t round_;
-  std::vector<planned_call> plan_;
+  std::vector<planned_call> planned_calls_;
   std::unique_ptr<fleet> fleet_;  // fleet in this process; null if existing nodes are called
   fiber_runtime callers_;
   std::unique_ptr<http_client> client_;
-  std::vector<std::unique_ptr<shard>> shards_;
+  std::vector<std::unique_ptr<worker_result>> worker_results_;
   std::vector<socket_address> targets_;
   // VMs of the engines that are called directly, in the order of targets_.
   std::vector<vm_id> target_vms_;
@@ -69,10 +69,10 @@
   // Counter for the round robin over the called nodes or engines.
   std::atomic<std::uint64_t> next_target_{0};
   std::atomic<std::uint64_t> serial_{0};  // counter for the request ids that this run assigns
-  std::atomic<std::uint64_t> begun_{0};
-  std::atomic<std::uint64_t> ended_{0};
+  std::atomic<std::uint64_t> begun_calls_{0};
+  std::atomic<std::uint64_t> ended_calls_{0};
   std::atomic<std::uint64_t> incomplete_calls_{0};
-  std::atomic<std::size_t> generators_{0};  // number of fibers that still start calls
+  std::atomic<std::size_t> starting_fibers_{0};  // number of fibers that still start calls
 };
 
 }  // namespace arbutus
--- a/src/node/attempt_registry.h
+++ b/src/node/attempt_registry.h
@@ -16,7 +16,8 @@
   // One attempt to run a request on a replica, allocated on the stack of its fiber.
   struct attempt {
     cancel_token cancel = cancel_token::make();
-    bool moved = false;      // cancelled because its replica was lost, not for another reason
+    bool cancelled_to_move =
+        false;               // cancelled because its replica was lost, not for another reason
     bool resumable = false;  // may be continued on another replica
   };
 
@@ -25,13 +26,13 @@
    public:
     scope(attempt_registry& registry, const target_id& head, attempt& own)
         : registry_(registry), head_(head), own_(own) {
-      registry_.by_head_[head_].insert(&own_);
+      registry_.attempts_by_head_[head_].insert(&own_);
     }
     ~scope() {
-      const auto found = registry_.by_head_.find(head_);
+      const auto found = registry_.attempts_by_head_.find(head_);
       found->second.erase(&own_);
       if (found->second.empty()) {
-        registry_.by_head_.erase(found);
+        registry_.attempts_by_head_.erase(found);
       }
     }
     scope(const scope&) = delete;
@@ -47,14 +48,14 @@
 
   // Cancels the attempts at `head` that can be resumed on another replica; returns their number.
   std::size_t cancel_resumable(const target_id& head) {
-    const auto found = by_head_.find(head);
-    if (found == by_head_.end()) {
+    const auto found = attempts_by_head_.find(head);
+    if (found == attempts_by_head_.end()) {
       return 0;
     }
     std::size_t count = 0;
     for (attempt* a : found->second) {
-      if (a->resumable && !a->moved) {
-        a->moved = true;
+      if (a->resumable && !a->cancelled_to_move) {
+        a->cancelled_to_move = true;
         a->cancel.cancel();
         ++count;
       }
@@ -63,7 +64,7 @@
   }
 
  private:
-  std::map<target_id, std::set<attempt*>> by_head_;
+  std::map<target_id, std::set<attempt*>> attempts_by_head_;
 };
 
 }  // namespace arbutus
--- a/src/node/call_context.cpp
+++ b/src/node/call_context.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::string_view bearer = "Bearer ";
+constexpr std::string_view bearer_prefix = "Bearer ";
 constexpr duration no_configuration_retry = 1s;
 
 call_error unauthorized() {
@@ -69,7 +69,7 @@
 std::optional<call_error> begin_call(call_context& node, const http_request& request,
                                      call_state& call) {
   call.arrival = monotonic_now();
-  call.view = node.core.view();
+  call.view = node.coordination.view();
   call.id = request_id{node.self.str() + "-" + std::to_string(node.incarnation) + "-" +
                        std::to_string(node.next_request.fetch_add(1))};
   if (!call.view->config) {
@@ -77,14 +77,14 @@
   }
   const rules& desired = call.view->config->desired;
   const auto authorization = request.headers.find("authorization");
-  if (!authorization || !authorization->starts_with(bearer)) {
+  if (!authorization || !authorization->starts_with(bearer_prefix)) {
     return unauthorized();
   }
-  call.workspace = authenticate(desired, authorization->substr(bearer.size()));
+  call.workspace = authenticate(desired, authorization->substr(bearer_prefix.size()));
   if (call.workspace == nullptr) {
     return unauthorized();
   }
-  call.measured.workspace = call.workspace->id;
+  call.measurements.workspace = call.workspace->id;
   const class_rule* request_class = find_request_class(desired, request.headers);
   if (request_class == nullptr && request.headers.find("x-class")) {
     call_error error;
@@ -97,7 +97,7 @@
     call.request_class = *request_class;
   }
   call.priority = call.request_class.priority;
-  call.measured.request_class = call.request_class.name;
+  call.measurements.request_class = call.request_class.name;
   call.deadline = call.arrival + call.request_class.deadline;
   if (const auto requested = number_header(request.headers, "x-deadline-ms")) {
     const auto max_ms = static_cast<std::uint64_t>(to_milliseconds(call.request_class.deadline));
--- a/src/node/call_context.h
+++ b/src/node/call_context.h
@@ -28,11 +28,11 @@
   fiber_runtime& runtime;
   http_client& client;
   platform_client& platform;
-  control& core;  // the coordination core of this node
+  control& coordination;  // the coordination core of this node
   model_gates& gates;
   limit_exchange& limits;
   service_health& services;
-  metrics& measured;
+  metrics& call_metrics;
   std::atomic<std::uint64_t> next_request{1};  // number that the id of the next request contains
 };
 
@@ -45,7 +45,7 @@
   time_point arrival;
   time_point deadline;
   std::uint32_t priority = 0;  // 0 is the highest
-  finished_call measured;
+  finished_call measurements;
 };
 
 // Fills `call` from the headers. Returns the error to answer with if the call is not accepted.
--- a/src/node/configure.cpp
+++ b/src/node/configure.cpp
@@ -122,13 +122,13 @@
   }
 
  private:
-  proposal_step carry_out(const put_content& s, bool) {
+  proposal_step carry_out(const put_config_content& s, bool) {
     return proposer_.put_result(
         platform_.put({s.name, s.content}, monotonic_now() + platform_timeout));
   }
 
-  proposal_step carry_out(const write_head& s, bool) {
-    const table_write write{std::string(config_head_key), encode(s.head), s.expected_row};
+  proposal_step carry_out(const write_config_head& s, bool) {
+    const table_write write{std::string(config_head_key), encode(s.head), s.expected_row_version};
     const auto result = platform_.write(write, monotonic_now() + platform_timeout);
     return proposer_.write_result(match(
         result, [](const table_written& w) -> outcome<std::uint64_t> { return w.version; },
@@ -136,7 +136,7 @@
         [](const unknown& u) -> outcome<std::uint64_t> { return u; }));
   }
 
-  proposal_step carry_out(const read_head&, bool) {
+  proposal_step carry_out(const read_config_head&, bool) {
     return proposer_.read_result(read_head_row(platform_));
   }
 
--- a/src/node/control.cpp
+++ b/src/node/control.cpp
@@ -37,7 +37,7 @@
 
   // The core and the members up to `published_at` are accessed on worker 0 only.
   coordinator core;
-  bool dirty = false;  // the core got input since the last view was published
+  bool view_outdated = false;  // the core got input since the last view was published
   std::uint64_t published_revision = 0;
   time_point published_at = time_point::min();
 
@@ -79,7 +79,7 @@
 }
 
 void control::state::feed_on_worker(const input& in) {
-  dirty = true;
+  view_outdated = true;
   run(core.on(monotonic_now(), in));
   publish_if_due(monotonic_now());
   wake_up();
@@ -104,12 +104,12 @@
   while (!stopping) {
     const time_point now = monotonic_now();
     if (now >= core.next_tick()) {
-      dirty = true;
+      view_outdated = true;
       run(core.tick(now));
     }
     publish_if_due(monotonic_now());
     time_point next = core.next_tick();
-    if (dirty) {
+    if (view_outdated) {
       next = std::min(next, published_at + publish_interval);
     }
     wait_until(next);
@@ -121,8 +121,8 @@
 
 void control::state::publish_if_due(time_point now) {
   const bool changed = core.routes_revision() != published_revision;
-  const bool due =
-      dirty && (published_at == time_point::min() || now >= published_at + publish_interval);
+  const bool due = view_outdated &&
+                   (published_at == time_point::min() || now >= published_at + publish_interval);
   if (changed || due) {
     publish(now);
   }
@@ -144,7 +144,7 @@
   }
   published_revision = core.routes_revision();
   published_at = now;
-  dirty = false;
+  view_outdated = false;
   {
     const std::lock_guard lock(view_lock);
     current_view = next;
@@ -227,9 +227,11 @@
     const auto address = s.address_of(request.vm);
     outcome<engine_report> result = refused{"not in the inventory"};
     if (address) {
-      const auto still_due = [&s, &request] { return s.core.may_send(monotonic_now(), request); };
-      result =
-          s.engines.send(*address, request, monotonic_now() + request.validity_period, still_due);
+      const auto order_still_valid = [&s, &request] {
+        return s.core.may_send(monotonic_now(), request);
+      };
+      result = s.engines.send(*address, request, monotonic_now() + request.validity_period,
+                              order_still_valid);
     }
     return input{order_result{request, std::move(result)}};
   });
@@ -283,7 +285,7 @@
 
 void control::post(std::function<effects(time_point, coordinator&)> work) {
   state_->runtime.post(control_worker, [self = state_, work = std::move(work)] {
-    self->dirty = true;
+    self->view_outdated = true;
     self->run(work(monotonic_now(), self->core));
     self->publish_if_due(monotonic_now());
     self->wake_up();
@@ -292,14 +294,14 @@
 
 void control::call(const std::function<effects(time_point, coordinator&)>& work) {
   state_->runtime.run_on(control_worker, [this, &work] {
-    state_->dirty = true;
+    state_->view_outdated = true;
     state_->run(work(monotonic_now(), state_->core));
     state_->publish_if_due(monotonic_now());
     state_->wake_up();
   });
 }
 
-void control::feed(input in) {
+void control::post_input(input in) {
   state_->runtime.post(control_worker,
                        [self = state_, in = std::move(in)] { self->feed_on_worker(in); });
 }
--- a/src/node/control.h
+++ b/src/node/control.h
@@ -66,7 +66,7 @@
   // Like post(), but returns when `work` has run.
   void call(const std::function<effects(time_point, coordinator&)>& work);
 
-  void feed(input in);  // from any thread
+  void post_input(input in);  // from any thread
 
  private:
   struct state;
--- a/src/node/controller_heartbeats.cpp
+++ b/src/node/controller_heartbeats.cpp
@@ -25,17 +25,17 @@
 
 }  // namespace
 
-feed_update controller_loop::configuration_update(time_point now, const positions& at) {
+feed_update controller_loop::configuration_update(time_point now, const feed_positions& at) {
   return {node_.configuration_rows.since(at.configuration),
           false,
           node_.configuration_rows.position(),
           at.configuration,
-          *node_.lease.age(now),
+          *node_.configuration_lease.age(now),
           false};
 }
 
 void controller_loop::forward_configuration(time_point now, const node_id& peer,
-                                            const positions& at, node_heartbeat& message) {
+                                            const feed_positions& at, node_heartbeat& message) {
   const config_distributor::recipient to{at.configuration_row, at.configuration_progress,
                                          node_.peers.is_refused_by_store(peer)};
   auto next =
@@ -44,7 +44,7 @@
   // configuration that is sent in parts. It would advance its position without applying the
   // configuration.
   const bool reads_no_parts = at.configuration_row == 0 && at.configuration > 0 &&
-                              at.configuration < node_.configurations.newest();
+                              at.configuration < node_.configurations.newest_version();
   message.configuration = configuration_update(now, at);
   message.configuration->withheld = next.withheld || reads_no_parts;
   message.configuration_part = std::move(next.part);
@@ -60,20 +60,23 @@
 }
 
 feed_update controller_loop::targets_update(time_point now, std::uint64_t after) {
-  feed_update update{node_.target_rows.since(after), node_.target_rows.needs_snapshot(after),
-                     node_.target_rows.position(),   after,
-                     now - node_.fleet_read_at,      false};
+  feed_update update{node_.target_rows.since(after),      node_.target_rows.needs_snapshot(after),
+                     node_.target_rows.position(),        after,
+                     now - node_.fleet_list_requested_at, false};
   withhold_beyond_budget(update);
   return update;
 }
 
 feed_update controller_loop::serving_update(time_point now,
                                             const serving_follower::position& after) {
-  const feed_log& rows = node_.served.rows();
+  const feed_log& rows = node_.forwarded_serving.rows();
   const std::uint64_t from = after.incarnation == node_.incarnation ? after.at : 0;
-  feed_update update{rows.since(from),          rows.needs_snapshot(from),
-                     rows.position(),           from,
-                     now - node_.fleet_read_at, false};
+  feed_update update{rows.since(from),
+                     rows.needs_snapshot(from),
+                     rows.position(),
+                     from,
+                     now - node_.fleet_list_requested_at,
+                     false};
   withhold_beyond_budget(update);
   return update;
 }
@@ -82,17 +85,17 @@
 // reported its positions.
 void controller_loop::forward_updates(time_point now, const node_id& peer,
                                       node_heartbeat& message) {
-  const auto found = positions_.find(peer);
-  if (found == positions_.end()) {
+  const auto found = peer_positions_.find(peer);
+  if (found == peer_positions_.end()) {
     return;
   }
-  const positions& at = found->second;
+  const feed_positions& at = found->second;
   if (node_.fleet_complete && at.follows_records) {
     message.targets = targets_update(now, at.targets);
   } else if (node_.fleet_complete) {
-    message.served = serving_update(now, at.serving);
+    message.serving_rows = serving_update(now, at.serving);
   }
-  if (node_.lease.age(now)) {
+  if (node_.configuration_lease.age(now)) {
     forward_configuration(now, peer, at, message);
   }
 }
@@ -101,10 +104,10 @@
 void controller_loop::begin_round(time_point now) {
   config_distributor_.begin_round();
   list_budget_.begin_round();
-  lost_.clear();
+  lost_targets_.clear();
   for (const auto& [id, view] : node_.fleet.all()) {
-    if (view.lost && (view.listed || now - view.unlisted_at < unlisted_loss_report_duration)) {
-      lost_.insert(id);
+    if (view.lost && (view.listed || now - view.unlisted_since < unlisted_loss_report_duration)) {
+      lost_targets_.insert(id);
     }
   }
   serving_suspects_.clear();
@@ -114,10 +117,10 @@
   }
   all_loads_ = node_.loads.all();
   if (node_.map && node_.fleet_complete) {
-    node_.served.update(node_.fleet, *node_.map);
+    node_.forwarded_serving.update(node_.fleet, *node_.map);
     std::set<target_id> suspects = node_.lost_reports.reported_by_hubs(now);
-    suspects.insert(lost_.begin(), lost_.end());
-    serving_suspects_ = node_.served.first_suspect_per_row(suspects);
+    suspects.insert(lost_targets_.begin(), lost_targets_.end());
+    serving_suspects_ = node_.forwarded_serving.first_suspect_per_row(suspects);
   }
 }
 
@@ -126,7 +129,7 @@
   const bool same = node_.peers.data_centre_of(peer) == home;
   node_heartbeat message;
   message.data_centre = home;
-  message.link = node_.settings.listen.links;
+  message.link = node_.settings.listen.link_endpoint;
   message.strength = node_.settings.strength;
   message.hub = !node_.stopping && node_.peers.is_hub(now);
   message.leaving = node_.stopping;
@@ -137,17 +140,17 @@
   message.targets_position = watch_.records_position();
   message.follows_records = watch_.follows_records();
   message.incarnation = node_.incarnation;
-  message.serving = node_.followed.at();
+  message.serving_position = node_.received_serving.at();
   message.configuration_position = node_.configuration_rows.position();
-  message.configuration_row = node_.configurations.newest();
+  message.configuration_row = node_.configurations.newest_version();
   message.configuration_progress = watch_.configuration_progress();
-  const auto peer_position = positions_.find(peer);
-  const bool follows_served = message.hub && same && peer_position != positions_.end() &&
+  const auto peer_position = peer_positions_.find(peer);
+  const bool follows_served = message.hub && same && peer_position != peer_positions_.end() &&
                               !peer_position->second.follows_records;
   if (follows_served) {
     message.lost = serving_suspects_;
   } else {
-    std::set<target_id> lost = lost_;
+    std::set<target_id> lost = lost_targets_;
     if (message.hub && same) {
       lost.merge(node_.lost_reports.reported_by_hubs(now));
     }
@@ -182,16 +185,16 @@
   for (const auto& [target, limit] : node_.limits.all()) {
     const target_view* view = node_.fleet.find(target);
     if (limit.per_second && view != nullptr &&
-        responsibilities_.contains(view->record.data_centre)) {
+        responsible_data_centres_.contains(view->record.data_centre)) {
       issued.emplace(target, *limit.per_second);
     }
   }
   const node_id& self = node_.settings.id;
-  grants_.set_demand(now, self, node_.incarnation, false, node_.limits.demand(now));
-  grants_.round(now, random_, issued);
-  const grant_update own = grants_.update_for(now, self);
+  send_grants_.set_demand(now, self, node_.incarnation, false, node_.limits.demand(now));
+  send_grants_.distribute_round(now, random_, issued);
+  const grant_update own = send_grants_.update_for(now, self);
   for (const auto& [target, count] :
-       granted_.receive(now, now, self, node_.incarnation, node_.incarnation, own)) {
+       received_grants_.receive(now, now, self, node_.incarnation, node_.incarnation, own)) {
     node_.limits.granted(now, target, count);
   }
 }
@@ -203,7 +206,7 @@
     return;
   }
   const auto demand = message.hub
-                          ? (same ? std::map<target_id, double>{} : grants_.local_demand(now))
+                          ? (same ? std::map<target_id, double>{} : send_grants_.local_demand(now))
                           : node_.limits.demand(now);
   for (const auto& [target, limit] : node_.limits.all()) {
     const auto found = demand.find(target);
@@ -211,7 +214,7 @@
         {target, limit.per_second, now - limit.seen_at, found == demand.end() ? 0 : found->second});
   }
   if (message.hub) {
-    message.grants = grants_.update_for(now, peer);
+    message.grants = send_grants_.update_for(now, peer);
   }
 }
 
@@ -231,15 +234,15 @@
   const bool same = message.data_centre == node_.settings.data_centre;
   const bool hub = node_.peers.is_hub(now);
   if (hub && same != message.hub) {
-    grants_.set_demand(now, peer, message.incarnation, message.hub, std::move(demand));
+    send_grants_.set_demand(now, peer, message.incarnation, message.hub, std::move(demand));
   }
-  const auto new_grants = granted_.receive(stamp_sent_at, now, peer, message.incarnation,
-                                           node_.incarnation, message.grants);
+  const auto new_grants = received_grants_.receive(stamp_sent_at, now, peer, message.incarnation,
+                                                   node_.incarnation, message.grants);
   for (const auto& [target, count] : new_grants) {
     if (same) {
       node_.limits.granted(now, target, count);
     } else if (hub) {
-      grants_.received(target, count);
+      send_grants_.received(target, count);
     }
   }
 }
@@ -315,9 +318,9 @@
   }
   node_.peers.received(now, peer,
                        {message.hub, message.leaving, message.refused_by_store, message.stamp_us});
-  positions_[peer] = {message.follows_records,   message.targets_position,
-                      message.serving,           message.configuration_position,
-                      message.configuration_row, message.configuration_progress};
+  peer_positions_[peer] = {message.follows_records,   message.targets_position,
+                           message.serving_position,  message.configuration_position,
+                           message.configuration_row, message.configuration_progress};
   node_.requests_seen = node_.requests_seen || message.requests_seen;
   const bool same = message.data_centre == node_.settings.data_centre;
   const bool hub = node_.peers.is_hub(now);
@@ -338,8 +341,9 @@
   node_.lost_reports.store_report(now, peer, message.hub, message.lost);
   for (const target_id& id : message.lost) {
     const target_view* view = node_.fleet.find(id);
-    const bool own = view != nullptr && responsibilities_.contains(view->record.data_centre);
-    if (own && view->listed && !view->lost && probing_.insert(id).second) {
+    const bool own =
+        view != nullptr && responsible_data_centres_.contains(view->record.data_centre);
+    if (own && view->listed && !view->lost && targets_being_probed_.insert(id).second) {
       node_.runtime.post(0, [this, id] { verify_lost_report(id); });
     }
   }
--- a/src/node/controller_loop.cpp
+++ b/src/node/controller_loop.cpp
@@ -31,7 +31,7 @@
     : node_(node),
       links_(links),
       watch_(watch),
-      started_(monotonic_now()),
+      started_at_(monotonic_now()),
       random_(stable_hash(node.incarnation)),
       poison_exchange_(node.incarnation),
       config_distributor_(node.settings.strength.link_mbps),
@@ -63,13 +63,13 @@
   // A node that is partitioned from the platform and from all peers has only stale data. Such a
   // node leaves the control of replicas to the other nodes of its data centre, if there are any.
   const bool isolated = !node_.peers.any_alive(now) &&
-                        now - node_.fleet_read_at > isolation_timeout &&
-                        node_.peers.any_in(node_.settings.data_centre);
+                        now - node_.fleet_list_requested_at > isolation_timeout &&
+                        node_.peers.has_peer_in(node_.settings.data_centre);
   const auto responsibilities =
       isolated ? std::set<data_centre_id>{}
                : node_.peers.responsibilities(now, node_.settings.data_centres);
-  if (responsibilities != responsibilities_) {
-    responsibilities_ = responsibilities;
+  if (responsibilities != responsible_data_centres_) {
+    responsible_data_centres_ = responsibilities;
     std::string names;
     for (const data_centre_id& d : responsibilities) {
       names += (names.empty() ? "" : ",") + d.str();
@@ -81,11 +81,11 @@
               {"link_mbps", node_.settings.strength.link_mbps}});
   }
   // Right after this node's start it has received no heartbeat of a peer yet.
-  constexpr duration settle = 500ms;
-  if (now - started_ < settle) {
+  constexpr duration startup_settle_time = 500ms;
+  if (now - started_at_ < startup_settle_time) {
     return;
   }
-  if (!responsibilities_.empty() && node_.fleet_complete) {
+  if (!responsible_data_centres_.empty() && node_.fleet_complete) {
     probe_overdue(now);
   }
   for (const service_spec& service : node_.map->services()) {
@@ -95,17 +95,17 @@
     auto found = controllers_.find(service.id);
     if (found == controllers_.end()) {
       found = controllers_
-                  .emplace(service.id, replica_controller({}, node_.incarnation, started_,
+                  .emplace(service.id, replica_controller({}, node_.incarnation, started_at_,
                                                           node_.settings.cold_start))
                   .first;
     }
     if (now - capacity_logged_at_ >= capacity_log_interval) {
       log_capacity(service);
     }
-    const replica_controller::responsibilities own{responsibilities_,
-                                                   node_.settings.data_centres.size(),
-                                                   node_.requests_seen, now - node_.fleet_read_at};
-    if (responsibilities_.empty() || !node_.fleet_complete) {
+    const replica_controller::responsibilities own{
+        responsible_data_centres_, node_.settings.data_centres.size(), node_.requests_seen,
+        now - node_.fleet_list_requested_at};
+    if (responsible_data_centres_.empty() || !node_.fleet_complete) {
       continue;
     }
     for (const controller_effect& desired : found->second.tick(now, node_.fleet, service, own)) {
@@ -146,7 +146,7 @@
 void controller_loop::log_capacity(const service_spec& service) {
   for (const model_spec& model : service.engine->models) {
     const std::size_t serving = node_.replicas(service, model.id).size();
-    const auto [known, is_new] = capacity_.emplace(model.id, serving);
+    const auto [known, is_new] = logged_capacity_.emplace(model.id, serving);
     if (!is_new && known->second == serving) {
       continue;
     }
@@ -168,7 +168,7 @@
       const auto result = node_.engines.report(query->to, query->address, deadline);
       const time_point now = monotonic_now();
       if (const auto* report = std::get_if<target_report>(&result)) {
-        take_report(requested_at, query->to, *report);
+        apply_report(requested_at, query->to, *report);
         controller.on_report(now, query->to, *report);
       } else {
         if (std::holds_alternative<unknown>(result)) {
@@ -197,7 +197,7 @@
     node_.metrics.count("arbutusworks_orders",
                         "action=\"" + std::string(to_string(order.action)) + "\",outcome=\"" +
                             std::string(names[static_cast<std::size_t>(outcome)]) + "\"");
-    controller.on_order(monotonic_now(), node_.fleet, order, outcome);
+    controller.on_order_outcome(monotonic_now(), node_.fleet, order, outcome);
     // Another target answers at this address, so the target that was sent the order has ended.
     // Unless it is marked as ended, it is chosen for new replicas again and again until its row
     // expires, and each time the other members wait for it.
@@ -208,8 +208,8 @@
   });
 }
 
-bool controller_loop::take_report(time_point requested_at, const target_id& id,
-                                  const target_report& report) {
+bool controller_loop::apply_report(time_point requested_at, const target_id& id,
+                                   const target_report& report) {
   const target_view* view = node_.fleet.find(id);
   const service_spec* service =
       view == nullptr || !node_.map ? nullptr : node_.map->find_service(view->record.service);
--- a/src/node/controller_loop.h
+++ b/src/node/controller_loop.h
@@ -39,7 +39,7 @@
   static constexpr duration order_timeout = 300ms;
 
   // Positions in the watched tables that a peer reported.
-  struct positions {
+  struct feed_positions {
     bool follows_records = true;
     std::uint64_t targets{};  // position in the feed of the table of targets
     serving_follower::position serving;
@@ -63,10 +63,10 @@
   // a cost and are counted in a metric by their reason, `why`.
   bool probe(const target_id& id, duration timeout, std::string_view why);
   // Applies a report of an engine. False if another incarnation of the engine sent it.
-  bool take_report(time_point requested_at, const target_id& id, const target_report& report);
+  bool apply_report(time_point requested_at, const target_id& id, const target_report& report);
   void verify_lost_report(const target_id& id);
-  [[nodiscard]] feed_update configuration_update(time_point now, const positions& at);
-  void forward_configuration(time_point now, const node_id& peer, const positions& at,
+  [[nodiscard]] feed_update configuration_update(time_point now, const feed_positions& at);
+  void forward_configuration(time_point now, const node_id& peer, const feed_positions& at,
                              node_heartbeat& message);
   void withhold_beyond_budget(feed_update& update);
   [[nodiscard]] feed_update targets_update(time_point now, std::uint64_t after);
@@ -86,27 +86,29 @@
   hosted_state& node_;
   peer_links& links_;
   store_watch& watch_;
-  time_point started_;
+  time_point started_at_;
   rng random_;
   std::map<service_id, replica_controller> controllers_;
-  std::set<target_id> checking_;  // heads whose replicas are being checked
-  std::set<target_id> probing_;   // targets with a probe in progress
-  std::map<node_id, positions> positions_;
+  std::set<target_id> heads_being_checked_;   // heads whose replicas are being checked
+  std::set<target_id> targets_being_probed_;  // targets with a probe in progress
+  std::map<node_id, feed_positions> peer_positions_;
   poison_exchange poison_exchange_;
   // Send grants for targets that announce a limit.
-  send_grants grants_;
-  grant_receiver granted_;
+  send_grants send_grants_;
+  grant_receiver received_grants_;
   // State of the current round of heartbeats to peers.
   config_distributor config_distributor_;
   list_budget list_budget_;
-  std::set<target_id> lost_;                 // targets that this node marked as lost
+  std::set<target_id> lost_targets_;         // targets that this node marked as lost
   std::vector<target_id> serving_suspects_;  // for the nodes that follow the serving replicas only
   std::map<target_id, replica_load> all_loads_;
   std::vector<node_id> linked_peers_;
   std::size_t running_link_updates_ = 0;  // fibers that change the links
   bool ended_ = false;
-  std::set<data_centre_id> responsibilities_;  // data centres whose replicas this node controls
-  std::map<model_id, std::size_t> capacity_;   // replicas that may be sent requests, as last logged
+  std::set<data_centre_id>
+      responsible_data_centres_;  // data centres whose replicas this node controls
+  std::map<model_id, std::size_t>
+      logged_capacity_;  // replicas that may be sent requests, as last logged
   time_point heartbeats_sent_at_{};
   time_point plan_logged_at_{};
   time_point capacity_logged_at_{};
--- a/src/node/controller_losses.cpp
+++ b/src/node/controller_losses.cpp
@@ -33,11 +33,11 @@
 }  // namespace
 
 void controller_loop::check_stalls(time_point now) {
-  for (const target_id& head : node_.stalls.stalled(now)) {
-    if (checking_.insert(head).second) {
+  for (const target_id& head : node_.replica_stalls.stalled(now)) {
+    if (heads_being_checked_.insert(head).second) {
       node_.runtime.post(0, [this, head] {
         check_replica(head);
-        checking_.erase(head);
+        heads_being_checked_.erase(head);
       });
     }
   }
@@ -58,7 +58,7 @@
   const auto result = node_.engines.report(id, address, requested_at + timeout);
   const time_point now = monotonic_now();
   if (const auto* report = std::get_if<target_report>(&result)) {
-    return take_report(requested_at, id, *report);
+    return apply_report(requested_at, id, *report);
   }
   node_.fleet.probe_failed(now, id);
   return false;
@@ -83,7 +83,7 @@
 bool controller_loop::is_unlisted_member(time_point now, const target_view& view) const {
   return !view.listed && !view.lost && view.record.member_of &&
          !is_spare_name(view.record.member_of->replica.name) &&
-         responsibilities_.contains(view.record.data_centre) &&
+         responsible_data_centres_.contains(view.record.data_centre) &&
          now - view.last_contact_at >= unlisted_probe_interval;
 }
 
@@ -101,13 +101,13 @@
   }
   for (const auto& [id, view] : node_.fleet.all()) {
     const bool lost = view.lost && view.listed;
-    if ((lost || is_unlisted_member(now, view)) && probing_.insert(id).second) {
+    if ((lost || is_unlisted_member(now, view)) && targets_being_probed_.insert(id).second) {
       node_.runtime.post(0, [this, id = id, lost] {
         const bool answers = probe(id, order_timeout, lost ? "lost" : "dropped");
         if (lost && answers) {
           log_line(log_level::info, "fleet", "back", {{"target", id}});
         }
-        probing_.erase(id);
+        targets_being_probed_.erase(id);
       });
     }
   }
@@ -132,7 +132,7 @@
 void controller_loop::check_replica(const target_id& head) {
   const target_view* view = node_.fleet.find(head);
   if (view == nullptr || !view->record.member_of) {
-    node_.stalls.found_healthy(monotonic_now(), head);
+    node_.replica_stalls.found_healthy(monotonic_now(), head);
     node_.attempts.cancel_resumable(head);
     return;
   }
@@ -140,7 +140,7 @@
     const std::size_t moved = node_.attempts.cancel_resumable(head);
     log_line(log_level::info, "fleet", "suspected",
              {{"head", head}, {"told_by", "list"}, {"streams_moved", std::uint64_t{moved}}});
-    node_.stalls.found_healthy(monotonic_now(), head);
+    node_.replica_stalls.found_healthy(monotonic_now(), head);
     return;
   }
   const replica_key key = view->record.member_of->replica;
@@ -156,7 +156,7 @@
     const std::size_t moved = node_.attempts.cancel_resumable(head);
     log_line(log_level::info, "fleet", "suspected",
              {{"head", head}, {"told_by", "peer"}, {"streams_moved", std::uint64_t{moved}}});
-    node_.stalls.found_healthy(monotonic_now(), head);
+    node_.replica_stalls.found_healthy(monotonic_now(), head);
     return;
   }
   sample_members(head, members);
@@ -190,7 +190,7 @@
   }
   std::unique_lock guard(state->lock);
   state->done.wait(guard, [&state] { return state->pending == 0; });
-  node_.stalls.found_healthy(monotonic_now(), head);
+  node_.replica_stalls.found_healthy(monotonic_now(), head);
   node_.metrics.count("arbutusworks_silent_replicas",
                       state->failed ? "found=\"lost\"" : "found=\"well\"");
 }
@@ -200,19 +200,19 @@
 void controller_loop::probe_overdue(time_point now) {
   const auto late =
       from_seconds(to_seconds(node_.settings.bounds.target_heartbeat) * heartbeats_between_probes);
-  if (now - node_.fleet_read_at < late) {
+  if (now - node_.fleet_list_requested_at < late) {
     return;
   }
   for (const auto& [id, view] : node_.fleet.all()) {
     const service_spec* service = node_.map->find_service(view.record.service);
     const bool own = service != nullptr && service->engine && view.listed && !view.lost &&
-                     responsibilities_.contains(view.record.data_centre);
-    if (own && now - view.last_contact_at > late && probing_.insert(id).second) {
+                     responsible_data_centres_.contains(view.record.data_centre);
+    if (own && now - view.last_contact_at > late && targets_being_probed_.insert(id).second) {
       node_.runtime.post(0, [this, id = id] {
         if (!probe(id, order_timeout, "unheard")) {
           probe(id, order_timeout, "unheard");
         }
-        probing_.erase(id);
+        targets_being_probed_.erase(id);
       });
     }
   }
@@ -231,7 +231,7 @@
                {{"target", id}, {"told_by", "peer"}, {"streams_moved", std::uint64_t{moved}}});
     }
   }
-  probing_.erase(id);
+  targets_being_probed_.erase(id);
 }
 
 }  // namespace arbutus
--- a/src/node/engine_client.cpp
+++ b/src/node/engine_client.cpp
@@ -26,12 +26,13 @@
 }
 
 outcome<engine_report> engine_client::send(const socket_address& target, const order& o,
-                                           time_point deadline, const send_permit& still_due) {
+                                           time_point deadline,
+                                           const send_permit& order_still_valid) {
   http_request request;
   request.method = "POST";
   request.target = "/order";
   request.body = encode(o);
-  const call_result result = client_.fetch(target, request, deadline, {}, still_due);
+  const call_result result = client_.fetch(target, request, deadline, {}, order_still_valid);
   if (result.failure == call_failure::not_permitted) {
     return refused{"out of date before it was sent"};
   }
--- a/src/node/engine_client.h
+++ b/src/node/engine_client.h
@@ -16,10 +16,10 @@
 
   outcome<engine_report> probe(const socket_address& target, time_point deadline);
 
-  // `still_due` is called directly before the first byte is sent. Refused: the target rejected the
-  // order, or `still_due` returned false.
+  // `order_still_valid` is called directly before the first byte is sent. Refused: the target
+  // rejected the order, or `order_still_valid` returned false.
   outcome<engine_report> send(const socket_address& target, const order& o, time_point deadline,
-                              const send_permit& still_due);
+                              const send_permit& order_still_valid);
 
   // Best effort; a request that the target no longer has is not an error.
   void cancel(const socket_address& target, const request_id& id, time_point deadline);
--- a/src/node/front_end.cpp
+++ b/src/node/front_end.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::string_view bearer = "Bearer ";
+constexpr std::string_view bearer_prefix = "Bearer ";
 
 void send_text(response_writer& writer, int status, std::string_view type, std::string_view body) {
   http_headers headers;
@@ -45,7 +45,8 @@
   } else if (path == "/readyz") {
     serve_ready(writer);
   } else if (path == "/metrics") {
-    send_text(writer, 200, "text/plain; version=0.0.4", node_.measured.text(operators_.gauges()));
+    send_text(writer, 200, "text/plain; version=0.0.4",
+              node_.call_metrics.text(operators_.gauges()));
   } else if (path.starts_with("/admin/")) {
     serve_admin(request, writer);
   } else {
@@ -57,7 +58,7 @@
 void front_end::serve_ready(response_writer& writer) const {
   if (draining_) {
     send_text(writer, 503, "text/plain", "draining\n");
-  } else if (!node_.core.view()->config) {
+  } else if (!node_.coordination.view()->config) {
     send_text(writer, 503, "text/plain", "no configuration yet\n");
   } else {
     send_text(writer, 200, "text/plain", "ready\n");
@@ -66,10 +67,11 @@
 
 bool front_end::is_operator(const http_request& request) const {
   const auto authorization = request.headers.find("authorization");
-  if (operators_.key_hash.empty() || !authorization || !authorization->starts_with(bearer)) {
+  if (operators_.key_hash.empty() || !authorization || !authorization->starts_with(bearer_prefix)) {
     return false;
   }
-  return equal_constant_time(sha256_hex(authorization->substr(bearer.size())), operators_.key_hash);
+  return equal_constant_time(sha256_hex(authorization->substr(bearer_prefix.size())),
+                             operators_.key_hash);
 }
 
 void front_end::serve_admin(const http_request& request, response_writer& writer) {
--- a/src/node/hosted_buffered.cpp
+++ b/src/node/hosted_buffered.cpp
@@ -13,7 +13,7 @@
 
 // With less time than this before a request's deadline, no further instance is tried, since it
 // could not answer in time.
-constexpr duration min_useful_time = 10ms;
+constexpr duration min_attempt_time = 10ms;
 
 class buffered_call {
  public:
@@ -43,8 +43,8 @@
   void next_attempt() {
     // Earlier attempts of the same request, here and on other nodes, may have had other request
     // ids. The fingerprint links them, so that a poison request is recognized.
-    if (!may_run(node_, call_)) {
-      end_locally(503, retry_after_poison(node_, call_), poison_reason);
+    if (!await_poison_clearance(node_, call_)) {
+      end_locally(503, retry_after_poison(node_, call_), poison_refusal_reason);
       return;
     }
     const time_point now = monotonic_now();
@@ -52,11 +52,11 @@
       end_locally(0, {}, "the caller has gone");
       return;
     }
-    if (now + min_useful_time >= call_.deadline) {
-      end_locally(call_.may_have_run > 0 ? 504 : 503, retry_after_no_target, "no time is left");
+    if (now + min_attempt_time >= call_.deadline) {
+      end_locally(call_.possible_runs > 0 ? 504 : 503, retry_after_no_target, "no time is left");
       return;
     }
-    if (!key_usable(node_, call_)) {
+    if (!is_key_usable(node_, call_)) {
       end_locally(503, retry_after_stale(node_, monotonic_now()), "the key cannot be confirmed");
       return;
     }
@@ -66,7 +66,7 @@
     if (!chosen) {
       const bool by_limit = avoided.size() > avoided_.size();
       end_locally(503, by_limit ? retry_after_limit(node_) : retry_after_no_target,
-                  by_limit ? limit_reason : last_reason_);
+                  by_limit ? send_limit_reason : last_reason_);
       return;
     }
     if (!may_send_again(node_, call_, now)) {
@@ -100,16 +100,16 @@
     facts.time_left = call_.deadline - monotonic_now();
     facts.workspace = call_.workspace;
     facts.urgency = call_.urgency;
-    call_.targets += (call_.targets.empty() ? "" : ",") + instance.id.str();
-    ++call_.sends;
+    call_.tried_targets += (call_.tried_targets.empty() ? "" : ",") + instance.id.str();
+    ++call_.possible_sends;
     node_.instances.sent(instance.id);
     sent_at_ = monotonic_now();
     node_.limits.sent(sent_at_, instance.id);
     node_.poison.tracker.run_sent(sent_at_, instance.id);
-    const call_result result = node_.targets.fetch(
+    const call_result result = node_.targets_http.fetch(
         {instance.address.host, instance.address.port},
         make_target_request(call_.raw_request, facts), call_.deadline, cancel_,
-        [this] { return key_usable(node_, call_); }, connection());
+        [this] { return is_key_usable(node_, call_); }, connection());
     handle_result(instance, result);
   }
 
@@ -117,21 +117,24 @@
     const time_point now = monotonic_now();
     avoided_.push_back(instance.id);
     if (result.failure == call_failure::not_permitted) {
-      node_.instances.ended(now, instance.id, call_end::withdrawn);
+      node_.instances.ended(now, instance.id, instance_call_outcome::withdrawn);
       end_locally(503, retry_after_stale(node_, monotonic_now()), "the key was withdrawn");
       return;
     }
     if (result.outcome == call_outcome::not_sent) {
-      node_.instances.ended(now, instance.id,
-                            caller_disconnected_ ? call_end::withdrawn : call_end::failed);
-      --call_.sends;
+      node_.instances.ended(
+          now, instance.id,
+          caller_disconnected_ ? instance_call_outcome::withdrawn : instance_call_outcome::failed);
+      --call_.possible_sends;
       last_reason_ = "could not be sent";
       return;
     }
     if (!result.ok()) {
       const bool own_reason = caller_disconnected_ || result.failure == call_failure::cancelled;
-      node_.instances.ended(now, instance.id, own_reason ? call_end::withdrawn : call_end::failed);
-      ++call_.may_have_run;
+      node_.instances.ended(
+          now, instance.id,
+          own_reason ? instance_call_outcome::withdrawn : instance_call_outcome::failed);
+      ++call_.possible_runs;
       if (result.failure == call_failure::connection_lost && !own_reason) {
         check_for_strike(node_, {call_.fields.id, call_.fingerprint, instance.id, instance.address,
                                  sent_at_, now});
@@ -146,26 +149,27 @@
                       const http_response& response) {
     const response_fields answer =
         read_response_fields(response.status, response.headers, call_.fields.id);
-    note_limit(node_, sent_at_, instance.id, response.status, answer);
-    if (answer.running) {
+    update_send_limit(node_, sent_at_, instance.id, response.status, answer);
+    if (answer.running_requests) {
       node_.instances.note_reported_load(
-          now, instance.id, *answer.running + static_cast<double>(answer.waiting.value_or(0)));
+          now, instance.id,
+          *answer.running_requests + static_cast<double>(answer.waiting_requests.value_or(0)));
     }
     switch (answer.kind) {
       case answer_kind::not_run:
-        node_.instances.ended(now, instance.id, call_end::not_run);
+        node_.instances.ended(now, instance.id, instance_call_outcome::not_run);
         broken(instance, "the target did not run it");
         return;
       case answer_kind::mismatched:
       case answer_kind::unsigned_success:
-        node_.instances.ended(now, instance.id, call_end::failed);
-        ++call_.may_have_run;
+        node_.instances.ended(now, instance.id, instance_call_outcome::failed);
+        ++call_.possible_runs;
         broken(instance, "the answer was not this request's");
         return;
       case answer_kind::target_response:
-        node_.instances.ended(now, instance.id, call_end::answered);
+        node_.instances.ended(now, instance.id, instance_call_outcome::answered);
         node_.poison.tracker.first_event_received(now - sent_at_);
-        note_harmless(node_, call_);
+        mark_request_harmless(node_, call_);
         forward_response(instance, response);
         return;
     }
@@ -173,14 +177,14 @@
 
   void broken(const service_instance& instance, std::string_view reason) {
     last_reason_ = reason;
-    if (call_.logged) {
+    if (call_.writes_log_lines) {
       log_line(log_level::info, "request", "attempt ended",
                {{"request", call_.fields.id},
                 {"target", instance.id},
                 {"reason", reason},
                 {"print", hash_text(call_.fingerprint)},
-                {"may_have_run", call_.may_have_run},
-                {"sends", call_.sends}});
+                {"may_have_run", call_.possible_runs},
+                {"sends", call_.possible_sends}});
     }
     node_.metrics.count("arbutusworks_attempts_broken");
   }
@@ -190,9 +194,9 @@
   void forward_response(const service_instance& instance, const http_response& response) {
     const bool failed = response.status >= 500;
     if (failed && call_.matched_route->repeatable() &&
-        call_.may_have_run + 1 < call_.matched_route->max_attempts &&
-        node_.retries_of(call_.service->id).left() >= 1) {
-      ++call_.may_have_run;
+        call_.possible_runs + 1 < call_.matched_route->max_attempts &&
+        node_.retries_of(call_.service->id).retries_left() >= 1) {
+      ++call_.possible_runs;
       broken(instance, "the target failed");
       return;
     }
--- a/src/node/hosted_call.cpp
+++ b/src/node/hosted_call.cpp
@@ -30,7 +30,7 @@
     }
     call_.map = node_.map;
     call_.matched_route = call_.map->find_route(call_.fields.host, call_.fields.path);
-    const bool current = node_.lease.valid(call_.arrived);
+    const bool current = node_.configuration_lease.valid(call_.arrived);
     if (call_.matched_route == nullptr) {
       // Only a configuration version that was recently confirmed as the newest proves that there is
       // no such route; another node may have a newer version.
@@ -60,7 +60,7 @@
                  "keys cannot be checked: the configuration is stale");
     }
     const workspace_spec* workspace =
-        call_.fields.key.empty() ? nullptr : call_.map->find_workspace(call_.fields.key);
+        call_.fields.api_key.empty() ? nullptr : call_.map->find_workspace(call_.fields.api_key);
     if (workspace == nullptr) {
       return end(401, {}, "the key is not known");
     }
@@ -86,7 +86,7 @@
     if (call_.service == nullptr) {
       return end(503, retry_after_no_target, "the route's service is not configured");
     }
-    node_.retries_of(call_.service->id).first_send(call_.arrived);
+    node_.retries_of(call_.service->id).count_first_send(call_.arrived);
     return true;
   }
 
@@ -97,27 +97,30 @@
 }  // namespace
 
 duration retry_after_stale(const hosted_state& node, time_point now) {
-  return node.peers.any_served_here(now) ? retry_after_stale_here : retry_after_stale_all;
+  return node.peers.has_served_peer_here(now) ? retry_after_stale_node
+                                              : retry_after_stale_data_centre;
 }
 
-bool key_usable(const hosted_state& node, const hosted_request& call) {
+bool is_key_usable(const hosted_state& node, const hosted_request& call) {
   if (call.workspace.empty()) {
     return true;
   }
   // The key is checked against the newest configuration version: it may have been revoked while the
   // call waited.
   const time_point now = monotonic_now();
-  return node.lease.valid(now) && node.map->find_workspace(call.fields.key) != nullptr;
+  return node.configuration_lease.valid(now) &&
+         node.map->find_workspace(call.fields.api_key) != nullptr;
 }
 
 bool may_send_again(hosted_state& node, const hosted_request& call, time_point now) {
-  if (call.sends == 0) {
+  if (call.possible_sends == 0) {
     return true;
   }
-  if (call.may_have_run > 0 && !call.matched_route->repeatable()) {
+  if (call.possible_runs > 0 && !call.matched_route->repeatable()) {
     return false;
   }
-  if (call.may_have_run >= call.matched_route->max_attempts || call.sends >= max_sends_per_call) {
+  if (call.possible_runs >= call.matched_route->max_attempts ||
+      call.possible_sends >= max_sends_per_call) {
     return false;
   }
   return node.retries_of(call.service->id).take(now);
@@ -131,7 +134,7 @@
   const bool promises_not_run = status == 503 || status == 429 || status == 408;
   // The statuses 503, 429 and 408 promise that the request did not run, and callers then repeat it.
   // If a target may have run it, such a status would make it run twice.
-  if (promises_not_run && call.may_have_run > 0) {
+  if (promises_not_run && call.possible_runs > 0) {
     const bool repeatable = call.matched_route != nullptr && call.matched_route->repeatable();
     answer.status = repeatable ? 502 : 504;
   } else if (promises_not_run) {
@@ -139,7 +142,7 @@
   }
   const bool sent = call.writer.send(answer.status, local_response_headers(answer, call.fields.id),
                                      local_response_body(answer));
-  finish_call(node, call, sent ? (call.may_have_run > 0 ? "failed" : "refused") : "caller_gone",
+  finish_call(node, call, sent ? (call.possible_runs > 0 ? "failed" : "refused") : "caller_gone",
               reason, answer.status);
 }
 
@@ -152,13 +155,13 @@
   measured.request_class = call.matched_route == nullptr ? "none" : call.matched_route->name;
   measured.target = call.service == nullptr ? "none" : call.service->id.str();
   measured.result = std::string(result);
-  measured.total = total;
-  measured.attempts = call.sends;
-  if (call.first_event > time_point{}) {
-    measured.first_token = call.first_event - call.arrived;
+  measured.call_duration = total;
+  measured.attempts = call.possible_sends;
+  if (call.first_event_at > time_point{}) {
+    measured.time_to_first_token = call.first_event_at - call.arrived;
   }
   node.metrics.record(measured);
-  if (!call.logged) {
+  if (!call.writes_log_lines) {
     return;
   }
   log_line(
@@ -168,14 +171,14 @@
        {"result", result},
        {"reason", reason},
        {"status", status},
-       {"targets", call.targets},
-       {"sends", call.sends},
-       {"may_have_run", call.may_have_run},
-       {"events", call.events},
-       {"first_event_ms", to_milliseconds(measured.first_token)},
+       {"targets", call.tried_targets},
+       {"sends", call.possible_sends},
+       {"may_have_run", call.possible_runs},
+       {"events", call.forwarded_events},
+       {"first_event_ms", to_milliseconds(measured.time_to_first_token)},
        {"total_ms", to_milliseconds(total)},
        {"version", call.map ? call.map->version() : 0},
-       {"lease_age_ms", to_milliseconds(node.lease.age(now).value_or(-1ms))}});
+       {"lease_age_ms", to_milliseconds(node.configuration_lease.age(now).value_or(-1ms))}});
 }
 
 bool check_send_limit(hosted_state& node, time_point now, const target_id& target) {
@@ -191,12 +194,12 @@
 // The time is randomized, so that callers that were refused together do not all retry
 // simultaneously.
 duration retry_after_limit(hosted_state& node) {
-  constexpr duration middle = 800ms;
-  return from_seconds(to_seconds(middle) * (0.5 + node.random.unit()));
+  constexpr duration mean_retry_after = 800ms;
+  return from_seconds(to_seconds(mean_retry_after) * (0.5 + node.random.unit()));
 }
 
-void note_limit(hosted_state& node, time_point sent_at, const target_id& target, int status,
-                const response_fields& answer) {
+void update_send_limit(hosted_state& node, time_point sent_at, const target_id& target, int status,
+                       const response_fields& answer) {
   // A failure may come from a component of the target that does not report the target's send limit,
   // so only a success without a limit removes it.
   const bool may_clear_limit = answer.kind == answer_kind::target_response && status / 100 == 2;
@@ -224,7 +227,7 @@
                       0,       {},      {},
                       0};
   call.arrived = monotonic_now();
-  call.logged = log_accepts_request(call.arrived, call.fields.id.str());
+  call.writes_log_lines = should_write_request_lines(call.arrived, call.fields.id.str());
   node.requests_seen = true;
   call_preparation start(node, call);
   if (!start.run()) {
--- a/src/node/hosted_node.cpp
+++ b/src/node/hosted_node.cpp
@@ -21,7 +21,7 @@
 
 // The load balancer checks readiness once a second and removes a node after two responses other
 // than 200, so new connections may arrive for this long after readiness fails.
-constexpr duration balancer_lag = 2500ms;
+constexpr duration load_balancer_lag = 2500ms;
 // Part of the grace period that is reserved for the orderly exit of the process.
 constexpr duration shutdown_margin = 800ms;
 
@@ -30,9 +30,9 @@
   // These two size limits bound the node's memory. The operators' limits, of at most 16 KiB of
   // header and the largest body that the platform lets them allow, may change with a configuration
   // version and are lower.
-  limits.header_bytes = 64UL * 1024;
-  limits.body_bytes = 8UL * 1024 * 1024;
-  limits.connections = 3000;
+  limits.max_header_bytes = 64UL * 1024;
+  limits.max_body_bytes = 8UL * 1024 * 1024;
+  limits.max_connections = 3000;
   limits.read_timeout = 10s;
   limits.idle_timeout = 60s;
   // A caller that reads nothing for this long is treated as disconnected; its stream would be far
@@ -43,8 +43,8 @@
 
 http_server_limits small_server_limits() {
   http_server_limits limits;
-  limits.body_bytes = 4096;
-  limits.connections = 64;
+  limits.max_body_bytes = 4096;
+  limits.max_connections = 64;
   return limits;
 }
 
@@ -60,7 +60,8 @@
 
   void listen() {
     const hosted_listen& at = state.settings.listen;
-    links = std::make_unique<peer_links>(runtime, address_of_endpoint(at.links), state.settings.id);
+    links = std::make_unique<peer_links>(runtime, address_of_endpoint(at.link_endpoint),
+                                         state.settings.id);
     controller = std::make_unique<controller_loop>(state, *links, watch);
     links->set_receiver(link_channel::coordination, [this](const peer_message& m) {
       if (const auto message = decode_node_heartbeat(m.bytes)) {
@@ -70,13 +71,13 @@
       }
     });
     ready = std::make_unique<http_server>(
-        runtime, address_of_endpoint(at.ready), small_server_limits(),
+        runtime, address_of_endpoint(at.readiness_endpoint), small_server_limits(),
         [this](const http_request&, response_writer& w) { serve_ready(w); });
     metrics = std::make_unique<http_server>(
-        runtime, address_of_endpoint(at.metrics), small_server_limits(),
+        runtime, address_of_endpoint(at.metrics_endpoint), small_server_limits(),
         [this](const http_request& r, response_writer& w) { serve_operator(r, w); });
     callers = std::make_unique<http_server>(
-        runtime, address_of_endpoint(at.callers), caller_server_limits(),
+        runtime, address_of_endpoint(at.caller_endpoint), caller_server_limits(),
         [this](const http_request& r, response_writer& w) { serve_hosted_call(state, r, w); });
   }
 
@@ -85,20 +86,20 @@
   // nodes.
   [[nodiscard]] bool is_ready() const {
     const time_point now = monotonic_now();
-    return !state.stopping && state.map && state.fleet_known && state.lease.valid(now) &&
-           !state.is_outdated(now);
+    return !state.stopping && state.map && state.fleet_known &&
+           state.configuration_lease.valid(now) && !state.is_outdated(now);
   }
 
   void serve_ready(response_writer& writer) {
     const bool is = is_ready();
     if (is != was_ready) {
       was_ready = is;
-      log_line(
-          log_level::info, "node", is ? "ready" : "not ready",
-          {{"stopping", state.stopping},
-           {"behind_ms", to_milliseconds(state.lag.age(monotonic_now()))},
-           {"configured", state.map != nullptr},
-           {"lease_age_ms", to_milliseconds(state.lease.age(monotonic_now()).value_or(-1ms))}});
+      log_line(log_level::info, "node", is ? "ready" : "not ready",
+               {{"stopping", state.stopping},
+                {"behind_ms", to_milliseconds(state.configuration_lag.age(monotonic_now()))},
+                {"configured", state.map != nullptr},
+                {"lease_age_ms",
+                 to_milliseconds(state.configuration_lease.age(monotonic_now()).value_or(-1ms))}});
     }
     send_text(writer, is ? 200 : 503, is ? "ready\n" : "not ready\n");
   }
@@ -135,7 +136,7 @@
     add("arbutusworks_poison_convicted", state.poison.tracker.quarantined());
     add("arbutusworks_poison_turned_away", state.poison.tracker.rejected_strikes());
     add("arbutusworks_log_lines_dropped", dropped_log_lines());
-    add("arbutusworks_log_requests_left_out", log_requests_suppressed());
+    add("arbutusworks_log_requests_left_out", suppressed_request_count());
     return text;
   }
 
@@ -192,8 +193,8 @@
   p.runtime.run_on(0, [&] {
     p.state.stopping = true;
     p.callers->close_after_answers();
-    sleep_until(begun + balancer_lag);
-    clean = p.callers->drain(begun + p.state.settings.bounds.grace - shutdown_margin);
+    sleep_until(begun + load_balancer_lag);
+    clean = p.callers->drain(begun + p.state.settings.bounds.shutdown_grace - shutdown_margin);
   });
   return clean;
 }
--- a/src/node/hosted_parts.h
+++ b/src/node/hosted_parts.h
@@ -29,12 +29,12 @@
   time_point deadline;
 
   // Outcome, for the log line and the metrics.
-  std::uint32_t sends = 0;         // sends that may have reached a target
-  std::uint32_t may_have_run = 0;  // of those, sends that no target reported as not run
-  std::string targets;             // targets tried, in order
-  time_point first_event{};        // when the first event of the response was received; zero: none
-  std::uint64_t events = 0;        // events forwarded to the caller
-  bool logged = true;              // whether log lines of this call are written: all or none
+  std::uint32_t possible_sends = 0;  // sends that may have reached a target
+  std::uint32_t possible_runs = 0;   // of those, sends that no target reported as not run
+  std::string tried_targets;         // targets tried, in order
+  time_point first_event_at{};  // when the first event of the response was received; zero: none
+  std::uint64_t forwarded_events = 0;  // events forwarded to the caller
+  bool writes_log_lines = true;        // whether log lines of this call are written: all or none
 };
 
 // Ends the call with a response of this node. A status that promises "not run" is replaced by one
@@ -48,7 +48,7 @@
                  std::string_view reason, int status);
 
 // Whether the caller's key may still be used; checked immediately before each send.
-[[nodiscard]] bool key_usable(const hosted_state& node, const hosted_request& call);
+[[nodiscard]] bool is_key_usable(const hosted_state& node, const hosted_request& call);
 
 // Whether the request may be sent, or sent again. A request that may have run is sent again only if
 // its route allows repetition, to no more targets than the route allows, and within the retry
@@ -60,11 +60,11 @@
 [[nodiscard]] bool check_send_limit(hosted_state& node, time_point now, const target_id& target);
 // Time after which the caller should retry when the targets' send limits are exhausted.
 [[nodiscard]] duration retry_after_limit(hosted_state& node);
-inline constexpr std::string_view limit_reason = "the targets take no more requests now";
+inline constexpr std::string_view send_limit_reason = "the targets take no more requests now";
 
 // Updates the send limit of the target from its response to a request sent at `sent_at`.
-void note_limit(hosted_state& node, time_point sent_at, const target_id& target, int status,
-                const response_fields& answer);
+void update_send_limit(hosted_state& node, time_point sent_at, const target_id& target, int status,
+                       const response_fields& answer);
 
 void serve_stream(hosted_state& node, hosted_request& call);
 void serve_buffered(hosted_state& node, hosted_request& call);
@@ -78,8 +78,8 @@
 // configuration. A caller that retries reaches another node. If the store serves a peer of the data
 // centre, the caller may retry soon and usually still meets its deadline; if it serves none, an
 // early retry is useless.
-inline constexpr duration retry_after_stale_here = 50ms;
-inline constexpr duration retry_after_stale_all = 700ms;
+inline constexpr duration retry_after_stale_node = 50ms;
+inline constexpr duration retry_after_stale_data_centre = 700ms;
 [[nodiscard]] duration retry_after_stale(const hosted_state& node, time_point now);
 
 }  // namespace arbutus
--- a/src/node/hosted_state.cpp
+++ b/src/node/hosted_state.cpp
@@ -26,7 +26,7 @@
 
 // Minimum number of nodes among which the burst of the retry budget is divided. Before enough peers
 // are known, this keeps each node's share of it small.
-constexpr std::size_t min_nodes = 6;
+constexpr std::size_t min_budget_nodes = 6;
 
 }  // namespace
 
@@ -35,7 +35,7 @@
   // A live target accepts a connection within two round trips, 6 ms. A lost SYN is retransmitted
   // only after a second, so it is better to try another target than to wait longer than this.
   limits.connect_timeout = 300ms;
-  limits.idle_per_target = 64;
+  limits.max_idle_per_target = 64;
   limits.idle_expiry = 10s;
   return limits;
 }
@@ -43,8 +43,8 @@
 http_client_limits control_client_limits() {
   http_client_limits limits;
   limits.connect_timeout = 250ms;
-  limits.body_bytes = 256UL * 1024;
-  limits.idle_per_target = 1;
+  limits.max_body_bytes = 256UL * 1024;
+  limits.max_idle_per_target = 1;
   limits.idle_expiry = 5s;
   return limits;
 }
@@ -52,8 +52,8 @@
 http_client_limits platform_client_limits() {
   http_client_limits limits;
   limits.connect_timeout = 500ms;
-  limits.body_bytes = 16UL * 1024 * 1024;
-  limits.idle_per_target = 4;
+  limits.max_body_bytes = 16UL * 1024 * 1024;
+  limits.max_idle_per_target = 4;
   limits.idle_expiry = 10s;
   limits.body_stall_timeout = 500ms;
   return limits;
@@ -63,12 +63,12 @@
     : settings(std::move(s)),
       incarnation(random_incarnation()),
       runtime(r),
-      targets(r, target_client_limits()),
-      control(r, control_client_limits()),
-      platform(r, platform_client_limits()),
-      store(platform, address_of_endpoint(settings.store)),
-      engines(control),
-      lease({.bound = settings.bounds.key_withdrawal}),
+      targets_http(r, target_client_limits()),
+      control_http(r, control_client_limits()),
+      platform_http(r, platform_client_limits()),
+      store(platform_http, address_of_endpoint(settings.store)),
+      engines(control_http),
+      configuration_lease({.revocation_bound = settings.bounds.key_withdrawal_limit}),
       peers(settings.id, settings.data_centre, settings.strength),
       random(stable_hash(incarnation)) {}
 
@@ -111,21 +111,21 @@
 }
 
 void hosted_state::forget_connections(const endpoint& address) {
-  targets.close_idle_connections(address_of_endpoint(address));
-  control.close_idle_connections(address_of_endpoint(address));
+  targets_http.close_idle_connections(address_of_endpoint(address));
+  control_http.close_idle_connections(address_of_endpoint(address));
 }
 
 retry_window& hosted_state::retries_of(const service_id& service) {
-  const auto found = retries.find(service);
-  if (found != retries.end()) {
+  const auto found = retry_windows.find(service);
+  if (found != retry_windows.end()) {
     return found->second;
   }
   retry_window_settings window;
-  window.ratio = settings.bounds.retry_ratio;
+  window.retries_per_request = settings.bounds.retry_ratio;
   window.burst = settings.bounds.retry_burst;
   window.window = settings.bounds.retry_window;
-  window.nodes = std::max(min_nodes, peers.known() + 1);
-  return retries.emplace(service, retry_window(window)).first->second;
+  window.nodes = std::max(min_budget_nodes, peers.peer_count() + 1);
+  return retry_windows.emplace(service, retry_window(window)).first->second;
 }
 
 }  // namespace arbutus
--- a/src/node/hosted_state.h
+++ b/src/node/hosted_state.h
@@ -44,26 +44,27 @@
   hosted_settings settings;
   std::string incarnation;  // identifies this start of the process
   fiber_runtime& runtime;
-  http_client targets;  // for forwarded requests
-  http_client control;  // for reports and orders; short timeout, as a late response is a failure
-  http_client platform;
+  http_client targets_http;  // for forwarded requests
+  http_client
+      control_http;  // for reports and orders; short timeout, as a late response is a failure
+  http_client platform_http;
   platform_store store;
   platform_engines engines;
 
   std::shared_ptr<const service_map> map;  // null until the first version was read
-  config_lease lease;
+  config_lease configuration_lease;
   config_history configurations;  // texts of versions, for the nodes that get them from this one
-  config_lag lag;
+  config_lag configuration_lag;
   fleet_view fleet;
   bool fleet_known = false;  // the serving replicas are known, or the list of targets was read
   // The record of every target is known. Required to control replicas: otherwise this node would
   // dissolve replicas whose members it does not know.
   bool fleet_complete = false;
-  time_point fleet_read_at{};  // send time of the query that returned the newest list
+  time_point fleet_list_requested_at{};  // send time of the query that returned the newest list
   load_table loads;
   instance_table instances;
-  std::map<service_id, retry_window> retries;
-  stall_monitor stalls;
+  std::map<service_id, retry_window> retry_windows;
+  stall_monitor replica_stalls;
   lost_target_reports lost_reports;  // received from peers
   misdirected_heads misdirected;
   send_limits limits;
@@ -73,8 +74,8 @@
   // Rows of the watched tables, for the nodes that receive them from this one. The text of the
   // configuration is in `configurations`.
   feed_log target_rows;
-  serving_feed served;        // on a hub: the serving replicas that it forwards
-  serving_follower followed;  // on other nodes: the serving replicas received from the hub
+  serving_feed forwarded_serving;     // on a hub: the serving replicas that it forwards
+  serving_follower received_serving;  // on other nodes: the serving replicas received from the hub
   feed_log configuration_rows;
   hosted_metrics metrics;
   rng random;  // for decisions that must differ between nodes
@@ -89,7 +90,7 @@
   [[nodiscard]] const std::vector<service_instance>& instances_of(const service_id& service);
   // Whether this node has lacked a configuration version for longer than is allowed.
   [[nodiscard]] bool is_outdated(time_point now) const {
-    return lag.is_stale(now, settings.bounds.configuration);
+    return configuration_lag.is_stale(now, settings.bounds.configuration_limit);
   }
   [[nodiscard]] retry_window& retries_of(const service_id& service);
   // Drops pooled connections to an address whose target has restarted.
--- a/src/node/hosted_stream.cpp
+++ b/src/node/hosted_stream.cpp
@@ -14,7 +14,7 @@
 
 // With less time than this before the deadline, an attempt cannot yield a first event: prefill and
 // one pass take about 60 ms on an idle replica.
-constexpr duration min_useful_time = 60ms;
+constexpr duration min_attempt_time = 60ms;
 
 class stream_call {
  public:
@@ -55,7 +55,7 @@
     ended_ = true;
     if (caller_disconnected_) {
       finish_call(node_, call_, "caller_gone", reason, 0);
-    } else if (started_) {
+    } else if (header_sent_) {
       // The connection closes without the last chunk, so the caller detects the truncation.
       finish_call(node_, call_, "cut", reason, 200);
     } else {
@@ -66,8 +66,8 @@
   void next_attempt() {
     // Earlier attempts of the same request, here and on other nodes, may have had other request
     // ids. The fingerprint links them, so that a poison request is recognized.
-    if (!may_run(node_, call_)) {
-      end_locally(503, retry_after_poison(node_, call_), poison_reason);
+    if (!await_poison_clearance(node_, call_)) {
+      end_locally(503, retry_after_poison(node_, call_), poison_refusal_reason);
       return;
     }
     const time_point now = monotonic_now();
@@ -75,11 +75,11 @@
       end_locally(0, {}, "the caller has gone");
       return;
     }
-    if (now + min_useful_time >= call_.deadline) {
-      end_locally(call_.may_have_run > 0 ? 504 : 503, retry_after_no_target, "no time is left");
+    if (now + min_attempt_time >= call_.deadline) {
+      end_locally(call_.possible_runs > 0 ? 504 : 503, retry_after_no_target, "no time is left");
       return;
     }
-    if (!key_usable(node_, call_)) {
+    if (!is_key_usable(node_, call_)) {
       end_locally(503, retry_after_stale(node_, monotonic_now()), "the key cannot be confirmed");
       return;
     }
@@ -94,7 +94,7 @@
     if (const auto* none = std::get_if<no_replica>(&choice)) {
       const bool by_limit = avoided.size() > avoided_.size();
       end_locally(503, by_limit ? retry_after_limit(node_) : none->retry_after,
-                  by_limit ? limit_reason : none->reason);
+                  by_limit ? send_limit_reason : none->reason);
       return;
     }
     if (!may_send_again(node_, call_, now)) {
@@ -123,7 +123,7 @@
   // and heads of replicas with a member that a peer reports as lost.
   [[nodiscard]] std::vector<target_id> suspected_heads(
       time_point now, const std::vector<serving_replica>& replicas) const {
-    std::vector<target_id> heads = node_.stalls.stalled(now);
+    std::vector<target_id> heads = node_.replica_stalls.stalled(now);
     const std::vector<target_id> misdirected = node_.misdirected.heads(now);
     heads.insert(heads.end(), misdirected.begin(), misdirected.end());
     for (const serving_replica& replica : replicas) {
@@ -145,10 +145,10 @@
       return;
     }
     if (how == attempt_result::broken) {
-      ++call_.may_have_run;
+      ++call_.possible_runs;
     }
     avoided_.push_back(replica.head);
-    if (call_.logged) {
+    if (call_.writes_log_lines) {
       log_line(log_level::info, "request", "attempt ended",
                {{"request", call_.fields.id},
                 {"target", replica.head},
@@ -159,7 +159,7 @@
                 {"running_ms",
                  had_first_event_ ? to_milliseconds(monotonic_now() - first_event_at_) : 0.0},
                 {"last_event", relay_.last_id()},
-                {"sends", call_.sends}});
+                {"sends", call_.possible_sends}});
     }
     node_.metrics.count("arbutusworks_attempts_broken",
                         "ran=\"" + std::string(how == attempt_result::broken ? "perhaps" : "no") +
@@ -172,7 +172,7 @@
   void update_strikes(const serving_replica& replica, attempt_result how) {
     const time_point now = monotonic_now();
     if (has_proved_harmless(first_event_at_, last_event_at_)) {
-      note_harmless(node_, call_);
+      mark_request_harmless(node_, call_);
     } else if (how == attempt_result::broken && connection_lost_ &&
                is_within_strike_window(now, first_event_at_)) {
       check_for_strike(node_, {call_.fields.id, call_.fingerprint, replica.head, replica.address,
@@ -207,30 +207,30 @@
     facts.workspace = call_.workspace;
     facts.urgency = call_.urgency;
     facts.resume_after = relay_.last_id();
-    call_.targets += (call_.targets.empty() ? "" : ",") + replica.head.str();
-    ++call_.sends;
+    call_.tried_targets += (call_.tried_targets.empty() ? "" : ",") + replica.head.str();
+    ++call_.possible_sends;
     const time_point sent_at = monotonic_now();
     node_.limits.sent(sent_at, replica.head);
     node_.poison.tracker.run_sent(sent_at, replica.head);
     node_.loads.sent(head_, call_.fields.size);
     sent_at_ = sent_at;
-    node_.stalls.sent(sent_at, head_, model_->id, expected.to_first_event);
-    const call_result result = node_.targets.stream(
+    node_.replica_stalls.on_stream_sent(sent_at, head_, model_->id, expected.to_first_event);
+    const call_result result = node_.targets_http.stream(
         {replica.address.host, replica.address.port}, make_target_request(call_.raw_request, facts),
         call_.deadline,
         [this](int status, const http_headers& headers) { return on_head(status, headers); },
         [this](std::string_view bytes) { return on_bytes(bytes); }, own.cancel,
-        [this] { return key_usable(node_, call_); });
+        [this] { return is_key_usable(node_, call_); });
     const time_point now = monotonic_now();
     node_.loads.ended(head_, call_.fields.size, had_first_event_);
-    node_.stalls.ended(now, head_, had_first_event_);
+    node_.replica_stalls.on_stream_ended(now, head_, had_first_event_);
     running_ = nullptr;
     return read_end(result, own);
   }
 
   bool on_head(int status, const http_headers& headers) {
     answer_ = read_response_fields(status, headers, call_.fields.id);
-    note_limit(node_, sent_at_, head_, status, answer_);
+    update_send_limit(node_, sent_at_, head_, status, answer_);
     status_ = status;
     if (answer_.kind == answer_kind::target_response) {
       headers_ = headers;
@@ -260,20 +260,20 @@
       first_event_at_ = now;
       node_.poison.tracker.first_event_received(now - sent_at_);
       node_.loads.first_event(head_, call_.fields.size);
-      node_.stalls.first_event(head_, now - sent_at_, expected_.to_first_event);
-      if (call_.first_event == time_point{}) {
-        call_.first_event = now;
+      node_.replica_stalls.on_first_event(head_, now - sent_at_, expected_.to_first_event);
+      if (call_.first_event_at == time_point{}) {
+        call_.first_event_at = now;
       }
     }
     const replica_load load = node_.loads.total(head_);
     const auto reading = from_seconds(load.pending_prefill_tokens /
                                       std::max(call_.service->engine->prefill_tokens_per_s, 1.0));
-    node_.stalls.event(now, head_, expected_.between_events + reading);
+    node_.replica_stalls.on_event(now, head_, expected_.between_events + reading);
   }
 
   bool forward_events(std::string_view events) {
-    if (!started_) {
-      started_ = true;
+    if (!header_sent_) {
+      header_sent_ = true;
       if (!call_.writer.start(200, caller_headers(headers_))) {
         caller_disconnected_ = true;
         return false;
@@ -287,9 +287,9 @@
   }
 
   attempt_result read_end(const call_result& result, const attempt_registry::attempt& own) {
-    call_.events = relay_.events();
+    call_.forwarded_events = relay_.events();
     connection_lost_ = result.failure == call_failure::connection_lost;
-    if (own.moved) {
+    if (own.cancelled_to_move) {
       last_reason_ = "its replica lost a member";
       return attempt_result::broken;
     }
@@ -298,7 +298,7 @@
     }
     if (result.outcome == call_outcome::not_sent) {
       last_reason_ = "could not be sent";
-      --call_.sends;
+      --call_.possible_sends;
       return attempt_result::not_sent;
     }
     if (answer_.kind == answer_kind::not_run && status_ != 0) {
@@ -325,12 +325,12 @@
   }
 
   attempt_result finish_stream() {
-    if (!started_) {
-      started_ = true;
+    if (!header_sent_) {
+      header_sent_ = true;
       call_.writer.start(200, caller_headers(headers_));
     }
     const bool reached = call_.writer.finish();
-    note_harmless(node_, call_);
+    mark_request_harmless(node_, call_);
     finish_call(node_, call_, reached ? "done" : "caller_gone", "", 200);
     return attempt_result::complete;
   }
@@ -338,10 +338,11 @@
   // A request whose failure the target reports counts as run. Requests that may be repeated are
   // tried on another replica.
   attempt_result pass_failure() {
-    note_harmless(node_, call_);
+    mark_request_harmless(node_, call_);
     const bool again = call_.matched_route->repeatable() &&
-                       call_.may_have_run + 1 < call_.matched_route->max_attempts && status_ >= 500;
-    if (again || started_) {
+                       call_.possible_runs + 1 < call_.matched_route->max_attempts &&
+                       status_ >= 500;
+    if (again || header_sent_) {
       last_reason_ = "the target failed";
       return attempt_result::broken;
     }
@@ -358,7 +359,7 @@
   attempt_registry::attempt* running_ = nullptr;
   std::string_view last_reason_ = "no attempt was made";
   bool caller_disconnected_ = false;
-  bool started_ = false;  // the header of the response was sent to the caller
+  bool header_sent_ = false;  // the header of the response was sent to the caller
   bool ended_ = false;
 
   // State of the running attempt.
--- a/src/node/limit_exchange.cpp
+++ b/src/node/limit_exchange.cpp
@@ -20,7 +20,7 @@
 
 std::vector<node_id> lease_peers(const inventory& assets, const node_id& self) {
   const node_record* own = assets.find_node(self);
-  const bool all = assets.nodes.size() <= limit_mesh_nodes;
+  const bool all = assets.nodes.size() <= max_limit_mesh_nodes;
   std::vector<node_id> peers;
   for (const node_record& node : assets.nodes) {
     const bool near = own != nullptr && node.data_centre == own->data_centre;
@@ -78,10 +78,10 @@
     nodes.push_back(node.id);
   }
   limits_.set_nodes(now, nodes);
-  has_limits_ = false;
+  has_rate_limits_ = false;
   for (const workspace_rule& workspace : config.desired.workspaces) {
     limits_.set_limit(now, workspace.id, {workspace.requests_per_second, workspace.burst});
-    has_limits_ = has_limits_ || workspace.requests_per_second > 0;
+    has_rate_limits_ = has_rate_limits_ || workspace.requests_per_second > 0;
   }
   lease_peers_ = lease_peers(config.assets, self_);
 }
@@ -98,7 +98,7 @@
   const std::lock_guard guard(lock_);
   const bool partner =
       std::find(lease_peers_.begin(), lease_peers_.end(), peer) != lease_peers_.end();
-  if (!has_limits_ || !partner || !piggybacked_.insert(peer).second) {
+  if (!has_rate_limits_ || !partner || !piggybacked_.insert(peer).second) {
     return std::nullopt;
   }
   return peer_send{peer, encode(limits_.make_message(now, peer)), false};
@@ -107,7 +107,7 @@
 std::vector<peer_send> limit_exchange::take_messages(time_point now) {
   const std::lock_guard guard(lock_);
   std::vector<peer_send> messages;
-  if (!has_limits_) {
+  if (!has_rate_limits_) {
     return messages;
   }
   limits_.update(now);
--- a/src/node/limit_exchange.h
+++ b/src/node/limit_exchange.h
@@ -23,7 +23,7 @@
 // Up to this number of nodes, leases are exchanged between all of them. With more nodes they are
 // exchanged only within a data centre, since one message a second to each of 340 nodes would exceed
 // the budget for control traffic.
-inline constexpr std::size_t limit_mesh_nodes = 24;
+inline constexpr std::size_t max_limit_mesh_nodes = 24;
 
 // Thread-safe; its lock is taken once per request and once per message.
 class limit_exchange {
@@ -50,7 +50,7 @@
   std::vector<node_id> lease_peers_;  // peers that leases are exchanged with
   std::set<node_id> piggybacked_;     // lease peers that were sent a message by piggyback_message()
                                       // since the last take_messages()
-  bool has_limits_ = false;           // some workspace has a limit; otherwise nothing is sent
+  bool has_rate_limits_ = false;      // some workspace has a limit; otherwise nothing is sent
   std::uint64_t config_version_ = 0;  // version of the configuration that the limits are from
 };
 
--- a/src/node/log.cpp
+++ b/src/node/log.cpp
@@ -208,12 +208,12 @@
   detail::min_log_level = level;
 }
 
-bool log_accepts_request(time_point now, std::string_view request) {
+bool should_write_request_lines(time_point now, std::string_view request) {
   const std::lock_guard guard(budget_lock());
   return !state().budget || state().budget->should_log_request(now, stable_hash(request));
 }
 
-std::uint64_t log_requests_suppressed() {
+std::uint64_t suppressed_request_count() {
   const std::lock_guard guard(budget_lock());
   return state().budget ? state().budget->requests_suppressed() : 0;
 }
--- a/src/node/log.h
+++ b/src/node/log.h
@@ -57,10 +57,10 @@
 
 // Whether the lines of a request that arrives now are written, all or none. To be called once per
 // request, on its arrival.
-[[nodiscard]] bool log_accepts_request(time_point now, std::string_view request);
+[[nodiscard]] bool should_write_request_lines(time_point now, std::string_view request);
 
 // Number of requests whose lines were all suppressed, because the log would have exceeded its rate.
-[[nodiscard]] std::uint64_t log_requests_suppressed();
+[[nodiscard]] std::uint64_t suppressed_request_count();
 
 // Number of lines dropped because the reader of `out` was too slow or the log exceeded its rate by
 // more than the burst capacity (lines of 2 s at the rate, process/log_budget.h).
