--- a/src/node/log_outcomes.cpp
+++ b/src/node/log_outcomes.cpp
@@ -45,12 +45,13 @@
 
 std::string counts_text(const outcome_counts& counts) {
   char text[80];
-  std::snprintf(text, sizeof text, "%7llu %8llu %7llu %6llu %6llu",
-                static_cast<unsigned long long>(count_of(counts.by_result, "done")),
-                static_cast<unsigned long long>(count_of(counts.by_result, "refused")),
-                static_cast<unsigned long long>(count_of(counts.by_result, "failed")),
-                static_cast<unsigned long long>(count_of(counts.by_result, "cut")),
-                static_cast<unsigned long long>(count_of(counts.by_result, "caller_gone")));
+  std::snprintf(
+      text, sizeof text, "%7llu %8llu %7llu %6llu %6llu",
+      static_cast<unsigned long long>(count_of(counts.requests_by_result, "done")),
+      static_cast<unsigned long long>(count_of(counts.requests_by_result, "refused")),
+      static_cast<unsigned long long>(count_of(counts.requests_by_result, "failed")),
+      static_cast<unsigned long long>(count_of(counts.requests_by_result, "cut")),
+      static_cast<unsigned long long>(count_of(counts.requests_by_result, "caller_gone")));
   return text;
 }
 
@@ -61,7 +62,7 @@
   text += "\n" + std::string(title) + std::string(24 - title.size(), ' ') +
           std::string(counts_header) + "  main reason\n";
   for (const auto& [name, counts] : groups) {
-    const auto reasons = sorted_by_count(counts.by_reason);
+    const auto reasons = sorted_by_count(counts.failures_by_reason);
     text += name + std::string(name.size() < 24 ? 24 - name.size() : 1, ' ') + counts_text(counts) +
             "  " + (reasons.empty() ? "" : reasons.front().first) + "\n";
   }
@@ -69,13 +70,13 @@
 
 }  // namespace
 
-std::uint64_t outcome_counts::ended() const {
-  return std::accumulate(by_result.begin(), by_result.end(), std::uint64_t{0},
+std::uint64_t outcome_counts::ended_requests() const {
+  return std::accumulate(requests_by_result.begin(), requests_by_result.end(), std::uint64_t{0},
                          [](std::uint64_t sum, const auto& entry) { return sum + entry.second; });
 }
 
-std::uint64_t outcome_counts::unsuccessful() const {
-  return ended() - count_of(by_result, "done");
+std::uint64_t outcome_counts::unsuccessful_requests() const {
+  return ended_requests() - count_of(requests_by_result, "done");
 }
 
 std::size_t log_outcomes::read(std::istream& lines) {
@@ -93,8 +94,8 @@
 
 void log_outcomes::count_line(const logged_line& line) {
   const auto since_epoch = line.time.time_since_epoch();
-  outcome_counts& counts =
-      by_window_[wall_clock_time(since_epoch - since_epoch % std::chrono::microseconds(window_))];
+  outcome_counts& counts = counts_by_window_[wall_clock_time(
+      since_epoch - since_epoch % std::chrono::microseconds(window_duration_))];
   if (line.part == "request" && line.message == "ended") {
     count_request(line, counts);
   } else if (line.part == "fleet" && line.message == "capacity") {
@@ -112,26 +113,26 @@
 
 void log_outcomes::count_request(const logged_line& line, outcome_counts& counts) {
   const std::string result(line.field("result"));
-  for (outcome_counts* c :
-       {&counts, &by_route_[std::string(line.field("route"))], &by_node_[line.node]}) {
-    ++c->by_result[result];
+  for (outcome_counts* c : {&counts, &counts_by_route_[std::string(line.field("route"))],
+                            &counts_by_node_[line.node]}) {
+    ++c->requests_by_result[result];
     if (result != "done") {
-      ++c->by_reason[std::string(line.field("reason"))];
+      ++c->failures_by_reason[std::string(line.field("reason"))];
     }
   }
 }
 
 void log_outcomes::record_capacity(const logged_line& line) {
-  capacity_[std::string(line.field("model"))][line.node][line.time] =
+  replica_counts_[std::string(line.field("model"))][line.node][line.time] =
       parse_count(line.field("replicas"));
 }
 
 std::map<std::string, std::uint64_t> log_outcomes::replicas_at(wall_clock_time window) const {
   std::map<std::string, std::uint64_t> result;
-  for (const auto& [model, nodes] : capacity_) {
+  for (const auto& [model, nodes] : replica_counts_) {
     std::uint64_t& max_count = result[model];
     for (const auto& [node, counts] : nodes) {
-      const auto after = counts.upper_bound(window + window_);
+      const auto after = counts.upper_bound(window + window_duration_);
       if (after != counts.begin()) {
         max_count = std::max(max_count, std::prev(after)->second);
       }
@@ -143,14 +144,14 @@
 // Computed when printing, since a node's "started" line may be in a file that was read last.
 std::map<std::string, outcome_counts> log_outcomes::by_data_centre() const {
   std::map<std::string, outcome_counts> result;
-  for (const auto& [node, counts] : by_node_) {
+  for (const auto& [node, counts] : counts_by_node_) {
     const auto known = data_centre_of_.find(node);
     outcome_counts& sum = result[known == data_centre_of_.end() ? "unknown" : known->second];
-    for (const auto& [name, count] : counts.by_result) {
-      sum.by_result[name] += count;
+    for (const auto& [name, count] : counts.requests_by_result) {
+      sum.requests_by_result[name] += count;
     }
-    for (const auto& [reason, count] : counts.by_reason) {
-      sum.by_reason[reason] += count;
+    for (const auto& [reason, count] : counts.failures_by_reason) {
+      sum.failures_by_reason[reason] += count;
     }
   }
   return result;
@@ -158,12 +159,12 @@
 
 std::string log_outcomes::to_text() const {
   std::uint64_t max_count = 1;
-  for (const auto& [time, counts] : by_window_) {
-    max_count = std::max(max_count, counts.unsuccessful());
+  for (const auto& [time, counts] : counts_by_window_) {
+    max_count = std::max(max_count, counts.unsuccessful_requests());
   }
   std::string text = "from    " + std::string(counts_header) +
                      "   lost  orders  failed  replicas by model, what mostly went wrong\n";
-  for (const auto& [time, counts] : by_window_) {
+  for (const auto& [time, counts] : counts_by_window_) {
     char numbers[64];
     std::snprintf(numbers, sizeof numbers, " %6llu %7llu %7llu  ",
                   static_cast<unsigned long long>(counts.lost_targets),
@@ -173,16 +174,16 @@
     for (const auto& [model, replicas] : replicas_at(time)) {
       text += model + " " + std::to_string(replicas) + " ";
     }
-    text += std::string(counts.unsuccessful() * max_bar_length / max_count, '#');
-    const auto reasons = sorted_by_count(counts.by_reason);
+    text += std::string(counts.unsuccessful_requests() * max_bar_length / max_count, '#');
+    const auto reasons = sorted_by_count(counts.failures_by_reason);
     text += reasons.empty() ? "\n" : " " + reasons.front().first + "\n";
   }
-  append_totals(text, "route", by_route_);
+  append_totals(text, "route", counts_by_route_);
   append_totals(text, "data centre", by_data_centre());
   text += "\nreason\n";
   std::map<std::string, std::uint64_t> all;
-  for (const auto& [time, counts] : by_window_) {
-    for (const auto& [reason, count] : counts.by_reason) {
+  for (const auto& [time, counts] : counts_by_window_) {
+    for (const auto& [reason, count] : counts.failures_by_reason) {
       all[reason] += count;
     }
   }
--- a/src/node/metrics.cpp
+++ b/src/node/metrics.cpp
@@ -129,10 +129,10 @@
   shard_state& state = state_[shard % shards_];
   const series_key key{call.workspace.str(), call.request_class, call.target};
   const std::lock_guard guard(state.lock);
-  state.total[key].add(call.total);
-  state.queued[key].add(call.queued);
-  if (call.first_token > duration::zero()) {
-    state.first_token[key].add(call.first_token);
+  state.total[key].add(call.call_duration);
+  state.queued[key].add(call.queue_time);
+  if (call.time_to_first_token > duration::zero()) {
+    state.first_token[key].add(call.time_to_first_token);
   }
   std::string labels = labels_of(key) + ",result=\"" + call.result + "\"";
   if (!call.reason.empty()) {
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -17,14 +17,14 @@
 struct finished_call {
   workspace_id workspace;
   std::string request_class;
-  std::string target;        // model or service
-  std::string result;        // "done", "not_run", "unknown", "caller_gone"
-  std::string reason;        // why the call failed; empty when done
-  duration total{};          // from the call's arrival to its end
-  duration first_token{};    // from the call's arrival; 0: no token was sent
-  duration queued{};         // from the call's arrival to its admission
-  std::uint32_t attempts{};  // number of times that the call was sent to a target or a node
-  std::uint32_t tokens{};    // sent to the caller
+  std::string target;              // model or service
+  std::string result;              // "done", "not_run", "unknown", "caller_gone"
+  std::string reason;              // why the call failed; empty when done
+  duration call_duration{};        // from the call's arrival to its end
+  duration time_to_first_token{};  // from the call's arrival; 0: no token was sent
+  duration queue_time{};           // from the call's arrival to its admission
+  std::uint32_t attempts{};        // number of times that the call was sent to a target or a node
+  std::uint32_t tokens{};          // sent to the caller
 };
 
 class metrics {
--- a/src/node/model_attempt.cpp
+++ b/src/node/model_attempt.cpp
@@ -30,7 +30,7 @@
   headers.add("content-type", "application/json");
   headers.add("x-request-id", attempt.id.str());
   headers.add("x-replica", route.id.str());
-  headers.add("x-generation", to_string(route.gen));
+  headers.add("x-generation", to_string(route.fencing_generation));
   headers.add("x-priority", std::to_string(attempt.priority));
   headers.add("x-workspace", attempt.workspace.str());
   if (offset > 0) {
@@ -92,20 +92,21 @@
 // every permission expired.
 send_permit permit_for(const call_context& node, const replica_route& chosen) {
   return [&node, &chosen] {
-    const std::shared_ptr<const node_view> view = node.core.view();
+    const std::shared_ptr<const node_view> view = node.coordination.view();
     const std::vector<replica_route>& routes = view->routes.replicas;
     const auto found = std::lower_bound(
         routes.begin(), routes.end(), chosen.id,
         [](const replica_route& route, const replica_id& id) { return route.id < id; });
-    return found != routes.end() && found->id == chosen.id && found->gen == chosen.gen &&
-           may_use(monotonic_now(), *found);
+    return found != routes.end() && found->id == chosen.id &&
+           found->fencing_generation == chosen.fencing_generation &&
+           may_use_route(monotonic_now(), *found);
   };
 }
 
 attempt_outcome run_buffered(call_context& node, const model_attempt& attempt,
                              const replica_route& route, const cancel_token& cancel) {
   attempt_outcome end;
-  end.first_token = time_point::min();
+  end.first_token_at = time_point::min();
   const http_request request = make_request(attempt, route, 0);
   call_result result = node.client.fetch(address_of(route.address), request, attempt.deadline,
                                          cancel, permit_for(node, route));
@@ -186,10 +187,10 @@
       case token_status::wrong_id:
         return give_up("a token of another request");
     }
-    if (end_.first_token == time_point::min()) {
-      end_.first_token = monotonic_now();
+    if (end_.first_token_at == time_point::min()) {
+      end_.first_token_at = monotonic_now();
     }
-    if (frame.last && !is_complete(frame.id, frame.offset + 1)) {
+    if (frame.completes_answer && !is_complete(frame.id, frame.offset + 1)) {
       return false;
     }
     return sink_(text) || give_up("caller gone");
@@ -215,7 +216,7 @@
                              const replica_route& route, answer_stream& answer,
                              const frame_sink& sink, const cancel_token& cancel) {
   attempt_outcome end;
-  end.first_token = time_point::min();
+  end.first_token_at = time_point::min();
   answer.begin_attempt();
   const http_request request = make_request(attempt, route, answer.resume_offset());
   frame_reader reader(attempt, answer, sink, end);
@@ -259,7 +260,7 @@
   const time_point started = monotonic_now();
   attempt_outcome end = attempt.stream ? run_streamed(node, attempt, route, answer, sink, cancel)
                                        : run_buffered(node, attempt, route, cancel);
-  end.total = monotonic_now() - started;
+  end.attempt_duration = monotonic_now() - started;
   return end;
 }
 
--- a/src/node/model_attempt.h
+++ b/src/node/model_attempt.h
@@ -18,7 +18,7 @@
   std::uint32_t priority{};
   workspace_id workspace;
   time_point deadline;
-  attempt_context note;  // attempt number and retry permission, sent with the request
+  attempt_context context_to_send;  // attempt number and retry permission, sent with the request
 };
 
 struct attempt_outcome {
@@ -29,8 +29,8 @@
   std::string content_type;
   bool engine_error = false;  // a complete answer with an error caused by the caller (4xx)
   bool target_lost = false;   // the connection was refused or broke
-  time_point first_token;     // when the first token was received; min(): none was
-  duration total{};
+  time_point first_token_at;  // when the first token was received; min(): none was
+  duration attempt_duration{};
 };
 
 // Forwards a frame to the caller; false: the caller has disconnected.
--- a/src/node/model_call.cpp
+++ b/src/node/model_call.cpp
@@ -15,10 +15,10 @@
 namespace {
 
 // The cost of a request is its number of tokens to generate, relative to a mean request.
-constexpr double mean_tokens = 128.0;
+constexpr double mean_generated_tokens = 128.0;
 constexpr double min_cost = 0.05;
 // Sent as Retry-After when no replica serves the model: about the time of a repair from a standby.
-constexpr duration no_replica_retry = 2s;
+constexpr duration no_replica_retry_after = 2s;
 // Interval at which a request that may be sent to no replica checks again for a route, until its
 // deadline.
 constexpr duration route_poll_interval = 25ms;
@@ -51,9 +51,9 @@
       waiter_.caller_disconnected();
       cancel_.cancel();
     });
-    gate_ = &node_.gates.of(body_.model);
+    gate_ = &node_.gates.gate_of(body_.model);
     const admission_outcome entry = gate_->enter(*call_.view, facts_, waiter_);
-    call_.measured.queued = monotonic_now() - call_.arrival;
+    call_.measurements.queue_time = monotonic_now() - call_.arrival;
     if (entry.what == admission_outcome::kind::caller_disconnected) {
       finish("caller_gone", "while waiting");
       return;
@@ -80,15 +80,15 @@
       return error;
     }
     // Set after the check only: one label per arbitrary name in requests would exhaust the memory.
-    call_.measured.target = body_.model.str();
+    call_.measurements.target = body_.model.str();
     facts_.id = call_.id;
     facts_.workspace = call_.workspace->id;
     facts_.model = body_.model;
     facts_.priority = call_.priority;
     facts_.arrival = call_.arrival;
     facts_.deadline = call_.deadline;
-    facts_.first_token_by = call_.arrival + call_.request_class.first_token;
-    facts_.cost = std::max(min_cost, body_.max_tokens / mean_tokens);
+    facts_.first_token_deadline = call_.arrival + call_.request_class.first_token;
+    facts_.cost = std::max(min_cost, body_.max_tokens / mean_generated_tokens);
     facts_.prefix = hash_prefix(body_.prompt, body_.model.str());
     attempt_context_.may_retry = true;
     return std::nullopt;
@@ -98,7 +98,7 @@
   // caller was answered.
   bool try_spill(const rejected& why) {
     const time_point now = monotonic_now();
-    const std::shared_ptr<const node_view> view = node_.core.view();
+    const std::shared_ptr<const node_view> view = node_.coordination.view();
     const bool already_spilled = request_.headers.find(spilled_header).has_value();
     std::optional<duration> local_wait;
     if (why.reason != reject_reason::no_capacity) {
@@ -108,12 +108,12 @@
     if (!entry) {
       return false;
     }
-    ++call_.measured.attempts;
+    ++call_.measurements.attempts;
     const spill_outcome end = relay_call(node_, request_, writer_, *entry, call_.deadline, cancel_);
     if (!end.answered) {
       return false;  // a model call may be repeated, so the local rejection is sent to the caller
     }
-    node_.measured.count(current_worker(), "arbutusworks_spilled_total");
+    node_.call_metrics.count(current_worker(), "arbutusworks_spilled_total");
     finish(end.complete ? "done" : "unknown", end.complete ? "" : "spilled");
     return true;
   }
@@ -136,7 +136,7 @@
     for (;;) {
       const std::optional<replica_route> route = wait_for_route();
       if (!route) {
-        give_up(worst, "no_replica", "no replica may take the request", no_replica_retry);
+        give_up(worst, "no_replica", "no replica may take the request", no_replica_retry_after);
         return false;
       }
       const attempt_outcome end = attempt_at(*route, answer);
@@ -172,7 +172,7 @@
   std::optional<replica_route> wait_for_route() {
     for (;;) {
       const time_point now = monotonic_now();
-      const std::shared_ptr<const node_view> view = node_.core.view();
+      const std::shared_ptr<const node_view> view = node_.coordination.view();
       auto choice = gate_->choose(now, *view, facts_, tried_);
       if (!choice && !tried_.empty()) {
         tried_.clear();  // a replica that failed before is better than none
@@ -182,7 +182,7 @@
         return view->routes.replicas[choice->index];
       }
       if (writer_.caller_disconnected() ||
-          now + route_poll_interval >= std::min(call_.deadline, facts_.first_token_by)) {
+          now + route_poll_interval >= std::min(call_.deadline, facts_.first_token_deadline)) {
         return std::nullopt;
       }
       sleep_until(now + route_poll_interval);
@@ -199,7 +199,7 @@
     attempt.workspace = facts_.workspace;
     attempt.deadline = call_.deadline;
     const time_point sent = monotonic_now();
-    if (gate_->sent(sent, route.id, facts_) == 1) {
+    if (gate_->attempt_sent(sent, route.id, facts_) == 1) {
       report_in_flight(route);
     }
     const auto sink = [&](std::string_view frame) { return pass_frame(frame, sent); };
@@ -208,16 +208,17 @@
     result.replica = route.id;
     result.cost = facts_.cost;
     result.failed = end.ran != execution::done;
-    result.total = end.total;
-    result.first_token = end.first_token == time_point::min() ? end.total : end.first_token - sent;
-    if (gate_->ended(monotonic_now(), facts_, result) == 0) {
+    result.total = end.attempt_duration;
+    result.first_token =
+        end.first_token_at == time_point::min() ? end.attempt_duration : end.first_token_at - sent;
+    if (gate_->attempt_ended(monotonic_now(), facts_, result) == 0) {
       report_in_flight(route);
     }
-    ++call_.measured.attempts;
+    ++call_.measurements.attempts;
     if (result.failed) {
       tried_.push_back(route.id);
       if (end.target_lost) {
-        node_.core.feed(target_error{route.head});
+        node_.coordination.post_input(target_connection_error{route.head});
       }
     }
     return end;
@@ -229,7 +230,7 @@
   // ended long ago. The count covers all generations, since requests of an old generation are also
   // work of the replica.
   void report_in_flight(const replica_route& route) {
-    node_.core.post([gate = gate_, id = route.id](time_point, coordinator& core) {
+    node_.coordination.post([gate = gate_, id = route.id](time_point, coordinator& core) {
       core.report_in_flight(id, generation{}, gate->in_flight_at(id));
       return effects{};
     });
@@ -245,10 +246,10 @@
         return false;
       }
       const time_point now = monotonic_now();
-      call_.measured.first_token = now - call_.arrival;
-      gate_->first_token(now, facts_, call_.request_class.name, now - sent);
+      call_.measurements.time_to_first_token = now - call_.arrival;
+      gate_->first_token_received(now, facts_, call_.request_class.name, now - sent);
     }
-    ++call_.measured.tokens;
+    ++call_.measurements.tokens;
     return writer_.write(frame);
   }
 
@@ -292,17 +293,17 @@
     } else {
       send_error(writer_, error, call_.id);
     }
-    finish(std::string(to_string(writer_.started() && body_.stream && call_.measured.tokens > 0
+    finish(std::string(to_string(writer_.started() && body_.stream && call_.measurements.tokens > 0
                                      ? execution::unknown
                                      : error.ran)),
            error.code);
   }
 
   void finish(std::string result, std::string reason) {
-    call_.measured.result = std::move(result);
-    call_.measured.reason = std::move(reason);
-    call_.measured.total = monotonic_now() - call_.arrival;
-    node_.measured.record(current_worker(), call_.measured);
+    call_.measurements.result = std::move(result);
+    call_.measurements.reason = std::move(reason);
+    call_.measurements.call_duration = monotonic_now() - call_.arrival;
+    node_.call_metrics.record(current_worker(), call_.measurements);
   }
 
   call_context& node_;
--- a/src/node/model_gate.cpp
+++ b/src/node/model_gate.cpp
@@ -21,17 +21,17 @@
 // after the lock is released.
 void admission_waiter::finish(admission_outcome how) {
   const std::lock_guard guard(lock_);
-  if (end_) {
+  if (outcome_) {
     return;
   }
-  end_ = how;
+  outcome_ = how;
   changed_.notify_all();
 }
 
 admission_outcome admission_waiter::wait() {
   std::unique_lock guard(lock_);
-  changed_.wait(guard, [this] { return end_.has_value(); });
-  return *end_;
+  changed_.wait(guard, [this] { return outcome_.has_value(); });
+  return *outcome_;
 }
 
 model_gate::model_gate(fiber_runtime& runtime, model_id model, std::uint64_t seed)
@@ -41,7 +41,8 @@
   router_.set_nodes(view.live_nodes);
   const slot_count slots =
       usable_slots(now, view.routes, model_, in_flight_requests_, view.live_nodes);
-  start(admission_.on_capacity(now, {slots.free_slots, slots.slots, duration::zero()}));
+  start(admission_.update_capacity_and_start_next(
+      now, {slots.free_slots, slots.slots, duration::zero()}));
 }
 
 void model_gate::start(const std::vector<request_id>& ids) {
@@ -74,7 +75,7 @@
     const std::lock_guard guard(lock_);
     const time_point now = monotonic_now();
     apply_capacity(now, view);
-    const submission result = admission_.submit(now, facts);
+    const submit_result result = admission_.submit(now, facts);
     if (result.displaced) {
       refuse(*result.displaced);
     }
@@ -91,21 +92,21 @@
   if (end.what == admission_outcome::kind::caller_disconnected) {
     const std::lock_guard guard(lock_);
     waiters_.erase(facts.id);
-    start(admission_.abandon(monotonic_now(), facts.id));
+    start(admission_.abandon_and_start_next(monotonic_now(), facts.id));
   }
   return end;
 }
 
 void model_gate::leave(const request_id& id, bool served) {
   const std::lock_guard guard(lock_);
-  start(admission_.finished(monotonic_now(), id, served));
+  start(admission_.finish_and_start_next(monotonic_now(), id, served));
 }
 
 void model_gate::start_queue_sweep() {
-  if (sweeping_) {
+  if (queue_sweep_running_) {
     return;
   }
-  sweeping_ = true;
+  queue_sweep_running_ = true;
   runtime_.post(0, [this] { sweep_queue(); });
 }
 
@@ -120,7 +121,7 @@
     }
     refuse(admission_.tick(now));
     if (waiters_.empty()) {
-      sweeping_ = false;
+      queue_sweep_running_ = false;
       return;
     }
   }
@@ -133,23 +134,23 @@
   return router_.choose(now, view.routes, facts, in_flight_requests_, tried);
 }
 
-std::uint32_t model_gate::sent(time_point now, const replica_id& replica,
-                               const request_facts& facts) {
+std::uint32_t model_gate::attempt_sent(time_point now, const replica_id& replica,
+                                       const request_facts& facts) {
   const std::lock_guard guard(lock_);
   in_flight_requests_.sent(now, facts.id, replica, facts.cost);
   router_.sent(now, replica, facts);
   return in_flight_requests_.count(replica);
 }
 
-void model_gate::first_token(time_point now, const request_facts& facts,
-                             std::string_view request_class, duration latency) {
+void model_gate::first_token_received(time_point now, const request_facts& facts,
+                                      std::string_view request_class, duration latency) {
   const std::lock_guard guard(lock_);
   admission_.first_token(now, facts.id);
   hedging_.observe(request_class, latency);
 }
 
-std::uint32_t model_gate::ended(time_point now, const request_facts& facts,
-                                const attempt_result& result) {
+std::uint32_t model_gate::attempt_ended(time_point now, const request_facts& facts,
+                                        const attempt_result& result) {
   const std::lock_guard guard(lock_);
   in_flight_requests_.ended(now, facts.id, result.replica);
   router_.observe(now, result);
@@ -208,11 +209,12 @@
     if (route.model != model_) {
       continue;
     }
-    const auto [known, is_new] = generations_.try_emplace(route.id, route.gen);
-    if (is_new || known->second == route.gen) {
+    const auto [known, is_new] =
+        replica_generations_.try_emplace(route.id, route.fencing_generation);
+    if (is_new || known->second == route.fencing_generation) {
       continue;
     }
-    known->second = route.gen;
+    known->second = route.fencing_generation;
     router_.forget(route.id);
     in_flight_requests_.forget(route.id);
   }
@@ -227,14 +229,14 @@
   refuse(admission_.tick(now));
 }
 
-void model_gate::set_shares(const rules& desired) {
+void model_gate::set_workspace_shares(const rules& desired) {
   const std::lock_guard guard(lock_);
   for (const workspace_rule& workspace : desired.workspaces) {
     admission_.set_share(workspace.id, workspace.share);
   }
 }
 
-model_gate& model_gates::of(const model_id& model) {
+model_gate& model_gates::gate_of(const model_id& model) {
   const std::lock_guard guard(lock_);
   std::unique_ptr<model_gate>& gate = gates_[model];
   if (!gate) {
@@ -248,21 +250,21 @@
     return;
   }
   for (const model_rule& model : view->config->desired.models) {
-    of(model.id);
+    gate_of(model.id);
   }
   const std::lock_guard guard(lock_);
   const bool new_config = view->config->version != config_version_;
   config_version_ = view->config->version;
   for (const auto& [id, gate] : gates_) {
     if (new_config) {
-      gate->set_shares(view->config->desired);
+      gate->set_workspace_shares(view->config->desired);
     }
     gate->refresh(view);
   }
 }
 
 std::uint32_t model_gates::in_flight_at(const replica_route& route) {
-  return of(route.model).in_flight_at(route.id);
+  return gate_of(route.model).in_flight_at(route.id);
 }
 
 }  // namespace arbutus
--- a/src/node/model_gate.h
+++ b/src/node/model_gate.h
@@ -41,7 +41,7 @@
 
   std::mutex lock_;
   boost::fibers::condition_variable_any changed_;
-  std::optional<admission_outcome> end_;  // set once; later calls of finish() are ignored
+  std::optional<admission_outcome> outcome_;  // set once; later calls of finish() are ignored
 };
 
 class model_gate {
@@ -56,11 +56,13 @@
 
   std::optional<route_choice> choose(time_point now, const node_view& view,
                                      const request_facts& facts, std::span<const replica_id> tried);
-  // sent() and ended() return how many of this node's requests are now at the replica.
-  std::uint32_t sent(time_point now, const replica_id& replica, const request_facts& facts);
-  void first_token(time_point now, const request_facts& facts, std::string_view request_class,
-                   duration latency);
-  std::uint32_t ended(time_point now, const request_facts& facts, const attempt_result& result);
+  // attempt_sent() and attempt_ended() return how many of this node's requests are now at the
+  // replica.
+  std::uint32_t attempt_sent(time_point now, const replica_id& replica, const request_facts& facts);
+  void first_token_received(time_point now, const request_facts& facts,
+                            std::string_view request_class, duration latency);
+  std::uint32_t attempt_ended(time_point now, const request_facts& facts,
+                              const attempt_result& result);
 
   // Counts a request's first attempt, which allows retries in proportion.
   void first_attempt(time_point now);
@@ -80,7 +82,7 @@
 
   // To be called with each new view, since the capacity may have changed.
   void refresh(const std::shared_ptr<const node_view>& view);
-  void set_shares(const rules& desired);
+  void set_workspace_shares(const rules& desired);
 
  private:
   void apply_capacity(time_point now, const node_view& view);
@@ -104,8 +106,9 @@
   std::unordered_map<request_id, admission_waiter*> waiters_;
   std::shared_ptr<const node_view> view_;
   // Last known generation of each replica; removed replicas are kept.
-  std::map<replica_id, generation> generations_;
-  bool sweeping_ = false;  // a fiber periodically rejects waiting requests that became too late
+  std::map<replica_id, generation> replica_generations_;
+  bool queue_sweep_running_ =
+      false;  // a fiber periodically rejects waiting requests that became too late
 };
 
 // The gates of all models; created on first use and kept as long as the process runs.
@@ -113,7 +116,7 @@
  public:
   model_gates(fiber_runtime& runtime, std::uint64_t seed) : runtime_(runtime), seed_(seed) {}
 
-  model_gate& of(const model_id& model);
+  model_gate& gate_of(const model_id& model);
   void refresh(const std::shared_ptr<const node_view>& view);
   // Requests that this node has at a replica, over all models.
   [[nodiscard]] std::uint32_t in_flight_at(const replica_route& route);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -34,7 +34,7 @@
         client(runtime),
         platform(client, options.platform, options.data_centre),
         engines(client),
-        measured(options.workers),
+        call_metrics(options.workers),
         gates(runtime, options.seed),
         limits(monotonic_now(), options.self),
         core(runtime, platform, engines, core_settings(options)),
@@ -48,7 +48,7 @@
                 gates,
                 limits,
                 services,
-                measured},
+                call_metrics},
         callers(context, paths()) {}
 
   operator_handlers paths() {
@@ -82,7 +82,7 @@
   http_client client;
   platform_client platform;
   engine_client engines;
-  metrics measured;
+  metrics call_metrics;
   model_gates gates;
   limit_exchange limits;
   service_health services;
@@ -131,9 +131,9 @@
 }
 
 void node::parts::listen() {
-  links = std::make_unique<peer_links>(runtime, options.links, options.self);
+  links = std::make_unique<peer_links>(runtime, options.link_address, options.self);
   links->set_receiver(link_channel::coordination,
-                      [this](peer_message m) { core.feed(std::move(m)); });
+                      [this](peer_message m) { core.post_input(std::move(m)); });
   links->set_receiver(link_channel::limits, [this](const peer_message& m) {
     limits.received(monotonic_now(), m.from, m.bytes);
   });
@@ -144,7 +144,7 @@
   const auto handler = [this](const http_request& request, response_writer& writer) {
     callers.serve(request, writer);
   };
-  server = std::make_unique<http_server>(runtime, options.callers, options.limits, handler,
+  server = std::make_unique<http_server>(runtime, options.caller_address, options.limits, handler,
                                          server_error_body);
 }
 
@@ -201,7 +201,7 @@
   // are served as usual.
   bool clean = false;
   p.runtime.run_on(0, [&p, &clean] {
-    sleep_until(monotonic_now() + p.options.balancer_lag);
+    sleep_until(monotonic_now() + p.options.load_balancer_lag);
     clean = p.server->drain(monotonic_now() + p.options.drain_timeout);
   });
   p.core.stop();
@@ -230,7 +230,7 @@
   const time_point now = monotonic_now();
   std::size_t count = 0;
   for (const replica_route& route : view->routes.replicas) {
-    count += may_use(now, route) ? 1 : 0;
+    count += may_use_route(now, route) ? 1 : 0;
   }
   return count;
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -18,8 +18,8 @@
 struct node_setup {
   node_id self;
   data_centre_id data_centre;
-  socket_address callers;  // listens for callers here; port 0: any
-  socket_address links;    // listens for other nodes here
+  socket_address caller_address;  // listens for callers here; port 0: any
+  socket_address link_address;    // listens for other nodes here
   platform_addresses platform;
   std::vector<node_record> bootstrap_peers;
   std::size_t workers = 2;
@@ -28,7 +28,7 @@
   std::uint64_t incarnation{};    // differs after every start
   std::uint64_t seed{};
   // How long the platform's balancer still sends callers after /readyz has begun to fail.
-  duration balancer_lag = 3s;
+  duration load_balancer_lag = 3s;
   // How long requests in flight may take to end when the node stops.
   duration drain_timeout = 60s;
   std::function<void(const notice&)> on_notice;  // may be empty; called on worker 0
--- a/src/node/poison_state.h
+++ b/src/node/poison_state.h
@@ -26,15 +26,15 @@
 // result.
 struct target_end_check {
   bool query_pending = false;
-  bool ended = false;
+  bool target_ended = false;
   time_point queries_started_at{};
-  std::vector<broken_run> waiting;
+  std::vector<broken_run> pending_runs;
 };
 
 struct poison_state {
   poison_tracker tracker;
   std::map<target_id, target_end_check> end_checks;
-  time_point evaluated_at{};
+  time_point last_evaluated_at{};
 };
 
 }  // namespace arbutus
--- a/src/node/poison_watch.cpp
+++ b/src/node/poison_watch.cpp
@@ -71,10 +71,10 @@
 void finish_end_check(hosted_state& node, const target_id& target, incarnation_state state) {
   target_end_check& end = node.poison.end_checks[target];
   end.query_pending = false;
-  end.ended = state == incarnation_state::ended;
-  const std::vector<broken_run> runs = std::move(end.waiting);
-  end.waiting.clear();
-  if (end.ended) {
+  end.target_ended = state == incarnation_state::ended;
+  const std::vector<broken_run> runs = std::move(end.pending_runs);
+  end.pending_runs.clear();
+  if (end.target_ended) {
     for (const broken_run& run : runs) {
       record_strike(node, run);
     }
@@ -131,12 +131,12 @@
   });
   const target_id target = run.target;
   target_end_check& end = node.poison.end_checks[target];
-  if (end.ended) {
+  if (end.target_ended) {
     record_strike(node, run);
     return;
   }
   const endpoint address = run.address;
-  end.waiting.push_back(std::move(run));
+  end.pending_runs.push_back(std::move(run));
   if (end.query_pending) {
     return;
   }
@@ -145,7 +145,7 @@
   node.runtime.post(0, [&node, target, address] { query_until_known(node, target, address); });
 }
 
-void note_harmless(hosted_state& node, const hosted_request& call) {
+void mark_request_harmless(hosted_state& node, const hosted_request& call) {
   if (!node.poison.tracker.clear_request(monotonic_now(), call.fingerprint)) {
     return;
   }
@@ -157,7 +157,7 @@
             {"reason", "a run of it did no harm"}});
 }
 
-bool may_run(hosted_state& node, const hosted_request& call) {
+bool await_poison_clearance(hosted_state& node, const hosted_request& call) {
   const poison_tracker& tracker = node.poison.tracker;
   for (;;) {
     const time_point now = monotonic_now();
@@ -193,10 +193,10 @@
 }
 
 void evaluate_poison(hosted_state& node, time_point now) {
-  if (now - node.poison.evaluated_at < evaluation_interval) {
+  if (now - node.poison.last_evaluated_at < evaluation_interval) {
     return;
   }
-  node.poison.evaluated_at = now;
+  node.poison.last_evaluated_at = now;
   for (const quarantine_decision& v : node.poison.tracker.evaluate(now)) {
     log_quarantine(node, v.fingerprint, "evidence", v.events, v.probability, v.targets);
   }
--- a/src/node/poison_watch.h
+++ b/src/node/poison_watch.h
@@ -21,12 +21,12 @@
 void check_for_strike(hosted_state& node, broken_run run);
 // Clears a request of the suspicion that it crashes targets, after a run of it succeeded or lasted
 // long enough.
-void note_harmless(hosted_state& node, const hosted_request& call);
+void mark_request_harmless(hosted_state& node, const hosted_request& call);
 
 // Waits while strikes of other nodes against the request may still arrive. Returns false if the
 // request is quarantined and has to be refused.
-[[nodiscard]] bool may_run(hosted_state& node, const hosted_request& call);
-inline constexpr std::string_view poison_reason = "it ended the targets that ran it";
+[[nodiscard]] bool await_poison_clearance(hosted_state& node, const hosted_request& call);
+inline constexpr std::string_view poison_refusal_reason = "it ended the targets that ran it";
 // Time until the quarantine of the request expires.
 [[nodiscard]] duration retry_after_poison(const hosted_state& node, const hosted_request& call);
 
--- a/src/node/request_timeline.cpp
+++ b/src/node/request_timeline.cpp
@@ -18,7 +18,7 @@
 // A failure of a target precedes its effect on the request: streams end up to 4 s after their
 // replica lost a member (the engines stall for that long). Events up to this time before the
 // request's arrival are included.
-constexpr auto lookback = 5s;
+constexpr auto related_event_lookback = 5s;
 
 // Fields that every line has; they are not stored in logged_line::fields.
 constexpr std::array<std::string_view, 5> common_fields = {"time", "level", "part", "node",
@@ -286,9 +286,9 @@
     if (!line) {
       ++unreadable;
     } else if (line->field("request") == request) {
-      own_.push_back(std::move(*line));
+      request_lines_.push_back(std::move(*line));
     } else if (line->field("request").empty()) {
-      others_.push_back(std::move(*line));
+      other_lines_.push_back(std::move(*line));
     }
   }
   return unreadable;
@@ -297,14 +297,14 @@
 std::optional<request_timeline> log_reader::timeline_of(std::string_view request) const {
   request_timeline timeline;
   timeline.request = std::string(request);
-  std::copy_if(own_.begin(), own_.end(), std::back_inserter(timeline.own),
+  std::copy_if(request_lines_.begin(), request_lines_.end(), std::back_inserter(timeline.own),
                [&](const logged_line& line) { return line.field("request") == request; });
   if (timeline.own.empty()) {
     return std::nullopt;
   }
   std::stable_sort(timeline.own.begin(), timeline.own.end(), by_time);
   timeline.cause = cause_of(timeline.own);
-  const wall_clock_time from = request_start(timeline.own) - lookback;
+  const wall_clock_time from = request_start(timeline.own) - related_event_lookback;
   const wall_clock_time until = timeline.own.back().time;
   const std::set<std::string> targets = targets_of(timeline.own);
   const std::set<std::string> fingerprints = fingerprints_of(timeline.own);
@@ -313,7 +313,7 @@
     nodes.insert(line.node);
   }
   std::map<std::string, std::map<std::string, const logged_line*>> newest;
-  for (const logged_line& line : others_) {
+  for (const logged_line& line : other_lines_) {
     if (line.time > until) {
       continue;
     }
--- a/src/node/request_timeline.h
+++ b/src/node/request_timeline.h
@@ -59,8 +59,8 @@
   [[nodiscard]] std::optional<request_timeline> timeline_of(std::string_view request) const;
 
  private:
-  std::vector<logged_line> own_;
-  std::vector<logged_line> others_;
+  std::vector<logged_line> request_lines_;
+  std::vector<logged_line> other_lines_;
 };
 
 // For people: the cause, then the lines ordered by time, then the last known state of the nodes.
--- a/src/node/service_call.cpp
+++ b/src/node/service_call.cpp
@@ -91,7 +91,7 @@
     if (service_ == nullptr || has_dot_segment(path)) {
       return make_error(404, "unknown_path", "no service has this path");
     }
-    call_.measured.target = service_->id.str();
+    call_.measurements.target = service_->id.str();
     const auto& allowed = service_->workspaces;
     if (!allowed.empty() &&
         std::find(allowed.begin(), allowed.end(), call_.workspace->id) == allowed.end()) {
@@ -147,7 +147,7 @@
   // `use`: a pooled connection may close just as the request is written; then it is unknown whether
   // the request ran. So calls that may not be repeated use a fresh connection.
   call_result send_to(const endpoint& instance, const send_permit& permit, connection_use use) {
-    ++call_.measured.attempts;
+    ++call_.measurements.attempts;
     call_result result =
         node_.client.fetch(address_of(instance), outgoing(), call_.deadline, cancel_, permit, use);
     if (result.ok()) {
@@ -287,10 +287,10 @@
   }
 
   void finish(std::string result, std::string reason) {
-    call_.measured.result = std::move(result);
-    call_.measured.reason = std::move(reason);
-    call_.measured.total = monotonic_now() - call_.arrival;
-    node_.measured.record(current_worker(), call_.measured);
+    call_.measurements.result = std::move(result);
+    call_.measurements.reason = std::move(reason);
+    call_.measurements.call_duration = monotonic_now() - call_.arrival;
+    node_.call_metrics.record(current_worker(), call_.measurements);
   }
 
   call_context& node_;
--- a/src/node/service_health.cpp
+++ b/src/node/service_health.cpp
@@ -12,18 +12,18 @@
 
 void service_health::note_failure(time_point now, const endpoint& instance) {
   const std::lock_guard guard(lock_);
-  failed_at_[instance] = now;
+  last_failure_at_[instance] = now;
 }
 
 void service_health::note_success(const endpoint& instance) {
   const std::lock_guard guard(lock_);
-  failed_at_.erase(instance);
+  last_failure_at_.erase(instance);
 }
 
 bool service_health::failed_recently(time_point now, const endpoint& instance) const {
   const std::lock_guard guard(lock_);
-  const auto found = failed_at_.find(instance);
-  return found != failed_at_.end() && now < found->second + failure_retention;
+  const auto found = last_failure_at_.find(instance);
+  return found != last_failure_at_.end() && now < found->second + failure_retention;
 }
 
 }  // namespace arbutus
--- a/src/node/service_health.h
+++ b/src/node/service_health.h
@@ -19,7 +19,7 @@
 
  private:
   mutable std::mutex lock_;
-  std::map<endpoint, time_point> failed_at_;
+  std::map<endpoint, time_point> last_failure_at_;
 };
 
 }  // namespace arbutus
--- a/src/node/spill_call.cpp
+++ b/src/node/spill_call.cpp
@@ -125,7 +125,7 @@
   }
   // The calls are distributed over the nodes of the other data centre by a hash of the request id.
   const std::uint64_t pick = stable_hash(facts.id.str());
-  return chosen->entry[pick % chosen->entry.size()];
+  return chosen->caller_endpoints[pick % chosen->caller_endpoints.size()];
 }
 
 spill_outcome relay_call(call_context& node, const http_request& request, response_writer& writer,
--- a/src/node/sse.cpp
+++ b/src/node/sse.cpp
@@ -46,7 +46,7 @@
   const json& choice = choices->front();
   if (has_text(choice)) {
     frame.kind = frame_kind::token;
-    frame.last = is_finish(choice);
+    frame.completes_answer = is_finish(choice);
   } else if (is_finish(choice)) {
     frame.kind = frame_kind::finish;
   } else {
@@ -58,15 +58,15 @@
 }  // namespace
 
 std::optional<std::string_view> sse_splitter::next() {
-  const std::size_t end = buffer_.find(frame_end, taken_);
+  const std::size_t end = buffer_.find(frame_end, returned_bytes_);
   if (end == std::string::npos) {
-    buffer_.erase(0, taken_);
-    taken_ = 0;
+    buffer_.erase(0, returned_bytes_);
+    returned_bytes_ = 0;
     return std::nullopt;
   }
-  const std::size_t begin = taken_;
-  taken_ = end + frame_end.size();
-  return std::string_view(buffer_).substr(begin, taken_ - begin);
+  const std::size_t begin = returned_bytes_;
+  returned_bytes_ = end + frame_end.size();
+  return std::string_view(buffer_).substr(begin, returned_bytes_ - begin);
 }
 
 engine_frame parse_frame(std::string_view frame) {
--- a/src/node/store_nodes.cpp
+++ b/src/node/store_nodes.cpp
@@ -14,14 +14,14 @@
 constexpr std::string_view node_table = "nodes";
 // Interval at which a node without updates of a hub reads the rows of all nodes; a node whose
 // address changed is found within this time.
-constexpr duration node_interval = 5s;
+constexpr duration node_rows_interval = 5s;
 // Nodes that start simultaneously write their rows within some 300 ms; an earlier read would have
 // to be repeated. The interval doubles with each read.
-constexpr duration node_interval_at_start = 400ms;
-constexpr std::uint32_t max_node_doublings = 3;
+constexpr duration node_rows_interval_at_start = 400ms;
+constexpr std::uint32_t max_interval_doublings = 3;
 // A node that its hub keeps current needs the rows of other nodes only when the hub fails, and
 // usually has the row of the next hub.
-constexpr duration node_interval_with_hub = 45s;
+constexpr duration node_rows_interval_with_hub = 45s;
 
 // Parses [data centre, link endpoint, processor in permille of a core, link in Mbit/s]. Empty for
 // an unreadable row. A row without strength is of a node with other settings, which comes last in
@@ -53,17 +53,18 @@
 bool store_watch::must_read_nodes(time_point now) const {
   const bool updated_by_hub = is_updated_by_hub(now);
   // A node that restarts alone finds the rows of the others in the store immediately.
-  const bool all_start = node_.settings.cold_start && now - started_ < start_phase / 4;
+  const bool all_start = node_.settings.cold_start && now - started_at_ < start_phase_duration / 4;
   const bool searches = all_start || !nodes_known_;
   if (searches && !all_start && nodes_reads_ == 0) {
     return true;
   }
   const std::uint32_t doublings =
-      node_.peers.is_hub(now) ? 0 : std::min(nodes_reads_, max_node_doublings);
+      node_.peers.is_hub(now) ? 0 : std::min(nodes_reads_, max_interval_doublings);
   const duration interval =
-      updated_by_hub ? node_interval_with_hub
-                     : (searches ? node_interval_at_start * (1U << doublings) : node_interval);
-  const time_point read_at = nodes_reads_ == 0 ? started_ : nodes_read_at_;
+      updated_by_hub
+          ? node_rows_interval_with_hub
+          : (searches ? node_rows_interval_at_start * (1U << doublings) : node_rows_interval);
+  const time_point read_at = nodes_reads_ == 0 ? started_at_ : nodes_read_at_;
   // A node that has just lost its hub waits before it reads the rows, as it may soon receive
   // updates from the next hub.
   return now - read_at >= interval &&
@@ -71,7 +72,7 @@
 }
 
 void store_watch::follow_nodes(const std::function<void(const std::vector<node_record>&)>& found) {
-  const endpoint& link = node_.settings.listen.links;
+  const endpoint& link = node_.settings.listen.link_endpoint;
   const node_strength& strength = node_.settings.strength;
   const nlohmann::json own = {node_.settings.data_centre.str(), to_string(link),
                               strength.processor_permille, strength.link_mbps};
@@ -81,7 +82,7 @@
     if (!written) {
       transaction t;
       t.writes.push_back({std::string(node_table), node_.settings.id.str(), own.dump()});
-      written = is_ok(node_.store.write(t, now + read_timeout));
+      written = is_ok(node_.store.write(t, now + store_read_timeout));
       count_call("own row", written);
     }
     if (must_read_nodes(now)) {
@@ -89,14 +90,14 @@
       ++nodes_reads_;
       read_nodes(found);
     }
-    if (!sleep_until(now + (written ? check_interval : pause_after_failure()))) {
+    if (!sleep_until(now + (written ? hub_check_interval : pause_after_failure()))) {
       return;
     }
   }
 }
 
 void store_watch::read_nodes(const std::function<void(const std::vector<node_record>&)>& found) {
-  const auto result = node_.store.read(node_table, {}, monotonic_now() + read_timeout);
+  const auto result = node_.store.read(node_table, {}, monotonic_now() + store_read_timeout);
   const auto* rows = std::get_if<store_rows>(&result);
   count_call("nodes", rows != nullptr);
   if (rows == nullptr) {
--- a/src/node/store_poison.cpp
+++ b/src/node/store_poison.cpp
@@ -32,7 +32,7 @@
 
 // The age of the quarantines counts from now, since the store does not return it.
 bool read_quarantines(hosted_state& node) {
-  const auto result = node.store.read(poison_table, {}, monotonic_now() + read_timeout);
+  const auto result = node.store.read(poison_table, {}, monotonic_now() + store_read_timeout);
   const auto* rows = std::get_if<store_rows>(&result);
   count_call(node, "verdicts", rows != nullptr);
   if (rows == nullptr) {
@@ -72,7 +72,7 @@
   if (t.writes.empty() && t.removals.empty()) {
     return true;
   }
-  const bool written = is_ok(node.store.write(t, now + read_timeout));
+  const bool written = is_ok(node.store.write(t, now + store_read_timeout));
   count_call(node, "own verdicts", written);
   if (!written) {
     return false;
--- a/src/node/store_targets.cpp
+++ b/src/node/store_targets.cpp
@@ -14,7 +14,7 @@
 
 // Records of targets change only with a replica or a target. The feed answers when there is a
 // change, or after this time: one call a second without changes, and changes are known immediately.
-constexpr duration target_wait = 1s;
+constexpr duration target_feed_wait = 1s;
 // Changes of targets come in bursts, as when a replica forms; those within the pause are read
 // together. Each hub reads the feed, so the pause grows with the number of data centres.
 constexpr duration target_pause_per_data_centre = 40ms;  // per data centre
@@ -29,7 +29,7 @@
 constexpr duration target_pause_of_non_hubs = 500ms;
 // Longest time between two answers while the list is followed: the feed's wait, plus the delay of a
 // late answer.
-constexpr duration max_followed_gap = target_wait + 1s;
+constexpr duration max_followed_gap = target_feed_wait + 1s;
 // A node that lacks records waits this long for its hub before it reads the table itself: twice the
 // time after which another node takes over from an unresponsive hub.
 constexpr duration hub_forward_timeout = 3s;
@@ -45,7 +45,7 @@
   if (!node_.peers.is_hub(now)) {
     return target_pause_of_non_hubs;
   }
-  if (now - started_ < start_phase) {
+  if (now - started_at_ < start_phase_duration) {
     return target_pause_at_start;
   }
   const auto hubs = static_cast<std::int64_t>(node_.settings.data_centres.size());
@@ -77,7 +77,7 @@
     node_.target_rows.advance(update.position);
   }
   targets_positioned_ = targets_positioned_ || node_.fleet_known;
-  node_.fleet_read_at = std::max(node_.fleet_read_at, requested_at);
+  node_.fleet_list_requested_at = std::max(node_.fleet_list_requested_at, requested_at);
   hub_targets_update_at_ = now;
 }
 
@@ -86,15 +86,15 @@
 // changed targets only, which is sufficient.
 void store_watch::apply_serving_update(time_point requested_at, time_point now,
                                        const node_heartbeat& message) {
-  const feed_update& update = *message.served;
+  const feed_update& update = *message.serving_rows;
   targets_withheld_ = update.withheld;
   if (update.withheld || follows_records()) {
     return;
   }
   const bool first = !node_.fleet_known;
   const bool taken =
-      node_.followed.apply(requested_at, message.incarnation, update.after, update.complete,
-                           update.position, update.rows, node_.fleet);
+      node_.received_serving.apply(requested_at, message.incarnation, update.after, update.complete,
+                                   update.position, update.rows, node_.fleet);
   if (!taken) {
     return;
   }
@@ -106,7 +106,7 @@
   node_.fleet_complete = false;
   node_.fleet_known = true;
   targets_positioned_ = true;
-  node_.fleet_read_at = std::max(node_.fleet_read_at, requested_at);
+  node_.fleet_list_requested_at = std::max(node_.fleet_list_requested_at, requested_at);
   hub_targets_update_at_ = now;
 }
 
@@ -123,7 +123,7 @@
   node_.fleet_known = true;
   node_.fleet_complete = true;
   records_missing_since_ = {};
-  node_.fleet_read_at = std::max(node_.fleet_read_at, requested_at);
+  node_.fleet_list_requested_at = std::max(node_.fleet_list_requested_at, requested_at);
   log_line(log_level::info, "fleet", "read whole",
            {{"targets", std::uint64_t{records.size()}}, {"position", position}});
 }
@@ -163,10 +163,10 @@
 // The earliest time at which a row after the last position can have been written. Empty without a
 // gap in following the list: such a row was written recently.
 std::optional<time_point> store_watch::written_after(time_point requested_at) const {
-  if (!node_.fleet_known || requested_at - node_.fleet_read_at <= max_followed_gap) {
+  if (!node_.fleet_known || requested_at - node_.fleet_list_requested_at <= max_followed_gap) {
     return std::nullopt;
   }
-  return node_.fleet_read_at;
+  return node_.fleet_list_requested_at;
 }
 
 // Parses the record of a target. Empty if it cannot be used; other records are not affected.
@@ -199,7 +199,7 @@
   std::uint64_t first_version = 0;
   const time_point requested_at = monotonic_now();
   for (;;) {
-    const auto result = node_.store.read(target_table, from, monotonic_now() + read_timeout);
+    const auto result = node_.store.read(target_table, from, monotonic_now() + store_read_timeout);
     const auto* rows = std::get_if<store_rows>(&result);
     count_call("targets whole", rows != nullptr);
     if (rows == nullptr || rows->version < records_position()) {
@@ -208,7 +208,7 @@
     // Pages are read one after the other. Changes made meanwhile are read again from the feed,
     // which continues from the version of the first page.
     first_version = first_version == 0 ? rows->version : first_version;
-    if (rows->more && !may_read_further_pages(requested_at)) {
+    if (rows->has_more && !may_read_further_pages(requested_at)) {
       list_left_to_hub_ = true;
       log_line(log_level::info, "fleet", "long list left to the hub",
                {{"position", rows->version}});
@@ -217,7 +217,7 @@
     for (const store_row& row : rows->rows) {
       all.push_back({row.key, row.value, row.version, false, row.readable});
     }
-    if (!rows->more || rows->rows.empty()) {
+    if (!rows->has_more || rows->rows.empty()) {
       break;
     }
     from = rows->rows.back().key + '\x01';
@@ -230,8 +230,8 @@
   // Which node is the strongest, and so the hub, is known from the rows of the nodes, which are
   // read at the start.
   const bool peers_known =
-      nodes_reads_ > 0 && node_.peers.known() > 0 && !node_.settings.cold_start;
-  if (record_subscription_.decided() || peers_known || now - started_ >= peers_known_timeout) {
+      nodes_reads_ > 0 && node_.peers.peer_count() > 0 && !node_.settings.cold_start;
+  if (record_subscription_.decided() || peers_known || now - started_at_ >= peers_known_timeout) {
     record_subscription_.update(now, node_.peers.is_hub(now), node_.peers.is_hub_or_next(now));
   }
 }
@@ -254,15 +254,16 @@
 
 // Queries the store for changed targets. Returns the pause until the next query.
 duration store_watch::watch_targets(time_point requested_at) {
-  const auto result = node_.store.watch(target_table, node_.target_rows.position(), target_wait,
-                                        requested_at + target_wait + answer_slack);
+  const auto result =
+      node_.store.watch(target_table, node_.target_rows.position(), target_feed_wait,
+                        requested_at + target_feed_wait + late_answer_allowance);
   count_call("targets news", std::holds_alternative<store_rows>(result));
   if (std::holds_alternative<history_dropped>(result)) {
     targets_positioned_ = false;
     return 0ms;
   }
   const auto* rows = std::get_if<store_rows>(&result);
-  note_dependency("targets", targets_up_, rows != nullptr,
+  note_dependency("targets", target_list_available_, rows != nullptr,
                   rows == nullptr ? "the watch failed" : "watched");
   if (rows == nullptr) {
     return target_pause(requested_at);
@@ -273,10 +274,10 @@
     node_.target_rows.apply(changed);
     // This row came from the store, so the serving replicas that the hub sends next do not continue
     // from the state of this node.
-    node_.followed.reset_position();
+    node_.received_serving.reset_position();
   }
   node_.target_rows.advance(rows->version);
-  node_.fleet_read_at = requested_at;
+  node_.fleet_list_requested_at = requested_at;
   targets_withheld_ = false;
   return target_pause(requested_at);
 }
@@ -286,19 +287,19 @@
   update_subscription(requested_at);
   // While the store does not answer queries about the configuration, the targets are not queried;
   // only the queries about the configuration are repeated.
-  if (failures_ > 0) {
-    return check_interval;
+  if (configuration_failures_ > 0) {
+    return hub_check_interval;
   }
   if (must_read_all_targets(requested_at)) {
     targets_positioned_ = read_targets();
-    note_dependency("targets", targets_up_, targets_positioned_, "whole list");
-    return targets_positioned_ ? target_pause(requested_at) : retry_pause;
+    note_dependency("targets", target_list_available_, targets_positioned_, "whole list");
+    return targets_positioned_ ? target_pause(requested_at) : store_retry_pause;
   }
   const bool updated_by_hub = requested_at - hub_targets_update_at_ < hub_update_validity &&
                               !node_.peers.is_hub(requested_at);
   const bool waits = updated_by_hub || !targets_positioned_ || awaits_hub(requested_at);
   if (waits && !(targets_withheld_ && targets_positioned_)) {
-    return check_interval;
+    return hub_check_interval;
   }
   return watch_targets(requested_at);
 }
--- a/src/node/store_watch.cpp
+++ b/src/node/store_watch.cpp
@@ -14,10 +14,10 @@
 // is none. Its answer proves that the configuration is still the newest, and the age of this proof
 // is counted from the time of the query. With 700 ms a node sends 1.4 queries a second and its
 // proof is 0.7 to 1.4 s old.
-constexpr duration configuration_wait = 700ms;
+constexpr duration configuration_feed_wait = 700ms;
 // Pause after a change of the configuration; versions that are accepted within this time are read
 // together.
-constexpr duration configuration_pause = 40ms;
+constexpr duration configuration_query_pause = 40ms;
 // After reading the tables at its start, a node waits this long for updates from its hub before it
 // queries the store for changes; the read proves its configuration for longer than that. Without
 // this, hundreds of nodes that start together make a dozen calls each until their first heartbeat
@@ -26,10 +26,10 @@
 // Each consecutive failed query doubles the pause before the next one, up to this time. Without
 // this, a node that is partitioned or refused by the store would send ten queries a second. The
 // lease is over four times as long.
-constexpr duration max_retry_pause = 800ms;
+constexpr duration max_query_retry_pause = 800ms;
 // Maximum pause between repeated queries of nodes that are neither the hub nor next in line to be
 // it: the first node that the store serves again forwards to the others what they lack.
-constexpr duration max_retry_pause_of_others = 3200ms;
+constexpr duration max_query_retry_pause_of_others = 3200ms;
 // Consecutive failures after which a hub hands over; the first three take 300 ms.
 constexpr std::uint32_t failures_before_handover = 3;
 // A node that the store refused and that gets updates from another hub queries the store at this
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-store_watch::store_watch(hosted_state& node) : node_(node), started_(monotonic_now()) {}
+store_watch::store_watch(hosted_state& node) : node_(node), started_at_(monotonic_now()) {}
 
 void store_watch::note_dependency(std::string_view name, bool& up, bool now_up,
                                   std::string_view reason) {
@@ -71,15 +71,16 @@
   log_line(now_up ? log_level::info : log_level::warning, "store", now_up ? "regained" : "lost",
            {{"what", name},
             {"reason", reason},
-            {"lease_age_ms", to_milliseconds(node_.lease.age(monotonic_now()).value_or(-1ms))}});
+            {"lease_age_ms",
+             to_milliseconds(node_.configuration_lease.age(monotonic_now()).value_or(-1ms))}});
 }
 
 // Calls to the store are expensive, so they are counted by purpose.
 void store_watch::count_call(std::string_view what, bool answered) {
   node_.metrics.count("arbutusworks_store_calls", "what=\"" + std::string(what) + "\",answered=\"" +
                                                       (answered ? "yes" : "no") + "\"");
-  const auto found = calls_.find(what);
-  ++(found == calls_.end() ? calls_.emplace(what, 0).first->second : found->second);
+  const auto found = store_calls_.find(what);
+  ++(found == store_calls_.end() ? store_calls_.emplace(what, 0).first->second : found->second);
 }
 
 // Metrics are lost when a process exits. The log shows afterwards which of hundreds of nodes made
@@ -87,15 +88,15 @@
 void store_watch::log_calls(time_point now) {
   std::uint64_t all = 0;
   std::string text;
-  for (const auto& [what, count] : calls_) {
+  for (const auto& [what, count] : store_calls_) {
     all += count;
     text += (text.empty() ? "" : ", ") + what + " " + std::to_string(count);
   }
-  if (all == logged_calls_ || now - calls_logged_at_ < calls_log_interval) {
+  if (all == logged_store_calls_ || now - store_calls_logged_at_ < calls_log_interval) {
     return;
   }
-  logged_calls_ = all;
-  calls_logged_at_ = now;
+  logged_store_calls_ = all;
+  store_calls_logged_at_ = now;
   log_line(log_level::info, "store", "calls",
            {{"total", all}, {"by_kind", text}, {"hub", node_.peers.is_hub(now)}});
 }
@@ -108,8 +109,8 @@
                                    const node_heartbeat& message) {
   if (message.targets) {
     apply_target_update(requested_at - message.targets->age, now, *message.targets);
-  } else if (message.served) {
-    apply_serving_update(requested_at - message.served->age, now, message);
+  } else if (message.serving_rows) {
+    apply_serving_update(requested_at - message.serving_rows->age, now, message);
   }
   if (!message.configuration) {
     hub_update_at_ = {};
@@ -122,8 +123,8 @@
   if (message.configuration_part) {
     apply_configuration_part(requested_at, now, *message.configuration_part);
   }
-  withheld_ = message.configuration->withheld && node_.lag.behind();
-  if (node_.configurations.newest() >= message.configuration_row) {
+  configuration_withheld_ = message.configuration->withheld && node_.configuration_lag.behind();
+  if (node_.configurations.newest_version() >= message.configuration_row) {
     for (const feed_row& row : message.configuration->rows) {
       apply_configuration_row(requested_at, "hub", row);
     }
@@ -132,7 +133,7 @@
     // When the store confirmed the hub's configuration as the newest, the hub had all rows up to
     // its position, and this node has the same rows now.
     if (node_.map && message.configuration->position >= node_.configuration_rows.position()) {
-      node_.lease.renew(requested_at - message.configuration->age);
+      node_.configuration_lease.renew(requested_at - message.configuration->age);
     }
   }
   // Updates of a hub whose own configuration was last confirmed long ago do not keep this node
@@ -143,13 +144,13 @@
 }
 
 void store_watch::note_newest(time_point now, const node_heartbeat& message) {
-  const bool was_behind = node_.lag.behind();
-  node_.lag.row_reported(now, message.configuration_row);
-  if (was_behind || !node_.lag.behind()) {
+  const bool was_behind = node_.configuration_lag.behind();
+  node_.configuration_lag.row_reported(now, message.configuration_row);
+  if (was_behind || !node_.configuration_lag.behind()) {
     return;
   }
   log_line(log_level::info, "configuration", "behind",
-           {{"row", node_.configurations.newest()},
+           {{"row", node_.configurations.newest_version()},
             {"hub_row", message.configuration_row},
             {"hub_proof_ms", to_milliseconds(message.configuration->age)},
             {"withheld", message.configuration->withheld}});
@@ -157,9 +158,9 @@
 
 void store_watch::apply_configuration_part(time_point requested_at, time_point now,
                                            const config_part& part) {
-  const config_progress before = receiver_.progress();
-  auto text = receiver_.receive(part, node_.configurations);
-  if (text || receiver_.progress() != before) {
+  const config_progress before = configuration_receiver_.progress();
+  auto text = configuration_receiver_.receive(part, node_.configurations);
+  if (text || configuration_receiver_.progress() != before) {
     part_received_at_ = now;
   }
   if (text) {
@@ -170,48 +171,53 @@
 
 bool store_watch::is_part_overdue(time_point now) const {
   const duration since_part = now - part_received_at_;
-  return std::min(node_.lag.age(now), since_part) >= part_timeout;
+  return std::min(node_.configuration_lag.age(now), since_part) >= part_timeout;
 }
 
 bool store_watch::awaits_hub(time_point now) const {
-  return now - started_ < first_hub_update_timeout && !node_.peers.is_hub(now) &&
-         node_.peers.any_in_data_centre();
+  return now - started_at_ < first_hub_update_timeout && !node_.peers.is_hub(now) &&
+         node_.peers.has_peer_in_own_data_centre();
 }
 
 bool store_watch::must_query(time_point now) const {
   if (!is_updated_by_hub(now)) {
     return !(configuration_positioned_ && awaits_hub(now));
   }
-  return ((withheld_ || is_part_overdue(now)) && now - queried_at_ >= withheld_query_interval) ||
-         (node_.peers.refused_by_store() && now - queried_at_ >= refused_query_interval);
+  return ((configuration_withheld_ || is_part_overdue(now)) &&
+          now - configuration_queried_at_ >= withheld_query_interval) ||
+         (node_.peers.refused_by_store() &&
+          now - configuration_queried_at_ >= refused_query_interval);
 }
 
 void store_watch::note_query_result(time_point now, bool answered) {
-  failures_ = answered ? 0 : failures_ + 1;
-  withheld_ = withheld_ && !answered;
+  configuration_failures_ = answered ? 0 : configuration_failures_ + 1;
+  configuration_withheld_ = configuration_withheld_ && !answered;
   // A query that timed out has taken so long that the store counts as refusing this node without
   // further failures.
-  const bool timed_out = now - queried_at_ >= configuration_wait + answer_slack;
+  const bool timed_out =
+      now - configuration_queried_at_ >= configuration_feed_wait + late_answer_allowance;
   const bool refused_by_store = !answered && (node_.peers.refused_by_store() || timed_out ||
-                                              failures_ >= failures_before_handover);
+                                              configuration_failures_ >= failures_before_handover);
   if (refused_by_store != node_.peers.refused_by_store()) {
     node_.peers.set_refused_by_store(now, refused_by_store);
     log_line(log_level::info, "store", refused_by_store ? "turned away" : "served again",
-             {{"failures", failures_}, {"hub", node_.peers.is_hub(now)}});
+             {{"failures", configuration_failures_}, {"hub", node_.peers.is_hub(now)}});
   }
 }
 
 duration store_watch::pause_after_failure() const {
   constexpr std::uint32_t max_pause_doublings = 5;
-  const duration longest =
-      node_.peers.is_hub_or_next(monotonic_now()) ? max_retry_pause : max_retry_pause_of_others;
-  return std::min(
-      retry_pause * (1U << std::min(failures_ > 0 ? failures_ - 1 : 0, max_pause_doublings)),
-      longest);
+  const duration longest = node_.peers.is_hub_or_next(monotonic_now())
+                               ? max_query_retry_pause
+                               : max_query_retry_pause_of_others;
+  return std::min(store_retry_pause *
+                      (1U << std::min(configuration_failures_ > 0 ? configuration_failures_ - 1 : 0,
+                                      max_pause_doublings)),
+                  longest);
 }
 
 void store_watch::activate_configuration(const std::string& text) {
-  service_map_result result = reader_.read(text);
+  service_map_result result = service_map_reader_.read(text);
   if (!result.map) {
     for (const finding& f : result.problems) {
       log_line(log_level::error, "configuration", "finding",
@@ -256,15 +262,15 @@
 // Applies a row of the configuration table, unless a newer one was applied already.
 void store_watch::apply_configuration(time_point requested_at, std::string_view source,
                                       const feed_row& row) {
-  if (row.version <= node_.configurations.newest()) {
+  if (row.version <= node_.configurations.newest_version()) {
     return;
   }
   const time_point arrived = monotonic_now();
   const auto before = node_.map;
-  const duration behind = node_.lag.age(arrived);
+  const duration behind = node_.configuration_lag.age(arrived);
   node_.configurations.add(row.version, row.value);
   activate_configuration(row.value);
-  node_.lag.row_applied(row.version);
+  node_.configuration_lag.row_applied(row.version);
   if (node_.map != before) {
     log_in_force(requested_at, arrived, behind, source, row);
   }
@@ -275,19 +281,19 @@
   const time_point now = monotonic_now();
   log_line(log_level::warning, "configuration", "not answered",
            {{"reason", reason},
-            {"failures", failures_ + 1},
+            {"failures", configuration_failures_ + 1},
             {"waited_ms", to_milliseconds(now - requested_at)},
-            {"lease_age_ms", to_milliseconds(node_.lease.age(now).value_or(-1ms))}});
+            {"lease_age_ms", to_milliseconds(node_.configuration_lease.age(now).value_or(-1ms))}});
 }
 
 // Reads the full configuration table, when there is no position to continue from.
 bool store_watch::read_configuration() {
   const time_point requested_at = monotonic_now();
-  const auto result = node_.store.read(configuration_table, {}, requested_at + read_timeout);
+  const auto result = node_.store.read(configuration_table, {}, requested_at + store_read_timeout);
   const auto* rows = std::get_if<store_rows>(&result);
   count_call("configuration whole", rows != nullptr);
   const bool usable = rows != nullptr && rows->version >= node_.configuration_rows.position();
-  note_dependency("configuration", configuration_up_, usable,
+  note_dependency("configuration", configuration_available_, usable,
                   rows == nullptr ? "no answer" : "whole table");
   if (!usable) {
     log_failed_query(requested_at, describe_failure(result));
@@ -299,24 +305,24 @@
   }
   node_.configuration_rows.advance(rows->version);
   if (node_.map) {
-    node_.lease.renew(requested_at);
+    node_.configuration_lease.renew(requested_at);
   }
   return true;
 }
 
 void store_watch::follow_configuration() {
   for (;;) {
-    duration pause = check_interval;
+    duration pause = hub_check_interval;
     const time_point requested_at = monotonic_now();
     log_calls(requested_at);
     if (must_query(requested_at)) {
       // The first query, a retry, and a query for a version known to exist need not wait for the
       // next change.
-      const bool immediate =
-          failures_ > 0 || withheld_ || requested_at - queried_at_ > 2 * configuration_wait;
-      queried_at_ = requested_at;
+      const bool immediate = configuration_failures_ > 0 || configuration_withheld_ ||
+                             requested_at - configuration_queried_at_ > 2 * configuration_feed_wait;
+      configuration_queried_at_ = requested_at;
       const bool answered =
-          query_configuration(requested_at, immediate ? 0ms : configuration_wait, pause);
+          query_configuration(requested_at, immediate ? 0ms : configuration_feed_wait, pause);
       note_query_result(monotonic_now(), answered);
       if (!answered) {
         pause = pause_after_failure();
@@ -337,14 +343,14 @@
     return configuration_positioned_;
   }
   const auto result = node_.store.watch(configuration_table, node_.configuration_rows.position(),
-                                        wait, requested_at + wait + answer_slack);
+                                        wait, requested_at + wait + late_answer_allowance);
   const auto* rows = std::get_if<store_rows>(&result);
   count_call("configuration news", rows != nullptr);
   if (std::holds_alternative<history_dropped>(result)) {
     configuration_positioned_ = false;
     return true;
   }
-  note_dependency("configuration", configuration_up_, rows != nullptr,
+  note_dependency("configuration", configuration_available_, rows != nullptr,
                   rows == nullptr ? "the watch failed" : "watched");
   if (rows == nullptr) {
     log_failed_query(requested_at, describe_failure(result));
@@ -354,8 +360,8 @@
     apply_configuration_row(requested_at, "store", {row.key, row.value, row.version, row.removed});
   }
   node_.configuration_rows.advance(rows->version);
-  node_.lease.renew(requested_at);
-  pause = rows->rows.empty() ? 0ms : configuration_pause;
+  node_.configuration_lease.renew(requested_at);
+  pause = rows->rows.empty() ? 0ms : configuration_query_pause;
   return true;
 }
 
--- a/src/node/store_watch.h
+++ b/src/node/store_watch.h
@@ -27,7 +27,7 @@
   void apply_hub_update(time_point requested_at, time_point now, const node_heartbeat& message);
   // Progress of the configuration change that the hub sends in parts.
   [[nodiscard]] const config_progress& configuration_progress() const {
-    return receiver_.progress();
+    return configuration_receiver_.progress();
   }
   // Position in the records of all targets, from which the hub continues; 0: not all are known.
   [[nodiscard]] std::uint64_t records_position() const;
@@ -81,7 +81,7 @@
   [[nodiscard]] bool must_read_nodes(time_point now) const;
 
   hosted_state& node_;
-  time_point started_;
+  time_point started_at_;
   time_point nodes_read_at_{};             // when the rows of nodes were last read
   std::uint32_t nodes_reads_ = 0;          // number of times that the rows of nodes were read
   bool nodes_known_ = false;               // the rows were read at least once
@@ -94,18 +94,19 @@
   time_point records_missing_since_{};  // when this node began to lack needed records; zero: it
                                         // has all of them
   time_point hub_update_at_{};  // the hub's last update with a recent proof of the configuration
-  time_point queried_at_{};     // when the store was last queried about the configuration
-  std::uint32_t failures_ = 0;  // consecutive failures of such queries
-  bool withheld_ = false;       // the hub has a newer configuration than it sends
-  service_map_reader reader_;
-  config_receiver receiver_;       // assembles a configuration that the hub sends in parts
-  time_point part_received_at_{};  // when the newest part of a configuration was received
+  time_point
+      configuration_queried_at_{};  // when the store was last queried about the configuration
+  std::uint32_t configuration_failures_ = 0;  // consecutive failures of such queries
+  bool configuration_withheld_ = false;       // the hub has a newer configuration than it sends
+  service_map_reader service_map_reader_;
+  config_receiver configuration_receiver_;  // assembles a configuration that the hub sends in parts
+  time_point part_received_at_{};           // when the newest part of a configuration was received
   std::map<std::string, std::uint64_t, std::less<>>
-      calls_;                       // calls to the store by purpose, since the start of the process
-  std::uint64_t logged_calls_ = 0;  // number of calls at the last log line about them
-  time_point calls_logged_at_{};
-  bool configuration_up_ = true;  // the last query about the configuration was answered
-  bool targets_up_ = true;        // the last query about the targets was answered
+      store_calls_;  // calls to the store by purpose, since the start of the process
+  std::uint64_t logged_store_calls_ = 0;  // number of calls at the last log line about them
+  time_point store_calls_logged_at_{};
+  bool configuration_available_ = true;  // the last query about the configuration was answered
+  bool target_list_available_ = true;    // the last query about the targets was answered
 };
 
 }  // namespace arbutus
--- a/src/process/assignment_writer.h
+++ b/src/process/assignment_writer.h
@@ -25,9 +25,9 @@
 // Number of nodes of a data centre that read the assignment row regularly; the others read it when
 // a peer reports a newer version. Two, so that the data centre still notices changes if one of the
 // readers is cut off from the table.
-inline constexpr std::size_t row_readers = 2;
+inline constexpr std::size_t row_reader_count = 2;
 inline constexpr duration row_reader_interval = 1s;
-inline constexpr duration row_idle_interval = 30s;
+inline constexpr duration row_non_reader_interval = 30s;
 // When a new version of the assignment row is reported, the nodes' reads of it are spread over this
 // time, to avoid a burst at the table.
 inline constexpr duration row_read_spread = 50ms;
@@ -36,22 +36,22 @@
 inline constexpr duration row_reply_timeout = 1s;
 // A node of rank r delays its proposal of an assignment row by r times this. The delay is longer
 // than a write of the row by another node, the gossip about it and a read of it take together.
-inline constexpr duration row_rank_delay = 500ms;
-inline constexpr duration row_backoff_first = 100ms;
-inline constexpr duration row_backoff_max = 3s;
+inline constexpr duration row_proposal_rank_delay = 500ms;
+inline constexpr duration row_write_backoff_first = 100ms;
+inline constexpr duration row_write_backoff_max = 3s;
 // How long a node waits for the content of a row version that targets obey but the table has lost;
 // after that the content counts as lost everywhere.
 inline constexpr duration lost_content_timeout = 3s;
 // Added to the row's version when a table copy restored from a backup is overwritten. A node that
 // is cut off may know versions unknown to all others; the gap avoids reusing their numbers.
-inline constexpr std::uint64_t row_restore_gap = 1000;
+inline constexpr std::uint64_t row_restore_version_gap = 1000;
 
 struct row_counters {
   std::uint64_t reads{};
-  std::uint64_t won{};
-  std::uint64_t lost{};
+  std::uint64_t writes_won{};
+  std::uint64_t writes_lost{};
   // Writes without a known outcome; each also counts as a success or a loss once it is read back.
-  std::uint64_t unknown_replies{};
+  std::uint64_t unknown_write_replies{};
   std::uint64_t restored_copies{};
 };
 
@@ -96,11 +96,13 @@
   [[nodiscard]] std::uint64_t next_version() const;
 
   [[nodiscard]] const assignment& row() const { return row_; }
-  [[nodiscard]] bool known() const { return row_.version > 0; }
+  [[nodiscard]] bool row_known() const { return row_.version > 0; }
   // The table answered that it has no assignment row.
-  [[nodiscard]] bool missing() const { return in_table_ && in_table_->version == 0; }
+  [[nodiscard]] bool row_missing_in_table() const {
+    return last_table_copy_ && last_table_copy_->version == 0;
+  }
   // A newer version than row() exists or existed: no order or proposal may be based on row().
-  [[nodiscard]] bool behind() const { return highest_known_version_ > row_.version; }
+  [[nodiscard]] bool newer_version_known() const { return highest_known_version_ > row_.version; }
   [[nodiscard]] std::uint64_t highest_known_version() const { return highest_known_version_; }
   // The latest time at which the table is known to have held nothing newer than row().
   [[nodiscard]] std::optional<time_point> confirmed_at() const { return confirmed_at_; }
@@ -119,7 +121,8 @@
   };
   struct open_write {
     proposal_id proposal;
-    std::uint64_t expected{};  // the table's version of the row that the write replaces
+    std::uint64_t
+        expected_table_version{};  // the table's version of the row that the write replaces
     time_point sent_at;
   };
 
@@ -129,7 +132,7 @@
   void apply_copy(time_point now, const table_copy& copy, const std::optional<assignment>& content);
   void resolve_unknown(time_point now, const table_copy& copy);
   void raise_highest_known(time_point now, std::uint64_t version);
-  [[nodiscard]] bool content_lost(time_point now) const;
+  [[nodiscard]] bool newest_content_lost(time_point now) const;
   [[nodiscard]] bool table_needs_repair(time_point now) const;
   [[nodiscard]] effects repair_table(time_point now, const std::vector<node_id>& live);
   [[nodiscard]] effects write(time_point now, assignment next);
@@ -138,26 +141,26 @@
   data_centre_id dc_;
   std::string key_;
   rng random_;
-  backoff backoff_{row_backoff_first, row_backoff_max};
+  backoff backoff_{row_write_backoff_first, row_write_backoff_max};
 
   assignment row_;  // Invariant: row_.version never decreases.
-  std::optional<table_copy> in_table_;
+  std::optional<table_copy> last_table_copy_;
   std::uint64_t highest_known_version_{};  // Invariant: at least row_.version.
   // When a peer last reported a newer version than row_.version, or a target first reported one.
   time_point newer_version_reported_at_{};
-  std::optional<time_point> repair_since_;
-  std::uint64_t proposals_{};  // number of rows that this process has proposed
+  std::optional<time_point> table_repair_needed_since_;
+  std::uint64_t proposal_count_{};  // number of rows that this process has proposed
 
   std::optional<time_point> read_sent_at_;
   std::optional<time_point> confirmed_at_;
   time_point last_read_{};
-  time_point next_read_{};
-  std::optional<open_write> write_;
+  time_point next_row_read_{};
+  std::optional<open_write> open_write_;
   // Writes whose outcome is unknown, or that were refused and are not yet read back.
-  std::vector<open_write> unresolved_;
-  time_point write_after_{};
+  std::vector<open_write> unresolved_writes_;
+  time_point next_write_at_{};
   std::optional<time_point> unreadable_since_;
-  bool write_failed_ = false;
+  bool last_write_failed_ = false;
   row_counters counters_;
 };
 
--- a/src/process/config_delta.cpp
+++ b/src/process/config_delta.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t delta_depth = 4;
+constexpr std::size_t max_delta_nesting = 4;
 // Size limit of the text that a delta results in: a damaged delta may repeat the same span of its
 // base text many times.
 constexpr std::size_t max_text_bytes = 16UL * 1024 * 1024;
@@ -35,20 +35,20 @@
 class delta_builder {
  public:
   void copy(std::size_t from, std::size_t size) {
-    if (size_ > 0 && from_ + size_ == from) {
-      size_ += size;
+    if (span_size_ > 0 && span_offset_ + span_size_ == from) {
+      span_size_ += size;
       return;
     }
     flush();
-    from_ = from;
-    size_ = size;
+    span_offset_ = from;
+    span_size_ = size;
   }
 
   void insert(std::string_view text) {
-    if (size_ > 0) {
+    if (span_size_ > 0) {
       flush();
     }
-    text_ += text;
+    literal_text_ += text;
   }
 
   json finish() {
@@ -58,20 +58,20 @@
 
  private:
   void flush() {
-    if (!text_.empty()) {
-      parts_.push_back(std::move(text_));
-      text_.clear();
+    if (!literal_text_.empty()) {
+      parts_.push_back(std::move(literal_text_));
+      literal_text_.clear();
     }
-    if (size_ > 0) {
-      parts_.push_back(json::array({from_, size_}));
-      size_ = 0;
+    if (span_size_ > 0) {
+      parts_.push_back(json::array({span_offset_, span_size_}));
+      span_size_ = 0;
     }
   }
 
   json parts_ = json::array();
-  std::string text_;      // literal text to flush; either this or the span is empty
-  std::size_t from_ = 0;  // span of the base to flush: its offset and size
-  std::size_t size_ = 0;
+  std::string literal_text_;     // literal text to flush; either this or the span is empty
+  std::size_t span_offset_ = 0;  // span of the base to flush: its offset and size
+  std::size_t span_size_ = 0;
 };
 
 // Appends the text of one part of a delta. False if its span lies outside the base or the text
@@ -110,7 +110,7 @@
 }
 
 std::optional<std::string> apply_config_delta(std::string_view base, std::string_view delta) {
-  if (!nesting_bounded(delta, delta_depth)) {
+  if (!nesting_bounded(delta, max_delta_nesting)) {
     return std::nullopt;
   }
   try {
--- a/src/process/config_distributor.h
+++ b/src/process/config_distributor.h
@@ -24,37 +24,37 @@
   void begin_round() { budget_.begin_round(); }
 
   struct recipient {
-    std::uint64_t held{};  // version of the configuration row that the node has
-    config_progress progress;
+    std::uint64_t held_version{};  // version of the configuration row that the node has
+    config_progress delta_progress;
     bool refused_by_store = false;  // the store refuses the requests of this node
   };
-  struct answer {
+  struct send_decision {
     bool withheld = false;  // the node has to read the configuration row from the store
     std::optional<config_part> part;
   };
-  // The next part of the configuration to send to node `to`. `recipients`: number of nodes that the
-  // hub sends to, node `to` included.
-  [[nodiscard]] answer next_part_for(config_history& from, const recipient& to,
-                                     std::size_t recipients) {
-    if (to.held >= from.newest()) {
+  // The next part of the configuration to send to node `to`. `recipient_count`: number of nodes
+  // that the hub sends to, node `to` included.
+  [[nodiscard]] send_decision next_part_for(config_history& from, const recipient& to,
+                                            std::size_t recipient_count) {
+    if (to.held_version >= from.newest_version()) {
       return {};
     }
-    const std::size_t bytes = from.delta_for(to.held).size();
-    const bool too_long = bytes * recipients > budget_.max_bytes() * max_rounds;
+    const std::size_t bytes = from.delta_for(to.held_version).size();
+    const bool too_long = bytes * recipient_count > budget_.max_bytes() * max_send_rounds;
     if (too_long && !to.refused_by_store) {
       return {true, std::nullopt};
     }
     if (!budget_.try_spend(std::min(bytes, max_part_bytes))) {
       return {};
     }
-    return {false, from.part_for(to.held, to.progress, max_part_bytes)};
+    return {false, from.part_for(to.held_version, to.delta_progress, max_part_bytes)};
   }
 
   // Size limit of a part of a delta: what a link of 20 Mbit/s carries in 100 ms.
   static constexpr std::size_t max_part_bytes = 250'000;
   // Number of heartbeat rounds within which the hub must be able to send a change to all nodes. A
   // change that needs more is read from the store by the nodes.
-  static constexpr std::size_t max_rounds = 4;
+  static constexpr std::size_t max_send_rounds = 4;
 
  private:
   list_budget budget_;
--- a/src/process/config_lease.h
+++ b/src/process/config_lease.h
@@ -18,14 +18,14 @@
 
 struct config_lease_settings {
   // Time limit from acceptance of a configuration until all nodes reject the keys that it revokes.
-  duration bound = 5s;
+  duration revocation_bound = 5s;
   // A node's watch of the platform's store may miss changes for 1 s before it is notified that
   // history was dropped, so an empty answer proves only that there was nothing newer 1 s before the
   // query.
-  duration watch_staleness = 1s;
+  duration platform_watch_staleness = 1s;
   // Covers the drift between two clocks over the time limit, and the delay between the check of a
   // request's key and the sending of the request to a target.
-  duration margin = 300ms;
+  duration safety_margin = 300ms;
 };
 
 class config_lease {
@@ -43,11 +43,12 @@
   // Whether keys may be checked at `now`, the time when a request is read. The caller sent the
   // request before `now`, so it is enough that the proof is young enough at this time.
   [[nodiscard]] bool valid(time_point now) const {
-    return proof_query_time_ && now - *proof_query_time_ < lifetime();
+    return proof_query_time_ && now - *proof_query_time_ < proof_validity();
   }
 
-  [[nodiscard]] duration lifetime() const {
-    return settings_.bound - settings_.watch_staleness - settings_.margin;
+  [[nodiscard]] duration proof_validity() const {
+    return settings_.revocation_bound - settings_.platform_watch_staleness -
+           settings_.safety_margin;
   }
 
   // Age of the newest proof that this node's configuration is current; for logs.
--- a/src/process/config_patch.cpp
+++ b/src/process/config_patch.cpp
@@ -8,11 +8,11 @@
 
 namespace arbutus {
 
-std::string patch_name(std::string_view hash, std::string_view base) {
+std::string patch_object_name(std::string_view hash, std::string_view base) {
   return std::string(hash) + "-from-" + std::string(base);
 }
 
-config_content whole_content(std::string_view content) {
+config_content patch_without_base(std::string_view content) {
   config_content whole;
   whole.head.hash = content_hash(content);
   whole.middle = content;
@@ -32,25 +32,26 @@
   }
   config_content patch;
   patch.head.hash = content_hash(content);
-  patch.base = content_hash(base);
-  patch.prefix = prefix;
-  patch.suffix = suffix;
+  patch.base_hash = content_hash(base);
+  patch.prefix_bytes = prefix;
+  patch.suffix_bytes = suffix;
   patch.middle = content.substr(prefix, content.size() - prefix - suffix);
   return patch;
 }
 
 std::optional<std::string> apply_patch(std::string_view base, const config_content& patch) {
   std::string content;
-  if (patch.base.empty()) {
+  if (patch.base_hash.empty()) {
     content = patch.middle;
   } else {
-    const bool fits = patch.prefix <= base.size() && patch.suffix <= base.size() - patch.prefix;
-    if (!fits || patch.base != content_hash(base)) {
+    const bool fits =
+        patch.prefix_bytes <= base.size() && patch.suffix_bytes <= base.size() - patch.prefix_bytes;
+    if (!fits || patch.base_hash != content_hash(base)) {
       return std::nullopt;
     }
-    content.append(base.substr(0, patch.prefix));
+    content.append(base.substr(0, patch.prefix_bytes));
     content.append(patch.middle);
-    content.append(base.substr(base.size() - patch.suffix));
+    content.append(base.substr(base.size() - patch.suffix_bytes));
   }
   if (content_hash(content) != patch.head.hash) {
     return std::nullopt;
--- a/src/process/config_patch.h
+++ b/src/process/config_patch.h
@@ -14,13 +14,13 @@
 
 // Name in the object store of the patch from the configuration content with hash `base` to the one
 // with hash `hash`.
-[[nodiscard]] std::string patch_name(std::string_view hash, std::string_view base);
+[[nodiscard]] std::string patch_object_name(std::string_view hash, std::string_view base);
 
 // The patch that turns `base` into `content`. The caller sets version and proposals in the patch's
 // head.
 [[nodiscard]] config_content make_patch(std::string_view base, std::string_view content);
 // The whole configuration content as a patch without a base.
-[[nodiscard]] config_content whole_content(std::string_view content);
+[[nodiscard]] config_content patch_without_base(std::string_view content);
 
 // Applies a patch to the content `base`; empty if the patch was made for another base or the result
 // does not have the hash in the head of the patch.
--- a/src/process/config_proposer.cpp
+++ b/src/process/config_proposer.cpp
@@ -34,25 +34,25 @@
     : id_(std::move(id)),
       content_(std::move(content)),
       hash_(content_hash(content_)),
-      base_(base),
-      known_(known),
+      base_version_(base),
+      known_version_(known),
       base_content_(std::move(base_content)) {}
 
 proposal_step config_proposer::start() {
   phase_ = phase::reading;
-  return read_head{};
+  return read_config_head{};
 }
 
 proposal_step config_proposer::read_back() {
   phase_ = phase::resolving;
-  return read_head{};
+  return read_config_head{};
 }
 
 proposal_step config_proposer::read_result(const outcome<head_row>& result) {
   const auto* row = std::get_if<head_row>(&result);
   if (row == nullptr) {
     const std::string reason = "the head could not be read: " + reason_of(result);
-    if (wrote_) {
+    if (may_have_written_) {
       return proposal_unresolved{reason};
     }
     phase_ = phase::done;
@@ -77,36 +77,36 @@
       return proposal_accepted{*version};
     }
   }
-  if (wrote_) {
+  if (may_have_written_) {
     return evaluate_head_after_write(row);
   }
   const std::uint64_t version = row.head ? row.head->version : 0;
-  if (version != base_ || version < known_) {
+  if (version != base_version_ || version < known_version_) {
     phase_ = phase::done;
     return proposal_conflict{row.head};
   }
-  current_ = row;
+  last_read_row_ = row;
   if (!base_content_.empty()) {
     phase_ = phase::storing_patch;
     const config_content patch = make_patch(base_content_, content_);
-    return put_content{patch_name(hash_, patch.base), encode_patch(patch)};
+    return put_config_content{patch_object_name(hash_, patch.base_hash), encode_patch(patch)};
   }
   phase_ = phase::storing;
-  return put_content{hash_, content_};
+  return put_config_content{hash_, content_};
 }
 
 // A write of the head row that is still in flight can take effect only while the row's version is
 // unchanged. If it is unchanged, the write is repeated with the same condition; otherwise the write
 // can no longer take effect.
 proposal_step config_proposer::evaluate_head_after_write(const head_row& row) {
-  if (row.row_version == current_.row_version) {
-    if (writes_ < max_write_attempts) {
+  if (row.row_version == last_read_row_.row_version) {
+    if (write_attempts_ < max_write_attempts) {
       return try_write();
     }
     return proposal_unresolved{"the table has confirmed no write after several attempts"};
   }
   const std::uint64_t version = row.head ? row.head->version : 0;
-  if (version > base_ + max_named_proposals) {
+  if (version > base_version_ + max_named_proposals) {
     return proposal_unresolved{"more than " + std::to_string(max_named_proposals) +
                                " configurations were accepted since; compare the one in force"};
   }
@@ -118,7 +118,7 @@
   if (phase_ == phase::storing_patch) {
     // A failure to store the patch is ignored: the patch only saves traffic.
     phase_ = phase::storing;
-    return put_content{hash_, content_};
+    return put_config_content{hash_, content_};
   }
   if (!is_ok(result)) {
     phase_ = phase::done;
@@ -129,31 +129,31 @@
 
 proposal_step config_proposer::try_write() {
   phase_ = phase::writing;
-  ++writes_;
-  write_head write;
-  write.head.version = base_ + 1;
+  ++write_attempts_;
+  write_config_head write;
+  write.head.version = base_version_ + 1;
   write.head.hash = hash_;
   write.head.proposals.push_back(id_);
-  if (current_.head) {
-    const auto& before = current_.head->proposals;
+  if (last_read_row_.head) {
+    const auto& before = last_read_row_.head->proposals;
     const std::size_t kept = std::min(before.size(), max_named_proposals - 1);
     write.head.proposals.insert(write.head.proposals.end(), before.begin(),
                                 before.begin() + static_cast<std::ptrdiff_t>(kept));
   }
-  write.expected_row = current_.row_version;
+  write.expected_row_version = last_read_row_.row_version;
   return write;
 }
 
 proposal_step config_proposer::write_result(const outcome<std::uint64_t>& row_version) {
   if (is_ok(row_version)) {
     phase_ = phase::done;
-    return proposal_accepted{base_ + 1};
+    return proposal_accepted{base_version_ + 1};
   }
   // If the write was refused, another proposer changed the head row, or an earlier attempt of this
   // write did.
-  wrote_ = true;
+  may_have_written_ = true;
   phase_ = phase::resolving;
-  return read_head{};
+  return read_config_head{};
 }
 
 }  // namespace arbutus
--- a/src/process/config_proposer.h
+++ b/src/process/config_proposer.h
@@ -17,15 +17,15 @@
 // Steps of one configuration proposal. The caller (`apply` or the admin endpoint) executes the
 // first three kinds and reports their results to the config_proposer. The others are outcomes of
 // the proposal.
-struct put_content {  // put this object into the object store
+struct put_config_content {  // put this object into the object store
   std::string name;
   std::string content;
 };
-struct write_head {  // write the head row if it still has the version `expected_row`
+struct write_config_head {  // write the head row if it still has the version `expected_row_version`
   config_head head;
-  std::uint64_t expected_row{};
+  std::uint64_t expected_row_version{};
 };
-struct read_head {};  // read the head row from the table
+struct read_config_head {};  // read the head row from the table
 struct proposal_accepted {
   std::uint64_t version{};
 };
@@ -41,8 +41,9 @@
 struct proposal_unresolved {
   std::string reason;
 };
-using proposal_step = std::variant<put_content, write_head, read_head, proposal_accepted,
-                                   proposal_conflict, proposal_failed, proposal_unresolved>;
+using proposal_step =
+    std::variant<put_config_content, write_config_head, read_config_head, proposal_accepted,
+                 proposal_conflict, proposal_failed, proposal_unresolved>;
 
 // Proposes one configuration. The configuration is never applied twice, whichever replies of the
 // table or the object store are lost.
@@ -73,13 +74,13 @@
   proposal_id id_;
   std::string content_;
   std::string hash_;
-  std::uint64_t base_;
-  std::uint64_t known_;
+  std::uint64_t base_version_;
+  std::uint64_t known_version_;
   std::string base_content_;
   phase phase_ = phase::reading;
-  bool wrote_ = false;  // a write of the head row was sent and may have taken effect
-  std::size_t writes_{};
-  head_row current_;  // as last read; the write is conditional on the version of this row
+  bool may_have_written_ = false;  // a write of the head row was sent and may have taken effect
+  std::size_t write_attempts_{};
+  head_row last_read_row_;  // as last read; the write is conditional on the version of this row
 };
 
 }  // namespace arbutus
--- a/src/process/config_replica.cpp
+++ b/src/process/config_replica.cpp
@@ -32,7 +32,7 @@
     : self_(std::move(self)), timing_(timing), random_(seed) {}
 
 bool config_replica::is_head_reader(const std::vector<node_id>& live) const {
-  return rank_in(live, self_) < timing_.head_readers;
+  return rank_in(live, self_) < timing_.head_reader_count;
 }
 
 // Whether a configuration replaces the one in force. The higher version wins. Equal versions with
@@ -46,14 +46,15 @@
   config_effects requested;
   const bool reader = is_head_reader(live);
   if (reader) {
-    next_read_ = std::min(next_read_, now + timing_.head_reader_interval);
+    next_head_read_ = std::min(next_head_read_, now + timing_.head_reader_interval);
   }
-  const bool waiting = read_started_ && now - *read_started_ < timing_.head_reader_interval;
-  if (now >= next_read_ && !waiting) {
+  const bool waiting =
+      head_read_started_ && now - *head_read_started_ < timing_.head_reader_interval;
+  if (now >= next_head_read_ && !waiting) {
     const duration interval =
         reader ? timing_.head_reader_interval : timing_.head_non_reader_interval;
-    next_read_ = now + interval - random_.jitter(interval / 4);
-    read_started_ = now;
+    next_head_read_ = now + interval - random_.jitter(interval / 4);
+    head_read_started_ = now;
     requested.push_back(fetch_config_head{});
   }
   fetch_all(requested, now);
@@ -64,16 +65,16 @@
 
 config_effects config_replica::head_read(const outcome<head_row>& result, time_point now) {
   config_effects requested;
-  read_started_.reset();
+  head_read_started_.reset();
   if (const auto* row = std::get_if<head_row>(&result)) {
-    retried_ = false;
+    head_read_retried_ = false;
     handle_head(*row, requested, now);
-  } else if (!retried_) {
+  } else if (!head_read_retried_) {
     // Reads the head row once more soon, because a single lost reply should not cost a whole
     // interval. Further failures wait for the interval, to add no load to a table that is
     // unavailable.
-    retried_ = true;
-    next_read_ = std::min(next_read_, now + random_.jitter(timing_.head_retry));
+    head_read_retried_ = true;
+    next_head_read_ = std::min(next_head_read_, now + random_.jitter(timing_.max_head_retry_delay));
   }
   return requested;
 }
@@ -123,8 +124,8 @@
   if (c.head.proposals.empty()) {
     c.head = head;
   }
-  if (holder != nullptr && std::ranges::count(c.holders, *holder) == 0) {
-    c.holders.push_back(*holder);
+  if (holder != nullptr && std::ranges::count(c.holder_nodes, *holder) == 0) {
+    c.holder_nodes.push_back(*holder);
   }
   if (candidates_.size() > max_candidates) {
     const auto weakest = std::ranges::find_if(
@@ -137,8 +138,8 @@
 
 void config_replica::fetch_all(config_effects& requested, time_point now) {
   for (auto& [id, c] : candidates_) {
-    const bool waiting = c.requested_at && now - *c.requested_at < timing_.fetch_timeout;
-    if (!waiting && now >= c.not_before) {
+    const bool waiting = c.requested_at && now - *c.requested_at < timing_.config_fetch_timeout;
+    if (!waiting && now >= c.next_round_at) {
       fetch(c, requested, now);
     }
   }
@@ -147,26 +148,26 @@
 void config_replica::fetch(candidate& c, config_effects& requested, time_point now) {
   c.requested_at = now;
   const bool patch = c.from_table && !in_force_.hash.empty();
-  std::size_t source = c.attempt++;
+  std::size_t source = c.next_source_index++;
   if (patch && source-- == 0) {
-    requested.push_back(fetch_object{patch_name(c.head.hash, in_force_.hash)});
+    requested.push_back(fetch_object{patch_object_name(c.head.hash, in_force_.hash)});
     return;
   }
-  if (source < c.holders.size()) {
+  if (source < c.holder_nodes.size()) {
     requested.push_back(
-        send_peer_message{c.holders[source], config_request{c.head.hash, in_force_.hash}});
+        send_peer_message{c.holder_nodes[source], config_request{c.head.hash, in_force_.hash}});
     return;
   }
   requested.push_back(fetch_object{c.head.hash});
-  c.attempt = 0;
-  c.not_before = now + timing_.head_reader_interval;
+  c.next_source_index = 0;
+  c.next_round_at = now + timing_.head_reader_interval;
 }
 
 // Call when the source that was queried last does not have the content with this hash.
 config_effects config_replica::fetch_from_next_source(std::string_view hash, time_point now) {
   config_effects requested;
   for (auto& [id, c] : candidates_) {
-    if (c.head.hash == hash && now >= c.not_before) {
+    if (c.head.hash == hash && now >= c.next_round_at) {
       fetch(c, requested, now);
     }
   }
@@ -178,7 +179,7 @@
   config_effects requested;
   const std::string_view hash = name.substr(0, name.find("-from-"));
   if (const auto* bytes = std::get_if<std::string>(&result)) {
-    config_content content = whole_content(*bytes);
+    config_content content = patch_without_base(*bytes);
     if (hash.size() != name.size()) {
       const outcome<config_content> decoded = decode_patch(*bytes);
       const auto* patch = std::get_if<config_content>(&decoded);
@@ -244,7 +245,7 @@
   // Patches against the previous content no longer apply. The sources of each remaining candidate
   // are tried from the first again.
   for (auto& [id, c] : candidates_) {
-    c.attempt = 0;
+    c.next_source_index = 0;
   }
   requested.push_back(publish_configuration{head.version});
 }
@@ -253,12 +254,12 @@
   if (in_force_.hash.empty()) {
     return;
   }
-  if (recent_.emplace(in_force_.hash, content_).second) {
-    recent_order_.push_back(in_force_.hash);
+  if (recent_contents_.emplace(in_force_.hash, content_).second) {
+    recent_hashes_.push_back(in_force_.hash);
   }
-  if (recent_order_.size() > max_recent_contents) {
-    recent_.erase(recent_order_.front());
-    recent_order_.erase(recent_order_.begin());
+  if (recent_hashes_.size() > max_recent_contents) {
+    recent_contents_.erase(recent_hashes_.front());
+    recent_hashes_.erase(recent_hashes_.begin());
   }
 }
 
@@ -266,14 +267,14 @@
   if (in_force_.version == 0 || request.hash != in_force_.hash) {
     return {};
   }
-  const auto base = recent_.find(request.have);
+  const auto base = recent_contents_.find(request.requester_hash);
   config_content answer;
-  if (request.have == in_force_.hash) {
+  if (request.requester_hash == in_force_.hash) {
     answer = make_patch(content_, content_);
-  } else if (base != recent_.end()) {
+  } else if (base != recent_contents_.end()) {
     answer = make_patch(base->second, content_);
   } else {
-    answer = whole_content(content_);
+    answer = patch_without_base(content_);
   }
   answer.head = head_;
   return {send_peer_message{peer, std::move(answer)}};
@@ -337,7 +338,7 @@
 // Reads the head row again, whatever the result of the write: the row shows whether this write took
 // effect or another node's write did.
 config_effects config_replica::head_written(const outcome<std::uint64_t>&, time_point now) {
-  next_read_ = now;
+  next_head_read_ = now;
   return {};
 }
 
--- a/src/process/config_replica.h
+++ b/src/process/config_replica.h
@@ -44,9 +44,10 @@
   std::string content;
   auto operator<=>(const restore_object&) const = default;
 };
-struct repair_head {  // write this head if the head row still has the version `expected_row`
+struct repair_head {  // write this head if the head row still has the version
+                      // `expected_row_version`
   config_head head;
-  std::uint64_t expected_row{};
+  std::uint64_t expected_row_version{};
   auto operator<=>(const repair_head&) const = default;
 };
 struct send_peer_message {  // send this message to a peer node
@@ -70,7 +71,7 @@
 struct config_in_force {
   std::uint64_t version{};  // 0: no configuration yet
   std::string hash;
-  time_point since;
+  time_point in_force_since;
 };
 
 class config_replica {
@@ -111,12 +112,13 @@
   struct candidate {
     config_head head;  // without proposals if only peers have reported it
     bool from_table = false;
-    std::vector<node_id> holders;
-    std::size_t attempt{};  // index of the next source to try
+    std::vector<node_id> holder_nodes;
+    std::size_t next_source_index{};  // index of the next source to try
     std::optional<time_point> requested_at;
-    time_point not_before;  // earliest time to try the sources again after all of them failed
+    time_point next_round_at;  // earliest time to try the sources again after all of them failed
   };
-  using key = std::pair<std::uint64_t, std::string>;  // version and hash of the configuration
+  using candidate_key =
+      std::pair<std::uint64_t, std::string>;  // version and hash of the configuration
 
   [[nodiscard]] bool supersedes(std::uint64_t version, std::string_view hash) const;
   void add_candidate(const config_head& head, bool from_table, const node_id* holder);
@@ -138,14 +140,17 @@
   config_in_force in_force_;
   config_head head_;
   std::string content_;
-  std::map<std::string, std::string> recent_;  // earlier contents by hash, as bases of patches
-  std::vector<std::string> recent_order_;      // hashes of the earlier contents, oldest first
-  std::optional<node_id> peer_in_sync_;        // a peer with the configuration in force
-  std::map<key, candidate> candidates_;        // at most max_candidates; all newer than in_force_
+  std::map<std::string, std::string>
+      recent_contents_;                     // earlier contents by hash, as bases of patches
+  std::vector<std::string> recent_hashes_;  // hashes of the earlier contents, oldest first
+  std::optional<node_id> peer_in_sync_;     // a peer with the configuration in force
+  std::map<candidate_key, candidate>
+      candidates_;                             // at most max_candidates; all newer than in_force_
   std::optional<repair_head> pending_repair_;  // issued once the content is in the object store
-  time_point next_read_;
-  std::optional<time_point> read_started_;
-  bool retried_ = false;  // a read of the head row failed and its early retry was scheduled
+  time_point next_head_read_;
+  std::optional<time_point> head_read_started_;
+  bool head_read_retried_ =
+      false;  // a read of the head row failed and its early retry was scheduled
 };
 
 }  // namespace arbutus
--- a/src/process/config_transfer.cpp
+++ b/src/process/config_transfer.cpp
@@ -8,7 +8,7 @@
 namespace arbutus {
 
 void config_history::add(std::uint64_t row, std::string text) {
-  if (row <= newest()) {
+  if (row <= newest_version()) {
     return;
   }
   rows_.push_back({row, std::move(text)});
@@ -23,9 +23,9 @@
   return found == rows_.end() ? nullptr : &found->text;
 }
 
-const std::string& config_history::delta_for(std::uint64_t held) {
-  const std::string* base = find(held);
-  const std::uint64_t from = base == nullptr ? 0 : held;
+const std::string& config_history::delta_for(std::uint64_t held_version) {
+  const std::string* base = find(held_version);
+  const std::uint64_t from = base == nullptr ? 0 : held_version;
   const auto [found, is_new] = deltas_.try_emplace(from);
   if (is_new) {
     found->second = make_config_delta(base == nullptr ? std::string_view{} : *base,
@@ -34,22 +34,23 @@
   return found->second;
 }
 
-std::optional<config_part> config_history::part_for(std::uint64_t held, const config_progress& at,
-                                                    std::size_t most) {
-  if (held >= newest()) {
+std::optional<config_part> config_history::part_for(std::uint64_t held_version,
+                                                    const config_progress& at,
+                                                    std::size_t max_bytes) {
+  if (held_version >= newest_version()) {
     return std::nullopt;
   }
-  const std::string& delta = delta_for(held);
-  const std::uint64_t base = find(held) == nullptr ? 0 : held;
-  const bool resumes = at.row == newest() && at.base == base && at.bytes < delta.size();
+  const std::string& delta = delta_for(held_version);
+  const std::uint64_t base = find(held_version) == nullptr ? 0 : held_version;
+  const bool resumes = at.row == newest_version() && at.base == base && at.bytes < delta.size();
   const std::uint64_t offset = resumes ? at.bytes : 0;
-  return config_part{newest(), base, delta.size(), offset, delta.substr(offset, most)};
+  return config_part{newest_version(), base, delta.size(), offset, delta.substr(offset, max_bytes)};
 }
 
 std::optional<std::string> config_receiver::receive(const config_part& part,
                                                     const config_history& held) {
   const std::string* base = held.find(part.base);
-  if (part.row <= held.newest() || (part.base != 0 && base == nullptr)) {
+  if (part.row <= held.newest_version() || (part.base != 0 && base == nullptr)) {
     return std::nullopt;
   }
   if (part.offset == 0) {
--- a/src/process/config_transfer.h
+++ b/src/process/config_transfer.h
@@ -46,17 +46,19 @@
   // Adds a row with version `row`; ignored unless it is newer than the newest.
   void add(std::uint64_t row, std::string text);
   // Version of the newest row; 0: no row yet.
-  [[nodiscard]] std::uint64_t newest() const { return rows_.empty() ? 0 : rows_.back().row; }
+  [[nodiscard]] std::uint64_t newest_version() const {
+    return rows_.empty() ? 0 : rows_.back().row;
+  }
   // The text of the row with this version; null if the row is not kept.
   [[nodiscard]] const std::string* find(std::uint64_t row) const;
 
-  // The delta from row `held` to the newest row; contains the whole text if row `held` is not kept.
-  // Never empty.
-  const std::string& delta_for(std::uint64_t held);
-  // The part of the delta that follows the progress `at` of a node that has row `held`, at most
-  // `most` bytes. Empty if the node has the newest row, or there is none.
-  std::optional<config_part> part_for(std::uint64_t held, const config_progress& at,
-                                      std::size_t most);
+  // The delta from row `held_version` to the newest row; contains the whole text if row
+  // `held_version` is not kept. Never empty.
+  const std::string& delta_for(std::uint64_t held_version);
+  // The part of the delta that follows the progress `at` of a node that has row `held_version`, at
+  // most `max_bytes` bytes. Empty if the node has the newest row, or there is none.
+  std::optional<config_part> part_for(std::uint64_t held_version, const config_progress& at,
+                                      std::size_t max_bytes);
 
   // More than one row is kept, because nodes receive consecutive versions some heartbeats apart.
   static constexpr std::size_t max_kept_rows = 3;
--- a/src/process/control_plane_cost.cpp
+++ b/src/process/control_plane_cost.cpp
@@ -21,19 +21,20 @@
 namespace {
 
 constexpr duration tick_interval = 50ms;
-constexpr duration warm_up = 5s;
-constexpr duration measured_time = 20s;
-constexpr double header_bytes = 40.0;  // TCP/IP headers of the message and of its acknowledgement
+constexpr duration warm_up_duration = 5s;
+constexpr duration measurement_duration = 20s;
+constexpr double tcp_ip_header_bytes =
+    40.0;                              // TCP/IP headers of the message and of its acknowledgement
 constexpr double framing_bytes = 4.0;  // length prefix of a message
 
-struct control_cost {  // of one node; traffic and probes per second
-  double messages{};   // sent and received
-  double payload{};    // bytes sent and received
-  double with_headers{};
-  double with_acknowledgements{};
-  double core_percent{};
-  double probes{};
-  double state_kilobytes{};
+struct control_cost {                 // of one node; traffic and probes per second
+  double messages_per_second{};       // sent and received
+  double payload_bytes_per_second{};  // bytes sent and received
+  double bytes_per_second_with_headers{};
+  double bytes_per_second_with_acks{};
+  double cpu_core_percent{};
+  double probes_per_second{};
+  double state_kilobytes_per_node{};
 };
 
 struct simulated_node {
@@ -56,26 +57,30 @@
     for (std::size_t i = 0; i < nodes; ++i) {
       add_node(i);
     }
-    run_for(warm_up);
+    run_for(warm_up_duration);
     state_bytes_ = heap_bytes() - before;
   }
 
   control_cost measure() {
-    messages_ = answers_ = bytes_ = probes_ = 0;
+    sent_messages_ = immediate_answers_ = payload_bytes_ = sent_probes_ = 0;
     const std::clock_t before = std::clock();
-    run_for(measured_time);
+    run_for(measurement_duration);
     const double cpu = static_cast<double>(std::clock() - before) / CLOCKS_PER_SEC;
-    const double node_seconds = to_seconds(measured_time) * static_cast<double>(ids_.size());
+    const double node_seconds = to_seconds(measurement_duration) * static_cast<double>(ids_.size());
     control_cost cost;
     // Each message counts for its sender and for its receiver.
-    cost.messages = 2.0 * static_cast<double>(messages_) / node_seconds;
-    cost.payload = 2.0 * static_cast<double>(bytes_) / node_seconds;
-    cost.with_headers = cost.payload + cost.messages * (header_bytes + framing_bytes);
-    const double acknowledgements = 2.0 * static_cast<double>(messages_ - answers_) / node_seconds;
-    cost.with_acknowledgements = cost.with_headers + acknowledgements * header_bytes;
-    cost.core_percent = 100.0 * cpu / node_seconds;
-    cost.probes = static_cast<double>(probes_) / node_seconds;
-    cost.state_kilobytes =
+    cost.messages_per_second = 2.0 * static_cast<double>(sent_messages_) / node_seconds;
+    cost.payload_bytes_per_second = 2.0 * static_cast<double>(payload_bytes_) / node_seconds;
+    cost.bytes_per_second_with_headers =
+        cost.payload_bytes_per_second +
+        cost.messages_per_second * (tcp_ip_header_bytes + framing_bytes);
+    const double acknowledgements =
+        2.0 * static_cast<double>(sent_messages_ - immediate_answers_) / node_seconds;
+    cost.bytes_per_second_with_acks =
+        cost.bytes_per_second_with_headers + acknowledgements * tcp_ip_header_bytes;
+    cost.cpu_core_percent = 100.0 * cpu / node_seconds;
+    cost.probes_per_second = static_cast<double>(sent_probes_) / node_seconds;
+    cost.state_kilobytes_per_node =
         static_cast<double>(state_bytes_) / 1024.0 / static_cast<double>(ids_.size());
     return cost;
   }
@@ -109,7 +114,7 @@
     n.peers->tick(now_);
     n.observations->set_own_targets(n.peers->own_targets(now_), now_);
     for (const vm_id& vm : n.observations->next_probes(now_)) {
-      ++probes_;
+      ++sent_probes_;
       probe(n, vm);
     }
     send_due_heartbeats(i);
@@ -117,7 +122,7 @@
   }
 
   void send_due_heartbeats(std::size_t i) {
-    for (const node_id& peer : nodes_[i].peers->due(now_)) {
+    for (const node_id& peer : nodes_[i].peers->due_peers(now_)) {
       send_heartbeat(i, peer);
     }
   }
@@ -128,10 +133,10 @@
     report.vm = vm;
     report.incarnation = 0x12345678;
     report.replica = replica_id{"replica-of-" + vm.str()};
-    report.gen.row = 1234;
+    report.fencing_generation.row = 1234;
     report.state = engine_state::ready;
     report.slots = 16;
-    report.running = load_changes_ ? static_cast<std::uint32_t>(probes_ % 16) : 4;
+    report.running = load_changes_ ? static_cast<std::uint32_t>(sent_probes_ % 16) : 4;
     report.tokens_per_second = 31.0;
     const outcome<engine_report> answer = decode_report(encode(report));
     n.observations->on_probe_result({vm, now_, answer}, now_);
@@ -139,14 +144,14 @@
 
   void send_heartbeat(std::size_t from, const node_id& to) {
     simulated_node& sender = nodes_[from];
-    heartbeat message = sender.peers->prepare(to, now_);
+    heartbeat message = sender.peers->prepare_heartbeat(to, now_);
     sender.peers->announce_config(message, to, 7600, "00112233445566778899aabbccddeeff");
     message.assignment_version = 1234;
     message.table_reachable = true;
     sender.observations->append_deltas(message, to, sender.peers->echoed(to), now_);
     const std::string bytes = encode(gossip_message{std::move(message)});
-    ++messages_;
-    bytes_ += bytes.size();
+    ++sent_messages_;
+    payload_bytes_ += bytes.size();
     signature_ = stable_hash(bytes, signature_);
     receive(ids_[from], to, bytes);
   }
@@ -159,11 +164,11 @@
     if (const auto h = n.peers->receive(message, 1234, now_)) {
       n.observations->merge(message, *h, now_);
     }
-    const std::size_t before = messages_;
+    const std::size_t before = sent_messages_;
     send_due_heartbeats(static_cast<std::size_t>(index));
     // A heartbeat that is sent immediately after receipt of another also carries the TCP
     // acknowledgement of that message.
-    answers_ += messages_ > before ? 1 : 0;
+    immediate_answers_ += sent_messages_ > before ? 1 : 0;
   }
 
   bool load_changes_;
@@ -173,10 +178,10 @@
   std::vector<node_id> ids_;
   std::vector<simulated_node> nodes_;
   time_point now_{100s};
-  std::size_t messages_{};
-  std::size_t answers_{};
-  std::size_t bytes_{};
-  std::size_t probes_{};
+  std::size_t sent_messages_{};
+  std::size_t immediate_answers_{};
+  std::size_t payload_bytes_{};
+  std::size_t sent_probes_{};
   std::size_t state_bytes_{};
 };
 
@@ -188,22 +193,23 @@
            const control_cost& c) {
   out << std::fixed << std::setprecision(1) << std::setw(3) << nodes << " nodes " << std::setw(4)
       << targets << " targets " << (load_changes ? "load changes" : "quiet       ") << ": "
-      << std::setw(5) << c.messages << " messages/s " << std::setw(7) << c.payload << " B/s "
-      << std::setw(7) << c.with_headers << " with headers " << std::setw(7)
-      << c.with_acknowledgements << " and ACKs, " << std::setprecision(3) << c.core_percent
-      << "% core, " << std::setprecision(1) << c.probes << " probes/s, " << c.state_kilobytes
-      << " KB\n";
+      << std::setw(5) << c.messages_per_second << " messages/s " << std::setw(7)
+      << c.payload_bytes_per_second << " B/s " << std::setw(7) << c.bytes_per_second_with_headers
+      << " with headers " << std::setw(7) << c.bytes_per_second_with_acks << " and ACKs, "
+      << std::setprecision(3) << c.cpu_core_percent << "% core, " << std::setprecision(1)
+      << c.probes_per_second << " probes/s, " << c.state_kilobytes_per_node << " KB\n";
 }
 
 void print_slope(std::ostream& out, const char* over, double steps, const control_cost& low,
                  const control_cost& high) {
   out << "each further " << over << ": " << std::setprecision(2)
-      << (high.messages - low.messages) / steps << " messages/s, "
-      << (high.payload - low.payload) / steps << " B/s payload, "
-      << (high.with_acknowledgements - low.with_acknowledgements) / steps
+      << (high.messages_per_second - low.messages_per_second) / steps << " messages/s, "
+      << (high.payload_bytes_per_second - low.payload_bytes_per_second) / steps << " B/s payload, "
+      << (high.bytes_per_second_with_acks - low.bytes_per_second_with_acks) / steps
       << " B/s with headers and ACKs, " << std::setprecision(4)
-      << (high.core_percent - low.core_percent) / steps << "% core, " << std::setprecision(2)
-      << (high.state_kilobytes - low.state_kilobytes) / steps << " KB\n";
+      << (high.cpu_core_percent - low.cpu_core_percent) / steps << "% core, "
+      << std::setprecision(2)
+      << (high.state_kilobytes_per_node - low.state_kilobytes_per_node) / steps << " KB\n";
 }
 
 }  // namespace
--- a/src/process/control_timing.h
+++ b/src/process/control_timing.h
@@ -23,12 +23,12 @@
   // probes and has no rank.
   duration peer_suspect_after = 2500ms;
   duration peer_dead_after = 4500ms;
-  // A peer that was marked dead twice within damping_half_life counts as alive again only after its
-  // heartbeats have arrived for the time peer_damping, doubled with each further death up to
-  // damping_limit.
-  duration peer_damping = 2s;
-  duration damping_limit = 30s;
-  duration damping_half_life = 60s;
+  // A peer that was marked dead twice within flap_damping_half_life counts as alive again only
+  // after its heartbeats have arrived for the time peer_flap_damping, doubled with each further
+  // death up to max_flap_damping.
+  duration peer_flap_damping = 2s;
+  duration max_flap_damping = 30s;
+  duration flap_damping_half_life = 60s;
 
   // A gap between ticks that is longer than this means that this process was paused. Messages of
   // peers that are missing from that time say nothing about the peers.
@@ -43,9 +43,9 @@
   duration quorum_expiry = 8s;
 
   // Interval at which each node that is responsible for probing a target probes it, if the node's
-  // probe budget (probes_per_second) allows.
+  // probe budget (max_probes_per_second) allows.
   duration probe_interval = 1s;
-  double probes_per_second = 8.0;
+  double max_probes_per_second = 8.0;
   // Upper limit of the interval between a node's probes of a target, also when this exceeds the
   // probe budget: otherwise an observation, with the heartbeat that carries it, gets older than
   // permission_validity, and working replicas are not routed to. Two nodes with 19 targets, or few
@@ -53,7 +53,7 @@
   duration max_probe_interval = 1125ms;
   // Additional probe budget of a node for suspect targets. Their state is needed soon, but an
   // unreachable fabric domain must not cause a flood of probes.
-  double urgent_probes_per_second = 4.0;
+  double max_urgent_probes_per_second = 4.0;
   std::size_t urgent_probe_burst = 4;
   // Interval between urgent probes of one suspect target.
   duration urgent_probe_interval = 300ms;
@@ -62,21 +62,21 @@
   // A target that only one of the nodes probing it fails to reach counts as lost after this time.
   duration single_prober_loss_timeout = 2s;
   // The condition of a target is unknown after this time without an observation.
-  duration unknown_after = 4s;
+  duration condition_unknown_after = 4s;
   // A lost target counts as working after this time without a failed probe, doubled with each
   // repeated loss.
-  duration recovery_duration = 1s;
+  duration target_recovery_duration = 1s;
 
-  // Intervals at which the designated readers (head_readers of them) and the other nodes read the
-  // head row of the configuration from the table.
+  // Intervals at which the designated readers (head_reader_count of them) and the other nodes read
+  // the head row of the configuration from the table.
   duration head_reader_interval = 1s;
   duration head_non_reader_interval = 10s;
   // The first retry of a failed read of the configuration's head row follows within this time.
-  duration head_retry = 200ms;
-  std::size_t head_readers = 2;
+  duration max_head_retry_delay = 200ms;
+  std::size_t head_reader_count = 2;
   // A request for configuration content that gets no response within this time is repeated at
   // another source.
-  duration fetch_timeout = 700ms;
+  duration config_fetch_timeout = 700ms;
 
   // Upper bound of the relative difference in rate between the clocks of two machines.
   double clock_drift = 0.001;
--- a/src/process/coordinator.cpp
+++ b/src/process/coordinator.cpp
@@ -25,14 +25,14 @@
     : settings(std::move(s)),
       random(derive_seed(settings.seed, 1)),
       observations(settings.self, timing),
-      configs(settings.self, derive_seed(settings.seed, 2), timing),
-      rows(settings.self, settings.data_centre, derive_seed(settings.seed, 3)),
+      config_sync(settings.self, derive_seed(settings.seed, 2), timing),
+      row_writer(settings.self, settings.data_centre, derive_seed(settings.seed, 3)),
       activations(settings.self),
       dispatcher(derive_seed(settings.seed, 4)),
-      board(settings.self, settings.data_centre) {}
+      peer_summaries(settings.self, settings.data_centre) {}
 
 void coordinator::parts::emit(effects list) {
-  std::move(list.begin(), list.end(), std::back_inserter(out));
+  std::move(list.begin(), list.end(), std::back_inserter(pending_effects));
 }
 
 coordinator::coordinator(coordinator_settings settings)
@@ -45,7 +45,7 @@
   parts& p = *parts_;
   p.started_at = now;
   p.last_tick = now;
-  p.table_since = now;
+  p.table_reachability_since = now;
   p.peers.emplace(p.settings.self, p.settings.incarnation, derive_seed(p.settings.seed, 5), now,
                   p.timing);
   std::vector<node_id> nodes{p.settings.self};
@@ -60,7 +60,7 @@
 
 effects coordinator::tick(time_point now) {
   parts_->tick(now);
-  return std::exchange(parts_->out, {});
+  return std::exchange(parts_->pending_effects, {});
 }
 
 effects coordinator::on(time_point now, const input& in) {
@@ -69,14 +69,14 @@
   p.apply_condition_changes(now);
   p.decide(now);
   p.send_heartbeats(now);  // includes heartbeats that this input made due early
-  return std::exchange(p.out, {});
+  return std::exchange(p.pending_effects, {});
 }
 
 time_point coordinator::next_tick() const {
   const parts& p = *parts_;
   const time_point next =
-      std::min({p.last_tick + tick_interval, p.rows.next_tick(), p.dispatcher.next_tick(),
-                p.activations.next_tick(), p.replan_at});
+      std::min({p.last_tick + tick_interval, p.row_writer.next_tick(), p.dispatcher.next_tick(),
+                p.activations.next_tick(), p.early_plan_at});
   return std::max(next, p.last_tick + min_sleep);
 }
 
@@ -84,17 +84,17 @@
   parts& p = *parts_;
   // The state of a process that was paused since its last tick may be out of date.
   const bool awake = now - p.last_tick <= p.timing.pause_threshold;
-  const auto desired = p.desired();
+  const auto desired = p.desired_vm_states();
   const auto found = desired.find(o.vm);
   const bool same =
       found != desired.end() && found->second.kind == o.kind && found->second.target == o.target;
   const bool allowed = awake && same && p.order_allowed(now, o.vm);
-  p.withheld += allowed ? 0 : 1;
+  p.withheld_orders += allowed ? 0 : 1;
   return allowed;
 }
 
 std::uint64_t coordinator::routes_revision() const {
-  return parts_->revision;
+  return parts_->current_routes_revision;
 }
 
 routing_snapshot coordinator::routes(time_point now) const {
@@ -106,7 +106,7 @@
 }
 
 const assignment& coordinator::row() const {
-  return parts_->rows.row();
+  return parts_->row_writer.row();
 }
 
 status_view coordinator::status(time_point now) const {
@@ -114,35 +114,36 @@
 }
 
 void coordinator::begin_drain(time_point now) {
-  parts_->leaving = true;
+  parts_->node_leaving = true;
   if (parts_->peers) {
     parts_->peers->expedite_heartbeats(now);
   }
 }
 
-void coordinator::report_in_flight(const replica_id& replica, generation gen, std::uint32_t count) {
-  auto& counts = parts_->in_flight[replica];
-  counts[gen] = count;
+void coordinator::report_in_flight(const replica_id& replica, generation fencing_generation,
+                                   std::uint32_t count) {
+  auto& counts = parts_->requests_in_flight[replica];
+  counts[fencing_generation] = count;
   std::erase_if(counts, [](const auto& entry) { return entry.second == 0; });
   if (counts.empty()) {
-    parts_->in_flight.erase(replica);
+    parts_->requests_in_flight.erase(replica);
   }
 }
 
 void coordinator::report_usage(const workspace_id& workspace, double requests_per_second) {
   if (requests_per_second > 0) {
-    parts_->usage[workspace] = requests_per_second;
+    parts_->own_usage[workspace] = requests_per_second;
   } else {
-    parts_->usage.erase(workspace);
+    parts_->own_usage.erase(workspace);
   }
 }
 
 double coordinator::usage_elsewhere(time_point now, const workspace_id& workspace) const {
   double sum = 0;
   for (const auto& [node, u] : parts_->usage_by_node) {
-    const auto found = u.rates.find(workspace);
-    const bool recent = now - u.at <= usage_max_age;
-    sum += recent && found != u.rates.end() ? found->second : 0.0;
+    const auto found = u.rate_by_workspace.find(workspace);
+    const bool recent = now - u.at <= peer_usage_max_age;
+    sum += recent && found != u.rate_by_workspace.end() ? found->second : 0.0;
   }
   return sum;
 }
--- a/src/process/coordinator.h
+++ b/src/process/coordinator.h
@@ -71,7 +71,8 @@
   // Called by the request path whenever the number of requests changes that this node has sent to a
   // replica under one fencing generation and that are still running. A draining replica does not
   // count as empty while this number is positive.
-  void report_in_flight(const replica_id& replica, generation gen, std::uint32_t count);
+  void report_in_flight(const replica_id& replica, generation fencing_generation,
+                        std::uint32_t count);
   // Called by the request path with the rate at which this node admits requests of the workspace.
   // The rate is gossiped so that the nodes share the workspace's limit.
   void report_usage(const workspace_id& workspace, double requests_per_second);
--- a/src/process/coordinator_decide.cpp
+++ b/src/process/coordinator_decide.cpp
@@ -8,10 +8,10 @@
 namespace arbutus {
 
 void coordinator::parts::decide(time_point now) {
-  if (now < started_at + start_settle || !config) {
+  if (now < started_at + start_settle_time || !config) {
     return;
   }
-  if (rows.known()) {
+  if (row_writer.row_known()) {
     activate_standbys(now);
     send_orders(now);
   }
@@ -23,45 +23,47 @@
 // Finds generations from older assignment rows that members of this replica still obey and that are
 // greater than the replica's generation in force. Returns the union of their lost masks; empty if
 // there are none.
-std::optional<lost_mask> coordinator::parts::superseding_mask(const replica_plan& replica) const {
-  const composition in_force = activations.in_force(replica);
-  std::optional<lost_mask> found;
+std::optional<lost_vm_mask> coordinator::parts::superseding_mask(
+    const replica_plan& replica) const {
+  const composition in_force = activations.composition_in_force(replica);
+  std::optional<lost_vm_mask> found;
   for (const vm_id& vm : in_force.members) {
     const observation* newest = observations.latest(vm);
     if (newest == nullptr || newest->report.replica != replica.id) {
       continue;
     }
-    const generation& gen = newest->report.gen;
-    const bool from_older_row = gen.row < rows.row().version;
-    if (from_older_row && gen > in_force.gen) {
-      found = found.value_or(0) | gen.lost;
+    const generation& fencing_generation = newest->report.fencing_generation;
+    const bool from_older_row = fencing_generation.row < row_writer.row().version;
+    if (from_older_row && fencing_generation > in_force.fencing_generation) {
+      found = found.value_or(0) | fencing_generation.lost;
     }
   }
   return found;
 }
 
 void coordinator::parts::activate_standbys(time_point now) {
-  const bool table_unavailable = rows.unwritable(now) && !rows.behind();
+  const bool table_unavailable = row_writer.unwritable(now) && !row_writer.newer_version_known();
   const activation_context context{
-      .row = rows.row(),
-      .live = peers->live(now),
-      .lost =
+      .row = row_writer.row(),
+      .live_nodes = peers->live_nodes(now),
+      .is_lost =
           [&](const vm_id& vm) {
             return observations.condition(vm, now) == target_condition::lost;
           },
       .superseding_mask = [&](const replica_plan& r) { return superseding_mask(r); },
-      .allowed = table_unavailable && peers->may_act_without_table(rows.row().version, now),
+      .activation_allowed =
+          table_unavailable && peers->may_act_without_table(row_writer.row().version, now),
   };
   for (const replica_id& id : activations.tick(now, context)) {
     emit(notice{"repair", "replica " + id.str() + " brought back by standbys, table unavailable"});
     peers->expedite_heartbeats(now);
-    changed();
+    note_routes_changed();
   }
 }
 
 // ---- orders ----
 
-std::map<vm_id, desired_state> coordinator::parts::desired() const {
+std::map<vm_id, desired_state> coordinator::parts::desired_vm_states() const {
   std::map<vm_id, engine_report> reports;
   if (!config) {
     return {};
@@ -71,16 +73,16 @@
       reports.emplace(vm->id, newest->report);
     }
   }
-  const auto in_force = [&](const replica_plan& r) { return activations.in_force(r); };
-  return desired_states(rows.row(), in_force, reports);
+  const auto in_force = [&](const replica_plan& r) { return activations.composition_in_force(r); };
+  return desired_states(row_writer.row(), in_force, reports);
 }
 
 // Whether the table or a majority of the nodes recently confirmed that this node's assignment row
 // is the newest.
 bool coordinator::parts::row_confirmed(time_point now) const {
-  const auto at = rows.confirmed_at();
+  const auto at = row_writer.confirmed_at();
   const bool by_table = at && now - *at <= row_confirmation_max_age;
-  return by_table || peers->may_act_without_table(rows.row().version, now);
+  return by_table || peers->may_act_without_table(row_writer.row().version, now);
 }
 
 bool coordinator::parts::order_allowed(time_point now, const vm_id& vm) const {
@@ -88,7 +90,8 @@
   // has received a newer order refuses the outdated one by its fencing token. A target that has
   // restarted since obeys the outdated order until the newer one arrives; until then no replica
   // that needs the target serves.
-  const bool current = rows.known() && !rows.behind() && row_confirmed(now);
+  const bool current =
+      row_writer.row_known() && !row_writer.newer_version_known() && row_confirmed(now);
   const observation* newest = observations.latest(vm);
   const bool observed = newest != nullptr && now - newest->at <= order_max_observation_age;
   return current && observed;
@@ -107,7 +110,7 @@
 }
 
 void coordinator::parts::send_orders(time_point now) {
-  const auto states = desired();
+  const auto states = desired_vm_states();
   const order_context context{
       .desired = states,
       .rank = [&](const vm_id& vm) { return order_rank(now, vm); },
@@ -131,7 +134,7 @@
 // serve, and the table would accept a plan that dissolves them. Such a node waits, and plans only
 // if it reaches at least half of the targets.
 bool coordinator::parts::may_plan(time_point now) {
-  if (peers->may_act_without_table(rows.row().version, now)) {
+  if (peers->may_act_without_table(row_writer.row().version, now)) {
     minority_since.reset();
     return true;
   }
@@ -150,53 +153,54 @@
 // Whether this node's configuration may be used to plan. Planning with an older configuration than
 // the row was made for would revert an accepted configuration. Only after a timeout, when the newer
 // configuration appears to be lost for good, repair takes precedence.
-bool coordinator::parts::has_current_rules(time_point now) {
-  if (config->version >= rows.row().config_version) {
-    old_rules_since.reset();
+bool coordinator::parts::config_usable_for_row(time_point now) {
+  if (config->version >= row_writer.row().config_version) {
+    outdated_config_since.reset();
     return true;
   }
-  old_rules_since = old_rules_since.value_or(now);
-  return now - *old_rules_since >= old_rules_timeout;
+  outdated_config_since = outdated_config_since.value_or(now);
+  return now - *outdated_config_since >= outdated_config_timeout;
 }
 
 std::set<replica_id> coordinator::parts::superseded_replicas(time_point now) {
   std::set<replica_id> result;
-  for (const replica_plan& replica : rows.row().replicas) {
+  for (const replica_plan& replica : row_writer.row().replicas) {
     if (!superseding_mask(replica)) {
       superseded_since.erase(replica.id);
       continue;
     }
     const auto since = superseded_since.try_emplace(replica.id, now).first->second;
-    if (now - since >= superseded_timeout) {
+    if (now - since >= superseded_generation_timeout) {
       result.insert(replica.id);
     }
   }
   return result;
 }
 
-drain_context coordinator::parts::drain_inputs(time_point now) const {
+drain_context coordinator::parts::make_drain_context(time_point now) const {
   return {
-      .row = rows.row(),
-      .acknowledged = peers->acknowledged_by_all(rows.row().version, now),
-      .nodes = peers->required_acknowledgers(rows.row().version, now),
-      .acknowledged_version =
+      .row = row_writer.row(),
+      .min_acknowledged_version = peers->acknowledged_by_all(row_writer.row().version, now),
+      .nodes = peers->required_acknowledgers(row_writer.row().version, now),
+      .acknowledged_version_of =
           [this](const node_id& node) {
             const peer_status* last_status = peers->last_status(node);
             const std::uint64_t theirs =
                 last_status != nullptr ? last_status->assignment_version : 0;
-            return node == settings.self ? rows.row().version : theirs;
+            return node == settings.self ? row_writer.row().version : theirs;
           },
-      .has_requests =
+      .node_has_requests =
           [this](const node_id& node, const replica_id& id) {
             if (node == settings.self) {
-              return in_flight.contains(id);
+              return requests_in_flight.contains(id);
             }
             const auto theirs = draining_in_use_by.find(node);
             return theirs != draining_in_use_by.end() && theirs->second.contains(id);
           },
-      .in_force = [this](const replica_plan& r) { return activations.in_force(r); },
-      .latest_observation = [this](const vm_id& vm) { return observations.latest(vm); },
-      .lost =
+      .composition_in_force =
+          [this](const replica_plan& r) { return activations.composition_in_force(r); },
+      .latest_observation_of = [this](const vm_id& vm) { return observations.latest(vm); },
+      .is_lost =
           [this, now](const vm_id& vm) {
             return observations.condition(vm, now) == target_condition::lost;
           },
@@ -223,9 +227,9 @@
 }  // namespace
 
 plan coordinator::parts::next_plan(time_point now) {
-  // The configuration may be older than the row's; has_current_rules() has already decided that it
-  // may be used.
-  assignment current = rows.row();
+  // The configuration may be older than the row's; config_usable_for_row() has already decided that
+  // it may be used.
+  assignment current = row_writer.row();
   current.config_version = std::min(current.config_version, config->version);
   planner_input in;
   in.config = &*config;
@@ -234,28 +238,28 @@
   for (const vm_record* vm : config->assets.vms_of(settings.data_centre)) {
     in.health.push_back({vm->id, planner_condition(observations.condition(vm->id, now))});
   }
-  for (const auto& [id, gen] : activations.active()) {
-    if (const replica_plan* replica = rows.row().find(id)) {
-      in.in_force.push_back(activations.in_force(*replica));
+  for (const auto& [id, fencing_generation] : activations.active_generations()) {
+    if (const replica_plan* replica = row_writer.row().find(id)) {
+      in.in_force.push_back(activations.composition_in_force(*replica));
     }
   }
-  const auto empty = drains.removable_replicas(now, drain_inputs(now));
+  const auto empty = drains.removable_replicas(now, make_drain_context(now));
   in.drained_replicas.assign(empty.begin(), empty.end());
-  in.acknowledged = peers->acknowledged_by_all(rows.row().version, now);
-  for (const auto& [model, busy] : demand) {
+  in.acknowledged = peers->acknowledged_by_all(row_writer.row().version, now);
+  for (const auto& [model, busy] : demand_by_model) {
     in.demand.push_back({model, busy});
   }
-  for (const replica_plan& replica : rows.row().replicas) {
-    if (permission(now, activations.in_force(replica)).granted) {
+  for (const replica_plan& replica : row_writer.row().replicas) {
+    if (routing_permit(now, activations.composition_in_force(replica)).granted) {
       in.serving.push_back(replica.id);
     }
   }
   plan p = make_plan(in);
   for (const replica_id& id : superseded_replicas(now)) {
     for (replica_plan& replica : p.next.replicas) {
-      if (replica.id == id && replica.gen.row <= rows.row().version) {
-        p.next.version = rows.row().version + 1;
-        replica.gen = generation{.row = p.next.version};
+      if (replica.id == id && replica.fencing_generation.row <= row_writer.row().version) {
+        p.next.version = row_writer.row().version + 1;
+        replica.fencing_generation = generation{.row = p.next.version};
         p.changed = true;
       }
     }
@@ -264,12 +268,12 @@
 }
 
 void coordinator::parts::plan_next(time_point now) {
-  if (now < replan_at && now < next_plan_at) {
+  if (now < early_plan_at && now < next_plan_at) {
     return;
   }
-  replan_at = time_point::max();
-  next_plan_at = now + plan_interval;
-  if (!has_current_rules(now) || !rows.may_propose(now) || !may_plan(now)) {
+  early_plan_at = time_point::max();
+  next_plan_at = now + max_plan_interval;
+  if (!config_usable_for_row(now) || !row_writer.may_propose(now) || !may_plan(now)) {
     return;
   }
   plan p = next_plan(now);
@@ -281,14 +285,14 @@
   const time_point since = change_needed_since.value_or(now);
   change_needed_since = since;
   const std::string subject =
-      "propose/" + settings.data_centre.str() + "/" + std::to_string(rows.row().version);
+      "propose/" + settings.data_centre.str() + "/" + std::to_string(row_writer.row().version);
   const auto rank = peers->rank_of(settings.self, subject, now);
-  const time_point due = since + rank_wait(rank, row_rank_delay);
+  const time_point due = since + rank_wait(rank, row_proposal_rank_delay);
   if (now < due) {
-    replan_at = due;  // by then a node of lower rank has usually written the new row
+    early_plan_at = due;  // by then a node of lower rank has usually written the new row
     return;
   }
-  emit(rows.propose(now, std::move(p.next)));
+  emit(row_writer.propose(now, std::move(p.next)));
 }
 
 }  // namespace arbutus
--- a/src/process/coordinator_inputs.cpp
+++ b/src/process/coordinator_inputs.cpp
@@ -24,12 +24,12 @@
         },
         [](const refused& f) -> outcome<head_row> { return f; },
         [](const unknown& u) -> outcome<head_row> { return u; });
-    apply_config_effects(now, configs.head_read(head, now));
+    apply_config_effects(now, config_sync.head_read(head, now));
     return;
   }
-  emit(rows.on(now, r));
-  if (std::holds_alternative<table_row>(r.result) && !rows.behind()) {
-    peers->row_read();
+  emit(row_writer.on(now, r));
+  if (std::holds_alternative<table_row>(r.result) && !row_writer.newer_version_known()) {
+    peers->on_row_read();
   }
   apply_row_change(now);
 }
@@ -40,22 +40,22 @@
         r.result, [](const table_written& w) -> outcome<std::uint64_t> { return w.version; },
         [](const refused& f) -> outcome<std::uint64_t> { return f; },
         [](const unknown& u) -> outcome<std::uint64_t> { return u; });
-    apply_config_effects(now, configs.head_written(version, now));
+    apply_config_effects(now, config_sync.head_written(version, now));
     return;
   }
-  emit(rows.on(now, r));
-  if (rows.row().version != applied_row_version) {
+  emit(row_writer.on(now, r));
+  if (row_writer.row().version != applied_row_version) {
     peers->expedite_heartbeats(now);  // peers read the row when a heartbeat reports the new version
   }
   apply_row_change(now);
 }
 
 void coordinator::parts::on(time_point now, const object_get_result& r) {
-  apply_config_effects(now, configs.object_read(r.request.name, r.result, now));
+  apply_config_effects(now, config_sync.object_read(r.request.name, r.result, now));
 }
 
 void coordinator::parts::on(time_point now, const object_put_result& r) {
-  apply_config_effects(now, configs.object_stored(r.result, now));
+  apply_config_effects(now, config_sync.object_stored(r.result, now));
 }
 
 void coordinator::parts::on(time_point now, const vm_list_result& r) {
@@ -65,9 +65,9 @@
   }
   for (const vm_list_entry& e : *list) {
     if (e.leaving) {
-      listed_leaving.insert(e.vm);
+      vms_listed_as_leaving.insert(e.vm);
       note_leaving(now, e.vm, 0);
-    } else if (listed_leaving.erase(e.vm) > 0) {
+    } else if (vms_listed_as_leaving.erase(e.vm) > 0) {
       // Clears the leaving mark of a VM only if an earlier VM list set it: the list lags behind a
       // target that reports itself as leaving.
       observations.clear_leaving(e.vm);
@@ -92,7 +92,7 @@
 }
 
 void coordinator::parts::on(time_point now, const order_result& r) {
-  const auto sent_at = dispatcher.on(now, r);
+  const auto sent_at = dispatcher.on_result(now, r);
   const auto* report = std::get_if<engine_report>(&r.result);
   if (!sent_at || report == nullptr) {
     return;
@@ -104,11 +104,11 @@
   peers->expedite_heartbeats(now);
 }
 
-void coordinator::parts::on(time_point now, const target_error& e) {
+void coordinator::parts::on(time_point now, const target_connection_error& e) {
   if (observations.on_connection_error(e.vm, now)) {
     announce_failure(now, e.vm);
   }
-  changed();
+  note_routes_changed();
 }
 
 void coordinator::parts::announce_failure(time_point now, const vm_id& vm) {
@@ -125,7 +125,7 @@
 void coordinator::parts::note_leaving(time_point now, const vm_id& vm, std::uint64_t incarnation) {
   if (observations.mark_leaving(vm, incarnation)) {
     broadcast(now, leaving_notice{vm, incarnation});
-    changed();
+    note_routes_changed();
   }
 }
 
@@ -134,7 +134,7 @@
   if (newest == nullptr) {
     return;
   }
-  const auto [noted, first] = observed_at.try_emplace(vm, newest->at);
+  const auto [noted, first] = processed_observation_at.try_emplace(vm, newest->at);
   if (!first && newest->at <= noted->second) {
     return;
   }
@@ -143,41 +143,41 @@
   const auto ready_before = readiness.ready_since(vm);
   readiness.observe(*newest);
   if (ready_before != readiness.ready_since(vm)) {
-    changed();
+    note_routes_changed();
     peers->expedite_heartbeats(now);
   }
-  rows.note_target_version(now, r.gen.row);
-  if (!r.replica.empty() && activations.adopt(rows.row(), r.replica, r.gen)) {
-    changed();
+  row_writer.note_target_version(now, r.fencing_generation.row);
+  if (!r.replica.empty() && activations.adopt(row_writer.row(), r.replica, r.fencing_generation)) {
+    note_routes_changed();
   }
 }
 
 void coordinator::parts::apply_condition_changes(time_point now) {
   for (const condition_change& c : observations.take_changes(now)) {
-    condition_since[c.vm] = now;
-    changed();
-    replan_at = std::min(replan_at, now + plan_debounce);
+    vm_condition_since[c.vm] = now;
+    note_routes_changed();
+    early_plan_at = std::min(early_plan_at, now + plan_debounce);
     if (c.to == target_condition::lost) {
-      rows.request_read(now);  // the kind of repair depends on whether the table is reachable
+      row_writer.request_read(now);  // the kind of repair depends on whether the table is reachable
     }
   }
 }
 
 void coordinator::parts::apply_row_change(time_point now) {
-  const bool readable = !rows.unreadable_since();
+  const bool readable = !row_writer.unreadable_since();
   if (readable != table_readable) {
     table_readable = readable;
-    table_since = now;
+    table_reachability_since = now;
   }
-  if (rows.row().version == applied_row_version) {
+  if (row_writer.row().version == applied_row_version) {
     return;
   }
-  applied_row_version = rows.row().version;
-  activations.rebase(rows.row());
-  drains.rebase(rows.row());
+  applied_row_version = row_writer.row().version;
+  activations.rebase(row_writer.row());
+  drains.rebase(row_writer.row());
   change_needed_since.reset();
-  replan_at = std::min(replan_at, now + plan_debounce);
-  changed();
+  early_plan_at = std::min(early_plan_at, now + plan_debounce);
+  note_routes_changed();
 }
 
 // ---- messages from peers ----
@@ -201,7 +201,7 @@
 }
 
 void coordinator::parts::receive(time_point now, const node_id& from, const heartbeat& m) {
-  const auto h = peers->receive(m, rows.row().version, now);
+  const auto h = peers->receive(m, row_writer.row().version, now);
   if (!h) {
     return;
   }
@@ -211,22 +211,22 @@
        config ? config->assets.vms_of(settings.data_centre) : std::vector<const vm_record*>{}) {
     note_observation(now, vm->id);
   }
-  rows.note_peer_version(now, m.assignment_version);
+  row_writer.note_peer_version(now, m.assignment_version);
   for (const composition& c : m.activations) {
-    if (activations.adopt(rows.row(), c.replica, c.gen)) {
-      changed();
+    if (activations.adopt(row_writer.row(), c.replica, c.fencing_generation)) {
+      note_routes_changed();
     }
   }
-  if (!m.table_reachable && !rows.unreadable_since()) {
+  if (!m.table_reachable && !row_writer.unreadable_since()) {
     // The peer cannot reach the table. Checks the table from this node before a repair depends on
     // it.
-    rows.request_read(now);
+    row_writer.request_read(now);
   }
-  draining_in_use_by[from] = {m.in_use.begin(), m.in_use.end()};
+  draining_in_use_by[from] = {m.draining_replicas_in_use.begin(), m.draining_replicas_in_use.end()};
   peer_usage& u = usage_by_node[from];
   u = {{}, now};
   for (const workspace_usage& w : m.usage) {
-    u.rates[w.workspace] = w.requests_per_second;
+    u.rate_by_workspace[w.workspace] = w.requests_per_second;
   }
   auto& [version, since] = peer_config_since[from];
   if (version != m.config_version) {
@@ -234,21 +234,21 @@
     since = now;
   }
   const std::string hash = peers->last_status(from)->config_hash;
-  apply_config_effects(now, configs.peer_reported(from, m.config_version, hash, now));
+  apply_config_effects(now, config_sync.peer_reported(from, m.config_version, hash, now));
 }
 
 void coordinator::parts::receive(time_point now, const node_id& from, const config_request& m) {
-  apply_config_effects(now, configs.peer_requested(from, m));
+  apply_config_effects(now, config_sync.peer_requested(from, m));
 }
 
 void coordinator::parts::receive(time_point now, const node_id& from, const config_content& m) {
-  apply_config_effects(now, configs.peer_sent(from, m, now));
+  apply_config_effects(now, config_sync.peer_sent(from, m, now));
 }
 
 void coordinator::parts::receive(time_point now, const node_id&, const assignment_push& m) {
   const auto decoded = decode_assignment(m.bytes);
   const auto* copy = std::get_if<assignment>(&decoded);
-  if (copy != nullptr && rows.adopt(now, *copy)) {
+  if (copy != nullptr && row_writer.adopt(now, *copy)) {
     apply_row_change(now);
   }
 }
@@ -257,7 +257,7 @@
   if (const auto h = peers->receive(from, m.stamp, now)) {
     handle_peer_restart(from, *h);
     observations.merge(from, m, *h, now);
-    changed();
+    note_routes_changed();
   }
 }
 
@@ -265,13 +265,13 @@
   // The node that noticed that the VM is leaving has sent this notice to all peers, so it is not
   // forwarded.
   if (observations.mark_leaving(m.vm, m.incarnation)) {
-    changed();
+    note_routes_changed();
   }
 }
 
 void coordinator::parts::receive(time_point now, const node_id& from, const summary& m) {
-  board.receive(now, m);
-  apply_config_effects(now, configs.peer_reported(from, m.config_version, m.config_hash, now));
+  peer_summaries.receive(now, m);
+  apply_config_effects(now, config_sync.peer_reported(from, m.config_version, m.config_hash, now));
 }
 
 void coordinator::parts::broadcast(time_point now, const gossip_message& m) {
@@ -292,7 +292,7 @@
           emit(object_put{w.name, w.content});
         },
         [&](const repair_head& w) {
-          emit(table_write{config_head_key, encode(w.head), w.expected_row});
+          emit(table_write{config_head_key, encode(w.head), w.expected_row_version});
         },
         [&](const send_peer_message& w) {
           const auto bytes = std::visit(
@@ -307,7 +307,7 @@
 }
 
 void coordinator::parts::adopt_configuration(time_point now) {
-  const auto decoded = decode_content(configs.content(), configs.in_force().version);
+  const auto decoded = decode_content(config_sync.content(), config_sync.in_force().version);
   const auto* content = std::get_if<configuration>(&decoded);
   if (content == nullptr) {
     emit(notice{"config", "the accepted configuration cannot be decoded"});
@@ -326,8 +326,8 @@
   peers->set_targets(vms);
   observations.set_targets(vms);
   peers->expedite_heartbeats(now);
-  replan_at = std::min(replan_at, now + plan_debounce);
-  changed();
+  early_plan_at = std::min(early_plan_at, now + plan_debounce);
+  note_routes_changed();
 }
 
 }  // namespace arbutus
--- a/src/process/coordinator_tick.cpp
+++ b/src/process/coordinator_tick.cpp
@@ -11,11 +11,11 @@
   last_tick = now;
   if (peers->tick(now) > duration::zero()) {
     observations.on_resumed(now);
-    changed();
+    note_routes_changed();
   }
-  const auto live = peers->live(now);
-  apply_config_effects(now, configs.tick(live, now));
-  emit(rows.tick(now, live));
+  const auto live = peers->live_nodes(now);
+  apply_config_effects(now, config_sync.tick(live, now));
+  emit(row_writer.tick(now, live));
   apply_row_change(now);
   probe_targets(now);
   apply_condition_changes(now);
@@ -35,24 +35,25 @@
 }
 
 void coordinator::parts::send_heartbeats(time_point now) {
-  for (const node_id& peer : peers->due(now)) {
-    heartbeat message = peers->prepare(peer, now);
-    peers->announce_config(message, peer, configs.in_force().version, configs.in_force().hash);
-    message.assignment_version = rows.row().version;
-    message.table_reachable = !rows.unwritable(now);
-    message.draining = leaving;
-    for (const auto& [id, gen] : activations.active()) {
-      if (const replica_plan* replica = rows.row().find(id)) {
-        message.activations.push_back(activations.in_force(*replica));
+  for (const node_id& peer : peers->due_peers(now)) {
+    heartbeat message = peers->prepare_heartbeat(peer, now);
+    peers->announce_config(message, peer, config_sync.in_force().version,
+                           config_sync.in_force().hash);
+    message.assignment_version = row_writer.row().version;
+    message.table_reachable = !row_writer.unwritable(now);
+    message.draining = node_leaving;
+    for (const auto& [id, fencing_generation] : activations.active_generations()) {
+      if (const replica_plan* replica = row_writer.row().find(id)) {
+        message.activations.push_back(activations.composition_in_force(*replica));
       }
     }
-    for (const auto& [workspace, rate] : usage) {
+    for (const auto& [workspace, rate] : own_usage) {
       message.usage.push_back({workspace, rate});
     }
-    for (const auto& [id, counts] : in_flight) {
-      const replica_plan* replica = rows.row().find(id);
+    for (const auto& [id, counts] : requests_in_flight) {
+      const replica_plan* replica = row_writer.row().find(id);
       if (replica != nullptr && replica->phase == replica_phase::draining) {
-        message.in_use.push_back(id);
+        message.draining_replicas_in_use.push_back(id);
       }
     }
     observations.append_deltas(message, peer, peers->echoed(peer), now);
@@ -63,32 +64,32 @@
 // Sends the assignment row to peers that cannot read the table. Without this, a node that starts
 // while the table is unavailable has no row and can neither route nor repair.
 void coordinator::parts::push_row(time_point now) {
-  if (!rows.known()) {
+  if (!row_writer.row_known()) {
     return;
   }
   for (const node_id& peer : peers->live_peers(now)) {
     const peer_status* last_status = peers->last_status(peer);
     const bool outdated =
-        last_status != nullptr && last_status->assignment_version < rows.row().version;
+        last_status != nullptr && last_status->assignment_version < row_writer.row().version;
     if (!outdated || last_status->table_reachable) {
       continue;
     }
     const bool responsible = peers->rank_of(settings.self, "push/" + peer.str(), now) <= 1;
-    const auto [last, first] = pushed_at.try_emplace(peer, now);
-    if (!responsible || (!first && now < last->second + push_interval)) {
+    const auto [last, first] = row_pushed_at.try_emplace(peer, now);
+    if (!responsible || (!first && now < last->second + row_push_interval)) {
       continue;
     }
     last->second = now;
-    const assignment_push push{encode(rows.row())};
+    const assignment_push push{encode(row_writer.row())};
     emit(peer_send{peer, encode(gossip_message{push}), true});
   }
 }
 
 void coordinator::parts::read_vm_list(time_point now) {
-  if (now < next_vm_list) {
+  if (now < next_vm_list_read) {
     return;
   }
-  next_vm_list = now + vm_list_interval + random.jitter(vm_list_interval / 10);
+  next_vm_list_read = now + vm_list_interval + random.jitter(vm_list_interval / 10);
   if (peers->rank_of(settings.self, "vm-list", now) < vm_list_readers) {
     emit(vm_list_read{});
   }
@@ -98,14 +99,14 @@
   if (!config) {
     return;
   }
-  const auto to = board.due(now, config->assets);
+  const auto to = peer_summaries.due(now, config->assets);
   if (to.empty()) {
     return;
   }
   summary s;
   s.data_centre = settings.data_centre;
-  s.config_version = configs.in_force().version;
-  s.config_hash = configs.in_force().hash;
+  s.config_version = config_sync.in_force().version;
+  s.config_hash = config_sync.in_force().hash;
   s.models = model_summaries(now);
   const std::string bytes = encode(gossip_message{s});
   for (const node_id& node : to) {
@@ -116,17 +117,17 @@
 // Updates the demand of each model, measured in fully occupied replicas and smoothed so that a
 // short burst does not change the assignment.
 void coordinator::parts::update_demand(time_point now) {
-  if (now < next_demand || !config) {
+  if (now < next_demand_update || !config) {
     return;
   }
-  next_demand = now + demand_interval;
+  next_demand_update = now + demand_update_interval;
   std::map<model_id, double> busy;
   for (const replica_route& r : routes(now).replicas) {
     const double slots = std::max(1.0, static_cast<double>(r.slots));
     busy[r.model] += static_cast<double>(r.running + r.queued) / slots;
   }
   for (const model_rule& model : config->desired.models) {
-    double& smoothed = demand[model.id];
+    double& smoothed = demand_by_model[model.id];
     smoothed += demand_smoothing * (busy[model.id] - smoothed);
   }
 }
--- a/src/process/coordinator_views.cpp
+++ b/src/process/coordinator_views.cpp
@@ -31,32 +31,32 @@
 
 }  // namespace
 
-const vm_record* coordinator::parts::vm_of(const vm_id& vm) const {
+const vm_record* coordinator::parts::find_vm_record(const vm_id& vm) const {
   return config ? config->assets.find_vm(vm) : nullptr;
 }
 
-bool coordinator::parts::checks_tokens(const vm_id& vm) const {
-  const vm_record* record = vm_of(vm);
-  return record != nullptr && record->checks_tokens;
+bool coordinator::parts::checks_fencing_tokens(const vm_id& vm) const {
+  const vm_record* record = find_vm_record(vm);
+  return record != nullptr && record->checks_fencing_tokens;
 }
 
-member_observation coordinator::parts::evidence(time_point now, const vm_id& vm) const {
-  return {observations.latest(vm), observations.condition(vm, now), checks_tokens(vm)};
+member_observation coordinator::parts::observe_member(time_point now, const vm_id& vm) const {
+  return {observations.latest(vm), observations.condition(vm, now), checks_fencing_tokens(vm)};
 }
 
-permit coordinator::parts::permission(time_point now, const composition& in_force) const {
+permit coordinator::parts::routing_permit(time_point now, const composition& in_force) const {
   return permission_for(now, in_force, readiness,
-                        [&](const vm_id& vm) { return evidence(now, vm); });
+                        [&](const vm_id& vm) { return observe_member(now, vm); });
 }
 
 routing_snapshot coordinator::parts::routes(time_point now) const {
   routing_snapshot result;
-  result.assignment_version = rows.row().version;
+  result.assignment_version = row_writer.row().version;
   result.config_version = config ? config->version : 0;
-  for (const replica_plan& replica : rows.row().replicas) {
-    const composition in_force = activations.in_force(replica);
-    const permit p = permission(now, in_force);
-    const vm_record* head = p.granted ? vm_of(in_force.members.front()) : nullptr;
+  for (const replica_plan& replica : row_writer.row().replicas) {
+    const composition in_force = activations.composition_in_force(replica);
+    const permit p = routing_permit(now, in_force);
+    const vm_record* head = p.granted ? find_vm_record(in_force.members.front()) : nullptr;
     if (head == nullptr) {
       continue;
     }
@@ -65,7 +65,7 @@
     route.id = replica.id;
     route.model = replica.model;
     route.model_version = replica.model_version;
-    route.gen = in_force.gen;
+    route.fencing_generation = in_force.fencing_generation;
     route.head = head->id;
     route.address = head->address;
     route.members = in_force.members;
@@ -77,14 +77,14 @@
     route.slots = load.report.slots;
     route.tokens_per_second = load.report.tokens_per_second;
     route.kv_used = load.report.kv_used;
-    route.load_at = load.at;
+    route.load_reported_at = load.at;
     route.serving_since = p.serving_since;
     result.replicas.push_back(std::move(route));
   }
   std::sort(result.replicas.begin(), result.replicas.end(),
             [](const replica_route& a, const replica_route& b) { return a.id < b.id; });
   if (config) {
-    result.remote_capacities = board.remote_capacities(now, config->assets);
+    result.remote_capacities = peer_summaries.remote_capacities(now, config->assets);
   }
   return result;
 }
@@ -120,9 +120,9 @@
 coordination_counters counters_of(const row_counters& rows, const order_counters& orders) {
   coordination_counters c;
   c.row_reads = rows.reads;
-  c.writes_won = rows.won;
-  c.writes_lost = rows.lost;
-  c.writes_unknown = rows.unknown_replies;
+  c.writes_won = rows.writes_won;
+  c.writes_lost = rows.writes_lost;
+  c.writes_unknown = rows.unknown_write_replies;
   c.restored_copies = rows.restored_copies;
   c.orders_sent = orders.sent;
   c.orders_refused = orders.refused;
@@ -150,21 +150,22 @@
 status_view coordinator::parts::status(time_point now) const {
   status_view s;
   s.self = settings.self;
-  s.table_reachable = !rows.unwritable(now);
-  s.table_since = table_since;
-  s.assignment_version = rows.row().version;
+  s.table_reachable = !row_writer.unwritable(now);
+  s.table_reachability_since = table_reachability_since;
+  s.assignment_version = row_writer.row().version;
   s.config_version = config ? config->version : 0;
-  s.unmet = plan_reasons;
-  s.counters = counters_of(rows.counters(), dispatcher.counters());
-  s.counters.activations = activations.started();
-  s.counters.orders_withheld = withheld;
+  s.unmet_requirements = plan_reasons;
+  s.counters = counters_of(row_writer.counters(), dispatcher.counters());
+  s.counters.activations = activations.started_count();
+  s.counters.orders_withheld = withheld_orders;
 
   std::map<vm_id, std::string> idle_because;
-  for (const replica_plan& replica : rows.row().replicas) {
-    const composition in_force = activations.in_force(replica);
-    const permit p = permission(now, in_force);
-    s.replicas.push_back({replica.id, replica.model, replica.phase, in_force.gen, in_force.members,
-                          unused_standbys(replica, in_force), p.granted, p.why_not});
+  for (const replica_plan& replica : row_writer.row().replicas) {
+    const composition in_force = activations.composition_in_force(replica);
+    const permit p = routing_permit(now, in_force);
+    s.replicas.push_back({replica.id, replica.model, replica.phase, in_force.fencing_generation,
+                          in_force.members, unused_standbys(replica, in_force), p.granted,
+                          p.why_not});
     for (const vm_id& vm : replica.standbys) {
       idle_because[vm] = "reserved for " + replica.id.str();
     }
@@ -175,7 +176,7 @@
       idle_because[vm] = p.granted ? "" : replica.id.str() + " does not serve: " + p.why_not;
     }
   }
-  for (const withdrawal& w : rows.row().withdrawals) {
+  for (const withdrawal& w : row_writer.row().withdrawals) {
     idle_because[w.vm] = "withdrawn from " + w.from.str() + ", waits for acknowledgement";
   }
   if (!config) {
@@ -183,12 +184,12 @@
   }
   for (const vm_record* vm : config->assets.vms_of(settings.data_centre)) {
     const target_condition c = observations.condition(vm->id, now);
-    const auto since = condition_since.find(vm->id);
-    vm_status v{vm->id, name_of(c), since == condition_since.end() ? started_at : since->second,
+    const auto since = vm_condition_since.find(vm->id);
+    vm_status v{vm->id, name_of(c), since == vm_condition_since.end() ? started_at : since->second,
                 {},     {},         engine_state::idle};
     if (const observation* newest = observations.latest(vm->id)) {
       v.reported_replica = newest->report.replica;
-      v.reported_gen = newest->report.gen;
+      v.reported_gen = newest->report.fencing_generation;
       v.reported_state = newest->report.state;
     }
     s.vms.push_back(std::move(v));
@@ -210,17 +211,17 @@
     n.id = node->id;
     n.data_centre = node->data_centre;
     n.live = self || peers->state(node->id, now) == peer_state::alive;
-    n.leaving = self ? leaving : last_status != nullptr && last_status->draining;
-    n.assignment_version =
-        self ? rows.row().version : (last_status != nullptr ? last_status->assignment_version : 0);
+    n.leaving = self ? node_leaving : last_status != nullptr && last_status->draining;
+    n.assignment_version = self ? row_writer.row().version
+                                : (last_status != nullptr ? last_status->assignment_version : 0);
     n.config_version =
         self ? s.config_version : (last_status != nullptr ? last_status->config_version : 0);
     const auto since = peer_config_since.find(node->id);
-    n.config_since =
-        since == peer_config_since.end() ? configs.in_force().since : since->second.second;
+    n.config_since = since == peer_config_since.end() ? config_sync.in_force().in_force_since
+                                                      : since->second.second;
     s.nodes.push_back(n);
   }
-  s.drains = drains.status(drain_inputs(now));
+  s.drains = drains.status(make_drain_context(now));
   return s;
 }
 
--- a/src/process/cross_domain_layout.cpp
+++ b/src/process/cross_domain_layout.cpp
@@ -24,12 +24,12 @@
  public:
   cross_domain_planner(std::span<const layout_domain> domains, std::span<const layout_model> models,
                        double slowdown, const layout_settings& settings)
-      : remaining_(domains.begin(), domains.end()),
+      : unreserved_domains_(domains.begin(), domains.end()),
         models_(models),
         slowdown_(std::max(slowdown, 1.0)),
         settings_(settings),
         reserved_(domains.size(), std::vector<std::uint32_t>(models.size(), 0)) {
-    for (layout_domain& domain : remaining_) {
+    for (layout_domain& domain : unreserved_domains_) {
       domain.ready.resize(models.size(), 0);
     }
   }
@@ -38,14 +38,15 @@
     std::vector<layout_model> others(models_.begin(), models_.end());
     bool any_reserved = false;
     for (std::size_t m = 0; m < models_.size(); ++m) {
-      if (!fits_in_domain(remaining_, models_[m].size) && models_[m].work > 0) {
+      if (!replica_fits_in_domain(unreserved_domains_, models_[m].size) && models_[m].work > 0) {
         reserve_engines(m, desired_engines(m));
         others[m].work = 0;
         any_reserved = true;
       }
     }
-    fleet_layout layout = plan_layout(
-        remaining_, any_reserved ? others : std::vector(models_.begin(), models_.end()), settings_);
+    fleet_layout layout =
+        plan_layout(unreserved_domains_,
+                    any_reserved ? others : std::vector(models_.begin(), models_.end()), settings_);
     for (std::size_t d = 0; d < layout.size(); ++d) {
       for (std::size_t m = 0; m < models_.size(); ++m) {
         layout[d][m] += reserved_[d][m];
@@ -66,7 +67,7 @@
       time_of_all += model.work * model.size;
     }
     const std::uint32_t all = std::accumulate(
-        remaining_.begin(), remaining_.end(), 0U,
+        unreserved_domains_.begin(), unreserved_domains_.end(), 0U,
         [](std::uint32_t sum, const layout_domain& d) { return sum + engine_count(d); });
     const double replicas = models_[m].work / time_of_all * all / slowdown_;
     const std::uint32_t size = models_[m].size;
@@ -75,14 +76,14 @@
   }
 
   void reserve_engines(std::size_t m, std::uint32_t desired) {
-    std::vector<std::size_t> order(remaining_.size());
+    std::vector<std::size_t> order(unreserved_domains_.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-      return remaining_[a].ready[m] > remaining_[b].ready[m];
+      return unreserved_domains_[a].ready[m] > unreserved_domains_[b].ready[m];
     });
     for (const std::size_t d : order) {
-      const std::uint32_t taken = std::min(desired, engine_count(remaining_[d]));
-      take_from(remaining_[d], m, taken);
+      const std::uint32_t taken = std::min(desired, engine_count(unreserved_domains_[d]));
+      take_from(unreserved_domains_[d], m, taken);
       reserved_[d][m] += taken;
       desired -= taken;
     }
@@ -103,7 +104,8 @@
     }
   }
 
-  std::vector<layout_domain> remaining_;  // the domains with the engines that are not reserved
+  std::vector<layout_domain>
+      unreserved_domains_;  // the domains with the engines that are not reserved
   std::span<const layout_model> models_;
   double slowdown_;
   layout_settings settings_;
@@ -112,17 +114,17 @@
 
 }  // namespace
 
-bool fits_in_domain(std::span<const layout_domain> domains, std::uint32_t size) {
+bool replica_fits_in_domain(std::span<const layout_domain> domains, std::uint32_t size) {
   return std::any_of(domains.begin(), domains.end(), [size](const layout_domain& d) {
     return engine_count(d) >= size + size / members_per_margin_engine;
   });
 }
 
-fleet_layout plan_fleet(std::span<const layout_domain> domains,
-                        std::span<const layout_model> models, double slowdown,
-                        const layout_settings& settings) {
+fleet_layout plan_fleet_layout(std::span<const layout_domain> domains,
+                               std::span<const layout_model> models, double slowdown,
+                               const layout_settings& settings) {
   const bool all_fit = std::all_of(models.begin(), models.end(), [&](const layout_model& m) {
-    return fits_in_domain(domains, m.size);
+    return replica_fits_in_domain(domains, m.size);
   });
   return all_fit ? plan_layout(domains, models, settings)
                  : cross_domain_planner(domains, models, slowdown, settings).run();
--- a/src/process/cross_domain_layout.h
+++ b/src/process/cross_domain_layout.h
@@ -15,12 +15,13 @@
 // Plans the engines like plan_layout(), but first reserves engines for the models that no domain
 // can hold. `slowdown`: factor by which a cross-domain replica is slower, at least 1.
 // Deterministic.
-[[nodiscard]] fleet_layout plan_fleet(std::span<const layout_domain> domains,
-                                      std::span<const layout_model> models, double slowdown,
-                                      const layout_settings& settings = {});
+[[nodiscard]] fleet_layout plan_fleet_layout(std::span<const layout_domain> domains,
+                                             std::span<const layout_model> models, double slowdown,
+                                             const layout_settings& settings = {});
 
 // Whether some domain has enough engines for a replica of `size` engines and a margin for losses.
 // In a domain without a margin, any loss would end the replica and the plan would oscillate.
-[[nodiscard]] bool fits_in_domain(std::span<const layout_domain> domains, std::uint32_t size);
+[[nodiscard]] bool replica_fits_in_domain(std::span<const layout_domain> domains,
+                                          std::uint32_t size);
 
 }  // namespace arbutus
--- a/src/process/domain_layout.cpp
+++ b/src/process/domain_layout.cpp
@@ -12,8 +12,8 @@
 
 // Added to a model's replica count so that a model without replicas has a finite cost, higher than
 // that of any plan with a replica of each model.
-constexpr double min_replicas = 0.05;
-constexpr int max_rounds = 8;
+constexpr double replica_count_offset = 0.05;
+constexpr int max_search_rounds = 8;
 
 class layout_search {
  public:
@@ -25,13 +25,13 @@
     for (const layout_domain& domain : domains_) {
       layout_.push_back(initial_split(domain));
     }
-    replicas_.resize(domains_.size());
+    expected_replica_counts_.resize(domains_.size());
     for (std::size_t d = 0; d < domains_.size(); ++d) {
-      replicas_[d] = replicas_of(d, layout_[d]);
+      expected_replica_counts_[d] = replicas_of(d, layout_[d]);
     }
     initial_cost_ = cost();
     bool improved = true;
-    for (int round = 0; improved && round < max_rounds; ++round) {
+    for (int round = 0; improved && round < max_search_rounds; ++round) {
       improved = false;
       for (std::size_t d = 0; d < domains_.size(); ++d) {
         improved = improve_domain(d) || improved;
@@ -41,7 +41,7 @@
   }
 
  private:
-  using split = std::vector<std::uint32_t>;
+  using model_split = std::vector<std::uint32_t>;
 
   [[nodiscard]] std::uint32_t engines(std::size_t d) const {
     std::uint32_t sum = domains_[d].unloaded;
@@ -53,8 +53,8 @@
 
   // First layout of a domain: loaded engines keep their model, and engines without a model go to
   // the model with the most work.
-  [[nodiscard]] split initial_split(const layout_domain& domain) const {
-    split result = domain.ready;
+  [[nodiscard]] model_split initial_split(const layout_domain& domain) const {
+    model_split result = domain.ready;
     result.resize(models_.size(), 0);
     std::size_t heaviest = 0;
     for (std::size_t m = 1; m < models_.size(); ++m) {
@@ -64,17 +64,18 @@
     return result;
   }
 
-  [[nodiscard]] std::vector<double> replicas_of(std::size_t d, const split& s) const {
+  [[nodiscard]] std::vector<double> replicas_of(std::size_t d, const model_split& s) const {
     std::vector<double> result;
-    const std::uint32_t all = engines(d);
+    const std::uint32_t domain_engines = engines(d);
     for (std::size_t m = 0; m < models_.size(); ++m) {
-      result.push_back(replicas_after_losses(s[m], all, models_[m].size, settings_.losses));
+      result.push_back(
+          replicas_after_losses(s[m], domain_engines, models_[m].size, settings_.tolerated_losses));
     }
     return result;
   }
 
   // Number of engines of domain `d` that would have to switch to another model for layout `s`.
-  [[nodiscard]] double model_changes(std::size_t d, const split& s) const {
+  [[nodiscard]] double model_changes(std::size_t d, const model_split& s) const {
     double count = 0;
     for (std::size_t m = 0; m < models_.size(); ++m) {
       const std::uint32_t have = m < domains_[d].ready.size() ? domains_[d].ready[m] : 0;
@@ -89,8 +90,9 @@
                                            std::size_t excluded) const {
     double sum = 0;
     for (std::size_t m = 0; m < models_.size(); ++m) {
-      const double lost = excluded < replicas_.size() ? replicas_[excluded][m] : 0;
-      const double use = models_[m].work / (totals[m] - lost + min_replicas);
+      const double lost =
+          excluded < expected_replica_counts_.size() ? expected_replica_counts_[excluded][m] : 0;
+      const double use = models_[m].work / (totals[m] - lost + replica_count_offset);
       sum += models_[m].work * models_[m].size * use * use * use * use;
     }
     return sum;
@@ -98,32 +100,34 @@
 
   [[nodiscard]] double cost() const {
     std::vector<double> totals(models_.size(), 0);
-    for (const auto& of_domain : replicas_) {
+    for (const auto& of_domain : expected_replica_counts_) {
       for (std::size_t m = 0; m < models_.size(); ++m) {
         totals[m] += of_domain[m];
       }
     }
     double without_one = 0;
-    for (std::size_t d = 0; d < replicas_.size(); ++d) {
+    for (std::size_t d = 0; d < expected_replica_counts_.size(); ++d) {
       without_one += cost_without_domain(totals, d);
     }
-    without_one /= static_cast<double>(std::max<std::size_t>(replicas_.size(), 1));
-    return (1 - settings_.domain_loss_weight) * cost_without_domain(totals, replicas_.size()) +
+    without_one /= static_cast<double>(std::max<std::size_t>(expected_replica_counts_.size(), 1));
+    return (1 - settings_.domain_loss_weight) *
+               cost_without_domain(totals, expected_replica_counts_.size()) +
            settings_.domain_loss_weight * without_one;
   }
 
   bool improve_domain(std::size_t d) {
-    best_ = cost() + initial_cost_ * settings_.change_cost_weight * model_changes(d, layout_[d]);
+    best_cost_ =
+        cost() + initial_cost_ * settings_.change_cost_weight * model_changes(d, layout_[d]);
     best_split_ = layout_[d];
-    const split before = layout_[d];
-    split trial(models_.size(), 0);
+    const model_split before = layout_[d];
+    model_split trial(models_.size(), 0);
     try_model(d, 0, engines(d), trial);
     layout_[d] = best_split_;
-    replicas_[d] = replicas_of(d, best_split_);
+    expected_replica_counts_[d] = replicas_of(d, best_split_);
     return best_split_ != before;
   }
 
-  void try_model(std::size_t d, std::size_t model, std::uint32_t remaining, split& trial) {
+  void try_model(std::size_t d, std::size_t model, std::uint32_t remaining, model_split& trial) {
     if (model + 1 == models_.size()) {
       trial[model] = remaining;
       evaluate(d, trial);
@@ -135,13 +139,13 @@
     }
   }
 
-  void evaluate(std::size_t d, const split& trial) {
-    replicas_[d] = replicas_of(d, trial);
+  void evaluate(std::size_t d, const model_split& trial) {
+    expected_replica_counts_[d] = replicas_of(d, trial);
     const double c =
         cost() + initial_cost_ * settings_.change_cost_weight * model_changes(d, trial);
     constexpr double min_improvement = 1e-6;  // as a fraction of the cost
-    if (c < best_ * (1 - min_improvement)) {
-      best_ = c;
+    if (c < best_cost_ * (1 - min_improvement)) {
+      best_cost_ = c;
       best_split_ = trial;
     }
   }
@@ -151,34 +155,34 @@
   layout_settings settings_;
   fleet_layout layout_;
   // Expected number of replicas after losses, by domain and model.
-  std::vector<std::vector<double>> replicas_;
+  std::vector<std::vector<double>> expected_replica_counts_;
   double initial_cost_ = 0;
-  double best_ = 0;
-  split best_split_;
+  double best_cost_ = 0;
+  model_split best_split_;
 };
 
 // Expected number of replicas of `size` engines that the engines of a model form when `lost` of the
 // domain's engines fail. The number of failures among the model's engines is hypergeometric.
-double expected_replicas(std::uint32_t own, std::uint32_t all, std::uint32_t size,
-                         std::uint32_t lost) {
+double expected_replicas(std::uint32_t model_engines, std::uint32_t domain_engines,
+                         std::uint32_t size, std::uint32_t lost) {
   double sum = 0;
   // Sum over the possible numbers of failed engines of the model: probability x replicas.
-  const std::uint32_t others = all - own;
-  for (std::uint32_t own_lost = lost > others ? lost - others : 0; own_lost <= std::min(own, lost);
-       ++own_lost) {
+  const std::uint32_t others = domain_engines - model_engines;
+  for (std::uint32_t model_engines_lost = lost > others ? lost - others : 0;
+       model_engines_lost <= std::min(model_engines, lost); ++model_engines_lost) {
     double chance = 1;
-    // The probability is C(own, own_lost) * C(others, lost - own_lost) / C(all, lost), computed as
-    // a product of small factors.
-    for (std::uint32_t i = 0; i < own_lost; ++i) {
-      chance *= static_cast<double>(own - i) / (i + 1);
+    // The probability is C(model_engines, model_engines_lost) * C(others, lost -
+    // model_engines_lost) / C(domain_engines, lost), computed as a product of small factors.
+    for (std::uint32_t i = 0; i < model_engines_lost; ++i) {
+      chance *= static_cast<double>(model_engines - i) / (i + 1);
     }
-    for (std::uint32_t i = 0; i < lost - own_lost; ++i) {
+    for (std::uint32_t i = 0; i < lost - model_engines_lost; ++i) {
       chance *= static_cast<double>(others - i) / (i + 1);
     }
     for (std::uint32_t i = 0; i < lost; ++i) {
-      chance *= static_cast<double>(i + 1) / (all - i);
+      chance *= static_cast<double>(i + 1) / (domain_engines - i);
     }
-    const std::uint32_t formed = (own - own_lost) / size;
+    const std::uint32_t formed = (model_engines - model_engines_lost) / size;
     sum += chance * formed;
   }
   return sum;
@@ -186,14 +190,14 @@
 
 }  // namespace
 
-double replicas_after_losses(std::uint32_t own, std::uint32_t all, std::uint32_t size,
-                             std::uint32_t losses) {
-  if (own < size || all == 0) {
+double replicas_after_losses(std::uint32_t model_engines, std::uint32_t domain_engines,
+                             std::uint32_t size, std::uint32_t losses) {
+  if (model_engines < size || domain_engines == 0) {
     return 0;
   }
   double sum = 0;
   for (std::uint32_t lost = 0; lost <= losses; ++lost) {
-    sum += expected_replicas(own, all, size, std::min(lost, all));
+    sum += expected_replicas(model_engines, domain_engines, size, std::min(lost, domain_engines));
   }
   return sum / (losses + 1);
 }
--- a/src/process/domain_layout.h
+++ b/src/process/domain_layout.h
@@ -32,7 +32,7 @@
   // Number of engines of a domain that may be lost before replacements serve. If 20 of 54 engines
   // fail within 30 s and a replacement takes 12 to 16 s to load, about a third of a domain is
   // unavailable.
-  std::uint32_t losses = 3;
+  std::uint32_t tolerated_losses = 3;
   // Weight, in the cost of a layout, of the cost that remains after the loss of one whole domain
   // (averaged over the domains). A whole domain can be down for 7 to 8 s out of 34 s.
   double domain_loss_weight = 0.25;
@@ -58,7 +58,8 @@
 // replica, and two losses do in 9 of 14 cases. Using the expected number of engines would rate
 // mixed domains at zero, and the layout would fill domains with 7 engines of one model of size 4, 3
 // of them idle.
-[[nodiscard]] double replicas_after_losses(std::uint32_t own, std::uint32_t all, std::uint32_t size,
+[[nodiscard]] double replicas_after_losses(std::uint32_t model_engines,
+                                           std::uint32_t domain_engines, std::uint32_t size,
                                            std::uint32_t losses);
 
 }  // namespace arbutus
--- a/src/process/drain_tracker.cpp
+++ b/src/process/drain_tracker.cpp
@@ -25,7 +25,8 @@
   });
   for (const replica_plan& replica : row.replicas) {
     if (replica.phase == replica_phase::draining) {
-      drains_.try_emplace(replica.id, drain{.since = row.version, .acknowledged_at = {}});
+      drains_.try_emplace(replica.id,
+                          drain{.draining_since_version = row.version, .acknowledged_at = {}});
     }
   }
 }
@@ -34,7 +35,8 @@
                                                   const drain_context& context) const {
   std::vector<node_id> found;
   for (const node_id& node : context.nodes) {
-    if (context.acknowledged_version(node) < d.since || context.has_requests(node, id)) {
+    if (context.acknowledged_version_of(node) < d.draining_since_version ||
+        context.node_has_requests(node, id)) {
       found.push_back(node);
     }
   }
@@ -49,15 +51,16 @@
     if (replica == nullptr) {
       continue;
     }
-    if (context.acknowledged < d.since || !pending_nodes(id, d, context).empty()) {
+    if (context.min_acknowledged_version < d.draining_since_version ||
+        !pending_nodes(id, d, context).empty()) {
       d.acknowledged_at.reset();
       continue;
     }
     const time_point since = d.acknowledged_at.value_or(now);
     d.acknowledged_at = since;
-    const auto members = context.in_force(*replica).members;
+    const auto members = context.composition_in_force(*replica).members;
     const auto is_empty = [&context, since, name = replica->id](const vm_id& vm) {
-      return context.lost(vm) || empty_since(context.latest_observation(vm), name, since);
+      return context.is_lost(vm) || empty_since(context.latest_observation_of(vm), name, since);
     };
     const bool empty = std::all_of(members.begin(), members.end(), is_empty);
     if (empty) {
@@ -75,8 +78,8 @@
       continue;
     }
     drain_status s{.id = id, .waiting_for = pending_nodes(id, d, context), .running = 0};
-    for (const vm_id& vm : context.in_force(*replica).members) {
-      const observation* seen = context.latest_observation(vm);
+    for (const vm_id& vm : context.composition_in_force(*replica).members) {
+      const observation* seen = context.latest_observation_of(vm);
       s.running += seen != nullptr ? seen->report.running + seen->report.queued : 0;
     }
     result.push_back(std::move(s));
--- a/src/process/drain_tracker.h
+++ b/src/process/drain_tracker.h
@@ -24,15 +24,15 @@
 
 struct drain_context {
   const assignment& row;
-  std::uint64_t acknowledged{};  // row version that all of `nodes` have acknowledged
-  std::vector<node_id> nodes;    // nodes whose right to act has not expired, this one included
+  std::uint64_t min_acknowledged_version{};  // row version that all of `nodes` have acknowledged
+  std::vector<node_id> nodes;  // nodes whose right to act has not expired, this one included
   std::function<std::uint64_t(const node_id&)>
-      acknowledged_version;  // newest row version that the node has acknowledged
+      acknowledged_version_of;  // newest row version that the node has acknowledged
   // Whether the node has requests at the replica, as the node last reported.
-  std::function<bool(const node_id&, const replica_id&)> has_requests;
-  std::function<composition(const replica_plan&)> in_force;
-  std::function<const observation*(const vm_id&)> latest_observation;  // of the VM; null: none
-  std::function<bool(const vm_id&)> lost;  // whether the VM is lost and so runs no request
+  std::function<bool(const node_id&, const replica_id&)> node_has_requests;
+  std::function<composition(const replica_plan&)> composition_in_force;
+  std::function<const observation*(const vm_id&)> latest_observation_of;  // of the VM; null: none
+  std::function<bool(const vm_id&)> is_lost;  // whether the VM is lost and so runs no request
 };
 
 class drain_tracker {
@@ -46,7 +46,8 @@
 
  private:
   struct drain {
-    std::uint64_t since{};  // the first row version known to have the replica draining
+    std::uint64_t
+        draining_since_version{};  // the first row version known to have the replica draining
     // Since when all nodes have acknowledged the draining row and have no request at the replica.
     std::optional<time_point> acknowledged_at;
   };
--- a/src/process/effects.h
+++ b/src/process/effects.h
@@ -129,12 +129,12 @@
   outcome<std::vector<vm_list_entry>> result;
 };
 // The request path reports that a connection to this target broke or was refused.
-struct target_error {
+struct target_connection_error {
   vm_id vm;
 };
 
 using input =
     std::variant<table_read_result, table_write_result, object_get_result, object_put_result,
-                 probe_result, order_result, peer_message, vm_list_result, target_error>;
+                 probe_result, order_result, peer_message, vm_list_result, target_connection_error>;
 
 }  // namespace arbutus
--- a/src/process/engine_wire.cpp
+++ b/src/process/engine_wire.cpp
@@ -60,7 +60,7 @@
 
 std::string encode(const engine_report& r) {
   json j = {{"vm", r.vm.str()},       {"inc", r.incarnation},
-            {"rep", r.replica.str()}, {"gen", to_string(r.gen)},
+            {"rep", r.replica.str()}, {"gen", to_string(r.fencing_generation)},
             {"ver", r.model_version}, {"st", static_cast<unsigned>(r.state)},
             {"run", r.running},       {"q", r.queued},
             {"slots", r.slots},       {"tps", r.tokens_per_second},
@@ -77,7 +77,7 @@
     r.vm = vm_id{j.at("vm").get<std::string>()};
     r.incarnation = decode_integer<std::uint64_t>(j.at("inc"));
     r.replica = replica_id{j.at("rep").get<std::string>()};
-    r.gen = decode_generation(j.at("gen"));
+    r.fencing_generation = decode_generation(j.at("gen"));
     r.model_version = j.at("ver").get<std::string>();
     r.state = decode_enum(j.at("st"), engine_state::failed);
     r.running = decode_integer<std::uint32_t>(j.at("run"));
@@ -98,7 +98,7 @@
   return json{{"kind", static_cast<unsigned>(o.kind)},
               {"vm", o.vm.str()},
               {"rep", o.target.replica.str()},
-              {"gen", to_string(o.target.gen)},
+              {"gen", to_string(o.target.fencing_generation)},
               {"members", members},
               {"model", o.model.str()},
               {"ver", o.model_version},
@@ -113,7 +113,7 @@
     o.kind = decode_enum(j.at("kind"), order_kind::drain);
     o.vm = vm_id{j.at("vm").get<std::string>()};
     o.target.replica = replica_id{j.at("rep").get<std::string>()};
-    o.target.gen = decode_generation(j.at("gen"));
+    o.target.fencing_generation = decode_generation(j.at("gen"));
     for (const json& member : j.at("members")) {
       o.target.members.emplace_back(member.get<std::string>());
     }
--- a/src/process/failure_schedule.cpp
+++ b/src/process/failure_schedule.cpp
@@ -61,20 +61,20 @@
   });
   generate_arrivals(s.vm_restarts_per_day, random, [&](time_point at) {
     vm_outage_window o = random_outage(s, random, at);
-    o.end = at + s.restart;
-    o.notice = s.restart_notice;
+    o.end = at + s.restart_duration;
+    o.notice = s.restart_notice_period;
     schedule.outages.push_back(o);
   });
   for (std::uint32_t i = 0; i < s.domain_outages; ++i) {
     add_domain_outage(s, random, schedule);
   }
   for (std::uint32_t i = 0; i < s.table_outages; ++i) {
-    const time_point begin = random_begin(random, s.table_outage);
-    schedule.unwritable.push_back({begin, begin + s.table_outage});
+    const time_point begin = random_begin(random, s.table_outage_duration);
+    schedule.table_outage_spans.push_back({begin, begin + s.table_outage_duration});
   }
   for (std::uint32_t i = 0; i < s.network_partitions; ++i) {
     const time_point begin = random_begin(random, s.partition_duration);
-    schedule.unwritable.push_back({begin, begin + s.partition_duration});
+    schedule.table_outage_spans.push_back({begin, begin + s.partition_duration});
   }
   std::ranges::stable_sort(schedule.outages, {}, &vm_outage_window::begin);
   return schedule;
--- a/src/process/failure_schedule.h
+++ b/src/process/failure_schedule.h
@@ -15,8 +15,8 @@
   std::uint32_t index{};  // of the VM within its fabric domain
   time_point begin;
   time_point end;
-  duration notice{};         // announced this long before `begin`; zero: unannounced
-  bool with_domain = false;  // the whole fabric domain fails
+  duration notice{};                // announced this long before `begin`; zero: unannounced
+  bool whole_domain_fails = false;  // the whole fabric domain fails
 };
 
 struct time_span {
@@ -26,8 +26,8 @@
 };
 
 struct failure_schedule {
-  std::vector<vm_outage_window> outages;  // sorted by begin
-  std::vector<time_span> unwritable;      // times at which the table cannot be reached
+  std::vector<vm_outage_window> outages;      // sorted by begin
+  std::vector<time_span> table_outage_spans;  // times at which the table cannot be reached
 };
 
 inline constexpr duration simulation_length = 24h;
