--- a/src/process/failure_simulation.cpp
+++ b/src/process/failure_simulation.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-constexpr duration step = 500ms;
+constexpr duration simulation_step = 500ms;
 constexpr duration unwritable_retry_interval = 5s;
 // Share of the nodes that are dead or paused but still count as live: normally (20 pauses of 10 s
 // per node and day), and right after a domain failed together with a fifth of the nodes.
 constexpr double normal_absent_fraction = 0.002;
 constexpr double absent_fraction_after_domain_loss = 0.2;
-constexpr int seeds = 40;
+constexpr int seed_count = 40;
 
 // One run of the simulation. Only one row write is in progress at a time; changes that are detected
 // during a write go into the next row.
@@ -29,7 +29,7 @@
       : settings_(settings), data_centre_(settings, seed), random_(seed + 1) {}
 
   failure_simulation_result run() {
-    for (time_point now{}; now < time_point{simulation_length}; now += step) {
+    for (time_point now{}; now < time_point{simulation_length}; now += simulation_step) {
       run_step(now);
     }
     if (settings_.writer == writer_selection::leased) {
@@ -41,7 +41,7 @@
  private:
   void run_step(time_point now) {
     dirty_ = data_centre_.advance(now) || dirty_;
-    if (!data_centre_.writable()) {
+    if (!data_centre_.is_table_writable()) {
       lease_expired_ = true;
       proposal_.reset();
       result_.activations += dirty_ ? data_centre_.activate_standbys() : 0;
@@ -71,10 +71,10 @@
         simulate_write({settings_.writer, settings_.nodes, absent, lease_expired_}, random_);
     lease_expired_ = false;
     proposal_ = std::move(next.next);
-    written_at_ = now + timing.delay;
-    result_.wasted_writes += timing.wasted;
+    written_at_ = now + timing.write_delay;
+    result_.wasted_writes += timing.wasted_writes;
     result_.lease_writes += timing.lease_writes;
-    result_.seconds_to_write.push_back(to_seconds(timing.delay));
+    result_.row_write_delays_s.push_back(to_seconds(timing.write_delay));
   }
 
   void finish_write(time_point now) {
@@ -92,9 +92,9 @@
     const std::uint32_t unserved =
         data_centre_.desired() - std::min(data_centre_.desired(), serving);
     const std::uint32_t working = serving * settings_.vms_per_replica;
-    result_.group_downtime += to_seconds(step) * unserved;
+    result_.group_downtime += to_seconds(simulation_step) * unserved;
     result_.stranded_accelerators +=
-        to_seconds(step) * (data_centre_.powered_accelerators() - working);
+        to_seconds(simulation_step) * (data_centre_.powered_accelerators() - working);
   }
 
   failure_simulation_settings settings_;
@@ -111,12 +111,12 @@
 
 struct totals {
   failure_simulation_result sum;
-  std::vector<double> seconds_to_write;
+  std::vector<double> row_write_delays_s;
 };
 
 totals run_all_seeds(const failure_simulation_settings& settings) {
   totals t;
-  for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
+  for (std::uint64_t seed = 1; seed <= seed_count; ++seed) {
     const failure_simulation_result r = run_failure_simulation(settings, seed);
     t.sum.group_downtime += r.group_downtime;
     t.sum.stranded_accelerators += r.stranded_accelerators;
@@ -124,10 +124,10 @@
     t.sum.wasted_writes += r.wasted_writes;
     t.sum.lease_writes += r.lease_writes;
     t.sum.activations += r.activations;
-    t.seconds_to_write.insert(t.seconds_to_write.end(), r.seconds_to_write.begin(),
-                              r.seconds_to_write.end());
+    t.row_write_delays_s.insert(t.row_write_delays_s.end(), r.row_write_delays_s.begin(),
+                                r.row_write_delays_s.end());
   }
-  std::ranges::sort(t.seconds_to_write);
+  std::ranges::sort(t.row_write_delays_s);
   return t;
 }
 
@@ -143,21 +143,21 @@
 double cost(const failure_simulation_settings& s, const totals& t, const weights& w) {
   return (w.group_downtime * t.sum.group_downtime * s.vms_per_replica +
           w.stranded_accelerators * t.sum.stranded_accelerators) /
-         3600 / seeds;
+         3600 / seed_count;
 }
 
 void print_row(std::ostream& out, const std::string& name, const failure_simulation_settings& s) {
   const totals t = run_all_seeds(s);
   out << std::left << std::setw(26) << name << std::right << std::fixed << std::setprecision(0)
-      << std::setw(10) << t.sum.group_downtime / seeds << std::setw(10)
-      << t.sum.stranded_accelerators / 3600 / seeds << std::setw(10) << cost(s, t, {4, 1})
+      << std::setw(10) << t.sum.group_downtime / seed_count << std::setw(10)
+      << t.sum.stranded_accelerators / 3600 / seed_count << std::setw(10) << cost(s, t, {4, 1})
       << std::setw(10) << cost(s, t, {1, 4}) << std::setprecision(1) << std::setw(8)
-      << static_cast<double>(t.sum.rows_written) / seeds << std::setw(8)
-      << static_cast<double>(t.sum.wasted_writes) / seeds << std::setw(9)
-      << static_cast<double>(t.sum.lease_writes) / seeds << std::setw(8)
-      << static_cast<double>(t.sum.activations) / seeds << std::setprecision(2) << std::setw(8)
-      << quantile(t.seconds_to_write, 0.5) << std::setw(8) << quantile(t.seconds_to_write, 0.99)
-      << std::setw(8) << quantile(t.seconds_to_write, 1.0) << '\n';
+      << static_cast<double>(t.sum.rows_written) / seed_count << std::setw(8)
+      << static_cast<double>(t.sum.wasted_writes) / seed_count << std::setw(9)
+      << static_cast<double>(t.sum.lease_writes) / seed_count << std::setw(8)
+      << static_cast<double>(t.sum.activations) / seed_count << std::setprecision(2) << std::setw(8)
+      << quantile(t.row_write_delays_s, 0.5) << std::setw(8) << quantile(t.row_write_delays_s, 0.99)
+      << std::setw(8) << quantile(t.row_write_delays_s, 1.0) << '\n';
 }
 
 struct policy_row {
@@ -199,7 +199,7 @@
 }
 
 void print_failure_simulation(std::ostream& out) {
-  out << "One data centre, mean of " << seeds << " days. down: replica-seconds not served; "
+  out << "One data centre, mean of " << seed_count << " days. down: replica-seconds not served; "
       << "strand: accelerator-hours\npowered and not working; cost 4:1 and 1:4: downtime weighted "
       << "against stranding, in accelerator-hours;\np50, p99, worst: seconds from the detection of "
       << "a change to the writing of its row, without\ntime when the table could not be written. "
--- a/src/process/failure_simulation.h
+++ b/src/process/failure_simulation.h
@@ -34,12 +34,12 @@
   double vm_failures_per_day = 29.0 / 16;
   double vm_restarts_per_day = 160.0 / 16;
   double vm_repair_hours = 4.0;
-  duration restart = 10min;
-  duration restart_notice = 2min;  // the platform lists the VM as leaving this long before
+  duration restart_duration = 10min;
+  duration restart_notice_period = 2min;  // the platform lists the VM as leaving this long before
   std::uint32_t domain_outages = 1;
   duration domain_outage_duration = 1h;
   std::uint32_t table_outages = 1;  // in which the row can be neither read nor written
-  duration table_outage = 1h;
+  duration table_outage_duration = 1h;
   std::uint32_t network_partitions =
       1;  // the data centre reaches nothing outside, including the table
   duration partition_duration = 1h;
@@ -58,7 +58,7 @@
   std::uint32_t activations = 0;    // standbys activated while the table was unavailable
   // One entry per change: seconds from its detection until the row with it is written, not counting
   // the time when the table could not be written.
-  std::vector<double> seconds_to_write;
+  std::vector<double> row_write_delays_s;
 };
 
 // Deterministic: equal settings and an equal seed give an equal result.
--- a/src/process/feed_log.h
+++ b/src/process/feed_log.h
@@ -29,7 +29,7 @@
   // Stores a row received from the feed or by a read of the whole table, unless a newer version of
   // it is stored already.
   void apply(const feed_row& row) {
-    feed_row& known = rows_[row.key];
+    feed_row& known = rows_by_key_[row.key];
     if (row.version >= known.version) {
       known = row;
     }
@@ -41,7 +41,7 @@
     for (const feed_row& row : rows) {
       present.insert(row.key);
     }
-    for (auto& [key, known] : rows_) {
+    for (auto& [key, known] : rows_by_key_) {
       if (!present.contains(key) && !known.removed) {
         known = {key, {}, position, true};
       }
@@ -50,15 +50,15 @@
       apply(row);
     }
     advance(position);
-    complete_from_ = position;
+    last_snapshot_position_ = position;
   }
 
   void advance(std::uint64_t position) { position_ = std::max(position_, position); }
   // Drops all rows and continues from a position up to which another node has the table.
   void resume_from(std::uint64_t position) {
-    rows_.clear();
+    rows_by_key_.clear();
     position_ = position;
-    complete_from_ = position + 1;
+    last_snapshot_position_ = position + 1;
   }
 
   // Position in the watched table up to which the log contains all changes.
@@ -72,7 +72,9 @@
 
   // Whether a node at position `after` needs all rows: removals before the last read of the whole
   // table may be missing from the log.
-  [[nodiscard]] bool needs_snapshot(std::uint64_t after) const { return after < complete_from_; }
+  [[nodiscard]] bool needs_snapshot(std::uint64_t after) const {
+    return after < last_snapshot_position_;
+  }
 
   // Rows changed after position `after`, oldest first; all rows if needs_snapshot(after).
   [[nodiscard]] std::vector<feed_row> since(std::uint64_t after) const {
@@ -81,7 +83,7 @@
       return result;
     }
     const bool whole = needs_snapshot(after);
-    for (const auto& [key, row] : rows_) {
+    for (const auto& [key, row] : rows_by_key_) {
       if (whole ? !row.removed : row.version > after) {
         result.push_back(row);
       }
@@ -92,9 +94,10 @@
   }
 
  private:
-  std::map<std::string, feed_row> rows_;  // removed rows stay, to be forwarded as removals
+  std::map<std::string, feed_row> rows_by_key_;  // removed rows stay, to be forwarded as removals
   std::uint64_t position_ = 0;
-  std::uint64_t complete_from_ = 1;  // position of the last read of the whole table; 1: none yet
+  std::uint64_t last_snapshot_position_ =
+      1;  // position of the last read of the whole table; 1: none yet
 };
 
 }  // namespace arbutus
--- a/src/process/fleet_sizes.cpp
+++ b/src/process/fleet_sizes.cpp
@@ -109,7 +109,7 @@
     replica.model_version = "2026-12-02";
     replica.members = take(vms_per_replica);
     replica.standbys = take(standbys_per_replica);
-    replica.gen.row = 12300;
+    replica.fencing_generation.row = 12300;
     row.replicas.push_back(std::move(replica));
   }
   return row;
@@ -120,7 +120,7 @@
   report.vm = vm_id{"dc-000-vm-10000"};
   report.incarnation = 1796239613280;
   report.replica = replica_id{"model-000.dc-000.12345.0"};
-  report.gen.row = 12300;
+  report.fencing_generation.row = 12300;
   report.model_version = "2026-12-02";
   report.state = engine_state::ready;
   report.running = 12;
@@ -209,7 +209,7 @@
 void print_messages(std::ostream& out, const fleet_size& size) {
   order form;
   form.vm = vm_id{"dc-000-vm-10000"};
-  form.target = planned(make_row(vms_per_replica + standbys_per_replica).replicas[0]);
+  form.target = planned_composition(make_row(vms_per_replica + standbys_per_replica).replicas[0]);
   form.model = model_id{"model-000"};
   form.model_version = "2026-12-02";
   out << "head " << encode(make_head()).size() << " bytes, report " << encode(make_report()).size()
--- a/src/process/fleet_view.cpp
+++ b/src/process/fleet_view.cpp
@@ -102,7 +102,7 @@
   if (row_version == 0) {
     return true;
   }
-  target_id& owner = owners_[record.address];
+  target_id& owner = address_owners_[record.address];
   if (!owner.empty() && owner != record.id) {
     const target_view* other = find(owner);
     const bool is_there = other != nullptr && other->record.address == record.address;
@@ -138,7 +138,7 @@
     return;
   }
   found->second.listed = false;
-  found->second.unlisted_at = now;
+  found->second.unlisted_since = now;
   ++revision_;
 }
 
@@ -251,7 +251,7 @@
   ++view.failed_probes;
   if (view.failed_probes >= probes_until_lost) {
     view.lost = true;
-    view.lost_at = now;
+    view.marked_lost_at = now;
     ++revision_;
   }
 }
@@ -267,7 +267,7 @@
 void fleet_view::apply_hub_losses(time_point now, const std::vector<target_id>& still_lost) {
   for (auto& [id, view] : targets_) {
     // A lost target that is also unlisted becomes reachable again only through a new record.
-    if (!view.lost || !view.listed || now - view.lost_at <= hub_loss_report_delay) {
+    if (!view.lost || !view.listed || now - view.marked_lost_at <= hub_loss_report_delay) {
       continue;
     }
     if (std::find(still_lost.begin(), still_lost.end(), id) == still_lost.end()) {
@@ -280,11 +280,12 @@
 
 void fleet_view::remove_expired(time_point now) {
   std::erase_if(targets_, [now](const auto& entry) {
-    return !entry.second.listed && now - entry.second.unlisted_at > unlisted_retention;
+    return !entry.second.listed && now - entry.second.unlisted_since > unlisted_retention;
   });
   std::erase_if(incarnations_by_engine_,
                 [this](const auto& entry) { return !targets_.contains(entry.second.current); });
-  std::erase_if(owners_, [this](const auto& entry) { return !targets_.contains(entry.second); });
+  std::erase_if(address_owners_,
+                [this](const auto& entry) { return !targets_.contains(entry.second); });
 }
 
 const target_view* fleet_view::find(const target_id& id) const {
--- a/src/process/fleet_view.h
+++ b/src/process/fleet_view.h
@@ -69,11 +69,11 @@
   bool ambiguous = false;       // the target's row and its answers differ, either may be newer
   std::uint64_t row_version{};  // of the target's newest row in the list
   bool listed = true;           // false: no longer in the list, kept because it may still run
-  time_point unlisted_at{};
+  time_point unlisted_since{};
   time_point incarnation_seen_at{};  // when this incarnation of the target was first observed
   std::uint32_t failed_probes = 0;   // number of consecutive probes without an answer
   bool lost = false;                 // the target does not answer; it receives no requests
-  time_point lost_at{};
+  time_point marked_lost_at{};
   double slowdown_factor = 1;  // above 1: the target is slower than expected
 };
 
@@ -174,7 +174,8 @@
 
   std::map<target_id, target_view> targets_;
   std::map<std::string, engine_incarnations, std::less<>> incarnations_by_engine_;
-  std::map<endpoint, target_id> owners_;  // of addresses, by the row with the highest version
+  std::map<endpoint, target_id>
+      address_owners_;  // of addresses, by the row with the highest version
   std::uint64_t revision_{1};
 };
 
--- a/src/process/freshness.cpp
+++ b/src/process/freshness.cpp
@@ -30,7 +30,7 @@
 
 void sent_log::sent(std::uint64_t sequence, time_point at) {
   entries_.push_back({sequence, at});
-  if (entries_.size() > depth) {
+  if (entries_.size() > max_sent_entries) {
     entries_.pop_front();
   }
 }
--- a/src/process/freshness.h
+++ b/src/process/freshness.h
@@ -21,7 +21,7 @@
   std::uint64_t incarnation{};  // of the sender's process; differs after every start
   std::uint64_t sequence{};     // of the messages from the sender to this peer, from 1
   std::uint64_t echo_of{};      // newest sequence received from this peer; 0: none yet
-  duration echo_held{};         // time since that message was received
+  duration echo_hold_time{};    // time since that message was received
   std::uint32_t echo_tag{};     // low bits of the incarnation that sent the echoed message
   auto operator<=>(const message_stamp&) const = default;
 };
@@ -46,7 +46,7 @@
  public:
   void sent(std::uint64_t sequence, time_point at);
   // When the message with this sequence was sent. Empty when there was none, or when it is older
-  // than the last `depth` messages.
+  // than the last `max_sent_entries` messages.
   [[nodiscard]] std::optional<time_point> sent_at(std::uint64_t sequence) const;
 
  private:
@@ -54,8 +54,8 @@
     std::uint64_t sequence;
     time_point at;
   };
-  std::deque<entry> entries_;  // by ascending sequence, at most `depth`
-  static constexpr std::size_t depth = 64;
+  std::deque<entry> entries_;  // by ascending sequence, at most `max_sent_entries`
+  static constexpr std::size_t max_sent_entries = 64;
 };
 
 }  // namespace arbutus
--- a/src/process/gossip.cpp
+++ b/src/process/gossip.cpp
@@ -28,7 +28,7 @@
 
 // Resolution of times on the wire: an age of up to a second takes one byte, a hold time two.
 constexpr duration age_step = 8ms;
-constexpr duration held_step = 4ms;
+constexpr duration hold_time_step = 4ms;
 // Maximum message size in bytes. Exceeds the largest configuration content; an inventory of the
 // planned size has some 100 KB.
 constexpr std::size_t max_message = std::size_t{16} << 20;
@@ -73,8 +73,8 @@
 }
 
 // A hold time of an echo in wire units. Rounded down: a message may appear older, but never newer.
-std::uint64_t held_steps(duration held) {
-  return static_cast<std::uint64_t>(std::max(held, duration::zero()) / held_step);
+std::uint64_t hold_time_steps(duration held) {
+  return static_cast<std::uint64_t>(std::max(held, duration::zero()) / hold_time_step);
 }
 
 // Decodes a duration that is encoded as a number of steps. A duration of more than a day is
@@ -96,17 +96,17 @@
   list.push_back(s.incarnation);
   list.push_back(s.sequence);
   list.push_back(s.echo_of);
-  list.push_back(held_steps(s.echo_held));
+  list.push_back(hold_time_steps(s.echo_hold_time));
   list.push_back(s.echo_tag);
 }
 constexpr std::size_t stamp_size = 5;
 
-message_stamp stamp_at(const json& list, std::size_t at) {
+message_stamp decode_stamp_at(const json& list, std::size_t at) {
   message_stamp s;
   s.incarnation = read_unsigned(list.at(at));
   s.sequence = read_unsigned(list.at(at + 1));
   s.echo_of = read_unsigned(list.at(at + 2));
-  s.echo_held = steps(list.at(at + 3), held_step);
+  s.echo_hold_time = steps(list.at(at + 3), hold_time_step);
   s.echo_tag = read_unsigned_as<std::uint32_t>(list.at(at + 4));
   return s;
 }
@@ -119,18 +119,18 @@
 
 generation decode_generation(const json& j) {
   return {read_unsigned(j.at(0)), read_unsigned_as<std::uint32_t>(j.at(1)),
-          read_unsigned_as<lost_mask>(j.at(2))};
+          read_unsigned_as<lost_vm_mask>(j.at(2))};
 }
 
 json encode_full(const observation_delta& d) {
   const engine_report& r = *d.report;
-  const target_load load = quantise(r);
+  const target_load load = quantise_load(r);
   return {d.slot,
           age_steps(d.age),
           r.vm.str(),
           r.incarnation,
           r.replica.str(),
-          encode_generation(r.gen),
+          encode_generation(r.fencing_generation),
           r.model_version,
           static_cast<unsigned>(r.state),
           r.leaving ? 1U : 0U,
@@ -141,7 +141,7 @@
           load.tokens_code};
 }
 
-target_load load_at(const json& list, std::size_t at) {
+target_load decode_load_at(const json& list, std::size_t at) {
   return {read_unsigned_as<std::uint8_t>(list.at(at)),
           read_unsigned_as<std::uint8_t>(list.at(at + 1)),
           read_unsigned_as<std::uint8_t>(list.at(at + 2)),
@@ -156,7 +156,7 @@
   r.vm = vm_id{j.at(2).get<std::string>()};
   r.incarnation = read_unsigned(j.at(3));
   r.replica = replica_id{j.at(4).get<std::string>()};
-  r.gen = decode_generation(j.at(5));
+  r.fencing_generation = decode_generation(j.at(5));
   r.model_version = j.at(6).get<std::string>();
   const std::uint64_t state = read_unsigned(j.at(7));
   if (state > static_cast<unsigned>(engine_state::failed)) {
@@ -165,7 +165,7 @@
   r.state = static_cast<engine_state>(state);
   r.leaving = read_unsigned(j.at(8)) != 0;
   r.slots = read_unsigned_as<std::uint32_t>(j.at(9));
-  apply(load_at(j, 10), r);
+  apply(decode_load_at(j, 10), r);
   d.report = std::move(r);
   return d;
 }
@@ -203,7 +203,7 @@
     observation_delta d;
     d.slot = read_unsigned_as<std::uint32_t>(list.at(i));
     d.age = steps(list.at(i + 1), age_step);
-    d.load = load_at(list, i + 2);
+    d.load = decode_load_at(list, i + 2);
     out.push_back(std::move(d));
   }
 }
@@ -222,13 +222,13 @@
   for (const vm_id& vm : c.members) {
     members.push_back(vm.str());
   }
-  return {c.replica.str(), encode_generation(c.gen), members};
+  return {c.replica.str(), encode_generation(c.fencing_generation), members};
 }
 
 composition decode_composition(const json& j) {
   composition c;
   c.replica = replica_id{j.at(0).get<std::string>()};
-  c.gen = decode_generation(j.at(1));
+  c.fencing_generation = decode_generation(j.at(1));
   for (const json& member : j.at(2)) {
     c.members.emplace_back(member.get<std::string>());
   }
@@ -319,7 +319,8 @@
   j.push_back(encode_list(h.usage, [](const workspace_usage& u) {
     return json{u.workspace.str(), hundredths(u.requests_per_second)};
   }));
-  j.push_back(encode_list(h.in_use, [](const replica_id& r) { return json(r.str()); }));
+  j.push_back(
+      encode_list(h.draining_replicas_in_use, [](const replica_id& r) { return json(r.str()); }));
   const auto empty = [](const json& part) {
     return part.is_string() ? part.get_ref<const std::string&>().empty()
                             : part.is_array() && part.empty();
@@ -333,7 +334,7 @@
 heartbeat heartbeat_from(const json& j, const node_id& from) {
   heartbeat h;
   h.from = from;
-  h.stamp = stamp_at(j, 1);
+  h.stamp = decode_stamp_at(j, 1);
   h.config_version = read_unsigned(j.at(config_version_field));
   h.assignment_version = read_unsigned(j.at(assignment_version_field));
   const std::uint64_t flags = read_unsigned(j.at(flags_field));
@@ -358,7 +359,7 @@
     return workspace_usage{workspace_id{u.at(0).get<std::string>()},
                            static_cast<double>(read_unsigned(u.at(1))) / 100.0};
   });
-  h.in_use = decode_list<replica_id>(
+  h.draining_replicas_in_use = decode_list<replica_id>(
       j, in_use_field, [](const json& r) { return replica_id{r.get<std::string>()}; });
   return h;
 }
@@ -366,7 +367,7 @@
 json to_json(const config_request& r) {
   json j = start(kind::config_request);
   j.push_back(r.hash);
-  j.push_back(r.have);
+  j.push_back(r.requester_hash);
   return j;
 }
 
@@ -379,9 +380,9 @@
   j.push_back(c.head.version);
   j.push_back(c.head.hash);
   j.push_back(encode_list(c.head.proposals, [](const proposal_id& p) { return json(p.str()); }));
-  j.push_back(c.base);
-  j.push_back(c.prefix);
-  j.push_back(c.suffix);
+  j.push_back(c.base_hash);
+  j.push_back(c.prefix_bytes);
+  j.push_back(c.suffix_bytes);
   j.push_back(to_binary(c.middle));
   return j;
 }
@@ -392,9 +393,9 @@
   c.head.hash = j.at(2).get<std::string>();
   c.head.proposals = decode_list<proposal_id>(
       j, 3, [](const json& p) { return proposal_id{p.get<std::string>()}; });
-  c.base = j.at(4).get<std::string>();
-  c.prefix = read_unsigned(j.at(5));
-  c.suffix = read_unsigned(j.at(6));
+  c.base_hash = j.at(4).get<std::string>();
+  c.prefix_bytes = read_unsigned(j.at(5));
+  c.suffix_bytes = read_unsigned(j.at(6));
   c.middle = from_binary(j.at(7));
   return c;
 }
@@ -413,7 +414,7 @@
 }
 
 lost_notice lost_notice_from(const json& j) {
-  return {stamp_at(j, 1), decode_failure(j.at(first))};
+  return {decode_stamp_at(j, 1), decode_failure(j.at(first))};
 }
 
 json to_json(const leaving_notice& n) {
@@ -439,7 +440,7 @@
 
 summary summary_from(const json& j) {
   summary s;
-  s.stamp = stamp_at(j, 1);
+  s.stamp = decode_stamp_at(j, 1);
   s.data_centre = data_centre_id{j.at(first).get<std::string>()};
   s.config_version = read_unsigned(j.at(first + 1));
   s.config_hash = j.at(first + 2).get<std::string>();
--- a/src/process/gossip.h
+++ b/src/process/gossip.h
@@ -67,14 +67,15 @@
   std::vector<probe_failure> failures;
   std::vector<composition> activations;
   std::vector<workspace_usage> usage;
-  std::vector<replica_id> in_use;  // draining replicas at which the sender still has requests
+  std::vector<replica_id>
+      draining_replicas_in_use;  // draining replicas at which the sender still has requests
   auto operator<=>(const heartbeat&) const = default;
 };
 
 // Requests content by its hash; the response may be a delta against content the requester has.
 struct config_request {
   std::string hash;
-  std::string have;  // hash of the content that the requester has; empty: none
+  std::string requester_hash;  // hash of the content that the requester has; empty: none
   auto operator<=>(const config_request&) const = default;
 };
 
@@ -82,9 +83,9 @@
 // change usually affects a few bytes of an inventory of more than 100 KB.
 struct config_content {
   config_head head;
-  std::string base;  // hash of the base content; empty: `middle` is the complete content
-  std::uint64_t prefix{};
-  std::uint64_t suffix{};
+  std::string base_hash;  // hash of the base content; empty: `middle` is the complete content
+  std::uint64_t prefix_bytes{};
+  std::uint64_t suffix_bytes{};
   std::string middle;
   auto operator<=>(const config_content&) const = default;
 };
--- a/src/process/hosted_settings.cpp
+++ b/src/process/hosted_settings.cpp
@@ -51,10 +51,10 @@
     if (!table) {
       return;
     }
-    table->read("callers", settings_.listen.callers, presence::required);
-    table->read("ready", settings_.listen.ready, presence::required);
-    table->read("links", settings_.listen.links, presence::required);
-    table->read("metrics", settings_.listen.metrics, presence::required);
+    table->read("callers", settings_.listen.caller_endpoint, presence::required);
+    table->read("ready", settings_.listen.readiness_endpoint, presence::required);
+    table->read("links", settings_.listen.link_endpoint, presence::required);
+    table->read("metrics", settings_.listen.metrics_endpoint, presence::required);
     table->finish();
   }
 
@@ -65,12 +65,12 @@
     }
     hosted_bounds& bounds = settings_.bounds;
     const auto optional = presence::optional;
-    table->read_ms("key_withdrawal_ms", bounds.key_withdrawal, optional, bound_ms);
-    table->read_ms("configuration_ms", bounds.configuration, optional, bound_ms);
-    table->read_ms("drain_ms", bounds.drain, optional, bound_ms);
-    table->read_ms("stall_ms", bounds.stall, optional, bound_ms);
+    table->read_ms("key_withdrawal_ms", bounds.key_withdrawal_limit, optional, bound_ms);
+    table->read_ms("configuration_ms", bounds.configuration_limit, optional, bound_ms);
+    table->read_ms("drain_ms", bounds.drain_limit, optional, bound_ms);
+    table->read_ms("stall_ms", bounds.stall_limit, optional, bound_ms);
     table->read_ms("target_heartbeat_ms", bounds.target_heartbeat, optional, bound_ms);
-    read_seconds(*table, "grace_s", bounds.grace);
+    read_seconds(*table, "grace_s", bounds.shutdown_grace);
     read_seconds(*table, "retry_window_s", bounds.retry_window);
     table->read("retry_ratio", bounds.retry_ratio, optional, real_range{0, 10, false});
     table->read("retry_burst", bounds.retry_burst, optional, real_range{0, 1e6, false});
@@ -103,7 +103,7 @@
     if (!table) {
       return;
     }
-    read_log_volume(*table, settings_.log);
+    read_log_level_and_rate(*table, settings_.log);
     table->finish();
   }
 
--- a/src/process/hosted_settings.h
+++ b/src/process/hosted_settings.h
@@ -17,18 +17,20 @@
 namespace arbutus {
 
 struct hosted_listen {
-  endpoint callers;
-  endpoint ready;    // polled by the load balancer, which sends connections only to ready nodes
-  endpoint links;    // for connections from other nodes
-  endpoint metrics;  // metrics in the Prometheus text format, for monitoring
+  endpoint caller_endpoint;
+  endpoint readiness_endpoint;  // polled by the load balancer, which sends connections only to
+                                // ready nodes
+  endpoint link_endpoint;       // for connections from other nodes
+  endpoint metrics_endpoint;    // metrics in the Prometheus text format, for monitoring
 };
 
 struct hosted_bounds {
-  duration key_withdrawal = 5s;  // after this no node accepts a withdrawn API key
-  duration configuration = 3s;   // after this an accepted configuration is in force at every node
-  duration drain = 2s;           // after this a leaving target gets no new requests
-  duration grace = 8s;           // from SIGTERM until the platform kills the node's process
-  duration stall = 4s;           // after this an engine whose replica lost a member gives up
+  duration key_withdrawal_limit = 5s;  // after this no node accepts a withdrawn API key
+  duration configuration_limit =
+      3s;                        // after this an accepted configuration is in force at every node
+  duration drain_limit = 2s;     // after this a leaving target gets no new requests
+  duration shutdown_grace = 8s;  // from SIGTERM until the platform kills the node's process
+  duration stall_limit = 4s;     // after this an engine whose replica lost a member gives up
   double retry_ratio = 0.2;      // retries per request, over all nodes
   double retry_burst = 100;      // retries allowed in each retry window besides retry_ratio
   duration retry_window = 10s;
--- a/src/process/lost_target_reports.h
+++ b/src/process/lost_target_reports.h
@@ -54,7 +54,7 @@
 
   // How long a peer's report is used. Three heartbeat intervals: one heartbeat may be late, and a
   // peer that has ended does not revoke its report.
-  static constexpr duration retention = 600ms;
+  static constexpr duration report_retention = 600ms;
 
  private:
   struct lost_report {
@@ -64,7 +64,7 @@
   };
 
   [[nodiscard]] static bool is_fresh(time_point now, const lost_report& report) {
-    return now - report.at < retention;
+    return now - report.at < report_retention;
   }
 
   std::map<node_id, lost_report> reports_;
--- a/src/process/membership.cpp
+++ b/src/process/membership.cpp
@@ -60,11 +60,11 @@
       continue;
     }
     peer& p = kept[node];
-    p.known_since = p.composed_at = p.received_at = now;
+    p.peer_since = p.composed_at = p.received_at = now;
     p.next_heartbeat = now;
   }
   peers_ = std::move(kept);
-  choice_.reset();
+  probe_choice_.reset();
 }
 
 // Detects pauses of this process. After one, no message of any peer is recent, which does not mean
@@ -85,9 +85,10 @@
     if (p.dead || unresponsive_time(p, now) <= timing_.peer_dead_after) {
       continue;
     }
-    const double age = to_seconds(now - p.deaths_at) / to_seconds(timing_.damping_half_life);
-    p.deaths = p.deaths * std::exp2(-age) + 1.0;
-    p.deaths_at = now;
+    const double age =
+        to_seconds(now - p.deaths_decayed_at) / to_seconds(timing_.flap_damping_half_life);
+    p.recent_deaths = p.recent_deaths * std::exp2(-age) + 1.0;
+    p.deaths_decayed_at = now;
     p.dead = true;
   }
 }
@@ -103,13 +104,13 @@
 
 // ---- sending heartbeats ----
 
-std::vector<node_id> membership::due(time_point now) {
+std::vector<node_id> membership::due_peers(time_point now) {
   std::vector<node_id> peers;
   for (auto& [id, p] : peers_) {
     if (p.next_heartbeat > now) {
       continue;
     }
-    p.next_heartbeat = now + interval_to(id);
+    p.next_heartbeat = now + heartbeat_interval_to(id);
     p.last_heartbeat = now;
     peers.push_back(id);
   }
@@ -119,7 +120,7 @@
 // Of two nodes, the first by id sends first and the other responds immediately, so that its
 // heartbeat carries the TCP acknowledgement, which otherwise takes a packet of its own. The other
 // sends on its own when the first one is late.
-duration membership::interval_to(const node_id& id) {
+duration membership::heartbeat_interval_to(const node_id& id) {
   const duration jitter = random_.jitter(timing_.heartbeat_jitter);
   if (self_ < id) {
     return timing_.heartbeat_interval - jitter;
@@ -146,13 +147,13 @@
   p.sent.sent(stamp.sequence, now);
   stamp.echo_of = p.last_sequence;
   if (p.last_sequence != 0) {
-    stamp.echo_held = now - p.received_at;
+    stamp.echo_hold_time = now - p.received_at;
     stamp.echo_tag = echo_tag(p.incarnation);
   }
   return stamp;
 }
 
-heartbeat membership::prepare(const node_id& to, time_point now) {
+heartbeat membership::prepare_heartbeat(const node_id& to, time_point now) {
   heartbeat message;
   message.from = self_;
   message.stamp = stamp_for(to, now);
@@ -175,9 +176,9 @@
   peer& p = found->second;
   if (p.announced_hash != hash) {
     p.announced_hash = hash;
-    p.hash_sequence = message.stamp.sequence;
+    p.first_hash_sequence = message.stamp.sequence;
   }
-  if (p.echoed < p.hash_sequence) {
+  if (p.echoed < p.first_hash_sequence) {
     message.config_hash = hash;
   }
 }
@@ -200,11 +201,11 @@
   }
   receive_result result;
   if (!same_process) {
-    accept_process(p, stamp, result, now);
+    accept_peer_incarnation(p, stamp, result, now);
   }
   p.last_sequence = stamp.sequence;
   p.received_at = now;
-  accept_echo(p, stamp, result, now);
+  accept_echoed_sequence(p, stamp, result, now);
   // A message that was delayed in transit does not show that its sender is alive now.
   p.composed_at =
       std::max(p.composed_at, result.composed.value_or(p.echoes_us ? p.composed_at : now));
@@ -215,8 +216,8 @@
   return result;
 }
 
-void membership::accept_process(peer& p, const message_stamp& stamp, receive_result& result,
-                                time_point now) {
+void membership::accept_peer_incarnation(peer& p, const message_stamp& stamp,
+                                         receive_result& result, time_point now) {
   result.restarted = p.incarnation != 0;
   if (result.restarted) {
     p.past_incarnations.push_back(p.incarnation);
@@ -231,11 +232,11 @@
   p.composed_at = now;
 }
 
-void membership::accept_echo(peer& p, const message_stamp& stamp, receive_result& result,
-                             time_point now) {
+void membership::accept_echoed_sequence(peer& p, const message_stamp& stamp, receive_result& result,
+                                        time_point now) {
   if (stamp.echo_of != 0 && stamp.echo_tag == echo_tag(incarnation_)) {
     if (const auto sent_at = p.sent.sent_at(stamp.echo_of)) {
-      result.composed = composed_after(*sent_at, stamp.echo_held, now, timing_.clock_drift);
+      result.composed = composed_after(*sent_at, stamp.echo_hold_time, now, timing_.clock_drift);
       p.echoed = std::max(p.echoed, stamp.echo_of);
       p.echoed_sent_at = std::max(p.echoed_sent_at, *sent_at);
       p.echoes_us = true;
@@ -261,7 +262,7 @@
   reported.informed = message.informed;
   reported.unresponsive = message.unresponsive;
   schedule_response(message.from, now);
-  learn_from_majority(own);
+  become_informed_by_majority(own);
   return result;
 }
 
@@ -282,14 +283,16 @@
 // How long messages of a peer that was repeatedly marked dead must arrive before it counts as alive
 // again. Ranks and probers change each time; a node with a bad link would change them every few
 // seconds.
-duration membership::damping(const peer& p, time_point now) const {
-  const double age = to_seconds(now - p.deaths_at) / to_seconds(timing_.damping_half_life);
-  const double deaths = p.deaths * std::exp2(-age);
-  if (deaths < 1.5) {
+duration membership::flap_damping(const peer& p, time_point now) const {
+  const double age =
+      to_seconds(now - p.deaths_decayed_at) / to_seconds(timing_.flap_damping_half_life);
+  const double recent_deaths = p.recent_deaths * std::exp2(-age);
+  if (recent_deaths < 1.5) {
     return duration::zero();
   }
-  const double seconds = to_seconds(timing_.peer_damping) * std::exp2(std::min(deaths - 2.0, 16.0));
-  return std::min(from_seconds(seconds), timing_.damping_limit);
+  const double seconds =
+      to_seconds(timing_.peer_flap_damping) * std::exp2(std::min(recent_deaths - 2.0, 16.0));
+  return std::min(from_seconds(seconds), timing_.max_flap_damping);
 }
 
 peer_state membership::state(const node_id& id, time_point now) const {
@@ -301,7 +304,8 @@
     return peer_state::unknown;
   }
   const duration elapsed = unresponsive_time(*p, now);
-  if (p->dead || elapsed > timing_.peer_dead_after || now - p->alive_since < damping(*p, now)) {
+  if (p->dead || elapsed > timing_.peer_dead_after ||
+      now - p->alive_since < flap_damping(*p, now)) {
     return peer_state::dead;
   }
   return elapsed > timing_.peer_suspect_after ? peer_state::suspect : peer_state::alive;
@@ -318,7 +322,7 @@
   return nodes;
 }
 
-std::vector<node_id> membership::live(time_point now) const {
+std::vector<node_id> membership::live_nodes(time_point now) const {
   std::vector<node_id> nodes = live_peers(now);
   nodes.insert(std::ranges::lower_bound(nodes, self_), self_);
   return nodes;
@@ -334,7 +338,7 @@
   return p == nullptr ? 0 : p->echoed;
 }
 
-bool membership::one_way(const node_id& id, time_point now) const {
+bool membership::is_one_way_link(const node_id& id, time_point now) const {
   const peer* p = find(id);
   if (p == nullptr || p->incarnation == 0 ||
       unresponsive_time(*p, now) > timing_.peer_suspect_after) {
@@ -348,28 +352,28 @@
 
 std::size_t membership::rank_of(const node_id& node, std::string_view subject,
                                 time_point now) const {
-  const std::vector<node_id> sorted = by_weight(subject, live(now));
+  const std::vector<node_id> sorted = by_weight(subject, live_nodes(now));
   return static_cast<std::size_t>(std::ranges::find(sorted, node) - sorted.begin());
 }
 
 void membership::set_targets(const std::vector<vm_id>& vms) {
   targets_ = vms;
   std::ranges::sort(targets_);
-  choice_.reset();
+  probe_choice_.reset();
 }
 
 // Rendezvous hashing alone gives the most loaded of 21 nodes nearly twice its fair share, which
 // exceeds its probe budget. Nodes at their limit are therefore skipped.
 void membership::choose_probers(time_point now) {
-  std::vector<node_id> nodes = live(now);
-  if (choice_ && choice_->live == nodes) {
+  std::vector<node_id> nodes = live_nodes(now);
+  if (probe_choice_ && probe_choice_->live == nodes) {
     return;
   }
-  choice_.emplace();
+  probe_choice_.emplace();
   std::map<node_id, std::size_t> load;
   const std::size_t limit = target_limit(targets_.size(), nodes.size());
   for (const vm_id& vm : targets_) {
-    std::vector<node_id>& chosen = choice_->probers[vm];
+    std::vector<node_id>& chosen = probe_choice_->probers[vm];
     const std::vector<node_id> sorted = by_weight(vm.str(), nodes);
     const auto choose = [&](bool beyond_limit) {
       for (const node_id& node : sorted) {
@@ -383,19 +387,19 @@
     choose(false);
     choose(true);  // also takes nodes at their limit, as all nodes but one may be there
   }
-  choice_->live = std::move(nodes);
+  probe_choice_->live = std::move(nodes);
 }
 
 std::vector<node_id> membership::probers_of(const vm_id& vm, time_point now) {
   choose_probers(now);
-  const auto found = choice_->probers.find(vm);
-  return found == choice_->probers.end() ? std::vector<node_id>{} : found->second;
+  const auto found = probe_choice_->probers.find(vm);
+  return found == probe_choice_->probers.end() ? std::vector<node_id>{} : found->second;
 }
 
 std::vector<vm_id> membership::own_targets(time_point now) {
   choose_probers(now);
   std::vector<vm_id> own;
-  for (const auto& [vm, nodes] : choice_->probers) {
+  for (const auto& [vm, nodes] : probe_choice_->probers) {
     if (std::ranges::find(nodes, self_) != nodes.end()) {
       own.push_back(vm);
     }
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -58,14 +58,14 @@
 
   // Peers to which a heartbeat is due; each is returned once per interval. To be called after each
   // received heartbeat, too: the response to it is due immediately.
-  [[nodiscard]] std::vector<node_id> due(time_point now);
+  [[nodiscard]] std::vector<node_id> due_peers(time_point now);
   // Makes a heartbeat to every peer due, to send an urgent update.
   void expedite_heartbeats(time_point now);
   // Stamp for the next message to `peer`, which is recorded as sent now. To be called only for
   // messages that are passed to the link immediately.
   [[nodiscard]] message_stamp stamp_for(const node_id& peer, time_point now);
   // Sets `from`, `stamp`, `informed` and the list of unresponsive peers; the caller adds the rest.
-  [[nodiscard]] heartbeat prepare(const node_id& peer, time_point now);
+  [[nodiscard]] heartbeat prepare_heartbeat(const node_id& peer, time_point now);
   // Sets the configuration version, and its hash until the peer is known to have received it.
   void announce_config(heartbeat& message, const node_id& peer, std::uint64_t version,
                        const std::string& hash);
@@ -82,13 +82,13 @@
 
   [[nodiscard]] peer_state state(const node_id& peer, time_point now) const;
   // Alive and suspect nodes including self, ordered by id.
-  [[nodiscard]] std::vector<node_id> live(time_point now) const;
+  [[nodiscard]] std::vector<node_id> live_nodes(time_point now) const;
   // State that the peer last reported; null if it is not a peer or nothing was ever received from
   // it.
   [[nodiscard]] const peer_status* last_status(const node_id& peer) const;
   // Whether the link to the peer works in one direction only: messages from it arrive, but it has
   // not echoed any message that this node sent within the last peer_dead_after.
-  [[nodiscard]] bool one_way(const node_id& peer, time_point now) const;
+  [[nodiscard]] bool is_one_way_link(const node_id& peer, time_point now) const;
   // Sequence of this node's newest message that the peer has echoed; 0: none.
   [[nodiscard]] std::uint64_t echoed(const node_id& peer) const;
   // The live nodes except this one; urgent updates are sent to them.
@@ -112,7 +112,7 @@
   // other.
 
   // To be called when this node has read the assignment row from the table itself.
-  void row_read();
+  void on_row_read();
   // A new process does not know what its previous process acknowledged. It gets a vote once it has
   // read the table, or once informed nodes that form a majority without it have echoed a message of
   // this process and it knows a row no older than theirs.
@@ -134,16 +134,16 @@
 
  private:
   struct peer {
-    time_point known_since;
+    time_point peer_since;
     std::uint64_t incarnation{};  // of the peer's process; 0: nothing received yet
     std::uint64_t last_sequence{};
     std::vector<std::uint64_t> past_incarnations;  // at most 4
-    // composed_at and received_at equal known_since until the first message.
+    // composed_at and received_at equal peer_since until the first message.
     time_point composed_at;  // lower bound of the time at which the newest message was composed
     time_point received_at;  // arrival of the newest message
     time_point alive_since;  // when the peer was last marked as not dead
-    double deaths{};         // exponentially decayed number of times it was marked dead
-    time_point deaths_at;
+    double recent_deaths{};  // exponentially decayed number of times it was marked dead
+    time_point deaths_decayed_at;
     bool dead = true;        // considered dead; true until the peer's first message
     bool echoes_us = false;  // the peer has echoed a message of this process
     peer_status last_status;
@@ -151,7 +151,7 @@
     std::uint64_t next_sequence = 1;
     time_point next_heartbeat;
     time_point last_heartbeat;
-    std::uint64_t hash_sequence{};  // first own message with the current config hash
+    std::uint64_t first_hash_sequence{};  // first own message with the current config hash
     std::string announced_hash;
     std::uint64_t echoed{};     // sequence of this node's newest message that the peer echoed
     time_point echoed_sent_at;  // when this node sent the message with that sequence
@@ -163,19 +163,21 @@
 
   [[nodiscard]] const peer* find(const node_id& id) const;
   [[nodiscard]] bool unresponsive(const peer& p, time_point now) const;
-  [[nodiscard]] std::size_t vote(const node_id& id) const;
-  [[nodiscard]] bool majority(std::size_t votes) const;
+  [[nodiscard]] std::size_t votes_of(const node_id& id) const;
+  [[nodiscard]] bool is_majority(std::size_t votes) const;
   [[nodiscard]] bool has_expired(const node_id& id, const peer& p, std::uint64_t version,
                                  time_point now) const;
   [[nodiscard]] bool acknowledged(std::uint64_t version, time_point now) const;
   [[nodiscard]] duration unresponsive_time(const peer& p, time_point now) const;
-  [[nodiscard]] duration damping(const peer& p, time_point now) const;
+  [[nodiscard]] duration flap_damping(const peer& p, time_point now) const;
   [[nodiscard]] std::size_t total_votes() const;
-  void accept_process(peer& p, const message_stamp& stamp, receive_result& result, time_point now);
-  void accept_echo(peer& p, const message_stamp& stamp, receive_result& result, time_point now);
-  [[nodiscard]] duration interval_to(const node_id& id);
+  void accept_peer_incarnation(peer& p, const message_stamp& stamp, receive_result& result,
+                               time_point now);
+  void accept_echoed_sequence(peer& p, const message_stamp& stamp, receive_result& result,
+                              time_point now);
+  [[nodiscard]] duration heartbeat_interval_to(const node_id& id);
   void schedule_response(const node_id& from, time_point now);
-  void learn_from_majority(std::uint64_t own);
+  void become_informed_by_majority(std::uint64_t own);
   void mark_dead_peers(time_point now);
   void choose_probers(time_point now);
 
@@ -189,7 +191,7 @@
   bool informed_ = false;
   std::vector<vm_id> targets_;
   std::optional<probe_choice>
-      choice_;  // probers of each target; valid as long as the live nodes do not change
+      probe_choice_;  // probers of each target; valid as long as the live nodes do not change
 };
 
 }  // namespace arbutus
--- a/src/process/membership_votes.cpp
+++ b/src/process/membership_votes.cpp
@@ -21,13 +21,13 @@
   return nodes % 2 == 0 ? nodes + 1 : nodes;
 }
 
-std::size_t membership::vote(const node_id& id) const {
+std::size_t membership::votes_of(const node_id& id) const {
   const bool even = (peers_.size() + 1) % 2 == 0;
   const bool first = peers_.empty() || id == std::min(self_, peers_.begin()->first);
   return even && first ? 2 : 1;
 }
 
-bool membership::majority(std::size_t votes) const {
+bool membership::is_majority(std::size_t votes) const {
   return 2 * votes > total_votes();
 }
 
@@ -40,11 +40,11 @@
   return now - std::max(p.received_at, listening_since_) >= timing_.quorum_expiry;
 }
 
-void membership::row_read() {
+void membership::on_row_read() {
   informed_ = true;
 }
 
-void membership::learn_from_majority(std::uint64_t own) {
+void membership::become_informed_by_majority(std::uint64_t own) {
   if (informed_) {
     return;
   }
@@ -56,26 +56,26 @@
     if (p.last_status.assignment_version > own) {
       return;
     }
-    votes += vote(id);
+    votes += votes_of(id);
   }
-  informed_ = majority(votes);
+  informed_ = is_majority(votes);
 }
 
 bool membership::may_act_without_table(std::uint64_t assignment_version, time_point now) const {
   if (!informed_) {
     return false;
   }
-  std::size_t votes = vote(self_);
+  std::size_t votes = votes_of(self_);
   for (const auto& [id, p] : peers_) {
     if (p.last_status.assignment_version > assignment_version) {
       return false;
     }
     const bool answered = p.echoes_us && now - p.echoed_sent_at <= timing_.quorum_validity;
     if (answered && p.last_status.informed) {
-      votes += vote(id);
+      votes += votes_of(id);
     }
   }
-  return majority(votes);
+  return is_majority(votes);
 }
 
 // Whether node `id` can no longer act on rows before `version`, by the reports of a majority. Only
@@ -86,15 +86,15 @@
   if (!unresponsive(p, now)) {
     return false;
   }
-  std::size_t votes = vote(self_);
+  std::size_t votes = votes_of(self_);
   for (const auto& [other, q] : peers_) {
     const bool reports =
         std::ranges::find(q.last_status.unresponsive, id) != q.last_status.unresponsive.end();
     if (other != id && reports && q.last_status.assignment_version >= version) {
-      votes += vote(other);
+      votes += votes_of(other);
     }
   }
-  return majority(votes);
+  return is_majority(votes);
 }
 
 std::vector<node_id> membership::required_acknowledgers(std::uint64_t version,
--- a/src/process/misdirected_heads.h
+++ b/src/process/misdirected_heads.h
@@ -34,10 +34,12 @@
 
   // How long a rejection is remembered. A replica forms within 0.5 s; a row of the list of targets
   // expires after several seconds.
-  static constexpr duration retention = 1s;
+  static constexpr duration rejection_retention = 1s;
 
  private:
-  [[nodiscard]] static bool is_fresh(time_point now, time_point at) { return now - at < retention; }
+  [[nodiscard]] static bool is_fresh(time_point now, time_point at) {
+    return now - at < rejection_retention;
+  }
 
   std::map<target_id, time_point> rejected_at_;
 };
--- a/src/process/node_heartbeat.cpp
+++ b/src/process/node_heartbeat.cpp
@@ -153,9 +153,9 @@
                          message.strength.link_mbps,
                          message.follows_records,
                          message.incarnation,
-                         message.serving.incarnation,
-                         message.serving.at,
-                         update_to_json(message.served),
+                         message.serving_position.incarnation,
+                         message.serving_position.at,
+                         update_to_json(message.serving_rows),
                          message.poison_changes.at,
                          message.poison_changes.rows,
                          message.received_poison_position.incarnation,
@@ -204,8 +204,9 @@
     message.strength = {document.at(14).get<std::uint32_t>(), document.at(15).get<std::uint32_t>()};
     message.follows_records = document.at(16).get<bool>();
     message.incarnation = document.at(17).get<std::string>();
-    message.serving = {document.at(18).get<std::string>(), document.at(19).get<std::uint64_t>()};
-    message.served = update_from_json(document.at(20));
+    message.serving_position = {document.at(18).get<std::string>(),
+                                document.at(19).get<std::uint64_t>()};
+    message.serving_rows = update_from_json(document.at(20));
     message.poison_changes = {document.at(21).get<std::uint64_t>(),
                               document.at(22).get<std::vector<std::string>>()};
     message.received_poison_position = {document.at(23).get<std::string>(),
--- a/src/process/node_heartbeat.h
+++ b/src/process/node_heartbeat.h
@@ -60,8 +60,9 @@
   std::uint64_t targets_position{};
   // Whether the sender follows the records of all targets, or only the serving replicas.
   bool follows_records = true;
-  std::string incarnation;             // incarnation of the sender, to which its positions belong
-  serving_follower::position serving;  // up to which the sender has the hub's serving-replica rows
+  std::string incarnation;  // incarnation of the sender, to which its positions belong
+  serving_follower::position
+      serving_position;  // up to which the sender has the hub's serving-replica rows
   std::uint64_t configuration_position{};
   std::uint64_t configuration_row{};  // newest row of the configuration that the sender holds
   config_progress configuration_progress;
@@ -76,7 +77,7 @@
   // The following are sent only by a hub to a node of its data centre.
   std::optional<feed_update> targets;  // records of targets
   // Serving replicas, sent instead of `targets`; positions are of the sender's incarnation.
-  std::optional<feed_update> served;
+  std::optional<feed_update> serving_rows;
   std::optional<feed_update> configuration;
   std::optional<config_part> configuration_part;
 };
--- a/src/process/observation_deltas.cpp
+++ b/src/process/observation_deltas.cpp
@@ -49,14 +49,14 @@
   peer.at = own.at;
   if (echoed < peer.content_sequence) {
     d.report = own.report;
-    apply(own.load_now, *d.report);
+    apply(own.current_load, *d.report);
     return d;
   }
   if (repeated) {
     return std::nullopt;
   }
   if (echoed < peer.load_sequence) {
-    d.load = own.load_now;
+    d.load = own.current_load;
   }
   return d;
 }
@@ -64,8 +64,9 @@
 void observation_table::append_deltas(heartbeat& message, const node_id& peer, std::uint64_t echoed,
                                       time_point now) {
   std::map<vm_id, sent_state>& known = sent_states_[peer];
-  std::erase_if(known, [this](const auto& entry) { return !own_.contains(entry.first); });
-  for (const auto& [vm, own] : own_) {
+  std::erase_if(known,
+                [this](const auto& entry) { return !own_target_states_.contains(entry.first); });
+  for (const auto& [vm, own] : own_target_states_) {
     if (auto d = delta(own, known[vm], message.stamp.sequence, echoed, now)) {
       message.observations.push_back(std::move(*d));
     }
--- a/src/process/observations.cpp
+++ b/src/process/observations.cpp
@@ -15,10 +15,10 @@
 constexpr duration refutation_window = 2s;
 // From this number of refuted failure reports (exponentially decayed) on, the reporting node is
 // assumed to have a bad link itself.
-constexpr double max_refuted = 3.0;
+constexpr double max_refuted_reports = 3.0;
 // A target is a straggler if its token rate is below this share of the median rate of its model.
-constexpr double straggler_share = 0.5;
-constexpr std::size_t min_compared = 3;
+constexpr double straggler_rate_share = 0.5;
+constexpr std::size_t min_compared_targets = 3;
 
 double decayed(double value, duration age, duration half_life) {
   return value * std::exp2(-to_seconds(age) / to_seconds(half_life));
@@ -45,8 +45,10 @@
     }
   }
   targets_ = std::move(kept);
-  std::erase_if(own_, [this](const auto& entry) { return !targets_.contains(entry.first); });
-  std::erase_if(in_flight_, [this](const auto& entry) { return !targets_.contains(entry.first); });
+  std::erase_if(own_target_states_,
+                [this](const auto& entry) { return !targets_.contains(entry.first); });
+  std::erase_if(probes_in_flight_,
+                [this](const auto& entry) { return !targets_.contains(entry.first); });
 }
 
 void observation_table::set_models(const std::map<vm_id, model_id>& models) {
@@ -75,7 +77,7 @@
     }
   }
   t.newest = seen;
-  refute(t, by, seen.at, now);
+  refute_failures(t, by, seen.at, now);
   update_lost(t, now);
 }
 
@@ -83,7 +85,8 @@
 // began earlier start anew from it, and other nodes' runs that ended earlier are dropped.
 // Otherwise a node with a bad link would repeatedly make each of its targets suspect at all nodes,
 // and lost by repeated failures.
-void observation_table::refute(target& t, const node_id& by, time_point seen_at, time_point now) {
+void observation_table::refute_failures(target& t, const node_id& by, time_point seen_at,
+                                        time_point now) {
   for (auto& [reporter_id, f] : t.failures) {
     if (f.first >= seen_at) {
       continue;
@@ -92,7 +95,7 @@
     const bool other_node = reporter_id != self_ && reporter_id != by;
     if (other_node && !t.lost && seen_at - f.newest < refutation_window) {
       failure_reporter& a = failure_reporters_[reporter_id];
-      a.refuted = decayed(a.refuted, now - a.at, timing_.damping_half_life) + 1.0;
+      a.refuted = decayed(a.refuted, now - a.at, timing_.flap_damping_half_life) + 1.0;
       a.at = now;
     }
   }
@@ -113,7 +116,7 @@
   if (!inserted && started <= f.newest) {
     return;
   }
-  const bool interrupted = by == self_ ? t.own_success && *t.own_success > f.newest
+  const bool interrupted = by == self_ ? t.own_success_at && *t.own_success_at > f.newest
                                        : t.newest && t.newest->at > f.newest;
   if (inserted || interrupted) {
     f.first = started;
@@ -219,7 +222,7 @@
 // failed because of it. Using them would take every replica out of service.
 void observation_table::on_resumed(time_point now) {
   resumed_at_ = now;
-  in_flight_.clear();
+  probes_in_flight_.clear();
   for (auto& [vm, t] : targets_) {
     t.failures.clear();
     t.lost = false;
@@ -238,24 +241,25 @@
   if (own == t.failures.end()) {
     return false;
   }
-  return !t.own_success || own->second.newest >= *t.own_success;
+  return !t.own_success_at || own->second.newest >= *t.own_success_at;
 }
 
-bool observation_table::credible(const node_id& by, time_point now) const {
+bool observation_table::is_credible_reporter(const node_id& by, time_point now) const {
   const auto found = failure_reporters_.find(by);
   if (found == failure_reporters_.end()) {
     return true;
   }
   const failure_reporter& a = found->second;
-  return decayed(a.refuted, now - a.at, timing_.damping_half_life) < max_refuted;
+  return decayed(a.refuted, now - a.at, timing_.flap_damping_half_life) < max_refuted_reports;
 }
 
-bool observation_table::is_doubted(const target& t, time_point now) const {
+bool observation_table::needs_urgent_probe(const target& t, time_point now) const {
   if (own_link_fails(t)) {
     return true;
   }
   return std::ranges::any_of(t.failures, [&](const auto& entry) {
-    return entry.first != self_ && is_unresolved(t, entry.second) && credible(entry.first, now);
+    return entry.first != self_ && is_unresolved(t, entry.second) &&
+           is_credible_reporter(entry.first, now);
   });
 }
 
@@ -279,17 +283,19 @@
 // How long a lost target must respond before it gets work again. Doubles with each loss, so that a
 // flapping target does not change the assignment each time.
 duration observation_table::recovery_time(const target& t, time_point now) const {
-  const double losses = decayed(t.losses, now - t.losses_at, timing_.damping_half_life);
+  const double losses =
+      decayed(t.recent_losses, now - t.losses_decayed_at, timing_.flap_damping_half_life);
   const double seconds =
-      to_seconds(timing_.recovery_duration) * std::exp2(std::clamp(losses - 1.0, 0.0, 16.0));
-  return std::min(from_seconds(seconds), timing_.damping_limit);
+      to_seconds(timing_.target_recovery_duration) * std::exp2(std::clamp(losses - 1.0, 0.0, 16.0));
+  return std::min(from_seconds(seconds), timing_.max_flap_damping);
 }
 
 void observation_table::update_lost(target& t, time_point now) {
   if (is_lost(t)) {
     if (!t.lost) {
-      t.losses = decayed(t.losses, now - t.losses_at, timing_.damping_half_life) + 1.0;
-      t.losses_at = now;
+      t.recent_losses =
+          decayed(t.recent_losses, now - t.losses_decayed_at, timing_.flap_damping_half_life) + 1.0;
+      t.losses_decayed_at = now;
     }
     t.lost = true;
     t.recovering_since.reset();
@@ -317,10 +323,10 @@
   if (t.lost) {
     return t.recovering_since ? target_condition::suspect : target_condition::lost;
   }
-  if (is_doubted(t, now)) {
+  if (needs_urgent_probe(t, now)) {
     return target_condition::suspect;
   }
-  const bool recent = t.newest && now - t.newest->at <= timing_.unknown_after;
+  const bool recent = t.newest && now - t.newest->at <= timing_.condition_unknown_after;
   if (!recent || (resumed_at_ && t.newest->at < *resumed_at_)) {
     return target_condition::unknown;
   }
@@ -365,13 +371,13 @@
   }
   std::set<vm_id> slow;
   for (auto& [model, list] : rates) {
-    if (list.size() < min_compared) {
+    if (list.size() < min_compared_targets) {
       continue;
     }
     std::ranges::sort(list);
     std::vector<double> values;
     std::ranges::transform(list, std::back_inserter(values), [](const auto& p) { return p.first; });
-    const double limit = straggler_share * median(std::move(values));
+    const double limit = straggler_rate_share * median(std::move(values));
     const std::size_t max_stragglers = std::max<std::size_t>(1, list.size() / 4);
     for (std::size_t i = 0; i < max_stragglers && list[i].first < limit; ++i) {
       slow.insert(list[i].second);
--- a/src/process/observations.h
+++ b/src/process/observations.h
@@ -99,21 +99,21 @@
     std::optional<observation> newest;
     std::vector<std::uint64_t> past_incarnations;  // at most 4; messages about them are ignored
     std::map<node_id, failure_run> failures;
-    std::optional<time_point> own_success;  // start of the newest own probe that succeeded
+    std::optional<time_point> own_success_at;  // start of the newest own probe that succeeded
     bool listed_leaving = false;
     std::optional<std::uint64_t> leaving_incarnation;  // from a leaving_notice
     // Hysteresis: set when lost, cleared after recovery_time of successes.
     bool lost = false;
     std::optional<time_point> recovering_since;
-    double losses{};  // exponentially decayed number of times that the target was lost
-    time_point losses_at;
+    double recent_losses{};  // exponentially decayed number of times that the target was lost
+    time_point losses_decayed_at;
     std::optional<time_point> urgent_probe_at;  // newest urgent probe by this node
     target_condition reported = target_condition::unknown;
   };
   struct own_target {
     std::uint32_t slot{};
     std::optional<engine_report> report;  // of the newest successful probe, without its load
-    target_load load_now;
+    target_load current_load;
     time_point at;
     std::uint64_t content{};  // version of `report`, increased with each change
     std::uint64_t load{};     // version of the load, increased with each change
@@ -136,27 +136,27 @@
   void accept(const node_id& by, const observation& seen, time_point now);
   void merge(const node_id& from, const probe_failure& failure, const receive_result& h,
              time_point now);
-  void refute(target& t, const node_id& by, time_point seen_at, time_point now);
+  void refute_failures(target& t, const node_id& by, time_point seen_at, time_point now);
   // `probes`: for an own failure, the number of failed probes that it adds (one, or none for a
   // connection error); for a peer's failure, its number of consecutive failed probes.
   void add_failure(const node_id& by, target& t, time_point started, std::uint32_t probes,
                    time_point now);
-  void own_success(const engine_report& report, time_point sent_at, time_point now);
+  void record_own_success(const engine_report& report, time_point sent_at, time_point now);
   void update_lost(target& t, time_point now);
   [[nodiscard]] double probe_rate() const;
   void refill(time_point now);
   [[nodiscard]] std::vector<vm_id> urgent_probes(time_point now);
   [[nodiscard]] std::vector<vm_id> due_probes(time_point now);
-  [[nodiscard]] bool in_flight(const vm_id& vm, time_point now) const;
+  [[nodiscard]] bool is_probe_in_flight(const vm_id& vm, time_point now) const;
   [[nodiscard]] std::optional<observation_delta> delta(const own_target& own, sent_state& peer,
                                                        std::uint64_t sequence, std::uint64_t echoed,
                                                        time_point now) const;
   [[nodiscard]] std::optional<engine_report> restore(received_slots& slots,
                                                      const observation_delta& d) const;
-  [[nodiscard]] bool credible(const node_id& by, time_point now) const;
+  [[nodiscard]] bool is_credible_reporter(const node_id& by, time_point now) const;
   [[nodiscard]] bool own_link_fails(const target& t) const;
   [[nodiscard]] bool is_unresolved(const target& t, const failure_run& f) const;
-  [[nodiscard]] bool is_doubted(const target& t, time_point now) const;
+  [[nodiscard]] bool needs_urgent_probe(const target& t, time_point now) const;
   [[nodiscard]] bool is_lost(const target& t) const;
   [[nodiscard]] bool is_leaving(const target& t) const;
   [[nodiscard]] target_condition evaluate(const target& t, time_point now) const;
@@ -166,16 +166,16 @@
   node_id self_;
   control_timing timing_;
   std::map<vm_id, target> targets_;
-  std::map<vm_id, own_target> own_;
-  std::map<vm_id, time_point> in_flight_;  // own probes without a result
+  std::map<vm_id, own_target> own_target_states_;
+  std::map<vm_id, time_point> probes_in_flight_;  // own probes without a result
   std::map<vm_id, model_id> models_;
   std::map<node_id, std::map<vm_id, sent_state>> sent_states_;
   std::map<node_id, received_slots> received_slots_;
   std::map<node_id, failure_reporter> failure_reporters_;
   std::optional<time_point> resumed_at_;
   // Tokens in the buckets that limit regular and urgent probes; each probe takes one.
-  double tokens_ = 1.0;
-  double urgent_tokens_ = 0.0;
+  double probe_tokens_ = 1.0;
+  double urgent_probe_tokens_ = 0.0;
   std::optional<time_point> refilled_at_;
 };
 
--- a/src/process/orders.cpp
+++ b/src/process/orders.cpp
@@ -50,9 +50,10 @@
   if (place.replica != nullptr) {
     const composition& own = compositions.at(place.replica->id);
     const bool same = place.replica->id == r.replica;
-    target.gen = same ? own.gen : std::max(own.gen, target.gen);
+    target.fencing_generation =
+        same ? own.fencing_generation : std::max(own.fencing_generation, target.fencing_generation);
   }
-  if (target.gen <= r.gen) {
+  if (target.fencing_generation <= r.fencing_generation) {
     return std::nullopt;  // the VM obeys a newer row, which this node must not undo
   }
   return desired_state{order_kind::release, target, {}, {}};
@@ -61,7 +62,8 @@
 }  // namespace
 
 bool satisfied(const desired_state& desired, const engine_report& r) {
-  const bool same = r.replica == desired.target.replica && r.gen == desired.target.gen;
+  const bool same = r.replica == desired.target.replica &&
+                    r.fencing_generation == desired.target.fencing_generation;
   switch (desired.kind) {
     case order_kind::form:
       return same && (r.state == engine_state::loading || r.state == engine_state::ready);
@@ -88,7 +90,7 @@
     const place_in_row place = found == in_row.end() ? place_in_row{} : found->second;
     if (place.in_composition) {
       auto desired = member_state(*place.replica, compositions.at(place.replica->id));
-      const bool newer = report.gen > desired.target.gen;
+      const bool newer = report.fencing_generation > desired.target.fencing_generation;
       if (!newer && !satisfied(desired, report)) {
         result.emplace(vm, std::move(desired));
       }
@@ -149,7 +151,7 @@
                .validity_period = order_validity_period};
 }
 
-std::optional<time_point> order_dispatcher::on(time_point now, const order_result& result) {
+std::optional<time_point> order_dispatcher::on_result(time_point now, const order_result& result) {
   if (std::holds_alternative<refused>(result.result)) {
     ++counters_.refused;
   }
--- a/src/process/orders.h
+++ b/src/process/orders.h
@@ -70,7 +70,7 @@
   [[nodiscard]] std::vector<order> tick(time_point now, const order_context& context);
   // Handles the result of an order. Returns when the order was sent, if it is still open at this
   // node; the report in the result is not older than that.
-  [[nodiscard]] std::optional<time_point> on(time_point now, const order_result& result);
+  [[nodiscard]] std::optional<time_point> on_result(time_point now, const order_result& result);
   [[nodiscard]] time_point next_tick() const { return next_tick_; }
   [[nodiscard]] const order_counters& counters() const { return counters_; }
 
--- a/src/process/peer_table.cpp
+++ b/src/process/peer_table.cpp
@@ -44,12 +44,12 @@
 }
 
 void peer_table::sort_peers() {
-  order_.clear();
+  hub_order_.clear();
   for (const auto& entry : peers_) {
-    order_[entry.second.data_centre].push_back(&entry);
+    hub_order_[entry.second.data_centre].push_back(&entry);
   }
   // Stable sort: equals stay ordered by name.
-  for (auto& [data_centre, peers] : order_) {
+  for (auto& [data_centre, peers] : hub_order_) {
     std::stable_sort(peers.begin(), peers.end(), [](const auto* a, const auto* b) {
       return a->second.strength > b->second.strength;
     });
@@ -103,14 +103,14 @@
                      [&](const auto& entry) { return is_alive(now, entry.second); });
 }
 
-bool peer_table::any_in(const data_centre_id& data_centre) const {
+bool peer_table::has_peer_in(const data_centre_id& data_centre) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     return entry.second.data_centre == data_centre && !entry.second.info.leaving &&
            entry.second.last_received_at != time_point{};
   });
 }
 
-bool peer_table::any_in_data_centre() const {
+bool peer_table::has_peer_in_own_data_centre() const {
   return std::any_of(peers_.begin(), peers_.end(),
                      [&](const auto& entry) { return entry.second.data_centre == data_centre_; });
 }
@@ -125,7 +125,7 @@
   return found != peers_.end() && found->second.info.refused_by_store;
 }
 
-bool peer_table::any_served_here(time_point now) const {
+bool peer_table::has_served_peer_here(time_point now) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     return entry.second.data_centre == data_centre_ && is_alive(now, entry.second) &&
            may_be_hub(now, entry.second);
@@ -145,7 +145,7 @@
   if (p.last_received_at != time_point{}) {
     return now - p.last_received_at < alive_timeout;
   }
-  return p.first_sent_at == time_point{} || now - p.first_sent_at < initial_grace;
+  return p.first_sent_at == time_point{} || now - p.first_sent_at < presumed_alive_duration;
 }
 
 void peer_table::set_refused_by_store(time_point now, bool is) {
@@ -166,11 +166,11 @@
   });
 }
 
-node_id peer_table::first_of(time_point now, const data_centre_id& data_centre,
-                             bool must_be_served) const {
+node_id peer_table::first_in_hub_order(time_point now, const data_centre_id& data_centre,
+                                       bool must_be_served) const {
   const bool self_may = data_centre == data_centre_ && (!must_be_served || is_served(now));
-  const auto found = order_.find(data_centre);
-  if (found == order_.end()) {
+  const auto found = hub_order_.find(data_centre);
+  if (found == hub_order_.end()) {
     return self_may ? self_ : node_id{};
   }
   for (const auto* entry : found->second) {
@@ -183,9 +183,9 @@
 }
 
 node_id peer_table::hub_of(time_point now, const data_centre_id& data_centre) const {
-  const node_id served = first_of(now, data_centre, true);
+  const node_id served = first_in_hub_order(now, data_centre, true);
   // If the store serves none of them, the first live node controls the replicas.
-  return served.empty() ? first_of(now, data_centre, false) : served;
+  return served.empty() ? first_in_hub_order(now, data_centre, false) : served;
 }
 
 std::set<data_centre_id> peer_table::responsibilities(
@@ -209,26 +209,26 @@
   std::size_t served = 0;
   std::size_t refused = 0;
   std::size_t unresponsive = 0;
-  const auto in_order = order_.find(data_centre);
-  if (in_order == order_.end()) {
+  const auto in_order = hub_order_.find(data_centre);
+  if (in_order == hub_order_.end()) {
     return;
   }
   for (const auto* entry : in_order->second) {
     const auto& [id, p] = *entry;
     if (may_be_hub(now, p)) {
       result.push_back(id);
-      if (++served == candidates) {
+      if (++served == hub_candidate_count) {
         return;
       }
     } else if (presumed_alive(now, p)) {
       // This live peer is refused by the store. If the store refuses all, the first live peers
       // control the data centre. Only those get heartbeats: otherwise, while the store is
       // unavailable, all nodes of a data centre would send to each other.
-      if (refused < candidates) {
+      if (refused < hub_candidate_count) {
         result.push_back(id);
       }
       ++refused;
-    } else if (unresponsive < max_unresponsive) {
+    } else if (unresponsive < max_unresponsive_recipients) {
       // Without heartbeats to unresponsive peers, a hub that returns is not noticed, and there are
       // two hubs from then on. Sending only occasionally would open a link each time and close it
       // before it is established.
@@ -253,7 +253,8 @@
       living_before += presumed_alive(now, p) ? 1 : 0;
     }
   }
-  return any_served ? is_served(now) && served_before < candidates : living_before < candidates;
+  return any_served ? is_served(now) && served_before < hub_candidate_count
+                    : living_before < hub_candidate_count;
 }
 
 bool peer_table::is_hub_candidate(time_point now) const {
@@ -261,7 +262,7 @@
     const auto& [id, p] = entry;
     return p.data_centre == data_centre_ && !precedes(id, p) && may_be_hub(now, p);
   });
-  return static_cast<std::size_t>(ahead) < candidates;
+  return static_cast<std::size_t>(ahead) < hub_candidate_count;
 }
 
 std::vector<node_id> peer_table::recipients(time_point now) const {
--- a/src/process/peer_table.h
+++ b/src/process/peer_table.h
@@ -25,7 +25,7 @@
  public:
   peer_table(node_id self, data_centre_id data_centre, node_strength strength = {})
       : self_(std::move(self)), data_centre_(std::move(data_centre)), strength_(strength) {}
-  // Movable but not copyable, as order_ points into peers_.
+  // Movable but not copyable, as hub_order_ points into peers_.
   peer_table(const peer_table&) = delete;
   peer_table& operator=(const peer_table&) = delete;
   peer_table(peer_table&&) = default;
@@ -77,16 +77,16 @@
   [[nodiscard]] bool is_alive(time_point now, const node_id& peer) const;
   [[nodiscard]] std::size_t alive_count(time_point now) const;
   [[nodiscard]] bool any_alive(time_point now) const;
-  [[nodiscard]] bool any_in(const data_centre_id& data_centre) const;
+  [[nodiscard]] bool has_peer_in(const data_centre_id& data_centre) const;
   // Whether another node of this node's data centre is known, alive or not.
-  [[nodiscard]] bool any_in_data_centre() const;
+  [[nodiscard]] bool has_peer_in_own_data_centre() const;
   [[nodiscard]] data_centre_id data_centre_of(const node_id& peer) const;
   // Whether the store refuses the peer, as the peer last reported.
   [[nodiscard]] bool is_refused_by_store(const node_id& peer) const;
   // Whether a live peer of this node's data centre is served by the store.
-  [[nodiscard]] bool any_served_here(time_point now) const;
+  [[nodiscard]] bool has_served_peer_here(time_point now) const;
   [[nodiscard]] std::int64_t newest_stamp(const node_id& peer) const;
-  [[nodiscard]] std::size_t known() const { return peers_.size(); }
+  [[nodiscard]] std::size_t peer_count() const { return peers_.size(); }
   [[nodiscard]] const std::vector<node_record>& records() const { return records_; }
 
   // A peer counts as alive for this long after a heartbeat: the time of six consecutive lost
@@ -95,11 +95,11 @@
   static constexpr duration alive_timeout = 1200ms;
   // A peer that was sent heartbeats and never responded is assumed to be alive for this long; links
   // are established within it.
-  static constexpr duration initial_grace = 1500ms;
-  static constexpr std::size_t candidates = 2;
+  static constexpr duration presumed_alive_duration = 1500ms;
+  static constexpr std::size_t hub_candidate_count = 2;
   // Unresponsive peers before the candidates that are still sent heartbeats, so that a hub that
   // returns is noticed.
-  static constexpr std::size_t max_unresponsive = 6;
+  static constexpr std::size_t max_unresponsive_recipients = 6;
   // A node that the store serves again leaves the role of the hub to the first node in the order
   // until heartbeats of the others must have arrived: this is enough time for two heartbeats and
   // one that is late. Without this, when the store becomes available for all simultaneously, each
@@ -129,8 +129,8 @@
   // Whether this node comes before the peer in the order of hubs.
   [[nodiscard]] bool precedes(const node_id& id, const peer& p) const;
   // The first node in the order of hubs, among those that the store serves or among all live ones.
-  [[nodiscard]] node_id first_of(time_point now, const data_centre_id& data_centre,
-                                 bool must_be_served) const;
+  [[nodiscard]] node_id first_in_hub_order(time_point now, const data_centre_id& data_centre,
+                                           bool must_be_served) const;
   // Whether this node is among those that the nodes of its data centre send heartbeats to.
   [[nodiscard]] bool is_hub_candidate(time_point now) const;
   void add_candidates(time_point now, const data_centre_id& data_centre,
@@ -144,7 +144,7 @@
   std::map<node_id, peer> peers_;  // without this node
   // Peers of each data centre in the order of hubs, the strongest first. Points into peers_, whose
   // entries do not move.
-  std::map<data_centre_id, std::vector<const std::pair<const node_id, peer>*>> order_;
+  std::map<data_centre_id, std::vector<const std::pair<const node_id, peer>*>> hub_order_;
   std::vector<node_record> records_;
 };
 
--- a/src/process/permission.cpp
+++ b/src/process/permission.cpp
@@ -31,7 +31,7 @@
   if (report.replica != in_force.replica) {
     return "does not report this replica";
   }
-  if (report.gen != in_force.gen) {
+  if (report.fencing_generation != in_force.fencing_generation) {
     return "reports another generation";
   }
   switch (report.state) {
@@ -60,10 +60,10 @@
 void ready_tracker::observe(const observation& seen) {
   const engine_report& r = seen.report;
   ready_run& s = runs_[r.vm];
-  const bool same = s.incarnation == r.incarnation && s.replica == r.replica && s.gen == r.gen &&
-                    s.state == r.state;
+  const bool same = s.incarnation == r.incarnation && s.replica == r.replica &&
+                    s.fencing_generation == r.fencing_generation && s.state == r.state;
   if (!same) {
-    s = {r.incarnation, r.replica, r.gen, r.state, seen.at};
+    s = {r.incarnation, r.replica, r.fencing_generation, r.state, seen.at};
   }
 }
 
@@ -98,7 +98,7 @@
     if (!since) {
       return deny(vm, "is not ready");
     }
-    if (!e.checks_tokens && e.seen->at < *since + settle_time) {
+    if (!e.checks_fencing_tokens && e.seen->at < *since + token_settle_time) {
       return deny(vm, "is settling: it does not check fencing tokens");
     }
     result.valid_until = std::min(result.valid_until, until);
--- a/src/process/permission.h
+++ b/src/process/permission.h
@@ -24,13 +24,13 @@
 inline constexpr duration permission_validity = 2400ms;
 // A target that does not check fencing tokens must report the right generation for this long before
 // its replica serves. Exceeds the time for which a delayed older order stays valid in transit.
-inline constexpr duration settle_time = 2500ms;
+inline constexpr duration token_settle_time = 2500ms;
 
 // The newest observation and the condition of one member.
 struct member_observation {
   const observation* seen = nullptr;  // newest, by this node or a trusted peer; null: none
   target_condition state = target_condition::unknown;
-  bool checks_tokens = true;
+  bool checks_fencing_tokens = true;
 };
 
 // Tracks since when a VM has reported the same incarnation, replica, generation and state without
@@ -48,7 +48,7 @@
   struct ready_run {
     std::uint64_t incarnation{};
     replica_id replica;
-    generation gen;
+    generation fencing_generation;
     engine_state state = engine_state::idle;
     time_point since;
   };
--- a/src/process/poison_evaluation.cpp
+++ b/src/process/poison_evaluation.cpp
@@ -43,10 +43,10 @@
     return std::nullopt;
   }
   const poison_entry& entry = found->second;
-  const time_point until = entry.strikes.back().ended_at + settings_.settle_time;
+  const time_point until = entry.strikes.back().ended_at + settings_.strike_settle_time;
   const bool waits =
-      now <= until &&
-      count_events(entry, [](const poison_strike&) { return true; }) + 1 >= settings_.min_events;
+      now <= until && count_events(entry, [](const poison_strike&) { return true; }) + 1 >=
+                          settings_.min_quarantine_events;
   return waits ? std::optional(until) : std::nullopt;
 }
 
@@ -56,7 +56,7 @@
   suspects_by_target ended;
   for (const entry_map::value_type& known : entries_) {
     for (const poison_strike& m : known.second.strikes) {
-      if (m.ended_at <= settled && !has_known_cause(known.first, m.target)) {
+      if (m.ended_at <= settled && !has_quarantined_cause(known.first, m.target)) {
         ended[m.target].push_back(&known);
       }
     }
@@ -97,15 +97,15 @@
                                         const target_id& target) const {
   const auto& suspects = ended.at(target);
   return std::any_of(suspects.begin(), suspects.end(), [&](const auto* suspect) {
-    return suspect->second.strikes.size() > settings_.min_events;
+    return suspect->second.strikes.size() > settings_.min_quarantine_events;
   });
 }
 
 // Number of targets that ended between `from` and `to`, did not run the suspect, and have no likely
 // cause among the other suspects.
-std::size_t poison_tracker::unrelated_ends(const entry_map::value_type& suspect,
-                                           const suspects_by_target& ended, time_point from,
-                                           time_point to) const {
+std::size_t poison_tracker::count_unrelated_crashes(const entry_map::value_type& suspect,
+                                                    const suspects_by_target& ended,
+                                                    time_point from, time_point to) const {
   std::size_t ends = 0;
   for (const auto& [target, suspects] : ended) {
     const poison_strike& strike = strike_at(suspects.front()->second, target);
@@ -117,26 +117,27 @@
 
 // The probability that a harmless request is cut off early in `events` runs in a row, if targets
 // fail for other reasons as often as they did around that time.
-double poison_tracker::accident_probability(const entry_map::value_type& suspect,
-                                            std::size_t events,
-                                            const suspects_by_target& ended) const {
+double poison_tracker::coincidence_probability(const entry_map::value_type& suspect,
+                                               std::size_t events,
+                                               const suspects_by_target& ended) const {
   // Crashes assumed if none were seen. Seeing no unrelated crash within seconds does not prove a
   // rate of zero; hours usually pass between two.
   constexpr double assumed_ends = 0.05;
   const time_point first = suspect.second.strikes.front().ended_at;
   const time_point last = suspect.second.strikes.back().ended_at;
   const auto ends_per_s = [&](duration before, double assumed) {
-    const auto ends = static_cast<double>(unrelated_ends(suspect, ended, first - before, last));
+    const auto ends =
+        static_cast<double>(count_unrelated_crashes(suspect, ended, first - before, last));
     return (ends + assumed) / to_seconds(last - first + before);
   };
   // A series of failures may have begun just before the first strike.
-  const double rate = std::max(ends_per_s(settings_.lookback_window, assumed_ends),
-                               ends_per_s(settings_.lookback_window / 4, 0));
+  const double rate = std::max(ends_per_s(settings_.base_rate_lookback, assumed_ends),
+                               ends_per_s(settings_.base_rate_lookback / 4, 0));
   const auto live_targets =
       std::count_if(last_sent_to_.begin(), last_sent_to_.end(),
                     [&](const auto& known) { return !ended.contains(known.first); });
   const double targets = std::max<double>(1, static_cast<double>(live_targets));
-  const double lost = rate / targets * (mean_first_event_s_ + to_seconds(strike_window));
+  const double lost = rate / targets * (mean_first_event_delay_s_ + to_seconds(strike_window));
   return std::pow(std::min(lost, 1.0), static_cast<double>(events));
 }
 
@@ -159,13 +160,13 @@
            });
   };
   std::size_t events = count_events(suspect.second, only_suspect);
-  if (events < settings_.min_events) {
+  if (events < settings_.min_quarantine_events) {
     events = count_events(suspect.second, settled);
-    if (events < settings_.min_events_inseparable) {
+    if (events < settings_.min_quarantine_events_inseparable) {
       return std::nullopt;
     }
   }
-  const double probability = accident_probability(suspect, events, ended);
+  const double probability = coincidence_probability(suspect, events, ended);
   if (probability > settings_.max_false_positive_probability) {
     return std::nullopt;
   }
@@ -180,7 +181,8 @@
   remove_expired(now);
   std::vector<quarantine_decision> decisions;
   const auto may_be_poison = [&](const auto& known) {
-    return !known.second.quarantined_at && known.second.strikes.size() >= settings_.min_events;
+    return !known.second.quarantined_at &&
+           known.second.strikes.size() >= settings_.min_quarantine_events;
   };
   if (std::none_of(entries_.begin(), entries_.end(), may_be_poison)) {
     return decisions;
@@ -189,7 +191,7 @@
   // the others.
   for (bool found = true; found;) {
     found = false;
-    const suspects_by_target ended = index_by_target(now - settings_.settle_time);
+    const suspects_by_target ended = index_by_target(now - settings_.strike_settle_time);
     const std::set<target_id> mass_failed = mass_failures(ended);
     for (auto& known : entries_) {
       auto decision =
--- a/src/process/poison_exchange.h
+++ b/src/process/poison_exchange.h
@@ -38,7 +38,9 @@
   // `peer` reported the position of this node's tracker that it has received.
   void acknowledged(const node_id& peer, const poison_position& at);
   // `peer` sent its rows up to this position; reported back to it as received.
-  void received(const node_id& peer, const poison_position& at) { peers_[peer].received = at; }
+  void received(const node_id& peer, const poison_position& at) {
+    peer_states_[peer].received = at;
+  }
   [[nodiscard]] poison_position received_position(const node_id& peer) const;
 
   // Rows are resent if the peer has not acknowledged them for this long. The acknowledgement comes
@@ -46,7 +48,7 @@
   static constexpr duration resend_timeout = 1s;
   // Rows sent in one heartbeat: 64 rows are about 6 KB, which is small compared with the target
   // loads that a heartbeat carries.
-  static constexpr std::size_t max_rows = 64;
+  static constexpr std::size_t max_rows_per_update = 64;
 
  private:
   struct peer_state {
@@ -56,7 +58,7 @@
     poison_position received;
   };
   std::string incarnation_;
-  std::map<node_id, peer_state> peers_;
+  std::map<node_id, peer_state> peer_states_;
 };
 
 }  // namespace arbutus
--- a/src/process/poison_tracker.cpp
+++ b/src/process/poison_tracker.cpp
@@ -35,13 +35,13 @@
 
 void poison_tracker::first_event_received(duration waited) {
   constexpr double weight = 0.02;
-  mean_first_event_s_ += weight * (to_seconds(waited) - mean_first_event_s_);
+  mean_first_event_delay_s_ += weight * (to_seconds(waited) - mean_first_event_delay_s_);
 }
 
-bool poison_tracker::has_known_cause(const request_fingerprint& fingerprint,
-                                     const target_id& target) const {
-  const auto found = known_causes_.find(target);
-  return found != known_causes_.end() && found->second != fingerprint;
+bool poison_tracker::has_quarantined_cause(const request_fingerprint& fingerprint,
+                                           const target_id& target) const {
+  const auto found = quarantined_causes_.find(target);
+  return found != quarantined_causes_.end() && found->second != fingerprint;
 }
 
 // Evicts the entry with the fewest strikes, the oldest among equals. Entries with several strikes
@@ -49,14 +49,15 @@
 // the one that crashes the engines.
 bool poison_tracker::make_room(const request_fingerprint& fingerprint) {
   const auto count = entries_of_workspace_.find(fingerprint.workspace);
-  const bool own_full =
-      count != entries_of_workspace_.end() && count->second >= settings_.max_entries_per_workspace;
-  if (!own_full && entries_.size() < settings_.max_entries) {
+  const bool own_full = count != entries_of_workspace_.end() &&
+                        count->second >= settings_.max_tracked_requests_per_workspace;
+  if (!own_full && entries_.size() < settings_.max_tracked_requests) {
     return true;
   }
   auto weakest = entries_.end();
   const auto weight = [](const poison_entry& e) {
-    return std::pair(e.quarantined_at ? std::size_t{1} << 32U : e.strikes.size(), e.changed);
+    return std::pair(e.quarantined_at ? std::size_t{1} << 32U : e.strikes.size(),
+                     e.change_position);
   };
   for (auto i = entries_.begin(); i != entries_.end(); ++i) {
     const bool may_evict = !own_full || i->first.workspace == fingerprint.workspace;
@@ -89,9 +90,9 @@
 bool poison_tracker::add_strike(const request_fingerprint& fingerprint, poison_entry& entry,
                                 const poison_strike& strike) {
   const bool recently_cleared =
-      entry.cleared_at && strike.ended_at <= *entry.cleared_at + settings_.cleared_duration;
+      entry.cleared_at && strike.ended_at <= *entry.cleared_at + settings_.clearance_duration;
   if (recently_cleared || is_known_end(entry, strike) ||
-      has_known_cause(fingerprint, strike.target) ||
+      has_quarantined_cause(fingerprint, strike.target) ||
       entry.strikes.size() >= settings_.max_strikes_per_request) {
     return false;
   }
@@ -99,17 +100,17 @@
       std::upper_bound(entry.strikes.begin(), entry.strikes.end(), strike, ended_before);
   entry.strikes.insert(place, strike);
   if (entry.quarantined_at) {
-    known_causes_[strike.target] = fingerprint;
+    quarantined_causes_[strike.target] = fingerprint;
   }
-  touch(entry);
+  mark_changed(entry);
   return true;
 }
 
 bool poison_tracker::record_strike(const request_fingerprint& fingerprint,
                                    const poison_strike& strike) {
-  const cleared_run& cleared = cleared_runs_[fingerprint.hash % cleared_slots];
+  const cleared_run& cleared = cleared_runs_[fingerprint.hash % cleared_run_slots];
   if (cleared.fingerprint == fingerprint && cleared.at != time_point{} &&
-      strike.ended_at <= cleared.at + settings_.cleared_duration) {
+      strike.ended_at <= cleared.at + settings_.clearance_duration) {
     return false;
   }
   poison_entry* entry = entry_for(fingerprint);
@@ -117,23 +118,23 @@
 }
 
 void poison_tracker::clear_entry(poison_entry& entry, time_point cleared_at) {
-  const time_point covered = cleared_at + settings_.cleared_duration;
+  const time_point covered = cleared_at + settings_.clearance_duration;
   entry.cleared_at = cleared_at;
   std::erase_if(entry.strikes, [&](const poison_strike& m) {
     if (m.ended_at > covered) {
       return false;
     }
-    known_causes_.erase(m.target);
+    quarantined_causes_.erase(m.target);
     return true;
   });
   if (entry.strikes.empty() || (entry.quarantined_at && *entry.quarantined_at <= covered)) {
     entry.quarantined_at.reset();
   }
-  touch(entry);
+  mark_changed(entry);
 }
 
 bool poison_tracker::clear_request(time_point now, const request_fingerprint& fingerprint) {
-  cleared_runs_[fingerprint.hash % cleared_slots] = {fingerprint, now};
+  cleared_runs_[fingerprint.hash % cleared_run_slots] = {fingerprint, now};
   const auto found = entries_.find(fingerprint);
   if (found == entries_.end()) {
     return false;
@@ -151,7 +152,7 @@
   if (found == entries_.end()) {
     return false;
   }
-  clear_entry(found->second, now - settings_.cleared_duration);
+  clear_entry(found->second, now - settings_.clearance_duration);
   return true;
 }
 
@@ -180,7 +181,7 @@
 void poison_tracker::expire_quarantines(time_point now) {
   for (auto& [fingerprint, entry] : entries_) {
     if (entry.quarantined_at && now - newest_time(entry) > settings_.quarantine_duration) {
-      clear_entry(entry, now - settings_.cleared_duration);
+      clear_entry(entry, now - settings_.clearance_duration);
     }
   }
 }
@@ -194,18 +195,19 @@
   expire_quarantines(now);
   std::erase_if(entries_, [&](const entry_map::value_type& known) {
     const auto& [fingerprint, entry] = known;
-    if (entry.quarantined_at || now - newest_time(entry) <= settings_.suspect_duration) {
+    if (entry.quarantined_at || now - newest_time(entry) <= settings_.suspect_retention) {
       return false;
     }
     --entries_of_workspace_[fingerprint.workspace];
     for (const poison_strike& m : entry.strikes) {
-      known_causes_.erase(m.target);
+      quarantined_causes_.erase(m.target);
     }
     return true;
   });
   std::erase_if(entries_of_workspace_, [](const auto& entry) { return entry.second == 0; });
-  std::erase_if(last_sent_to_,
-                [&](const auto& entry) { return now - entry.second > settings_.lookback_window; });
+  std::erase_if(last_sent_to_, [&](const auto& entry) {
+    return now - entry.second > settings_.base_rate_lookback;
+  });
 }
 
 // Quarantines the request. The crashes of the targets that ran it now have a known cause, so they
@@ -215,15 +217,16 @@
   entry.quarantined_at = at;
   entry.stored = false;
   for (const poison_strike& m : entry.strikes) {
-    known_causes_.try_emplace(m.target, fingerprint);
+    quarantined_causes_.try_emplace(m.target, fingerprint);
   }
   for (entry_map::value_type& other : entries_) {
     if (other.first != fingerprint && !other.second.quarantined_at) {
-      std::erase_if(other.second.strikes,
-                    [&](const poison_strike& m) { return has_known_cause(other.first, m.target); });
+      std::erase_if(other.second.strikes, [&](const poison_strike& m) {
+        return has_quarantined_cause(other.first, m.target);
+      });
     }
   }
-  touch(entry);
+  mark_changed(entry);
 }
 
 bool poison_tracker::merge_row(time_point now, const poison_row& row) {
@@ -231,7 +234,7 @@
   if (entry == nullptr) {
     return false;
   }
-  const cleared_run& cleared = cleared_runs_[row.fingerprint.hash % cleared_slots];
+  const cleared_run& cleared = cleared_runs_[row.fingerprint.hash % cleared_run_slots];
   std::optional<time_point> cleared_at;
   if (row.cleared_ago) {
     cleared_at = now - *row.cleared_ago;
@@ -253,14 +256,14 @@
   bool quarantined = false;
   if (row.quarantined_ago && !entry->quarantined_at) {
     const time_point at = now - *row.quarantined_ago;
-    if (!entry->cleared_at || at > *entry->cleared_at + settings_.cleared_duration) {
+    if (!entry->cleared_at || at > *entry->cleared_at + settings_.clearance_duration) {
       quarantine(row.fingerprint, *entry, at);
       quarantined = true;
     }
   }
   if (row.stored && entry->quarantined_at && !entry->stored) {
     entry->stored = true;
-    touch(*entry);
+    mark_changed(*entry);
   }
   return quarantined;
 }
@@ -286,19 +289,20 @@
                                                       std::size_t max_rows) const {
   std::vector<const entry_map::value_type*> changed;
   for (const entry_map::value_type& known : entries_) {
-    if (known.second.changed > after) {
+    if (known.second.change_position > after) {
       changed.push_back(&known);
     }
   }
-  std::sort(changed.begin(), changed.end(),
-            [](const auto* a, const auto* b) { return a->second.changed < b->second.changed; });
+  std::sort(changed.begin(), changed.end(), [](const auto* a, const auto* b) {
+    return a->second.change_position < b->second.change_position;
+  });
   if (changed.size() > max_rows) {
     changed.resize(max_rows);
   }
   std::vector<poison_row> rows;
   for (const entry_map::value_type* known : changed) {
     rows.push_back(to_row(now, *known));
-    after = known->second.changed;
+    after = known->second.change_position;
   }
   if (rows.size() < max_rows) {
     after = position_;
@@ -322,7 +326,7 @@
   const auto found = entries_.find(fingerprint);
   if (found != entries_.end() && found->second.stored != stored) {
     found->second.stored = stored;
-    touch(found->second);
+    mark_changed(found->second);
   }
 }
 
--- a/src/process/poison_tracker.h
+++ b/src/process/poison_tracker.h
@@ -14,7 +14,8 @@
 // - A successful run clears the request on every node, for all earlier strikes and for the next
 //   minute: a poison request never succeeds.
 // - Several targets that end simultaneously with no request in common give no evidence.
-// - A quarantine needs `min_events` in which no other suspect has as many strikes. A harmless
+// - A quarantine needs `min_quarantine_events` in which no other suspect has as many strikes. A
+// harmless
 //   request that was sent along with a poison request does not share all of its crashes.
 // - A coincidence must be improbable: while targets fail for other reasons, some request is cut off
 //   several times in a row. The base rate is estimated from crashes that no suspect explains.
@@ -41,28 +42,28 @@
 struct poison_tracker_settings {
   // Events needed for a quarantine. A request with one less is held before each run until the
   // strikes of other nodes have arrived.
-  std::size_t min_events = 4;
+  std::size_t min_quarantine_events = 4;
   // Suspects that were always sent together cannot be distinguished. With this many events all of
   // them are quarantined, since none of them ever succeeded.
-  std::size_t min_events_inseparable = 8;
+  std::size_t min_quarantine_events_inseparable = 8;
   // A mass failure: at least this many targets end within this window with no request in common.
   // It gives no evidence.
   std::size_t mass_failure_min_targets = 3;
   duration mass_failure_window = 20ms;
   // After a crash, the strikes that other nodes record for it arrive within this time: a query to
   // the target and three heartbeats.
-  duration settle_time = 700ms;
+  duration strike_settle_time = 700ms;
   // Highest accepted probability that a harmless request is cut off in this many events in a row.
   // With some million requests, none should be quarantined by coincidence.
   double max_false_positive_probability = 1e-8;
   // Unrelated crashes count towards the base rate from this long before a suspect's first strike.
-  duration lookback_window = 3s;
-  duration cleared_duration = 60s;       // a successful run clears the request for this long
-  duration suspect_duration = 300s;      // a request stays a suspect this long after a strike
+  duration base_rate_lookback = 3s;
+  duration clearance_duration = 60s;     // a successful run clears the request for this long
+  duration suspect_retention = 300s;     // a request stays a suspect this long after a strike
   duration quarantine_duration = 3600s;  // a quarantine lasts this long after the newest strike
-  std::size_t max_entries = 1024;
+  std::size_t max_tracked_requests = 1024;
   // Keeps one workspace from evicting the entries of others.
-  std::size_t max_entries_per_workspace = 128;
+  std::size_t max_tracked_requests_per_workspace = 128;
   std::size_t max_strikes_per_request = 16;  // number of strikes stored for one request
 };
 
@@ -78,12 +79,12 @@
 
 struct poison_entry {
   std::vector<poison_strike> strikes;    // at most one for a crash, ordered by ended_at
-  std::optional<time_point> cleared_at;  // strikes are newer than this plus cleared_duration
+  std::optional<time_point> cleared_at;  // strikes are newer than this plus clearance_duration
   std::optional<time_point> quarantined_at;
   // Whether the platform's store has a row of this quarantine. The row has to be removed once the
   // request is no longer quarantined.
   bool stored = false;
-  std::uint64_t changed = 0;  // position of the tracker at the newest change of this entry
+  std::uint64_t change_position = 0;  // position of the tracker at the newest change of this entry
 };
 
 // What a node sends to peers about one request. Times are sent as ages, since the clocks of nodes
@@ -169,7 +170,7 @@
 
   poison_entry* entry_for(const request_fingerprint& fingerprint);
   bool make_room(const request_fingerprint& fingerprint);
-  void touch(poison_entry& entry) { entry.changed = ++position_; }
+  void mark_changed(poison_entry& entry) { entry.change_position = ++position_; }
   bool add_strike(const request_fingerprint& fingerprint, poison_entry& entry,
                   const poison_strike& strike);
   // Drops the strikes that a successful run at this time covers, and a quarantine based on them.
@@ -178,25 +179,25 @@
   void expire_quarantines(time_point now);
   void remove_expired(time_point now);
   [[nodiscard]] static poison_row to_row(time_point now, const entry_map::value_type& known);
-  [[nodiscard]] bool has_known_cause(const request_fingerprint& fingerprint,
-                                     const target_id& target) const;
+  [[nodiscard]] bool has_quarantined_cause(const request_fingerprint& fingerprint,
+                                           const target_id& target) const;
   [[nodiscard]] suspects_by_target index_by_target(time_point settled) const;
   [[nodiscard]] std::set<target_id> mass_failures(const suspects_by_target& ended) const;
   [[nodiscard]] bool has_likelier_cause(const suspects_by_target& ended,
                                         const target_id& target) const;
-  [[nodiscard]] std::size_t unrelated_ends(const entry_map::value_type& suspect,
-                                           const suspects_by_target& ended, time_point from,
-                                           time_point to) const;
-  [[nodiscard]] double accident_probability(const entry_map::value_type& suspect,
-                                            std::size_t events,
-                                            const suspects_by_target& ended) const;
+  [[nodiscard]] std::size_t count_unrelated_crashes(const entry_map::value_type& suspect,
+                                                    const suspects_by_target& ended,
+                                                    time_point from, time_point to) const;
+  [[nodiscard]] double coincidence_probability(const entry_map::value_type& suspect,
+                                               std::size_t events,
+                                               const suspects_by_target& ended) const;
   [[nodiscard]] std::optional<quarantine_decision> evaluate_suspect(
       const entry_map::value_type& suspect, const suspects_by_target& ended,
       const std::set<target_id>& mass_failed) const;
 
   // Requests that recently succeeded here, indexed by part of their hash. A strike from another
   // node may arrive after the run that cleared the request.
-  static constexpr std::size_t cleared_slots = 4096;
+  static constexpr std::size_t cleared_run_slots = 4096;
   struct cleared_run {
     request_fingerprint fingerprint;
     time_point at{};
@@ -206,13 +207,13 @@
   entry_map entries_;
   std::map<workspace_id, std::size_t> entries_of_workspace_;
   std::map<target_id, request_fingerprint>
-      known_causes_;  // ended targets, and the quarantined cause
+      quarantined_causes_;  // ended targets, and the quarantined cause
   std::uint64_t position_ = 0;
   std::uint64_t rejected_strikes_ = 0;
   std::map<target_id, time_point> last_sent_to_;  // when this node last sent to each target
-  double mean_first_event_s_ = 0.5;               // moving average of the time to the first event
+  double mean_first_event_delay_s_ = 0.5;         // moving average of the time to the first event
   time_point last_expiry_at_{};
-  std::vector<cleared_run> cleared_runs_ = std::vector<cleared_run>(cleared_slots);
+  std::vector<cleared_run> cleared_runs_ = std::vector<cleared_run>(cleared_run_slots);
 };
 
 }  // namespace arbutus
--- a/src/process/poison_wire.cpp
+++ b/src/process/poison_wire.cpp
@@ -12,10 +12,10 @@
 
 using nlohmann::json;
 
-constexpr std::size_t row_depth = 4;
+constexpr std::size_t max_row_depth = 4;
 constexpr std::size_t max_name_bytes = 256;
 constexpr std::size_t max_strikes_in_row = 64;
-constexpr std::int64_t absent = -1;
+constexpr std::int64_t absent_age = -1;
 // Limit on ages in a row, in milliseconds. Longer than any entry of the poison tracker is retained.
 constexpr std::int64_t max_age_ms = 24LL * 3600 * 1000;
 
@@ -29,7 +29,7 @@
 }
 
 std::optional<duration> decode_optional_age(const json& from) {
-  return from.get<std::int64_t>() == absent ? std::nullopt : std::optional(decode_age(from));
+  return from.get<std::int64_t>() == absent_age ? std::nullopt : std::optional(decode_age(from));
 }
 
 std::string decode_name(const json& from) {
@@ -64,8 +64,8 @@
   }
   const json document = {row.fingerprint.workspace.str(),
                          row.fingerprint.hash,
-                         row.cleared_ago ? to_ms(*row.cleared_ago) : absent,
-                         row.quarantined_ago ? to_ms(*row.quarantined_ago) : absent,
+                         row.cleared_ago ? to_ms(*row.cleared_ago) : absent_age,
+                         row.quarantined_ago ? to_ms(*row.quarantined_ago) : absent_age,
                          row.stored,
                          std::move(strikes)};
   std::string bytes;
@@ -74,7 +74,7 @@
 }
 
 std::optional<poison_row> decode_poison_row(std::string_view bytes) {
-  if (!nesting_bounded(bytes, row_depth)) {
+  if (!nesting_bounded(bytes, max_row_depth)) {
     return std::nullopt;
   }
   try {
--- a/src/process/rank.cpp
+++ b/src/process/rank.cpp
@@ -18,7 +18,7 @@
 }
 
 duration rank_wait(std::size_t rank, duration rank_delay) {
-  return rank_delay * static_cast<duration::rep>(std::min(rank, max_rank));
+  return rank_delay * static_cast<duration::rep>(std::min(rank, max_delay_rank));
 }
 
 }  // namespace arbutus
--- a/src/process/rank.h
+++ b/src/process/rank.h
@@ -20,7 +20,7 @@
 
 // Nodes of higher rank wait no longer than a node of this rank, so that a large data centre whose
 // first nodes are all cut off does not wait for minutes.
-inline constexpr std::size_t max_rank = 4;
+inline constexpr std::size_t max_delay_rank = 4;
 
 // How long a node of this rank waits before it acts, if action is still needed then.
 [[nodiscard]] duration rank_wait(std::size_t rank, duration rank_delay);
@@ -29,20 +29,21 @@
 // nodes that collided once are unlikely to collide again.
 class backoff {
  public:
-  constexpr backoff(duration first, duration limit) : first_(first), limit_(limit), next_(first) {}
+  constexpr backoff(duration first, duration limit)
+      : first_limit_(first), max_limit_(limit), next_limit_(first) {}
 
   // The pause before the next attempt.
   constexpr duration fail(rng& random) {
-    const duration pause = next_ / 2 + random.jitter(next_ / 2);
-    next_ = std::min(next_ * 2, limit_);
+    const duration pause = next_limit_ / 2 + random.jitter(next_limit_ / 2);
+    next_limit_ = std::min(next_limit_ * 2, max_limit_);
     return pause;
   }
-  constexpr void succeed() { next_ = first_; }
+  constexpr void succeed() { next_limit_ = first_limit_; }
 
  private:
-  duration first_;
-  duration limit_;
-  duration next_;
+  duration first_limit_;
+  duration max_limit_;
+  duration next_limit_;
 };
 
 }  // namespace arbutus
--- a/src/process/replica_controller.cpp
+++ b/src/process/replica_controller.cpp
@@ -40,11 +40,11 @@
   refresh_order_counts(ctx);
   advance_forming(ctx);
   check_formed(ctx);
-  find_free(ctx);
-  form(ctx);
+  collect_free_engines(ctx);
+  form_replicas(ctx);
   update_plan(ctx);
   assign_models(ctx);
-  return std::move(ctx.out);
+  return std::move(ctx.effects);
 }
 
 // A new controller of a data centre starts with an epoch above all that its predecessor can have
@@ -70,7 +70,7 @@
   std::map<data_centre_id, std::pair<double, double>> engine_counts;  // unavailable, all
   for (const auto& [id, view] : ctx.fleet.all()) {
     const bool counts =
-        view.listed || ctx.now - view.unlisted_at < settings_.unlisted_count_duration;
+        view.listed || ctx.now - view.unlisted_since < settings_.unlisted_engine_count_window;
     if (view.record.service == ctx.service.id && counts) {
       auto& [unavailable, all] = engine_counts[view.record.data_centre];
       unavailable += tick_context::alive(&view) ? 0 : 1;
@@ -78,7 +78,7 @@
     }
   }
   for (const auto& [data_centre, counts] : engine_counts) {
-    if (counts.first > counts.second * settings_.unreachable_share) {
+    if (counts.first > counts.second * settings_.unreachable_engine_share) {
       last_unreachable_at_[data_centre] = ctx.now;
     }
   }
@@ -111,7 +111,7 @@
     if (view.record.member_of) {
       const membership& role = *view.record.member_of;
       last_epoch_ = std::max(last_epoch_, role.replica.epoch);
-      formed_replica& group = ctx.formed_anywhere[role.replica];
+      formed_replica& group = ctx.formed_in_all_data_centres[role.replica];
       group.key = role.replica;
       group.members.push_back(&view);
       local_engine_state& local = local_states_[id];
@@ -121,7 +121,7 @@
           local.loading_model = {};
         }
       }
-      ctx.unlisted += view.listed || view.lost || is_spare_name(role.replica.name) ? 0 : 1;
+      ctx.unlisted_members += view.listed || view.lost || is_spare_name(role.replica.name) ? 0 : 1;
     } else if (local_engine_state& local = local_states_[id];
                local.ready_model.empty() && local.loading_model.empty()) {
       // This controller has not seen the engine in a replica, but another one has. The engine joins
@@ -130,12 +130,14 @@
       local.ready_model = view.record.loaded;
     }
   }
-  std::erase_if(first_seen_,
-                [&](const auto& entry) { return !ctx.formed_anywhere.contains(entry.first); });
-  for (const auto& [key, group] : ctx.formed_anywhere) {
+  std::erase_if(first_seen_, [&](const auto& entry) {
+    return !ctx.formed_in_all_data_centres.contains(entry.first);
+  });
+  for (const auto& [key, group] : ctx.formed_in_all_data_centres) {
     first_seen_.emplace(key, ctx.now);
-    const bool own = std::any_of(group.members.begin(), group.members.end(),
-                                 [&](const target_view* v) { return ctx.is_own(*v); });
+    const bool own =
+        std::any_of(group.members.begin(), group.members.end(),
+                    [&](const target_view* v) { return ctx.is_in_own_data_centre(*v); });
     if (own) {
       ctx.formed.emplace(key, group);
     }
@@ -146,14 +148,15 @@
   local_engine_state& local = local_states_[view.record.id];
   if (!local.report_pending && ctx.now >= local.next_attempt_at) {
     local.report_pending = true;
-    ctx.out.emplace_back(report_request{view.record.id, view.record.address});
+    ctx.effects.emplace_back(report_request{view.record.id, view.record.address});
   }
 }
 
 // Requests reports of engines whose count of orders is not current; only reports contain the count.
 void replica_controller::refresh_order_counts(tick_context& ctx) {
   for (const auto& [id, view] : ctx.fleet.all()) {
-    if (view.record.service != ctx.service.id || !ctx.is_own(view) || !tick_context::alive(&view)) {
+    if (view.record.service != ctx.service.id || !ctx.is_in_own_data_centre(view) ||
+        !tick_context::alive(&view)) {
       continue;
     }
     if (!is_current(view, local_states_[id])) {
@@ -164,7 +167,7 @@
 
 // Whether the count of orders belongs to the engine's membership in the fleet view.
 bool replica_controller::is_current(const target_view& view, const local_engine_state& local) {
-  return local.orders && local.replica_at_count == replica_of(view) && !view.ambiguous;
+  return local.orders && local.replica_at_order_count == replica_of(view) && !view.ambiguous;
 }
 
 bool replica_controller::can_order(tick_context& ctx, const target_id& id) {
@@ -176,8 +179,8 @@
   // With a stale list, the engine may have restarted unnoticed and joined a replica of another
   // controller, and its new count may equal the old one by chance. It takes seconds from its start
   // until it serves, so a count that was confirmed more recently than that is safe.
-  if (fits && ctx.own.list_age > settings_.list_stale_after &&
-      ctx.now - found->second.count_confirmed_at > settings_.order_count_validity) {
+  if (fits && ctx.own.target_list_age > settings_.max_target_list_age &&
+      ctx.now - found->second.order_count_confirmed_at > settings_.order_count_max_age) {
     request_report(ctx, *view);
     return false;
   }
@@ -189,8 +192,8 @@
                               const model_id& model, const std::vector<target_id>& members) {
   local_engine_state& local = local_states_[to.record.id];
   local.order_pending = true;
-  ctx.out.emplace_back(replica_order{to.record.id, to.record.address, action, replica, model,
-                                     members, *local.orders, reason});
+  ctx.effects.emplace_back(replica_order{to.record.id, to.record.address, action, replica, model,
+                                         members, *local.orders, reason});
 }
 
 std::optional<replica_key> replica_controller::replica_of(const target_view& view) {
@@ -251,14 +254,15 @@
   }
   std::erase_if(forming_, [](const forming_replica& f) { return f.finished; });
   for (const forming_replica& f : forming_) {
-    ctx.in_use.insert(f.members.begin(), f.members.end());
+    ctx.engines_in_use.insert(f.members.begin(), f.members.end());
   }
 }
 
 // Checks all formed replicas, whichever node formed them, and opens or dissolves them as needed.
 void replica_controller::check_formed(tick_context& ctx) {
-  std::erase_if(closing_since_,
-                [&](const auto& entry) { return !ctx.formed_anywhere.contains(entry.first); });
+  std::erase_if(closing_since_, [&](const auto& entry) {
+    return !ctx.formed_in_all_data_centres.contains(entry.first);
+  });
   for (const auto& [key, group] : ctx.formed) {
     if (is_spare_name(key.name)) {
       continue;
@@ -273,7 +277,7 @@
         [&](const target_view* m) { return ctx.unreachable.contains(m->record.data_centre); });
     if (unreachable) {
       for (const target_view* member : group.members) {
-        ctx.in_use.insert(member->record.id);
+        ctx.engines_in_use.insert(member->record.id);
       }
       continue;
     }
@@ -284,7 +288,7 @@
     // Only the head's own answer counts here; its row may be older, see fleet_view.
     const bool head_is_outside = head != nullptr && head->last_reported_replica != key;
     if (head_is_outside && !head_is_inside && head->reported_at > first_seen_.at(key)) {
-      ctx.vacated.insert(key);  // the head has left the replica, so its members are free
+      ctx.vacated_replicas.insert(key);  // the head has left the replica, so its members are free
       continue;
     }
     if (head != nullptr && !head_is_inside && tick_context::alive(head)) {
@@ -292,7 +296,7 @@
       // may have left since. Queries it before the members are reused.
       request_report(ctx, *head);
       for (const target_view* member : group.members) {
-        ctx.in_use.insert(member->record.id);
+        ctx.engines_in_use.insert(member->record.id);
       }
       continue;
     }
@@ -301,21 +305,21 @@
       continue;
     }
     if (spans_domains(group.members)) {
-      ctx.cross_domain.push_back(group);
+      ctx.cross_domain_replicas.push_back(group);
       if (const auto since = closing_since_.find(key); since != closing_since_.end()) {
         dissolve_replica(ctx, group, "a fabric domain can use its members");
         continue;
       }
     }
     for (const target_view* member : group.members) {
-      ctx.in_use.insert(member->record.id);
+      ctx.engines_in_use.insert(member->record.id);
     }
     const bool all_ready = std::all_of(
         group.members.begin(), group.members.end(),
         [](const target_view* m) { return m->record.member_of->state != member_state::joining; });
     // The node that formed the replica stopped before it opened it.
-    if (all_ready && head->record.member_of->state == member_state::ready && ctx.is_own(*head) &&
-        can_order(ctx, head_id)) {
+    if (all_ready && head->record.member_of->state == member_state::ready &&
+        ctx.is_in_own_data_centre(*head) && can_order(ctx, head_id)) {
       send(ctx, *head, order_action::open, key, "whole");
     }
   }
@@ -359,7 +363,7 @@
   if (state == member_state::broken || state == member_state::closing) {
     return state == member_state::broken ? "its head is broken" : "its head is closing";
   }
-  const bool replaceable = unlisted > 0 && ctx.unlisted <= max_replaceable_unlisted;
+  const bool replaceable = unlisted > 0 && ctx.unlisted_members <= max_replaceable_unlisted;
   return replaceable && has_spares(ctx, *head, *model, unlisted)
              ? "spares replace an unlisted member"
              : "";
@@ -392,7 +396,7 @@
     return;
   }
   for (const target_view* member : replica.members) {
-    ctx.in_use.insert(member->record.id);
+    ctx.engines_in_use.insert(member->record.id);
   }
   const member_state state = head->record.member_of->state;
   const bool works = std::all_of(replica.members.begin(), replica.members.end(),
@@ -407,12 +411,12 @@
   // reclaimed. Otherwise, while one controller forms a replica across data centres, the other one
   // would find it incomplete and order its head to leave.
   const bool reclaimed = closing_since_.contains(replica.key);
-  if (!ctx.is_own(*head) && !reclaimed) {
+  if (!ctx.is_in_own_data_centre(*head) && !reclaimed) {
     return;
   }
   const auto since = closing_since_.emplace(replica.key, ctx.now).first->second;
   if (!can_order(ctx, head->record.id)) {
-    if (!ctx.is_own(*head)) {
+    if (!ctx.is_in_own_data_centre(*head)) {
       request_report(ctx, *head);
     }
     return;
@@ -435,11 +439,12 @@
   const target_view* head = ctx.fleet.find(head_of(replica.key.name));
   // The controller of the head's data centre observes it more closely; possibly only this node has
   // lost it.
-  const bool may_be_reachable = head != nullptr && !ctx.is_own(*head) && head->listed &&
-                                ctx.now - head->lost_at < settings_.reconnect_window;
+  const bool may_be_reachable = head != nullptr && !ctx.is_in_own_data_centre(*head) &&
+                                head->listed &&
+                                ctx.now - head->marked_lost_at < settings_.reconnect_window;
   if (may_be_reachable) {
     for (const target_view* member : replica.members) {
-      ctx.in_use.insert(member->record.id);
+      ctx.engines_in_use.insert(member->record.id);
     }
     return;
   }
@@ -455,24 +460,24 @@
     if (member == head) {
       continue;
     }
-    ctx.in_use.insert(id);
-    if (tick_context::alive(member) && ctx.is_own(*member) && can_order(ctx, id)) {
+    ctx.engines_in_use.insert(id);
+    if (tick_context::alive(member) && ctx.is_in_own_data_centre(*member) && can_order(ctx, id)) {
       send(ctx, *member, order_action::leave, replica.key, reason);
     }
   }
 }
 
 // Collects the engines that can join a new replica.
-void replica_controller::find_free(tick_context& ctx) {
+void replica_controller::collect_free_engines(tick_context& ctx) {
   for (const auto& [id, view] : ctx.fleet.all()) {
-    const bool usable = view.record.service == ctx.service.id && ctx.is_own(view) &&
+    const bool usable = view.record.service == ctx.service.id && ctx.is_in_own_data_centre(view) &&
                         tick_context::alive(&view) && !view.record.draining &&
-                        !ctx.in_use.contains(id) &&
+                        !ctx.engines_in_use.contains(id) &&
                         !ctx.unreachable.contains(view.record.data_centre);
     if (!usable) {
       continue;
     }
-    ctx.free[view.record.domain].push_back(&view);
+    ctx.free_engines[view.record.domain].push_back(&view);
   }
 }
 
--- a/src/process/replica_controller.h
+++ b/src/process/replica_controller.h
@@ -80,23 +80,23 @@
 
 struct controller_settings {
   // The join order is repeated after this time if the member has neither joined nor refused.
-  duration order_retry = 250ms;
+  duration order_retry_interval = 250ms;
   // The open order is repeated after this time. A head takes 300 ms to open, and its record takes
   // longer to reflect that.
-  duration open_retry = 600ms;
+  duration open_order_retry_interval = 600ms;
   // Ready spares take 0.2 s to join and 0.3 s to open. A replica that is not formed after this time
   // is dissolved, so that a member that does not answer does not block the others.
   duration form_timeout = 3s;
   // Time that a closing head has to finish its requests before its replica is dissolved. Long
   // generations have 80 events of 50 ms, 4 s in total.
   duration close_timeout = 6s;
-  duration report_retry = 100ms;
+  duration report_retry_interval = 100ms;
   // The list of targets is stale after this time. A query for changes waits for up to 1 s, and the
   // hub forwards them within one heartbeat.
-  duration list_stale_after = 1500ms;
+  duration max_target_list_age = 1500ms;
   // While the list is stale, a count of orders is used only for this time after a report confirmed
   // it. A restarted engine does not serve in a replica within 1.6 s, the minimum warm-up time.
-  duration order_count_validity = 500ms;
+  duration order_count_max_age = 500ms;
   // After this time an order to an engine to load a model counts as lost. A load takes 12 to 16 s,
   // and longer while many engines load.
   duration load_timeout = 40s;
@@ -107,13 +107,13 @@
   duration reconnect_window = 2s;
   // Share of unavailable engines above which a data centre counts as unreachable. Losing one fabric
   // domain makes at most half of a data centre's engines unavailable.
-  double unreachable_share = 2.0 / 3;
+  double unreachable_engine_share = 2.0 / 3;
   // Engines unlisted for longer than this do not count as unavailable. Longer than a network
   // partition and the recovery from it take.
-  duration unlisted_count_duration = 20s;
+  duration unlisted_engine_count_window = 20s;
   // A ready engine switches to a different model only after the plan has asked for that for this
   // time: most domain outages end within 8 s, and a load takes 12 to 16 s.
-  duration model_change_delay = 10s;
+  duration model_switch_delay = 10s;
   // A model without a replica inside one data centre gets one across data centres after this time.
   // Less than callers wait, and more than it takes to form a replica again once its members are
   // free.
@@ -139,7 +139,7 @@
     // Number of data centres that have engines and share the limit on loads.
     std::size_t all_data_centres = 1;
     bool requests_seen = false;  // from the first request on, loads take their full time
-    duration list_age{};         // time since the list of targets was last up to date
+    duration target_list_age{};  // time since the list of targets was last up to date
   };
 
   // Returns the orders and queries to send now for the engines of `service`. Call every few tens of
@@ -148,8 +148,8 @@
                                         const service_spec& service, const responsibilities& own);
 
   // Handles the outcome of an order, and updates the fleet view if it was carried out.
-  void on_order(time_point now, fleet_view& fleet, const replica_order& order,
-                order_outcome outcome);
+  void on_order_outcome(time_point now, fleet_view& fleet, const replica_order& order,
+                        order_outcome outcome);
   // Handles a target's answer to a report request; `report` is empty when there was no answer.
   void on_report(time_point now, const target_id& id, const std::optional<target_report>& report);
   // A new controller starts its epochs this far above the highest that it has seen. More than the
@@ -178,8 +178,8 @@
     // Number of orders carried out, and the engine's replica at that count. An order is based on
     // both, and sent only while the fleet view confirms the replica. Empty: query the engine first.
     std::optional<std::uint64_t> orders;
-    std::optional<replica_key> replica_at_count;
-    time_point count_confirmed_at{};  // when the count was last confirmed
+    std::optional<replica_key> replica_at_order_count;
+    time_point order_count_confirmed_at{};  // when the count was last confirmed
     bool order_pending = false;
     bool report_pending = false;
     time_point next_attempt_at{};  // the engine gets no query or repeated order before this time
@@ -222,18 +222,18 @@
   void dissolve_replica(tick_context& ctx, const formed_replica& replica, std::string_view reason);
   void release_headless_members(tick_context& ctx, const formed_replica& replica,
                                 std::string_view reason);
-  void find_free(tick_context& ctx);
-  void form(tick_context& ctx);
+  void collect_free_engines(tick_context& ctx);
+  void form_replicas(tick_context& ctx);
   void form_in_domain(tick_context& ctx, const fabric_domain_id& domain, const model_spec& model);
   void form_across_domains(tick_context& ctx, const model_spec& model);
   void form_across_data_centres(tick_context& ctx, const model_spec& model);
-  [[nodiscard]] std::vector<const target_view*> free_in(const tick_context& ctx,
-                                                        const data_centre_id& data_centre,
-                                                        const model_spec& model) const;
-  [[nodiscard]] std::vector<const target_view*> free_in_other_data_centres(
+  [[nodiscard]] std::vector<const target_view*> free_engines_in(const tick_context& ctx,
+                                                                const data_centre_id& data_centre,
+                                                                const model_spec& model) const;
+  [[nodiscard]] std::vector<const target_view*> free_engines_in_other_data_centres(
       const tick_context& ctx, const model_spec& model) const;
-  [[nodiscard]] static bool has_most_engines(const std::vector<const target_view*>& own,
-                                             const std::vector<const target_view*>& others);
+  [[nodiscard]] static bool has_most_free_engines(const std::vector<const target_view*>& own,
+                                                  const std::vector<const target_view*>& others);
   void start_forming(tick_context& ctx, const model_spec& model,
                      const std::vector<const target_view*>& members);
   void reclaim(tick_context& ctx, const fabric_domain_id& domain, const model_spec& model,
@@ -245,11 +245,12 @@
   void assign_models(tick_context& ctx);
   void start_loading(tick_context& ctx, const target_view& view, std::size_t model);
   [[nodiscard]] bool is_loading(const target_view& view, const local_engine_state& local) const;
-  [[nodiscard]] static bool completes_with_surplus(const tick_context& ctx,
-                                                   const domain_state& domain, std::size_t from,
-                                                   std::size_t to);
-  [[nodiscard]] std::optional<double> load_gain(const tick_context& ctx, const target_view& view,
-                                                std::size_t model) const;
+  [[nodiscard]] static bool surplus_completes_replica(const tick_context& ctx,
+                                                      const domain_state& domain, std::size_t from,
+                                                      std::size_t to);
+  [[nodiscard]] std::optional<double> model_load_gain(const tick_context& ctx,
+                                                      const target_view& view,
+                                                      std::size_t model) const;
   void send(tick_context& ctx, const target_view& to, order_action action,
             const replica_key& replica, std::string_view reason, const model_id& model = {},
             const std::vector<target_id>& members = {});
@@ -277,9 +278,9 @@
   std::vector<domain_plan> plan_;
   // The last plan and its input. Planning is costly with several hundred engines, and the input
   // rarely changes between ticks.
-  std::vector<layout_domain> planned_domains_;
-  std::vector<layout_model> planned_models_;
-  fleet_layout planned_;
+  std::vector<layout_domain> plan_input_domains_;
+  std::vector<layout_model> plan_input_models_;
+  fleet_layout planned_layout_;
   // Since when a domain has had fewer engines of a model than planned.
   std::map<std::pair<fabric_domain_id, model_id>, time_point> shortage_since_;
   // Since when a model has had no replica inside a single data centre.
--- a/src/process/replica_controller_form.cpp
+++ b/src/process/replica_controller_form.cpp
@@ -6,9 +6,9 @@
 
 namespace arbutus {
 
-void replica_controller::form(tick_context& ctx) {
+void replica_controller::form_replicas(tick_context& ctx) {
   std::vector<fabric_domain_id> domains;
-  for (const auto& entry : ctx.free) {
+  for (const auto& entry : ctx.free_engines) {
     domains.push_back(entry.first);
   }
   // The model with the fewest replicas relative to its work comes first.
@@ -17,14 +17,14 @@
     models.push_back(&model);
   }
   std::map<model_id, double> replicas;
-  for (const auto& [key, group] : ctx.formed_anywhere) {
+  for (const auto& [key, group] : ctx.formed_in_all_data_centres) {
     if (!is_spare_name(key.name)) {
       replicas[model_of_name(key.name)] += 1;
     }
   }
   std::stable_sort(models.begin(), models.end(), [&](const auto* a, const auto* b) {
-    return replicas[a->id] * a->size / std::max(a->expected_time_share, 1e-3) <
-           replicas[b->id] * b->size / std::max(b->expected_time_share, 1e-3);
+    return replicas[a->id] * a->size / std::max(a->expected_engine_time_fraction, 1e-3) <
+           replicas[b->id] * b->size / std::max(b->expected_engine_time_fraction, 1e-3);
   });
   for (const fabric_domain_id& domain : domains) {
     for (const model_spec* model : models) {
@@ -60,7 +60,7 @@
 
 void replica_controller::form_in_domain(tick_context& ctx, const fabric_domain_id& domain,
                                         const model_spec& model) {
-  auto& free = ctx.free[domain];
+  auto& free = ctx.free_engines[domain];
   for (;;) {
     std::vector<const target_view*> ready = ready_engines(free, model);
     if (ready.size() < model.size) {
@@ -85,9 +85,10 @@
   if (can_order(ctx, f.members.front())) {
     send(ctx, *members.front(), order_action::join, f.key, "forms", f.model, f.members);
   }
-  ctx.in_use.insert(f.members.begin(), f.members.end());
-  for (auto& [domain, free] : ctx.free) {
-    std::erase_if(free, [&](const target_view* v) { return ctx.in_use.contains(v->record.id); });
+  ctx.engines_in_use.insert(f.members.begin(), f.members.end());
+  for (auto& [domain, free] : ctx.free_engines) {
+    std::erase_if(free,
+                  [&](const target_view* v) { return ctx.engines_in_use.contains(v->record.id); });
   }
   forming_.push_back(std::move(f));
 }
@@ -96,7 +97,7 @@
 // callers are served late rather than refused.
 void replica_controller::form_across_domains(tick_context& ctx, const model_spec& model) {
   for (const data_centre_id& data_centre : ctx.own.data_centres) {
-    std::vector<const target_view*> ready = free_in(ctx, data_centre, model);
+    std::vector<const target_view*> ready = free_engines_in(ctx, data_centre, model);
     if (ready.size() >= model.size) {
       ready.resize(model.size);
       start_forming(ctx, model, ready);
@@ -104,11 +105,10 @@
   }
 }
 
-std::vector<const target_view*> replica_controller::free_in(const tick_context& ctx,
-                                                            const data_centre_id& data_centre,
-                                                            const model_spec& model) const {
+std::vector<const target_view*> replica_controller::free_engines_in(
+    const tick_context& ctx, const data_centre_id& data_centre, const model_spec& model) const {
   std::vector<const target_view*> ready;
-  for (const auto& [domain, free] : ctx.free) {
+  for (const auto& [domain, free] : ctx.free_engines) {
     for (const target_view* view : ready_engines(free, model)) {
       if (view->record.data_centre == data_centre) {
         ready.push_back(view);
@@ -121,13 +121,13 @@
 // Engines in data centres of other controllers that are ready for the model and, as far as this
 // node knows, in no replica. Their own controller may use them simultaneously: then the count in
 // one of the orders does not match, and the replica of that order is abandoned.
-std::vector<const target_view*> replica_controller::free_in_other_data_centres(
+std::vector<const target_view*> replica_controller::free_engines_in_other_data_centres(
     const tick_context& ctx, const model_spec& model) const {
   std::map<data_centre_id, std::vector<const target_view*>> by_data_centre;
   for (const auto& [id, view] : ctx.fleet.all()) {
-    const bool usable = view.record.service == ctx.service.id && !ctx.is_own(view) &&
+    const bool usable = view.record.service == ctx.service.id && !ctx.is_in_own_data_centre(view) &&
                         tick_context::alive(&view) && !view.record.draining &&
-                        !ctx.in_use.contains(id) &&
+                        !ctx.engines_in_use.contains(id) &&
                         !ctx.unreachable.contains(view.record.data_centre);
     const auto local = local_states_.find(id);
     if (!usable || local == local_states_.end() || local->second.ready_model != model.id) {
@@ -136,7 +136,7 @@
     const auto& member_of = view.record.member_of;
     const bool spare = member_of && is_spare_name(member_of->replica.name) &&
                        member_of->state == member_state::ready;
-    if (!member_of || spare || ctx.vacated.contains(member_of->replica)) {
+    if (!member_of || spare || ctx.vacated_replicas.contains(member_of->replica)) {
       by_data_centre[view.record.data_centre].push_back(&view);
     }
   }
@@ -165,8 +165,9 @@
                     m->record.data_centre == replica.members.front()->record.data_centre;
            });
   };
-  const bool has_local = std::any_of(ctx.formed_anywhere.begin(), ctx.formed_anywhere.end(),
-                                     [&](const auto& entry) { return is_local(entry.second); });
+  const bool has_local =
+      std::any_of(ctx.formed_in_all_data_centres.begin(), ctx.formed_in_all_data_centres.end(),
+                  [&](const auto& entry) { return is_local(entry.second); });
   if (has_local) {
     no_local_replica_since_.erase(model.id);
     return;
@@ -180,11 +181,12 @@
   }
   std::vector<const target_view*> own;
   for (const data_centre_id& data_centre : ctx.own.data_centres) {
-    const auto ready = free_in(ctx, data_centre, model);
+    const auto ready = free_engines_in(ctx, data_centre, model);
     own.insert(own.end(), ready.begin(), ready.end());
   }
-  const std::vector<const target_view*> others = free_in_other_data_centres(ctx, model);
-  if (own.empty() || own.size() + others.size() < model.size || !has_most_engines(own, others)) {
+  const std::vector<const target_view*> others = free_engines_in_other_data_centres(ctx, model);
+  if (own.empty() || own.size() + others.size() < model.size ||
+      !has_most_free_engines(own, others)) {
     return;
   }
   std::vector<const target_view*> members = std::move(own);
@@ -203,8 +205,8 @@
 
 // Whether no other data centre has more of the engines, or equally many and a lower name. This way
 // all controllers agree on the one that forms the replica.
-bool replica_controller::has_most_engines(const std::vector<const target_view*>& own,
-                                          const std::vector<const target_view*>& others) {
+bool replica_controller::has_most_free_engines(const std::vector<const target_view*>& own,
+                                               const std::vector<const target_view*>& others) {
   std::map<data_centre_id, std::size_t> counts;
   for (const target_view* view : others) {
     ++counts[view->record.data_centre];
@@ -221,14 +223,14 @@
   if (ready == 0) {
     return;
   }
-  for (const formed_replica& cross_domain : ctx.cross_domain) {
+  for (const formed_replica& cross_domain_replicas : ctx.cross_domain_replicas) {
     const auto here =
-        std::count_if(cross_domain.members.begin(), cross_domain.members.end(),
+        std::count_if(cross_domain_replicas.members.begin(), cross_domain_replicas.members.end(),
                       [&](const target_view* member) { return member->record.domain == domain; });
-    const bool fits = model_of_name(cross_domain.key.name) == model.id &&
+    const bool fits = model_of_name(cross_domain_replicas.key.name) == model.id &&
                       ready + static_cast<std::size_t>(here) >= model.size;
-    if (fits && !closing_since_.contains(cross_domain.key)) {
-      closing_since_.emplace(cross_domain.key, ctx.now);
+    if (fits && !closing_since_.contains(cross_domain_replicas.key)) {
+      closing_since_.emplace(cross_domain_replicas.key, ctx.now);
       return;
     }
   }
--- a/src/process/replica_controller_load.cpp
+++ b/src/process/replica_controller_load.cpp
@@ -29,8 +29,8 @@
     const local_engine_state& local = local_states_[id];
     const bool loads = is_loading(view, local);
     if (loads && !is_staged(view, model_for(view, local))) {
-      ++ctx.loading;
-      ctx.loading_controlled += ctx.is_own(view) ? 1 : 0;
+      ++ctx.loading_engines;
+      ctx.loading_in_own_data_centres += ctx.is_in_own_data_centre(view) ? 1 : 0;
     }
     domain_state& domain = ctx.domains[view.record.domain];
     domain.ready.resize(ctx.engine.models.size(), 0);
@@ -47,23 +47,23 @@
   }
   std::vector<layout_model> models;
   for (const model_spec& model : ctx.engine.models) {
-    // expected_time_share is a share of engine time: a replica of twice the size does twice the
-    // work.
-    models.push_back({model.size, model.expected_time_share / model.size});
+    // expected_engine_time_fraction is a share of engine time: a replica of twice the size does
+    // twice the work.
+    models.push_back({model.size, model.expected_engine_time_fraction / model.size});
   }
-  if (domains != planned_domains_ || models != planned_models_) {
-    planned_ = plan_fleet(domains, models, ctx.engine.cross_domain_factor);
-    planned_domains_ = domains;
-    planned_models_ = models;
+  if (domains != plan_input_domains_ || models != plan_input_models_) {
+    planned_layout_ = plan_fleet_layout(domains, models, ctx.engine.cross_domain_slowdown_factor);
+    plan_input_domains_ = domains;
+    plan_input_models_ = models;
   }
-  const fleet_layout& layout = planned_;
+  const fleet_layout& layout = planned_layout_;
   std::size_t index = 0;
   plan_.clear();
   for (auto& [id, domain] : ctx.domains) {
     domain.desired = layout[index++];
-    const auto free = ctx.free.find(id);
+    const auto free = ctx.free_engines.find(id);
     plan_.push_back({id, domain.ready, domain.desired, domain.unloaded,
-                     free == ctx.free.end() ? 0 : free->second.size()});
+                     free == ctx.free_engines.end() ? 0 : free->second.size()});
   }
   update_shortages(ctx);
 }
@@ -103,8 +103,9 @@
 // Whether the surplus engines of one model, which cannot form a replica of it, would complete a
 // replica of the other model. Switching them costs only spares. Without this, 15 engines would wait
 // 10 s and a load for the 16th one while 3 engines of a model of size 4 stay unused.
-bool replica_controller::completes_with_surplus(const tick_context& ctx, const domain_state& domain,
-                                                std::size_t from, std::size_t to) {
+bool replica_controller::surplus_completes_replica(const tick_context& ctx,
+                                                   const domain_state& domain, std::size_t from,
+                                                   std::size_t to) {
   const std::uint32_t surplus = domain.ready[from] % ctx.engine.models[from].size;
   const std::uint32_t size = ctx.engine.models[to].size;
   const std::uint32_t partial = domain.ready[to] % size;
@@ -113,9 +114,9 @@
 
 // How much the fleet gains if this engine loads the model, as a score to compare engines and
 // models; empty if the engine should not load it.
-std::optional<double> replica_controller::load_gain(const tick_context& ctx,
-                                                    const target_view& view,
-                                                    std::size_t model) const {
+std::optional<double> replica_controller::model_load_gain(const tick_context& ctx,
+                                                          const target_view& view,
+                                                          std::size_t model) const {
   const local_engine_state& local = local_states_.at(view.record.id);
   const model_spec& candidate = ctx.engine.models[model];
   const domain_state& domain = ctx.domains.at(view.record.domain);
@@ -127,9 +128,9 @@
   // model, and has been short of the other one for some time or can complete a replica of it.
   const auto since = shortage_since_.find({view.record.domain, candidate.id});
   const bool persistent =
-      since != shortage_since_.end() && ctx.now - since->second >= settings_.model_change_delay;
+      since != shortage_since_.end() && ctx.now - since->second >= settings_.model_switch_delay;
   if (current && (domain.ready[*current] <= domain.desired[*current] ||
-                  !(persistent || completes_with_surplus(ctx, domain, *current, model)))) {
+                  !(persistent || surplus_completes_replica(ctx, domain, *current, model)))) {
     return std::nullopt;
   }
   const bool staged = is_staged(view, candidate.id);
@@ -143,7 +144,7 @@
   constexpr double share_weight = 10;
   constexpr double staged_weight = 5;  // a staged model loads in 1 to 2 s instead of 12 to 16 s
   constexpr double unloaded_weight = 2;
-  return share_weight * candidate.expected_time_share / candidate.size / (replicas + 1) -
+  return share_weight * candidate.expected_engine_time_fraction / candidate.size / (replicas + 1) -
          static_cast<double>(missing) / candidate.size + (staged ? staged_weight : 0) +
          (current ? 0 : unloaded_weight);
 }
@@ -157,18 +158,18 @@
              std::max<std::size_t>(1, ctx.own.all_data_centres));
   for (;;) {
     // Each data centre may use its share of the store's loads, and any part that others leave.
-    const bool may_load =
-        unlimited || ctx.loading_controlled < share || ctx.loading < ctx.engine.concurrent_loads;
+    const bool may_load = unlimited || ctx.loading_in_own_data_centres < share ||
+                          ctx.loading_engines < ctx.engine.concurrent_loads;
     const target_view* best = nullptr;
     std::size_t best_model = 0;
     double best_gain = 0;
-    for (const auto& [domain, free] : ctx.free) {
+    for (const auto& [domain, free] : ctx.free_engines) {
       for (const target_view* view : free) {
         if (is_loading(*view, local_states_[view->record.id])) {
           continue;
         }
         for (std::size_t m = 0; m < ctx.engine.models.size(); ++m) {
-          const auto gain = load_gain(ctx, *view, m);
+          const auto gain = model_load_gain(ctx, *view, m);
           const bool allowed = may_load || is_staged(*view, ctx.engine.models[m].id);
           const bool better = gain && allowed && (best == nullptr || *gain > best_gain);
           if (better && can_order(ctx, view->record.id)) {
@@ -198,15 +199,15 @@
   }
   ++domain.ready[model];
   if (!is_staged(view, ctx.engine.models[model].id)) {
-    ++ctx.loading;
-    ++ctx.loading_controlled;
+    ++ctx.loading_engines;
+    ++ctx.loading_in_own_data_centres;
   }
   local.ready_model = {};
   local.loading_model = ctx.engine.models[model].id;
   local.load_started_at = ctx.now;
   send(ctx, view, order_action::join, {spare_name(local.loading_model, id), next_epoch()},
        "gets ready", local.loading_model, {id});
-  std::erase_if(ctx.free[view.record.domain],
+  std::erase_if(ctx.free_engines[view.record.domain],
                 [&](const target_view* v) { return v->record.id == id; });
 }
 
--- a/src/process/replica_controller_orders.cpp
+++ b/src/process/replica_controller_orders.cpp
@@ -20,8 +20,8 @@
   }
 }
 
-void replica_controller::on_order(time_point now, fleet_view& fleet, const replica_order& order,
-                                  order_outcome outcome) {
+void replica_controller::on_order_outcome(time_point now, fleet_view& fleet,
+                                          const replica_order& order, order_outcome outcome) {
   const auto found = local_states_.find(order.to);
   if (found == local_states_.end()) {
     return;
@@ -29,7 +29,8 @@
   local_engine_state& local = found->second;
   local.order_pending = false;
   local.next_attempt_at =
-      now + (order.action == order_action::open ? settings_.open_retry : settings_.order_retry);
+      now + (order.action == order_action::open ? settings_.open_order_retry_interval
+                                                : settings_.order_retry_interval);
   switch (outcome) {
     case order_outcome::accepted:
     case order_outcome::already_done:
@@ -64,12 +65,12 @@
                                          order_outcome outcome) {
   const target_view* view = fleet.find(order.to);
   const bool has_left =
-      order.action == order_action::leave && local.replica_at_count == order.replica;
+      order.action == order_action::leave && local.replica_at_order_count == order.replica;
   local.orders = order.expected_orders + (outcome == order_outcome::accepted || has_left ? 1 : 0);
-  local.count_confirmed_at = now;
+  local.order_count_confirmed_at = now;
   if (order.action == order_action::join) {
     record_join(order);
-    local.replica_at_count = order.replica;
+    local.replica_at_order_count = order.replica;
     const bool is_head = order.members.front() == order.to;
     if (outcome == order_outcome::accepted && view != nullptr) {
       fleet.apply_order(now, order.to,
@@ -77,7 +78,7 @@
     }
   }
   if (has_left) {
-    local.replica_at_count.reset();
+    local.replica_at_order_count.reset();
     local.next_attempt_at = now;
     fleet.apply_order(now, order.to, std::nullopt);
   }
@@ -91,15 +92,15 @@
   }
   local_engine_state& local = found->second;
   local.report_pending = false;
-  local.next_attempt_at = now + settings_.report_retry;
+  local.next_attempt_at = now + settings_.report_retry_interval;
   if (!report || report->incarnation != id || local.order_pending) {
     return;
   }
   local.orders = report->orders;
-  local.count_confirmed_at = now;
-  local.replica_at_count.reset();
+  local.order_count_confirmed_at = now;
+  local.replica_at_order_count.reset();
   if (report->member_of) {
-    local.replica_at_count = report->member_of->replica;
+    local.replica_at_order_count = report->member_of->replica;
   }
 }
 
--- a/src/process/replica_controller_tick.h
+++ b/src/process/replica_controller_tick.h
@@ -24,25 +24,27 @@
   const service_spec& service;
   const engine_parameters& engine;
   const responsibilities& own;
-  controller_effects out = {};
+  controller_effects effects = {};
   // Replicas with members in this node's data centres.
   std::map<replica_key, formed_replica> formed = {};
-  std::map<replica_key, formed_replica> formed_anywhere = {};  // in all data centres
+  std::map<replica_key, formed_replica> formed_in_all_data_centres = {};  // in all data centres
   std::set<data_centre_id> unreachable = {};  // data centres whose engines get no orders
-  std::set<target_id> in_use = {};            // engines in a replica that is formed or being formed
-  std::vector<formed_replica> cross_domain = {};  // complete replicas that span domains
-  std::set<replica_key> vacated = {};  // replicas whose head was seen outside, so members are free
+  std::set<target_id> engines_in_use = {};    // engines in a replica that is formed or being formed
+  std::vector<formed_replica> cross_domain_replicas = {};  // complete replicas that span domains
+  std::set<replica_key> vacated_replicas =
+      {};  // replicas whose head was seen outside, so members are free
   // Engines that can be used for a new replica, by domain.
-  std::map<fabric_domain_id, std::vector<const target_view*>> free = {};
+  std::map<fabric_domain_id, std::vector<const target_view*>> free_engines = {};
   std::map<fabric_domain_id, domain_state> domains = {};  // in all data centres
   // Number of reachable engines of the service in all data centres.
   std::map<fabric_domain_id, std::size_t> engines_by_domain = {};
   std::map<data_centre_id, std::size_t> engines_by_data_centre = {};
-  std::size_t unlisted = 0;  // unlisted members of replicas, without spares, that are not lost
+  std::size_t unlisted_members =
+      0;  // unlisted members of replicas, without spares, that are not lost
   // Numbers of engines that load a model from the weight store: in all data centres, and in those
   // that this node controls.
-  std::size_t loading = 0;
-  std::size_t loading_controlled = 0;
+  std::size_t loading_engines = 0;
+  std::size_t loading_in_own_data_centres = 0;
 
   [[nodiscard]] std::optional<std::size_t> model_index(const model_id& id) const {
     for (std::size_t i = 0; i < engine.models.size(); ++i) {
@@ -53,7 +55,7 @@
     return std::nullopt;
   }
 
-  [[nodiscard]] bool is_own(const target_view& view) const {
+  [[nodiscard]] bool is_in_own_data_centre(const target_view& view) const {
     return own.data_centres.contains(view.record.data_centre);
   }
   [[nodiscard]] static bool alive(const target_view* view) {
--- a/src/process/report.h
+++ b/src/process/report.h
@@ -16,9 +16,9 @@
 // The response of a target VM to a probe.
 struct engine_report {
   vm_id vm;
-  std::uint64_t incarnation{};  // differs after every start of the engine process
-  replica_id replica;           // empty: none
-  generation gen;               // fencing token of the order in force at the target
+  std::uint64_t incarnation{};    // differs after every start of the engine process
+  replica_id replica;             // empty: none
+  generation fencing_generation;  // fencing token of the order in force at the target
   std::string model_version;
   engine_state state = engine_state::idle;
   bool leaving = false;  // the platform or the target reports that the VM will be removed
--- a/src/process/routes.h
+++ b/src/process/routes.h
@@ -19,7 +19,7 @@
   replica_id id;
   model_id model;
   std::string model_version;
-  generation gen;
+  generation fencing_generation;
   vm_id head;  // the member that receives requests
   endpoint address;
   std::vector<vm_id> members;
@@ -32,7 +32,7 @@
   std::uint32_t slots{};
   double tokens_per_second{};
   double kv_used{};
-  time_point load_at;
+  time_point load_reported_at;
   time_point serving_since;  // when the replica started to serve; a new one gets fewer requests
 };
 
@@ -43,7 +43,7 @@
   std::uint32_t free_slots{};
   duration queueing_delay{};
   time_point at;
-  std::vector<endpoint> entry;  // endpoints for callers at the nodes of that data centre
+  std::vector<endpoint> caller_endpoints;  // endpoints for callers at the nodes of that data centre
 };
 
 struct routing_snapshot {
--- a/src/process/row_write_model.cpp
+++ b/src/process/row_write_model.cpp
@@ -16,13 +16,14 @@
 constexpr duration urgent_gossip_delay = 100ms;
 constexpr duration row_gossip_delay = 300ms;
 // Share of table writes that are slow: one in ten.
-constexpr double slow_share = 0.1;
-constexpr duration usual_write = 60ms;
-constexpr duration slow_write = 2s;
+constexpr double slow_write_share = 0.1;
+constexpr duration normal_write_latency = 60ms;
+constexpr duration slow_write_latency = 2s;
 
 duration random_write_latency(rng& random) {
-  const bool slow = random.unit() < slow_share;
-  return slow ? usual_write + random.jitter(slow_write) : 20ms + random.jitter(usual_write - 20ms);
+  const bool slow = random.unit() < slow_write_share;
+  return slow ? normal_write_latency + random.jitter(slow_write_latency)
+              : 20ms + random.jitter(normal_write_latency - 20ms);
 }
 
 struct attempt {
@@ -33,24 +34,24 @@
 // The first write to end wins; the writes of nodes that began before they learnt of it are wasted.
 write_timing race(const std::vector<attempt>& attempts, rng& random) {
   write_timing timing;
-  timing.delay = duration::max();
+  timing.write_delay = duration::max();
   for (const attempt& a : attempts) {
-    timing.delay = std::min(timing.delay, a.end);
+    timing.write_delay = std::min(timing.write_delay, a.end);
   }
   for (const attempt& a : attempts) {
-    timing.wasted += a.begin < timing.delay + random.jitter(row_gossip_delay) ? 1 : 0;
+    timing.wasted_writes += a.begin < timing.write_delay + random.jitter(row_gossip_delay) ? 1 : 0;
   }
-  timing.wasted -= 1;
+  timing.wasted_writes -= 1;
   return timing;
 }
 
-write_timing write_ranked(const write_conditions& situation, rng& random) {
+write_timing write_ranked(const write_conditions& conditions, rng& random) {
   std::vector<attempt> attempts;
-  for (std::uint32_t rank = 0; rank < situation.nodes; ++rank) {
-    const bool absent = random.unit() < situation.absent_fraction;
+  for (std::uint32_t rank = 0; rank < conditions.nodes; ++rank) {
+    const bool absent = random.unit() < conditions.undetected_absent_fraction;
     const duration begin = random.jitter(urgent_gossip_delay) + rank * rank_delay;
     const duration end = begin + random_write_latency(random);
-    if (!absent || rank + 1 == situation.nodes) {
+    if (!absent || rank + 1 == conditions.nodes) {
       attempts.push_back({begin, end});
     }
   }
@@ -58,9 +59,9 @@
 }
 
 // Without ranks all nodes that notice the expiry of the lease try to take it, spread over 1 s.
-write_timing take_lease(const write_conditions& situation, rng& random, duration expires_in) {
+write_timing take_lease(const write_conditions& conditions, rng& random, duration expires_in) {
   std::vector<attempt> attempts;
-  for (std::uint32_t i = 1; i < situation.nodes; ++i) {
+  for (std::uint32_t i = 1; i < conditions.nodes; ++i) {
     const duration begin = expires_in + random.jitter(1s);
     attempts.push_back({begin, begin + random_write_latency(random)});
   }
@@ -69,27 +70,27 @@
   return timing;
 }
 
-write_timing write_leased(const write_conditions& situation, rng& random) {
-  const bool absent = random.unit() < situation.absent_fraction;
+write_timing write_leased(const write_conditions& conditions, rng& random) {
+  const bool absent = random.unit() < conditions.undetected_absent_fraction;
   write_timing timing;
-  if (situation.lease_expired) {
-    timing = take_lease(situation, random, {});
+  if (conditions.lease_expired) {
+    timing = take_lease(conditions, random, {});
   } else if (absent) {
-    timing = take_lease(situation, random, random.jitter(lease_duration));
-    timing.wasted +=
+    timing = take_lease(conditions, random, random.jitter(lease_duration));
+    timing.wasted_writes +=
         1;  // the old lease holder resumes and writes; its conditional write is refused
   } else {
-    timing.delay = random.jitter(urgent_gossip_delay);
+    timing.write_delay = random.jitter(urgent_gossip_delay);
   }
-  timing.delay += random_write_latency(random);
+  timing.write_delay += random_write_latency(random);
   return timing;
 }
 
 }  // namespace
 
-write_timing simulate_write(const write_conditions& situation, rng& random) {
-  return situation.writer == writer_selection::ranked ? write_ranked(situation, random)
-                                                      : write_leased(situation, random);
+write_timing simulate_write(const write_conditions& conditions, rng& random) {
+  return conditions.writer == writer_selection::ranked ? write_ranked(conditions, random)
+                                                       : write_leased(conditions, random);
 }
 
 }  // namespace arbutus
--- a/src/process/row_write_model.h
+++ b/src/process/row_write_model.h
@@ -11,20 +11,21 @@
 namespace arbutus {
 
 struct write_timing {
-  duration delay{};  // from the detection of the change until the row is written
-  std::uint32_t wasted = 0;
+  duration write_delay{};  // from the detection of the change until the row is written
+  std::uint32_t wasted_writes = 0;
   std::uint32_t lease_writes = 0;
 };
 
 struct write_conditions {
   writer_selection writer = writer_selection::ranked;
   std::uint32_t nodes = 1;
-  double absent_fraction = 0;  // share of nodes that are dead or paused but not yet known to be
+  double undetected_absent_fraction =
+      0;                       // share of nodes that are dead or paused but not yet known to be
   bool lease_expired = false;  // the lease could not be renewed while the table was unavailable
 };
 
 inline constexpr duration lease_duration = 10s;
 
-[[nodiscard]] write_timing simulate_write(const write_conditions& situation, rng& random);
+[[nodiscard]] write_timing simulate_write(const write_conditions& conditions, rng& random);
 
 }  // namespace arbutus
--- a/src/process/send_grants.cpp
+++ b/src/process/send_grants.cpp
@@ -31,23 +31,24 @@
 }
 
 void send_grants::received(const target_id& target, std::uint64_t count) {
-  to_forward_[target] += static_cast<double>(count);
+  forward_credit_[target] += static_cast<double>(count);
 }
 
-void send_grants::round(time_point now, rng& random, const std::map<target_id, double>& issued) {
+void send_grants::distribute_round(time_point now, rng& random,
+                                   const std::map<target_id, double>& issued) {
   const duration elapsed = last_round_at_ == time_point{} ? duration{} : now - last_round_at_;
   last_round_at_ = now;
-  std::erase_if(to_issue_, [&](const auto& entry) { return !issued.contains(entry.first); });
+  std::erase_if(issue_credit_, [&](const auto& entry) { return !issued.contains(entry.first); });
   for (const auto& [target, per_second] : issued) {
-    double& credit = to_issue_[target];
-    credit +=
-        std::max(per_second, min_per_second) * to_seconds(std::min(elapsed, max_round_interval));
+    double& credit = issue_credit_[target];
+    credit += std::max(per_second, min_grants_per_second) *
+              to_seconds(std::min(elapsed, max_round_interval));
     distribute(now, random, target, true, credit);
   }
-  for (auto& [target, credit] : to_forward_) {
+  for (auto& [target, credit] : forward_credit_) {
     distribute(now, random, target, false, credit);
   }
-  to_forward_.clear();
+  forward_credit_.clear();
 }
 
 void send_grants::distribute(time_point now, rng& random, const target_id& target,
@@ -68,7 +69,7 @@
                                                   const target_id& target, bool to_other_hubs) {
   const auto weight = [&](const receiver& r) {
     const bool is_eligible =
-        now - r.reported_at < demand_validity && (to_other_hubs || !r.is_remote_hub);
+        now - r.reported_at < max_demand_age && (to_other_hubs || !r.is_remote_hub);
     return is_eligible ? demand_of(r.demand, target) : 0.0;
   };
   double remaining = 0;
@@ -108,7 +109,7 @@
 std::map<target_id, double> send_grants::local_demand(time_point now) const {
   std::map<target_id, double> sum;
   for (const auto& [id, r] : receivers_) {
-    if (r.is_remote_hub || now - r.reported_at >= demand_validity) {
+    if (r.is_remote_hub || now - r.reported_at >= max_demand_age) {
       continue;
     }
     for (const auto& [target, demand] : r.demand) {
@@ -144,7 +145,7 @@
   std::map<target_id, std::uint64_t>& totals = find_sender(from, sender_incarnation).totals;
   for (const auto& [target, total] : update.totals) {
     std::uint64_t& before = totals[target];
-    if (total > before && now - valid_from <= max_transit_time) {
+    if (total > before && now - valid_from <= max_grant_transit_time) {
       new_grants[target] = total - before;
     }
     before = std::max(before, total);
--- a/src/process/send_grants.h
+++ b/src/process/send_grants.h
@@ -53,7 +53,7 @@
 
   // Distributes the grants of one round of heartbeats. `issued`: the targets that this hub issues
   // grants for, and their limits in requests a second.
-  void round(time_point now, rng& random, const std::map<target_id, double>& issued);
+  void distribute_round(time_point now, rng& random, const std::map<target_id, double>& issued);
   // Adds grants that the issuing hub of another data centre gave to this hub, for the nodes of this
   // data centre.
   void received(const target_id& target, std::uint64_t count);
@@ -64,12 +64,12 @@
 
   // A target with a limit of zero still gets requests at this rate, to notice when the limit
   // changes.
-  static constexpr double min_per_second = 0.2;
+  static constexpr double min_grants_per_second = 0.2;
   // The total of a target is repeated in heartbeats for this long after its newest grant: several
   // heartbeats in a row may be lost.
   static constexpr duration resend_duration = 2s;
   // A peer that last reported its demand longer ago than this gets no grants.
-  static constexpr duration demand_validity = 1500ms;
+  static constexpr duration max_demand_age = 1500ms;
 
  private:
   struct grant_count {
@@ -90,8 +90,9 @@
                                         bool to_other_hubs);
 
   std::map<node_id, receiver> receivers_;
-  std::map<target_id, double> to_issue_;    // fraction of a grant not distributed yet, below one
-  std::map<target_id, double> to_forward_;  // grants received, to be distributed in the next round
+  std::map<target_id, double> issue_credit_;  // fraction of a grant not distributed yet, below one
+  std::map<target_id, double>
+      forward_credit_;  // grants received, to be distributed in the next round
   time_point last_round_at_{};
 };
 
@@ -107,7 +108,7 @@
                                              const std::string& own_incarnation,
                                              const grant_update& update);
 
-  static constexpr duration max_transit_time = 1s;
+  static constexpr duration max_grant_transit_time = 1s;
 
  private:
   struct sender_totals {
--- a/src/process/serving_feed.cpp
+++ b/src/process/serving_feed.cpp
@@ -18,7 +18,7 @@
 
 // Nesting depth of an encoded row: document, domains, domain, members, member, fields of the
 // member.
-constexpr std::size_t entry_depth = 6;
+constexpr std::size_t max_entry_depth = 6;
 constexpr double slowdown_unit = 1000;  // the slowdown factor is encoded in thousandths
 
 json members_by_domain(const serving_entry& entry) {
@@ -73,7 +73,7 @@
 }
 
 std::optional<serving_entry> decode_serving_entry(std::string_view bytes) {
-  if (!nesting_bounded(bytes, entry_depth)) {
+  if (!nesting_bounded(bytes, max_entry_depth)) {
     return std::nullopt;
   }
   try {
@@ -108,14 +108,14 @@
   }
 }
 
-void serving_feed::put(const std::string& key, const serving_entry& entry) {
+void serving_feed::put_row(const std::string& key, const serving_entry& entry) {
   std::string bytes = encode(entry);
-  std::string& known = encoded_[key];
+  std::string& known = encoded_rows_[key];
   if (known == bytes) {
     return;
   }
   known = std::move(bytes);
-  std::vector<target_id>& members = members_[key];
+  std::vector<target_id>& members = members_by_key_[key];
   members.clear();
   for (const target_record& member : entry.members) {
     members.push_back(member.id);
@@ -125,11 +125,11 @@
 }
 
 void serving_feed::update(const fleet_view& fleet, const service_map& services) {
-  if (revision_ == fleet.revision() && version_ == services.version()) {
+  if (fleet_revision_ == fleet.revision() && services_version_ == services.version()) {
     return;
   }
-  revision_ = fleet.revision();
-  version_ = services.version();
+  fleet_revision_ = fleet.revision();
+  services_version_ = services.version();
   std::map<std::string, serving_entry> entries;
   for (const service_spec& service : services.services()) {
     if (!service.engine) {
@@ -150,18 +150,18 @@
     }
   }
   // Rows that have ended are removed first, since their members may be in another replica now.
-  for (auto known = encoded_.begin(); known != encoded_.end();) {
+  for (auto known = encoded_rows_.begin(); known != encoded_rows_.end();) {
     if (entries.contains(known->first)) {
       ++known;
       continue;
     }
     rows_.advance(rows_.position() + 1);
     rows_.apply({known->first, {}, rows_.position(), true});
-    members_.erase(known->first);
-    known = encoded_.erase(known);
+    members_by_key_.erase(known->first);
+    known = encoded_rows_.erase(known);
   }
   for (const auto& [key, entry] : entries) {
-    put(key, entry);
+    put_row(key, entry);
   }
 }
 
@@ -171,7 +171,7 @@
   if (suspects.empty()) {
     return result;
   }
-  for (const auto& [key, members] : members_) {
+  for (const auto& [key, members] : members_by_key_) {
     const auto found = std::find_if(members.begin(), members.end(),
                                     [&](const target_id& id) { return suspects.contains(id); });
     if (found != members.end()) {
--- a/src/process/serving_feed.h
+++ b/src/process/serving_feed.h
@@ -57,12 +57,12 @@
       const std::set<target_id>& suspects) const;
 
  private:
-  void put(const std::string& key, const serving_entry& entry);
+  void put_row(const std::string& key, const serving_entry& entry);
 
-  std::uint64_t revision_ = 0;                  // of the fleet view at the last update
-  std::uint64_t version_ = 0;                   // of the services at the last update
-  std::map<std::string, std::string> encoded_;  // encoded rows by key
-  std::map<std::string, std::vector<target_id>> members_;
+  std::uint64_t fleet_revision_ = 0;                 // of the fleet view at the last update
+  std::uint64_t services_version_ = 0;               // of the services at the last update
+  std::map<std::string, std::string> encoded_rows_;  // encoded rows by key
+  std::map<std::string, std::vector<target_id>> members_by_key_;
   feed_log rows_;
 };
 
--- a/src/process/settings.cpp
+++ b/src/process/settings.cpp
@@ -76,8 +76,8 @@
 
   void read_listen() {
     if (auto table = root_.table("listen", presence::required)) {
-      read_endpoint(*table, "callers", settings_.listen.callers);
-      read_endpoint(*table, "links", settings_.listen.links);
+      read_endpoint(*table, "callers", settings_.listen.caller_endpoint);
+      read_endpoint(*table, "links", settings_.listen.link_endpoint);
       table->finish();
     }
   }
@@ -109,11 +109,11 @@
       return;
     }
     if (id == settings_.id) {
-      table.problem("id", in_quotes(id.str()) + " is this node itself", "another node");
+      table.problem("id", quoted_for_message(id.str()) + " is this node itself", "another node");
     }
     const auto same = [&](const peer_settings& p) { return p.id == id; };
     if (std::any_of(settings_.peers.begin(), settings_.peers.end(), same)) {
-      table.problem("id", in_quotes(id.str()) + " is listed already", "each peer once");
+      table.problem("id", quoted_for_message(id.str()) + " is listed already", "each peer once");
     }
   }
 
@@ -142,7 +142,7 @@
     auto format = static_cast<std::size_t>(settings_.log.format);
     table->read_choice("format", format, format_names);
     settings_.log.format = static_cast<log_format>(format);
-    read_log_volume(*table, settings_.log);
+    read_log_level_and_rate(*table, settings_.log);
     table->finish();
   }
 
@@ -168,8 +168,8 @@
       return;
     }
     timing_settings& timing = settings_.timing;
-    read_override(*table, "balancer_lag_ms", timing.balancer_lag);
-    read_override(*table, "stop_limit_ms", timing.stop_limit);
+    read_override(*table, "balancer_lag_ms", timing.load_balancer_lag);
+    read_override(*table, "stop_limit_ms", timing.planned_stop_timeout);
     table->finish();
   }
 
@@ -218,19 +218,20 @@
   };
   const node_record* record = assets.find_node(settings.id);
   if (record == nullptr) {
-    problems.push_back({severity::error,
-                        {file_name, 0, 0},
-                        "node " + in_quotes(settings.id.str()) + " is not in the inventory",
-                        ""});
+    problems.push_back(
+        {severity::error,
+         {file_name, 0, 0},
+         "node " + quoted_for_message(settings.id.str()) + " is not in the inventory",
+         ""});
     return problems;
   }
   differs("data_centre", settings.data_centre.str(), record->data_centre.str());
-  differs("links", to_string(settings.listen.links), to_string(record->link));
-  differs("callers", to_string(settings.listen.callers), to_string(record->caller));
+  differs("links", to_string(settings.listen.link_endpoint), to_string(record->link));
+  differs("callers", to_string(settings.listen.caller_endpoint), to_string(record->caller));
   return problems;
 }
 
-void read_log_volume(table_reader& table, log_settings& log) {
+void read_log_level_and_rate(table_reader& table, log_settings& log) {
   constexpr integer_range rate{0, 1'000'000'000};
   auto level = static_cast<std::size_t>(log.level);
   table.read_choice("level", level, level_names);
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -18,8 +18,8 @@
 namespace arbutus {
 
 struct listen_settings {
-  endpoint callers;
-  endpoint links;  // for connections from other nodes
+  endpoint caller_endpoint;
+  endpoint link_endpoint;  // for connections from other nodes
 };
 
 // The platform's services.
@@ -65,9 +65,9 @@
 // centre must share (process/control_timing.h) cannot be set for one node.
 struct timing_settings {
   // From reporting "not ready" until the load balancer sends no more connections.
-  std::optional<duration> balancer_lag;
+  std::optional<duration> load_balancer_lag;
   // At a planned stop, requests in flight may run on for this long.
-  std::optional<duration> stop_limit;
+  std::optional<duration> planned_stop_timeout;
 };
 
 struct node_settings {
@@ -98,7 +98,7 @@
 
 class table_reader;
 // Reads level and bytes per second, which both kinds of nodes have; does not call table.finish().
-void read_log_volume(table_reader& table, log_settings& log);
+void read_log_level_and_rate(table_reader& table, log_settings& log);
 
 // Converts log levels from and to their names in the settings: "debug", "info", "warning", "error".
 [[nodiscard]] std::optional<log_level> parse_log_level(std::string_view name);
--- a/src/process/simulated_data_centre.cpp
+++ b/src/process/simulated_data_centre.cpp
@@ -10,7 +10,7 @@
 
 // A VM counts as lost after its probes were unanswered for this long, and its return is detected
 // with the same delay.
-constexpr duration detection = 2500ms;
+constexpr duration detection_delay = 2500ms;
 constexpr duration acknowledgement = 1s;
 constexpr duration drain_time = 20s;
 // Time to form a replica whose members have their weights loaded and only have to connect.
@@ -29,22 +29,22 @@
 simulated_data_centre::simulated_data_centre(const failure_simulation_settings& settings,
                                              std::uint64_t seed)
     : settings_(settings) {
-  build(seed);
+  build_configuration(seed);
   row_.data_centre = data_centre_id{"dc"};
   plan first = make_plan(input());
   while (first.changed) {
     write(std::move(first.next));
-    acknowledged_ = row_.version;
-    refresh();
+    acknowledged_version_ = row_.version;
+    recompute_counts();
     for (auto& [id, f] : formations_) {
       f.ready = now_;
     }
-    refresh();
+    recompute_counts();
     first = make_plan(input());
   }
 }
 
-void simulated_data_centre::build(std::uint64_t seed) {
+void simulated_data_centre::build_configuration(std::uint64_t seed) {
   const failure_simulation_settings& s = settings_;
   const bool with_spares = s.policy != standby_policy::none;
   const std::uint32_t spares = with_spares ? s.spares_per_domain : 0;
@@ -76,7 +76,7 @@
   config_.desired.spare_vms_per_data_centre = shared ? spares * s.fabric_domains : 0;
 
   const failure_schedule schedule = make_failure_schedule(s, seed);
-  unwritable_ = schedule.unwritable;
+  table_outages_ = schedule.table_outage_spans;
   for (const vm_outage_window& o : schedule.outages) {
     const vm_id vm = name_vm(o.domain, o.index);
     if (!vms_.contains(vm)) {
@@ -85,14 +85,14 @@
     if (o.notice > duration::zero()) {
       state_changes_.push_back({o.begin - o.notice, vm, 0, true, false});
     }
-    state_changes_.push_back({o.begin, vm, 1, false, o.with_domain});
+    state_changes_.push_back({o.begin, vm, 1, false, o.whole_domain_fails});
     state_changes_.push_back({o.end, vm, -1, false, false});
   }
   std::ranges::stable_sort(state_changes_, {}, &state_change::at);
 }
 
 void simulated_data_centre::apply(const state_change& p) {
-  stale_ = true;
+  counts_outdated_ = true;
   vm_state& vm = vms_[p.vm];
   vm.outages += p.outages;
   vm.leaving = p.leaving || (vm.leaving && p.outages == 0);
@@ -101,14 +101,14 @@
     vm.model = {};
   }
   vm.up = up;
-  if (p.with_domain) {
+  if (p.whole_domain_fails) {
     domain_lost_at_ = now_;
   }
   const vm_condition condition = !up          ? vm_condition::lost
                                  : vm.leaving ? vm_condition::leaving
                                               : vm_condition::working;
   pending_observations_.push_back(
-      {now_ + (vm.leaving ? acknowledgement : detection), p.vm, condition});
+      {now_ + (vm.leaving ? acknowledgement : detection_delay), p.vm, condition});
 }
 
 bool simulated_data_centre::apply_due_observations() {
@@ -117,7 +117,7 @@
     if (c.at <= now_ && vms_[c.vm].observed != c.condition) {
       vms_[c.vm].observed = c.condition;
       changed = true;
-      stale_ = true;
+      counts_outdated_ = true;
     }
   }
   std::erase_if(pending_observations_, [&](const pending_observation& c) { return c.at <= now_; });
@@ -127,7 +127,7 @@
 bool simulated_data_centre::end_drains() {
   bool changed = false;
   for (const auto& [id, at] : drained_at_) {
-    changed = (at <= now_ && emptied_.insert(id).second) || changed;
+    changed = (at <= now_ && drained_replicas_.insert(id).second) || changed;
   }
   return changed;
 }
@@ -140,23 +140,23 @@
   }
   bool changed = apply_due_observations();
   changed = end_drains() || changed;
-  if (acknowledged_ < row_.version && row_acknowledged_at_ <= now) {
-    acknowledged_ = row_.version;
+  if (acknowledged_version_ < row_.version && row_acknowledged_at_ <= now) {
+    acknowledged_version_ = row_.version;
     changed = true;
   }
   const std::uint32_t before = serving_;
-  if (stale_ || next_ready_ <= now) {
-    refresh();
+  if (counts_outdated_ || next_ready_ <= now) {
+    recompute_counts();
   }
   return serving_ != before || changed;
 }
 
-bool simulated_data_centre::writable() const {
-  return std::ranges::none_of(unwritable_, [&](const time_span& s) { return s.contains(now_); });
+bool simulated_data_centre::is_table_writable() const {
+  return std::ranges::none_of(table_outages_, [&](const time_span& s) { return s.contains(now_); });
 }
 
 bool simulated_data_centre::domain_recently_lost() const {
-  return now_ < domain_lost_at_ + detection + stale_liveness_duration;
+  return now_ < domain_lost_at_ + detection_delay + stale_liveness_duration;
 }
 
 planner_input simulated_data_centre::input() const {
@@ -170,8 +170,8 @@
   for (const auto& [id, c] : activated_) {
     in.in_force.push_back(c);
   }
-  in.drained_replicas.assign(emptied_.begin(), emptied_.end());
-  in.acknowledged = acknowledged_;
+  in.drained_replicas.assign(drained_replicas_.begin(), drained_replicas_.end());
+  in.acknowledged = acknowledged_version_;
   for (const auto& [id, f] : formations_) {
     if (f.weights_loaded && f.complete) {
       in.serving.push_back(id);
@@ -181,7 +181,7 @@
 }
 
 void simulated_data_centre::write(assignment next) {
-  stale_ = true;
+  counts_outdated_ = true;
   row_ = std::move(next);
   row_acknowledged_at_ = now_ + acknowledgement;
   for (const replica_plan& r : row_.replicas) {
@@ -193,12 +193,14 @@
   std::erase_if(drained_at_, removed);
   std::erase_if(activated_, removed);
   std::erase_if(formations_, removed);
-  std::erase_if(emptied_, [&](const replica_id& id) { return row_.find(id) == nullptr; });
+  std::erase_if(drained_replicas_, [&](const replica_id& id) { return row_.find(id) == nullptr; });
 }
 
 composition simulated_data_centre::in_force(const replica_plan& r) const {
   const auto own = activated_.find(r.id);
-  return own != activated_.end() && own->second.gen > r.gen ? own->second : planned(r);
+  return own != activated_.end() && own->second.fencing_generation > r.fencing_generation
+             ? own->second
+             : planned_composition(r);
 }
 
 bool simulated_data_centre::all_up(const std::vector<vm_id>& vms) const {
@@ -215,26 +217,27 @@
     }
     // The mask of lost members only grows within a row: a token with fewer losses would be older
     // than the one in force.
-    lost_mask mask = present.gen.row == row_.version ? present.gen.lost : 0;
+    lost_vm_mask mask =
+        present.fencing_generation.row == row_.version ? present.fencing_generation.lost : 0;
     std::size_t position = 0;
     for (const auto* vms : {&r.members, &r.standbys}) {
       for (const vm_id& vm : *vms) {
-        mask |= lost(vm) ? lost_mask{1} << position : 0;
+        mask |= lost(vm) ? lost_vm_mask{1} << position : 0;
         ++position;
       }
     }
     const auto next = activate(r, row_.version, mask);
-    if (next && next->gen > present.gen) {
+    if (next && next->fencing_generation > present.fencing_generation) {
       activated_[r.id] = *next;
-      stale_ = true;
+      counts_outdated_ = true;
       ++count;
     }
   }
   return count;
 }
 
-void simulated_data_centre::refresh() {
-  stale_ = false;
+void simulated_data_centre::recompute_counts() {
+  counts_outdated_ = false;
   next_ready_ = time_point::max();
   serving_ = 0;
   for (const replica_plan& r : row_.replicas) {
@@ -258,15 +261,16 @@
     return vm.model == r.model && vm.rank == i;
   };
   if (!up) {
-    f = {c.gen, false, {}, false};
+    f = {c.fencing_generation, false, {}, false};
     return;
   }
-  if (!f.complete || f.gen != c.gen) {
+  if (!f.complete || f.fencing_generation != c.fencing_generation) {
     bool all_loaded = true;
     for (std::size_t i = 0; i < c.members.size(); ++i) {
       all_loaded = all_loaded && has_weights(i);
     }
-    f = {c.gen, true, now_ + (all_loaded ? regroup_time : settings_.weights_load_time), false};
+    f = {c.fencing_generation, true,
+         now_ + (all_loaded ? regroup_time : settings_.weights_load_time), false};
   }
   if (f.weights_loaded || now_ < f.ready) {
     return;
--- a/src/process/simulated_data_centre.h
+++ b/src/process/simulated_data_centre.h
@@ -20,7 +20,7 @@
   // Advances to `now`; true if a change was detected that may require a new row.
   bool advance(time_point now);
 
-  [[nodiscard]] bool writable() const;
+  [[nodiscard]] bool is_table_writable() const;
   [[nodiscard]] planner_input input() const;
   [[nodiscard]] const assignment& row() const { return row_; }
   // Whether an entire fabric domain has just failed, and with it some of the nodes.
@@ -50,7 +50,7 @@
     vm_condition condition;
   };
   struct formation {
-    generation gen;
+    generation fencing_generation;
     bool complete = false;
     time_point ready;
     bool weights_loaded = false;  // all members have loaded their weights
@@ -60,14 +60,14 @@
     vm_id vm;
     int outages;  // added to the VM's count
     bool leaving;
-    bool with_domain;
+    bool whole_domain_fails;
   };
 
-  void build(std::uint64_t seed);
+  void build_configuration(std::uint64_t seed);
   void apply(const state_change& p);
   bool apply_due_observations();
   bool end_drains();
-  void refresh();
+  void recompute_counts();
   void form(const replica_plan& r);
   [[nodiscard]] bool serves(const replica_plan& r) const;
   [[nodiscard]] composition in_force(const replica_plan& r) const;
@@ -78,19 +78,19 @@
   std::uint32_t desired_ = 0;
   std::vector<state_change> state_changes_;  // sorted by time
   std::size_t next_state_change_ = 0;
-  std::vector<time_span> unwritable_;
+  std::vector<time_span> table_outages_;
   std::vector<pending_observation> pending_observations_;
   std::map<vm_id, vm_state> vms_;
   assignment row_;
   time_point row_acknowledged_at_;
-  std::uint64_t acknowledged_ = 0;
+  std::uint64_t acknowledged_version_ = 0;
   std::map<replica_id, composition> activated_;
   std::map<replica_id, formation> formations_;
   std::map<replica_id, time_point> drained_at_;
-  std::set<replica_id> emptied_;
+  std::set<replica_id> drained_replicas_;
   // serving_ and powered_ are recomputed only when something changed or a replica gets ready, which
   // happens in few of the simulation's steps.
-  bool stale_ = true;
+  bool counts_outdated_ = true;
   time_point next_ready_;
   std::uint32_t serving_ = 0;
   std::uint32_t powered_ = 0;
--- a/src/process/stall_monitor.cpp
+++ b/src/process/stall_monitor.cpp
@@ -14,91 +14,93 @@
 }  // namespace
 
 void stall_monitor::remove_idle(time_point now) {
-  std::erase_if(heads_, [&](const auto& entry) {
+  std::erase_if(states_by_head_, [&](const auto& entry) {
     const state& s = entry.second;
-    return s.running == 0 && s.waiting == 0 && now - s.idle_since > settings_.idle_retention;
+    return s.running_streams == 0 && s.waiting_streams == 0 &&
+           now - s.idle_since > settings_.idle_retention;
   });
 }
 
-void stall_monitor::sent(time_point now, const target_id& head, const model_id& model,
-                         duration expected_first) {
+void stall_monitor::on_stream_sent(time_point now, const target_id& head, const model_id& model,
+                                   duration expected_first) {
   remove_idle(now);
-  state& s = heads_[head];
+  state& s = states_by_head_[head];
   s.model = model;
-  if (s.waiting == 0) {
-    const auto known = first_ratio_.find(model);
-    const double ratio = known == first_ratio_.end() ? 1 : known->second;
+  if (s.waiting_streams == 0) {
+    const auto known = first_event_ratios_.find(model);
+    const double ratio = known == first_event_ratios_.end() ? 1 : known->second;
     constexpr double min_factor = 2;
     s.first_event_due =
         now + scaled(expected_first, std::clamp(ratio * settings_.first_event_factor, min_factor,
                                                 settings_.max_first_event_factor));
   }
-  ++s.waiting;
+  ++s.waiting_streams;
 }
 
-void stall_monitor::event(time_point now, const target_id& head, duration expected_gap) {
-  state& s = heads_[head];
+void stall_monitor::on_event(time_point now, const target_id& head, duration expected_gap) {
+  state& s = states_by_head_[head];
   const duration before = scaled(s.recent_gap, settings_.recent_gap_decay);
   // The first event after a time without running streams gives no meaningful gap between events.
-  const bool follows = s.running > 0 && s.last_event != time_point{};
+  const bool follows = s.running_streams > 0 && s.last_event != time_point{};
   s.recent_gap =
       follows ? std::max(before, std::min(now - s.last_event, settings_.max_recent_gap)) : before;
   s.last_event = now;
-  s.gap = expected_gap;
+  s.expected_gap = expected_gap;
   s.found_healthy = 0;
   s.first_event_due = std::max(s.first_event_due, now + expected_gap);
 }
 
-void stall_monitor::first_event(const target_id& head, duration waited, duration expected_first) {
-  state& s = heads_[head];
-  s.waiting -= s.waiting > 0 ? 1 : 0;
-  ++s.running;
-  double& ratio = first_ratio_[s.model];
+void stall_monitor::on_first_event(const target_id& head, duration waited,
+                                   duration expected_first) {
+  state& s = states_by_head_[head];
+  s.waiting_streams -= s.waiting_streams > 0 ? 1 : 0;
+  ++s.running_streams;
+  double& ratio = first_event_ratios_[s.model];
   const double observed_ratio = to_seconds(waited) / std::max(to_seconds(expected_first), 1e-3);
-  ratio = std::clamp(observed_ratio, ratio * settings_.first_ratio_decay,
+  ratio = std::clamp(observed_ratio, ratio * settings_.first_event_ratio_decay,
                      settings_.max_first_event_factor);
 }
 
-void stall_monitor::ended(time_point now, const target_id& head, bool had_first_event) {
-  const auto found = heads_.find(head);
-  if (found == heads_.end()) {
+void stall_monitor::on_stream_ended(time_point now, const target_id& head, bool had_first_event) {
+  const auto found = states_by_head_.find(head);
+  if (found == states_by_head_.end()) {
     return;
   }
   state& s = found->second;
-  std::size_t& count = had_first_event ? s.running : s.waiting;
+  std::size_t& count = had_first_event ? s.running_streams : s.waiting_streams;
   count -= count > 0 ? 1 : 0;
-  if (s.running == 0) {
+  if (s.running_streams == 0) {
     s.last_event = {};
   }
-  if (s.running == 0 && s.waiting == 0) {
+  if (s.running_streams == 0 && s.waiting_streams == 0) {
     s.idle_since = now;
     s.found_healthy = 0;
   }
 }
 
 void stall_monitor::found_healthy(time_point now, const target_id& head) {
-  if (const auto found = heads_.find(head); found != heads_.end()) {
+  if (const auto found = states_by_head_.find(head); found != states_by_head_.end()) {
     constexpr std::uint32_t max_doublings = 3;
     state& s = found->second;
-    s.no_check_before =
+    s.earliest_check_at =
         now + settings_.recheck_interval * (1U << std::min(s.found_healthy, max_doublings));
     ++s.found_healthy;
   }
 }
 
 duration stall_monitor::gap_limit(const state& s) const {
-  return std::max({settings_.min_gap, s.gap + settings_.gap_margin,
+  return std::max({settings_.min_stall_gap, s.expected_gap + settings_.gap_margin,
                    scaled(s.recent_gap, settings_.recent_gap_factor) + settings_.gap_margin});
 }
 
 std::vector<target_id> stall_monitor::stalled(time_point now) const {
   std::vector<target_id> result;
-  for (const auto& [head, s] : heads_) {
-    if (now < s.no_check_before) {
+  for (const auto& [head, s] : states_by_head_) {
+    if (now < s.earliest_check_at) {
       continue;
     }
-    const bool stopped = s.running > 0 && now - s.last_event > gap_limit(s);
-    const bool never_started = s.running == 0 && s.waiting > 0 &&
+    const bool stopped = s.running_streams > 0 && now - s.last_event > gap_limit(s);
+    const bool never_started = s.running_streams == 0 && s.waiting_streams > 0 &&
                                now > s.first_event_due + settings_.min_first_event_delay;
     if (stopped || never_started) {
       result.push_back(head);
--- a/src/process/stall_monitor.h
+++ b/src/process/stall_monitor.h
@@ -19,7 +19,7 @@
   // node's own scheduling and the engine's rounding.
   duration gap_margin = 100ms;
   // A gap between events shorter than this is never reported as a stall.
-  duration min_gap = 180ms;
+  duration min_stall_gap = 180ms;
   // A first event must be overdue by this before the replica is checked. The stream is late for its
   // caller anyway, so waiting costs little, while an unnecessary check has a cost. Four of five
   // checks were for missing first events.
@@ -29,7 +29,7 @@
   // max_first_event_factor.
   double first_event_factor = 1.5;
   double max_first_event_factor = 8;
-  double first_ratio_decay = 0.9;
+  double first_event_ratio_decay = 0.9;
   // How long the state of a head without streams is kept.
   duration idle_retention = 10s;
   // A replica that was found healthy is not checked again for this time. Each further check without
@@ -52,12 +52,13 @@
   explicit stall_monitor(const stall_settings& settings = {}) : settings_(settings) {}
 
   // A stream of `model` was sent; its first event is expected after `expected_first`.
-  void sent(time_point now, const target_id& head, const model_id& model, duration expected_first);
+  void on_stream_sent(time_point now, const target_id& head, const model_id& model,
+                      duration expected_first);
   // An event came; the next one of any stream of this head is expected after `expected_gap`.
-  void event(time_point now, const target_id& head, duration expected_gap);
+  void on_event(time_point now, const target_id& head, duration expected_gap);
   // The first event of a stream came, `waited` after the stream was sent.
-  void first_event(const target_id& head, duration waited, duration expected_first);
-  void ended(time_point now, const target_id& head, bool had_first_event);
+  void on_first_event(const target_id& head, duration waited, duration expected_first);
+  void on_stream_ended(time_point now, const target_id& head, bool had_first_event);
   // A check has shown that the replica of this head works.
   void found_healthy(time_point now, const target_id& head);
 
@@ -66,14 +67,14 @@
 
  private:
   struct state {
-    std::size_t waiting = 0;  // streams without a first event
-    std::size_t running = 0;  // streams that had their first event
+    std::size_t waiting_streams = 0;  // streams without a first event
+    std::size_t running_streams = 0;  // streams that had their first event
     time_point last_event{};
-    duration gap{};                   // expected time from the last event to the next one
+    duration expected_gap{};          // expected time from the last event to the next one
     duration recent_gap{};            // longest recent gap between events
     std::uint32_t found_healthy = 0;  // healthy results in a row without an event in between
     time_point first_event_due{};  // when a first event should come; used if no stream is running
-    time_point no_check_before{};
+    time_point earliest_check_at{};
     model_id model;
     time_point idle_since{};  // end of the last stream
   };
@@ -82,9 +83,9 @@
   void remove_idle(time_point now);
 
   stall_settings settings_;
-  std::map<target_id, state> heads_;
+  std::map<target_id, state> states_by_head_;
   // Recent maximum of actual / expected time to the first event.
-  std::map<model_id, double> first_ratio_;
+  std::map<model_id, double> first_event_ratios_;
 };
 
 }  // namespace arbutus
--- a/src/process/status_view.h
+++ b/src/process/status_view.h
@@ -36,7 +36,7 @@
   replica_id id;
   model_id model;
   replica_phase phase = replica_phase::active;
-  generation gen;
+  generation fencing_generation;
   std::vector<vm_id> members;   // members in force now, with activated standbys
   std::vector<vm_id> standbys;  // standbys that the row reserves for the replica
   bool serving = false;
@@ -72,7 +72,7 @@
 struct status_view {
   node_id self;
   bool table_reachable = true;
-  time_point table_since;  // since when the table has been reachable or unreachable
+  time_point table_reachability_since;  // since when the table has been reachable or unreachable
   std::uint64_t assignment_version{};
   std::uint64_t config_version{};
   std::vector<node_status> nodes;
@@ -80,7 +80,8 @@
   std::vector<replica_status> replicas;
   std::vector<stranded_vm> stranded;
   std::vector<drain_status> drains;
-  std::vector<std::string> unmet;  // requirements that the planner could not satisfy, with reasons
+  std::vector<std::string>
+      unmet_requirements;  // requirements that the planner could not satisfy, with reasons
   coordination_counters counters;
 };
 
--- a/src/process/summaries.cpp
+++ b/src/process/summaries.cpp
@@ -7,20 +7,20 @@
 
 duration summary_interval_for(const inventory& assets) {
   const auto others = static_cast<duration::rep>(assets.data_centres.size()) - 1;
-  return std::max(summary_interval, others * summary_spacing);
+  return std::max(summary_interval, others * min_summary_spacing);
 }
 
 duration summary_lifetime_for(const inventory& assets) {
-  return std::max(summary_lifetime, summary_lifetime_intervals * summary_interval_for(assets));
+  return std::max(summary_lifetime, min_lifetime_intervals * summary_interval_for(assets));
 }
 
-std::vector<node_id> summary_board::due(time_point now, const inventory& assets) {
-  if (now < next_) {
+std::vector<node_id> summary_board::due_recipients(time_point now, const inventory& assets) {
+  if (now < next_due_at_) {
     return {};
   }
-  next_ = now + summary_interval_for(assets);
+  next_due_at_ = now + summary_interval_for(assets);
   ++round_;
-  const auto own = assets.nodes_of(own_);
+  const auto own = assets.nodes_of(own_data_centre_);
   const auto is_self = [&](const node_record* n) { return n->id == self_; };
   const auto place = std::find_if(own.begin(), own.end(), is_self);
   if (place == own.end()) {
@@ -29,7 +29,7 @@
   const auto index = static_cast<std::size_t>(place - own.begin());
   std::vector<node_id> result;
   for (const data_centre_record& dc : assets.data_centres) {
-    if (dc.id == own_) {
+    if (dc.id == own_data_centre_) {
       continue;
     }
     // Sender i sends to the receivers whose position is i modulo the number of senders, shifted by
@@ -47,7 +47,7 @@
 }
 
 void summary_board::receive(time_point now, const summary& s) {
-  if (s.data_centre != own_) {
+  if (s.data_centre != own_data_centre_) {
     entries_[s.data_centre] = {s.models, now};
   }
 }
--- a/src/process/summaries.h
+++ b/src/process/summaries.h
@@ -22,25 +22,26 @@
 // Minimum time per summary that a node sends. Each summary takes a segment and its acknowledgement,
 // and the same at the receiver; with 15 other data centres, one to each per 2 s takes over half of
 // the traffic budget.
-inline constexpr duration summary_spacing = 500ms;
+inline constexpr duration min_summary_spacing = 500ms;
 // Summaries older than this are not passed to the request path. At long summary intervals, the
 // lifetime is a number of intervals instead, so that two summaries in a row may be lost.
 inline constexpr duration summary_lifetime = 10s;
-inline constexpr int summary_lifetime_intervals = 3;
+inline constexpr int min_lifetime_intervals = 3;
 
 [[nodiscard]] duration summary_interval_for(const inventory& assets);
 [[nodiscard]] duration summary_lifetime_for(const inventory& assets);
 
 class summary_board {
  public:
-  summary_board(node_id self, data_centre_id own) : self_(std::move(self)), own_(std::move(own)) {}
+  summary_board(node_id self, data_centre_id own)
+      : self_(std::move(self)), own_data_centre_(std::move(own)) {}
 
   // Nodes of other data centres to which a summary is due now.
-  [[nodiscard]] std::vector<node_id> due(time_point now, const inventory& assets);
+  [[nodiscard]] std::vector<node_id> due_recipients(time_point now, const inventory& assets);
   void receive(time_point now, const summary& s);
   [[nodiscard]] std::vector<remote_capacity> remote_capacities(time_point now,
                                                                const inventory& assets) const;
-  [[nodiscard]] time_point next_due() const { return next_; }
+  [[nodiscard]] time_point next_due() const { return next_due_at_; }
 
  private:
   struct entry {
@@ -48,9 +49,9 @@
     time_point at;
   };
   node_id self_;
-  data_centre_id own_;
+  data_centre_id own_data_centre_;
   std::map<data_centre_id, entry> entries_;
-  time_point next_{};
+  time_point next_due_at_{};
   std::uint64_t round_{};
 };
 
--- a/src/process/target_load.cpp
+++ b/src/process/target_load.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-target_load quantise(const engine_report& report) {
+target_load quantise_load(const engine_report& report) {
   target_load load;
   load.running = saturate_to_byte(report.running);
   load.queued = saturate_to_byte(report.queued);
--- a/src/process/target_load.h
+++ b/src/process/target_load.h
@@ -15,7 +15,7 @@
   std::uint8_t tokens_code{};  // tokens a second: logarithmic, 8 steps per octave; 0 for none
   auto operator<=>(const target_load&) const = default;
 };
-[[nodiscard]] target_load quantise(const engine_report& report);
+[[nodiscard]] target_load quantise_load(const engine_report& report);
 void apply(const target_load& load, engine_report& report);
 
 }  // namespace arbutus
