--- a/src/request/admission.cpp
+++ b/src/request/admission.cpp
@@ -12,11 +12,11 @@
 // Measured times (of service and to the first token) below this fraction of their mean get a larger
 // weight in it. After a stall the mean is too high, so few requests are admitted and few
 // measurements arrive to correct it.
-constexpr double fast_recovery_below = 0.5;
+constexpr double fast_recovery_ratio = 0.5;
 constexpr double fast_recovery_weight = 0.25;
 // The predicted wait in the queue is multiplied by this factor. Without it, many requests would be
 // queued only to be refused later.
-constexpr double wait_margin = 1.25;
+constexpr double predicted_wait_factor = 1.25;
 // A waiting request is refused before its latest start time only if even this fraction of the
 // predicted wait would be too long.
 constexpr double optimistic_wait_fraction = 0.5;
@@ -43,14 +43,14 @@
 }
 
 admission::admission(const admission_settings& settings) : settings_(settings) {
-  service_.mean = to_seconds(settings.first_service_time);
+  service_time_estimate_.mean = to_seconds(settings.initial_service_time_per_cost);
 }
 
 void admission::set_share(const workspace_id& workspace, double share) {
   queues_[workspace].share = std::max(share, 1e-6);
 }
 
-submission admission::submit(time_point now, const request_facts& facts) {
+submit_result admission::submit(time_point now, const request_facts& facts) {
   workspace_queue& queue = queues_[facts.workspace];
   if (capacity_.slots == 0 && capacity_.reported_delay <= 0us) {
     return {refuse(reject_reason::no_capacity, 0us), {}};
@@ -61,12 +61,12 @@
   const bool is_trial = starts_now && running_.empty() && now < facts.deadline;
   const duration wait = expected_wait(facts);
   const time_point last = latest_start(facts);
-  if (!is_trial && now + from_seconds(wait_margin * to_seconds(wait)) > last) {
+  if (!is_trial && now + from_seconds(predicted_wait_factor * to_seconds(wait)) > last) {
     return {refuse(reject_reason::too_late, now + wait - last), {}};
   }
   if (starts_now) {
     --capacity_.free_slots;
-    charge(queue, facts.cost);
+    charge_workspace(queue, facts.cost);
     start(now, facts.id, facts.cost);
     return {admitted{}, {}};
   }
@@ -81,21 +81,24 @@
   return {queued{wait}, displaced_request};
 }
 
-std::vector<request_id> admission::on_capacity(time_point now, const node_capacity& capacity) {
+std::vector<request_id> admission::update_capacity_and_start_next(time_point now,
+                                                                  const node_capacity& capacity) {
   capacity_ = capacity;
   return start_waiting(now);
 }
 
-std::vector<request_id> admission::finished(time_point now, const request_id& id, bool served) {
+std::vector<request_id> admission::finish_and_start_next(time_point now, const request_id& id,
+                                                         bool served) {
   const auto found = running_.find(id);
   if (found == running_.end()) {
     return {};
   }
   const double seconds = to_seconds(now - found->second.started) / found->second.cost;
   // An aborted request gives a lower bound of the service time.
-  if (served || seconds > service_.mean) {
-    const bool fast = seconds < fast_recovery_below * service_.mean;
-    service_.observe(seconds, fast ? fast_recovery_weight : settings_.smoothing);
+  if (served || seconds > service_time_estimate_.mean) {
+    const bool fast = seconds < fast_recovery_ratio * service_time_estimate_.mean;
+    service_time_estimate_.observe(seconds,
+                                   fast ? fast_recovery_weight : settings_.observation_weight);
   }
   running_.erase(found);
   // A request that ended because its replica was lost frees no slot. Without this check, others
@@ -113,15 +116,16 @@
   }
   found->second.has_first_token = true;
   const double seconds = to_seconds(now - found->second.started);
-  const bool fast = seconds < fast_recovery_below * first_token_.mean;
-  first_token_.observe(seconds, fast ? fast_recovery_weight : settings_.smoothing);
+  const bool fast = seconds < fast_recovery_ratio * first_token_estimate_.mean;
+  first_token_estimate_.observe(seconds,
+                                fast ? fast_recovery_weight : settings_.observation_weight);
 }
 
-std::vector<request_id> admission::abandon(time_point now, const request_id& id) {
+std::vector<request_id> admission::abandon_and_start_next(time_point now, const request_id& id) {
   std::erase_if(pending_rejections_, [&](const rejection& r) { return r.id == id; });
   const auto found = workspace_of_waiting_.find(id);
   if (found == workspace_of_waiting_.end()) {
-    return finished(now, id, false);
+    return finish_and_start_next(now, id, false);
   }
   workspace_queue& queue = queues_[found->second];
   for (auto it = queue.by_priority.begin(); it != queue.by_priority.end(); ++it) {
@@ -131,7 +135,7 @@
     if (at == requests.end()) {
       continue;
     }
-    drop(queue, *at);
+    remove_waiting(queue, *at);
     requests.erase(at);
     if (requests.empty()) {
       queue.by_priority.erase(it);
@@ -143,20 +147,20 @@
 
 std::vector<rejection> admission::tick(time_point now) {
   std::vector<rejection> given_up = std::exchange(pending_rejections_, {});
-  const double rate = cost_rate();
+  const double rate = cost_completion_rate();
   for (auto& [workspace, queue] : queues_) {
     double before = 0;  // cost of the requests in this queue that start earlier
     for (auto it = queue.by_priority.begin(); it != queue.by_priority.end();) {
       std::deque<waiting_request> kept;
       for (waiting_request& r : it->second) {
-        const duration wait = from_seconds(work_before(queue, before + r.cost) / rate);
+        const duration wait = from_seconds(cost_started_before(queue, before + r.cost) / rate);
         if (now <= r.start_by &&
             now + from_seconds(optimistic_wait_fraction * to_seconds(wait)) <= r.start_by) {
           before += r.cost;
           kept.push_back(std::move(r));
           continue;
         }
-        drop(queue, r);
+        remove_waiting(queue, r);
         given_up.push_back({r.id, refuse(reject_reason::too_late, now + wait - r.start_by)});
       }
       it->second = std::move(kept);
@@ -188,38 +192,42 @@
   if (capacity_.free_slots > 0 && waiting_count_ == 0) {
     return 0us;
   }
-  const double ahead = work_ahead(facts.workspace, facts.priority, facts.cost);
-  const duration own = from_seconds(ahead / cost_rate());
+  const double ahead = queued_cost_ahead(facts.workspace, facts.priority, facts.cost);
+  const duration own = from_seconds(ahead / cost_completion_rate());
   return capacity_.free_slots > 0 ? own : std::max(own, capacity_.reported_delay);
 }
 
 duration admission::service_time(double cost) const {
-  return from_seconds(service_.mean * cost);
+  return from_seconds(service_time_estimate_.mean * cost);
 }
 
-duration admission::required_time(double cost) const {
-  return from_seconds((service_.mean + settings_.deviations * service_.deviation) * cost);
+duration admission::required_service_time(double cost) const {
+  return from_seconds((service_time_estimate_.mean +
+                       settings_.deadline_deviations * service_time_estimate_.deviation) *
+                      cost);
 }
 
 time_point admission::latest_start(const request_facts& facts) const {
   time_point latest = time_point::max();
   if (facts.deadline != time_point::max()) {
-    latest = facts.deadline - required_time(facts.cost);
+    latest = facts.deadline - required_service_time(facts.cost);
   }
-  if (facts.first_token_by != time_point::max()) {
-    const double seconds = first_token_.mean + settings_.deviations * first_token_.deviation;
-    latest = std::min(latest, facts.first_token_by - from_seconds(seconds));
+  if (facts.first_token_deadline != time_point::max()) {
+    const double seconds = first_token_estimate_.mean +
+                           settings_.deadline_deviations * first_token_estimate_.deviation;
+    latest = std::min(latest, facts.first_token_deadline - from_seconds(seconds));
   }
   return latest;
 }
 
 // Cost per second that this node completes, given the slots that it holds now.
-double admission::cost_rate() const {
+double admission::cost_completion_rate() const {
   const double held = static_cast<double>(running_.size()) + capacity_.free_slots;
-  return std::max(held, 1.0) / std::max(service_.mean, 1e-6);
+  return std::max(held, 1.0) / std::max(service_time_estimate_.mean, 1e-6);
 }
 
-double admission::work_ahead(const workspace_id& id, std::uint32_t priority, double cost) const {
+double admission::queued_cost_ahead(const workspace_id& id, std::uint32_t priority,
+                                    double cost) const {
   static const workspace_queue empty;
   const auto found = queues_.find(id);
   const workspace_queue& own = found == queues_.end() ? empty : found->second;
@@ -232,13 +240,13 @@
       before += r.cost;
     }
   }
-  return work_before(own, before);
+  return cost_started_before(own, before);
 }
 
 // Total cost of the requests of all workspaces that fair queueing starts until requests of `own`
 // with cost `through` are started. Fluid approximation: every other queue receives service in
 // proportion to its share until it is empty.
-double admission::work_before(const workspace_queue& own, double through) const {
+double admission::cost_started_before(const workspace_queue& own, double through) const {
   double ahead = through;
   for (const auto& [id, queue] : queues_) {
     if (&queue != &own && queue.count > 0) {
@@ -262,15 +270,17 @@
   if (last->second.empty()) {
     queue.by_priority.erase(last);
   }
-  drop(queue, victim);
-  const duration wait = from_seconds(work_before(queue, queue.queued_cost) / cost_rate());
+  remove_waiting(queue, victim);
+  const duration wait =
+      from_seconds(cost_started_before(queue, queue.queued_cost) / cost_completion_rate());
   return rejection{victim.id, refuse(reject_reason::displaced, wait)};
 }
 
 admission::workspace_queue* admission::next_queue() {
   workspace_queue* next = nullptr;
   for (auto& [id, queue] : queues_) {
-    if (queue.count > 0 && (next == nullptr || queue.finish_tag < next->finish_tag)) {
+    if (queue.count > 0 &&
+        (next == nullptr || queue.virtual_finish_tag < next->virtual_finish_tag)) {
       next = &queue;
     }
   }
@@ -290,14 +300,14 @@
     if (first->second.empty()) {
       queue->by_priority.erase(first);
     }
-    drop(*queue, next);
+    remove_waiting(*queue, next);
     if (now > next.start_by) {
       pending_rejections_.push_back(
           {next.id, refuse(reject_reason::too_late, now - next.start_by)});
       continue;
     }
     --capacity_.free_slots;
-    charge(*queue, next.cost);
+    charge_workspace(*queue, next.cost);
     start(now, next.id, next.cost);
     started.push_back(next.id);
   }
@@ -315,17 +325,17 @@
 // Start-time fair queueing: the virtual time is the start tag of the request started last. An idle
 // workspace therefore accumulates no credit, and service received while others were idle is not
 // charged later.
-void admission::charge(workspace_queue& queue, double cost) {
-  const double tag = std::max(queue.finish_tag, virtual_time_);
+void admission::charge_workspace(workspace_queue& queue, double cost) {
+  const double tag = std::max(queue.virtual_finish_tag, virtual_time_);
   virtual_time_ = tag;
-  queue.finish_tag = tag + cost / queue.share;
+  queue.virtual_finish_tag = tag + cost / queue.share;
 }
 
 void admission::start(time_point now, const request_id& id, double cost) {
   running_.insert_or_assign(id, running_request{now, std::max(cost, 1e-6), false});
 }
 
-void admission::drop(workspace_queue& queue, const waiting_request& request) {
+void admission::remove_waiting(workspace_queue& queue, const waiting_request& request) {
   --queue.count;
   queue.queued_cost = queue.count == 0 ? 0 : queue.queued_cost - request.cost;
   --waiting_count_;
--- a/src/request/admission.h
+++ b/src/request/admission.h
@@ -34,7 +34,8 @@
 
 // The request starts now.
 struct admitted {};
-// The request waits; its id is returned later by on_capacity(), finished() or tick().
+// The request waits; its id is returned later by update_capacity_and_start_next(),
+// finish_and_start_next() or tick().
 struct queued {
   duration expected_wait{};
 };
@@ -50,7 +51,7 @@
   rejected why;
 };
 
-struct submission {
+struct submit_result {
   admission_result decision;
   std::optional<rejection> displaced;  // the waiting request that is refused to make room for it
 };
@@ -67,11 +68,11 @@
 struct admission_settings {
   std::size_t max_queued_per_workspace = 512;
   // Assumed service time per unit of request cost until the first request has completed.
-  duration first_service_time = 2s;
-  double smoothing = 0.05;  // weight of a new observation in the moving averages
+  duration initial_service_time_per_cost = 2s;
+  double observation_weight = 0.05;  // weight of a new observation in the moving averages
   // A request is started only if it would end before its deadline after the mean service time plus
   // this many mean deviations of that time. A request that ends too late wastes capacity.
-  double deviations = 1.0;
+  double deadline_deviations = 1.0;
   duration min_retry_after = 200ms;
   duration max_retry_after = 30s;
 };
@@ -83,19 +84,21 @@
   // Share of a workspace in fair queueing (workspace_rule::share); 1 if never set.
   void set_share(const workspace_id& workspace, double share);
 
-  [[nodiscard]] submission submit(time_point now, const request_facts& facts);
+  [[nodiscard]] submit_result submit(time_point now, const request_facts& facts);
 
   // Sets the usable capacity. Returns the requests to start, in order; at most free_slots.
-  [[nodiscard]] std::vector<request_id> on_capacity(time_point now, const node_capacity& capacity);
+  [[nodiscard]] std::vector<request_id> update_capacity_and_start_next(
+      time_point now, const node_capacity& capacity);
 
   // A started request ended. `served`: it ran to completion, so its time counts as an observation.
   // Returns the requests to start in its place.
-  [[nodiscard]] std::vector<request_id> finished(time_point now, const request_id& id,
-                                                 bool served = true);
+  [[nodiscard]] std::vector<request_id> finish_and_start_next(time_point now, const request_id& id,
+                                                              bool served = true);
   // The first token of a started request was sent.
   void first_token(time_point now, const request_id& id);
   // The caller disconnected. Returns the requests to start if a slot became free.
-  [[nodiscard]] std::vector<request_id> abandon(time_point now, const request_id& id);
+  [[nodiscard]] std::vector<request_id> abandon_and_start_next(time_point now,
+                                                               const request_id& id);
 
   // Waiting requests that can no longer meet their deadline. Call at next_tick() or sooner.
   [[nodiscard]] std::vector<rejection> tick(time_point now);
@@ -122,7 +125,8 @@
   };
   struct workspace_queue {
     double share = 1.0;
-    double finish_tag = 0;  // virtual time at which the workspace's last started request finishes
+    double virtual_finish_tag =
+        0;  // virtual time at which the workspace's last started request finishes
     double queued_cost = 0;
     std::size_t count = 0;
     std::map<std::uint32_t, std::deque<waiting_request>> by_priority;  // no empty queues
@@ -134,20 +138,20 @@
     void observe(double value, double weight);
   };
 
-  [[nodiscard]] duration required_time(double cost) const;
+  [[nodiscard]] duration required_service_time(double cost) const;
   [[nodiscard]] time_point latest_start(const request_facts& facts) const;
-  [[nodiscard]] double cost_rate() const;
-  [[nodiscard]] double work_ahead(const workspace_id& id, std::uint32_t priority,
-                                  double cost) const;
-  [[nodiscard]] double work_before(const workspace_queue& own, double through) const;
+  [[nodiscard]] double cost_completion_rate() const;
+  [[nodiscard]] double queued_cost_ahead(const workspace_id& id, std::uint32_t priority,
+                                         double cost) const;
+  [[nodiscard]] double cost_started_before(const workspace_queue& own, double through) const;
   [[nodiscard]] rejected refuse(reject_reason reason, duration wait) const;
   [[nodiscard]] std::optional<rejection> displace(workspace_queue& queue, std::uint32_t priority);
   [[nodiscard]] workspace_queue* next_queue();
   [[nodiscard]] std::vector<request_id> start_waiting(time_point now);
   void enqueue(workspace_queue& queue, const request_facts& facts);
-  void charge(workspace_queue& queue, double cost);
+  void charge_workspace(workspace_queue& queue, double cost);
   void start(time_point now, const request_id& id, double cost);
-  void drop(workspace_queue& queue, const waiting_request& request);
+  void remove_waiting(workspace_queue& queue, const waiting_request& request);
 
   admission_settings settings_;
   std::map<workspace_id, workspace_queue> queues_;
@@ -159,8 +163,8 @@
   std::size_t waiting_count_ = 0;  // == sum of the queues' counts
   double virtual_time_ = 0;
   node_capacity capacity_;
-  estimate service_;      // seconds per unit of cost
-  estimate first_token_;  // seconds from start
+  estimate service_time_estimate_;  // seconds per unit of cost
+  estimate first_token_estimate_;   // seconds from start
 };
 
 }  // namespace arbutus
--- a/src/request/answer.cpp
+++ b/src/request/answer.cpp
@@ -4,27 +4,27 @@
 namespace arbutus {
 
 void answer_stream::begin_attempt() {
-  broken_ = false;
+  attempt_broken_ = false;
 }
 
 token_status answer_stream::accept(const request_id& id, std::uint64_t offset) {
-  if (complete_ || broken_) {
+  if (complete_ || attempt_broken_) {
     return token_status::after_end;
   }
   // A late response to an earlier request on the same connection. Without this check, its tokens
   // would be delivered to the wrong caller.
   if (id != id_) {
-    broken_ = true;
+    attempt_broken_ = true;
     return token_status::wrong_id;
   }
-  if (offset < next_) {
+  if (offset < next_offset_) {
     return token_status::duplicate;
   }
-  if (offset > next_) {
-    broken_ = true;
+  if (offset > next_offset_) {
+    attempt_broken_ = true;
     return token_status::gap;
   }
-  ++next_;
+  ++next_offset_;
   return token_status::deliver;
 }
 
@@ -32,18 +32,18 @@
   if (complete_) {
     return end_status::complete;
   }
-  if (broken_) {
+  if (attempt_broken_) {
     return end_status::broken;
   }
   if (id != id_) {
-    broken_ = true;
+    attempt_broken_ = true;
     return end_status::wrong_id;
   }
-  if (total != next_) {
-    broken_ = true;
+  if (total != next_offset_) {
+    attempt_broken_ = true;
     // Fewer tokens than were delivered: this attempt generated a different response than the
     // previous one.
-    return total > next_ ? end_status::truncated : end_status::broken;
+    return total > next_offset_ ? end_status::truncated : end_status::broken;
   }
   complete_ = true;
   return end_status::complete;
@@ -53,8 +53,8 @@
   if (complete_) {
     return end_status::complete;
   }
-  const end_status result = broken_ ? end_status::broken : end_status::truncated;
-  broken_ = true;
+  const end_status result = attempt_broken_ ? end_status::broken : end_status::truncated;
+  attempt_broken_ = true;
   return result;
 }
 
--- a/src/request/answer.h
+++ b/src/request/answer.h
@@ -42,16 +42,16 @@
   // The connection to the replica ended. Returns `complete` only if finish() returned it before.
   [[nodiscard]] end_status closed();
 
-  [[nodiscard]] std::uint64_t resume_offset() const { return next_; }
+  [[nodiscard]] std::uint64_t resume_offset() const { return next_offset_; }
   [[nodiscard]] bool complete() const { return complete_; }
   // Whether the caller received any token.
-  [[nodiscard]] bool any_delivered() const { return next_ > 0; }
+  [[nodiscard]] bool any_delivered() const { return next_offset_ > 0; }
 
  private:
   request_id id_;
-  std::uint64_t next_ = 0;  // == number of tokens delivered
-  bool broken_ = false;     // the current attempt is broken
-  bool complete_ = false;   // the whole response was delivered; never reset
+  std::uint64_t next_offset_ = 0;  // == number of tokens delivered
+  bool attempt_broken_ = false;    // the current attempt is broken
+  bool complete_ = false;          // the whole response was delivered; never reset
 };
 
 }  // namespace arbutus
--- a/src/request/event_relay.cpp
+++ b/src/request/event_relay.cpp
@@ -84,7 +84,7 @@
     return;
   }
   last_id_ = std::string(id);
-  ++events_;
+  ++forwarded_events_;
 }
 
 void event_relay::restart() {
--- a/src/request/event_relay.h
+++ b/src/request/event_relay.h
@@ -26,7 +26,7 @@
 
   // Id of the last event forwarded; empty if none.
   [[nodiscard]] const std::string& last_id() const { return last_id_; }
-  [[nodiscard]] std::uint64_t events() const { return events_; }
+  [[nodiscard]] std::uint64_t events() const { return forwarded_events_; }
   // Whether bytes of an incomplete event are buffered. A stream that ends in this state is
   // truncated.
   [[nodiscard]] bool inside_event() const { return !pending_.empty(); }
@@ -40,7 +40,7 @@
   std::string pending_;  // received bytes of an incomplete event, from its start
   std::string forwarded_;
   std::string last_id_;
-  std::uint64_t events_ = 0;
+  std::uint64_t forwarded_events_ = 0;
   bool out_of_order_ = false;
 };
 
--- a/src/request/expected_completion.cpp
+++ b/src/request/expected_completion.cpp
@@ -11,7 +11,7 @@
 // nodes with the same reports would all send to the same replica.
 constexpr double tie_tolerance = 0.01;
 // Fraction of a replica's slots that is assumed usable directly after a repair.
-constexpr double min_slow_start = 0.1;
+constexpr double min_slow_start_fraction = 0.1;
 // Caps an observation relative to the current estimate, so that a single outlier does not make a
 // replica look like a straggler.
 constexpr double max_observed_factor = 8.0;
@@ -20,9 +20,9 @@
   return static_cast<double>(value);
 }
 
-double slow_start_factor(time_point now, const replica_route& route, duration slow_start) {
-  const double part = to_seconds(now - route.serving_since) / to_seconds(slow_start);
-  return std::clamp(part, min_slow_start, 1.0);
+double slow_start_factor(time_point now, const replica_route& route, duration slow_start_duration) {
+  const double part = to_seconds(now - route.serving_since) / to_seconds(slow_start_duration);
+  return std::clamp(part, min_slow_start_fraction, 1.0);
 }
 
 }  // namespace
@@ -36,12 +36,12 @@
                                                         const request_facts& facts,
                                                         const in_flight& flights,
                                                         tried_replicas tried) {
-  candidates all = gather(now, routes, facts, flights, tried);
+  candidates all = gather_candidates(now, routes, facts, flights, tried);
   if (all.empty()) {
     return std::nullopt;
   }
   estimate(now, facts, all);
-  candidate* choice = due_for_probe(now, facts, all);
+  candidate* choice = replica_due_for_probe(now, facts, all);
   if (choice == nullptr) {
     choice = best(all);
   }
@@ -81,18 +81,16 @@
     return;
   }
   seconds = std::min(seconds, known.seconds_per_cost * max_observed_factor);
-  known.seconds_per_cost += settings_.smoothing * (seconds - known.seconds_per_cost);
+  known.seconds_per_cost += settings_.observation_weight * (seconds - known.seconds_per_cost);
 }
 
-expected_completion::candidates expected_completion::gather(time_point now,
-                                                            const routing_snapshot& routes,
-                                                            const request_facts& facts,
-                                                            const in_flight& flights,
-                                                            tried_replicas tried) const {
+expected_completion::candidates expected_completion::gather_candidates(
+    time_point now, const routing_snapshot& routes, const request_facts& facts,
+    const in_flight& flights, tried_replicas tried) const {
   candidates all;
   for (std::size_t i = 0; i < routes.replicas.size(); ++i) {
     const replica_route& route = routes.replicas[i];
-    if (route.model != facts.model || !may_use(now, route)) {
+    if (route.model != facts.model || !may_use_route(now, route)) {
       continue;
     }
     candidate c;
@@ -110,8 +108,8 @@
 // this node's requests would make all nodes send to the replica that was idle at the last report.
 double expected_completion::estimated_load(const replica_route& route,
                                            const in_flight& flights) const {
-  const double sent = as_double(flights.sent_since(route.id, route.load_at));
-  const double ended = as_double(flights.ended_since(route.id, route.load_at));
+  const double sent = as_double(flights.sent_since(route.id, route.load_reported_at));
+  const double ended = as_double(flights.ended_since(route.id, route.load_reported_at));
   const double reported = as_double(route.running) + as_double(route.queued);
   const double now = reported + (sent - ended) * as_double(settings_.nodes);
   return std::max(now, as_double(flights.count(route.id)));
@@ -127,7 +125,7 @@
     }
   }
   if (speeds.empty()) {
-    return to_seconds(settings_.first_service_time);
+    return to_seconds(settings_.initial_service_time_per_cost);
   }
   const auto middle = speeds.begin() + static_cast<std::ptrdiff_t>(speeds.size() / 2);
   std::nth_element(speeds.begin(), middle, speeds.end());
@@ -149,12 +147,12 @@
   const double mean_load = total_load / static_cast<double>(all.size());
   for (candidate& c : all) {
     const double slots = std::max(1.0, as_double(c.route->slots)) *
-                         slow_start_factor(now, *c.route, settings_.slow_start);
+                         slow_start_factor(now, *c.route, settings_.slow_start_duration);
     c.wait = std::max(0.0, c.load + 1 - slots) / slots * c.speed;
     c.expected = c.wait + c.speed * facts.cost;
     if (c.load <= settings_.affinity_load_bound * mean_load + 1) {
       const double blocks = prefixes_.expected_blocks(now, c.route->id, facts.prefix);
-      const double saved = blocks * to_seconds(settings_.block_prefill);
+      const double saved = blocks * to_seconds(settings_.prefill_time_per_block);
       c.expected -= std::min(saved, 0.9 * c.expected);
     }
   }
@@ -179,7 +177,7 @@
   const auto worse = [](const candidate* a, const candidate* b) { return a->speed > b->speed; };
   std::stable_sort(bad.begin(), bad.end(), worse);
   const auto part =
-      static_cast<std::size_t>(static_cast<double>(all.size()) * settings_.max_avoided);
+      static_cast<std::size_t>(static_cast<double>(all.size()) * settings_.max_avoided_fraction);
   const std::size_t cap = all.size() < 2 ? 0 : std::max<std::size_t>(1, part);
   for (std::size_t i = 0; i < std::min(cap, bad.size()); ++i) {
     bad[i]->avoided = true;
@@ -188,9 +186,8 @@
 
 // Sends an occasional request to an avoided replica; otherwise a replica that recovered would stay
 // avoided forever.
-expected_completion::candidate* expected_completion::due_for_probe(time_point now,
-                                                                   const request_facts& facts,
-                                                                   candidates& all) {
+expected_completion::candidate* expected_completion::replica_due_for_probe(
+    time_point now, const request_facts& facts, candidates& all) {
   if (!facts.repeatable) {
     return nullptr;
   }
--- a/src/request/expected_completion.h
+++ b/src/request/expected_completion.h
@@ -18,19 +18,19 @@
 struct expected_completion_settings {
   std::uint32_t nodes = 1;  // nodes that send to the same replicas, this one included
   // Assumed service time per unit of request cost until the first observation of a replica.
-  duration first_service_time = 2s;
-  double smoothing = 0.1;        // weight of a new observation of a replica's speed
-  duration block_prefill = 2ms;  // prefill time saved per cached prefix block
+  duration initial_service_time_per_cost = 2s;
+  double observation_weight = 0.1;        // weight of a new observation of a replica's speed
+  duration prefill_time_per_block = 2ms;  // prefill time saved per cached prefix block
   // A cached prefix is credited only while the replica's load is at most this factor of the mean
   // load plus 1.
   double affinity_load_bound = 1.25;
   // A replica slower than the median by this factor is a straggler and avoided.
   double straggler_factor = 2.0;
   // At most this fraction of the replicas is avoided, but at least one if there are two or more.
-  double max_avoided = 0.25;
+  double max_avoided_fraction = 0.25;
   // A straggler gets one repeatable request per interval, to detect that it has recovered.
   duration straggler_probe_interval = 2s;
-  duration slow_start = 10s;  // ramp-up time of the load of a repaired replica
+  duration slow_start_duration = 10s;  // ramp-up time of the load of a repaired replica
   // Assumed slowdown factor of a replica that crosses fabric domains, until its speed is observed.
   double cross_domain_slowdown = 3.0;
   duration failure_retention = 2s;  // how long a replica is avoided after a failed attempt
@@ -72,15 +72,15 @@
   };
   using candidates = std::vector<candidate>;
 
-  [[nodiscard]] candidates gather(time_point now, const routing_snapshot& routes,
-                                  const request_facts& facts, const in_flight& flights,
-                                  tried_replicas tried) const;
+  [[nodiscard]] candidates gather_candidates(time_point now, const routing_snapshot& routes,
+                                             const request_facts& facts, const in_flight& flights,
+                                             tried_replicas tried) const;
   [[nodiscard]] double estimated_load(const replica_route& route, const in_flight& flights) const;
   [[nodiscard]] double median_speed(const candidates& all) const;
   void estimate(time_point now, const request_facts& facts, candidates& all) const;
   void mark_avoided(time_point now, candidates& all, double median) const;
-  [[nodiscard]] candidate* due_for_probe(time_point now, const request_facts& facts,
-                                         candidates& all);
+  [[nodiscard]] candidate* replica_due_for_probe(time_point now, const request_facts& facts,
+                                                 candidates& all);
   [[nodiscard]] candidate* best(candidates& all);
 
   expected_completion_settings settings_;
--- a/src/request/facts.h
+++ b/src/request/facts.h
@@ -19,8 +19,8 @@
   model_id model;
   std::uint32_t priority = 0;  // 0 is the highest priority, as in class_rule
   time_point arrival;
-  time_point deadline = time_point::max();        // time by which the response is complete
-  time_point first_token_by = time_point::max();  // time by which the first token is sent
+  time_point deadline = time_point::max();              // time by which the response is complete
+  time_point first_token_deadline = time_point::max();  // time by which the first token is sent
   double cost = 1.0;       // expected work, above 0; 1 is a mean request of the model
   bool repeatable = true;  // idempotent: may run twice
   prefix_blocks prefix;    // leading blocks of the prompt; empty: ignores prefix caches
--- a/src/request/in_flight.cpp
+++ b/src/request/in_flight.cpp
@@ -22,11 +22,11 @@
 }  // namespace
 
 void in_flight::sent(time_point now, const request_id& id, const replica_id& replica, double cost) {
-  replica_flights& flights = replicas_[replica];
+  replica_attempts& flights = replicas_[replica];
   if (flights.open.insert_or_assign(id, attempt{replica, now, cost}).second) {
     ++total_;
   }
-  remember(flights.sent, now, history, max_history);
+  remember(flights.sent, now, history, max_history_entries);
 }
 
 std::optional<in_flight::attempt> in_flight::ended(time_point now, const request_id& id,
@@ -42,7 +42,7 @@
   const attempt result = found->second;
   flights->second.open.erase(found);
   --total_;
-  remember(flights->second.ended, now, history, max_history);
+  remember(flights->second.ended, now, history, max_history_entries);
   return result;
 }
 
--- a/src/request/in_flight.h
+++ b/src/request/in_flight.h
@@ -39,15 +39,15 @@
   // How long the times of sent and ended attempts are kept. Older load reports are never used.
   static constexpr duration history = 10s;
   // Times kept per replica, separately for sent and for ended attempts.
-  static constexpr std::size_t max_history = 4096;
+  static constexpr std::size_t max_history_entries = 4096;
 
-  struct replica_flights {
+  struct replica_attempts {
     std::unordered_map<request_id, attempt> open;
     std::deque<time_point> sent;   // when attempts were sent, oldest first
     std::deque<time_point> ended;  // when attempts ended, oldest first
   };
 
-  std::unordered_map<replica_id, replica_flights> replicas_;
+  std::unordered_map<replica_id, replica_attempts> replicas_;
   std::uint32_t total_ = 0;  // attempts in flight on all replicas
 };
 
--- a/src/request/instance_choice.cpp
+++ b/src/request/instance_choice.cpp
@@ -24,12 +24,12 @@
     if (std::find(avoided.begin(), avoided.end(), candidate.id) != avoided.end()) {
       continue;
     }
-    double cost = candidate.data_centre == home ? 0 : settings_.remote_cost;
+    double cost = candidate.data_centre == home ? 0 : settings_.remote_load_penalty;
     if (const auto found = stats_.find(candidate.id); found != stats_.end()) {
       const instance_stats& k = found->second;
       const bool is_current = now - k.load_reported_at < settings_.reported_load_validity;
-      cost += std::max(k.active, is_current ? k.reported_calls : 0.0);
-      cost += settings_.failure_cost * failure_rate(now, k);
+      cost += std::max(k.active_calls, is_current ? k.reported_calls : 0.0);
+      cost += settings_.failure_load_penalty * failure_rate(now, k);
     }
     if (cost < best_cost) {
       best_cost = cost;
@@ -40,18 +40,18 @@
 }
 
 void instance_table::sent(const target_id& id) {
-  stats_[id].active += 1;
+  stats_[id].active_calls += 1;
 }
 
-void instance_table::ended(time_point now, const target_id& id, call_end end) {
+void instance_table::ended(time_point now, const target_id& id, instance_call_outcome end) {
   instance_stats& k = stats_[id];
-  k.active = std::max(0.0, k.active - 1);
-  if (end == call_end::withdrawn) {
+  k.active_calls = std::max(0.0, k.active_calls - 1);
+  if (end == instance_call_outcome::withdrawn) {
     return;
   }
   const double before = failure_rate(now, k);
-  const double outcome = end == call_end::answered ? 0 : 1;
-  k.failures = before + settings_.failure_weight * (outcome - before);
+  const double outcome = end == instance_call_outcome::answered ? 0 : 1;
+  k.failures = before + settings_.failure_rate_weight * (outcome - before);
   k.failures_at = now;
 }
 
@@ -67,9 +67,9 @@
   }
 }
 
-double instance_table::active(const target_id& id) const {
+double instance_table::active_calls(const target_id& id) const {
   const auto found = stats_.find(id);
-  return found == stats_.end() ? 0 : found->second.active;
+  return found == stats_.end() ? 0 : found->second.active_calls;
 }
 
 }  // namespace arbutus
--- a/src/request/instance_choice.h
+++ b/src/request/instance_choice.h
@@ -25,7 +25,7 @@
   std::uint32_t slots = 1;
 };
 
-enum class call_end : std::uint8_t {
+enum class instance_call_outcome : std::uint8_t {
   answered,   // the instance sent a response, of any status, so it works
   not_run,    // the instance refused the call since it is full or leaving
   failed,     // broken connection, no response, or an invalid response
@@ -35,14 +35,14 @@
 struct instance_settings {
   // Weight of the newest call in the failure rate. At 0.25 three failures in a row rank an instance
   // behind one with a full queue, and four successful calls restore it.
-  double failure_weight = 0.25;
+  double failure_rate_weight = 0.25;
   // Half-life of the failure rate: as it decays, a failed instance is tried again.
   duration failure_half_life = 2s;
   // Added load, in calls, of an instance at a failure rate of 1.
-  double failure_cost = 24;
+  double failure_load_penalty = 24;
   // Added load, in calls, of an instance in another data centre: its slots are equivalent, but
   // traffic between data centres is expensive.
-  double remote_cost = 1.0;
+  double remote_load_penalty = 1.0;
   duration reported_load_validity = 1s;
 };
 
@@ -57,17 +57,17 @@
                                                   std::span<const target_id> avoided) const;
 
   void sent(const target_id& id);
-  void ended(time_point now, const target_id& id, call_end end);
+  void ended(time_point now, const target_id& id, instance_call_outcome end);
   // Running and waiting calls that the instance reported with a response.
   void note_reported_load(time_point now, const target_id& id, double calls);
   void forget(const std::vector<target_id>& removed);
 
   // Calls of this node in flight at the instance.
-  [[nodiscard]] double active(const target_id& id) const;
+  [[nodiscard]] double active_calls(const target_id& id) const;
 
  private:
   struct instance_stats {
-    double active = 0;
+    double active_calls = 0;
     double reported_calls = 0;
     time_point load_reported_at{};
     double failures = 0;  // moving average of the fraction of failed calls, as of `failures_at`
--- a/src/request/keyed.cpp
+++ b/src/request/keyed.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 keyed_call::keyed_call(const keyed_call_facts& facts, const keyed_settings& settings)
-    : facts_(facts), settings_(settings), row_(keyed_table_key(facts.workspace, facts.key)) {
+    : facts_(facts), settings_(settings), table_key_(keyed_table_key(facts.workspace, facts.key)) {
   record_.owner = facts.owner;
   record_.body_hash = facts.body_hash;
   backoff_ = settings.first_backoff;
@@ -34,7 +34,7 @@
 }
 
 keyed_effects keyed_call::on(time_point now, wall_time wall, const table_write_result& result) {
-  if (!table_call_pending_ || result.request.key != row_ || step_ == step::finished) {
+  if (!table_call_pending_ || result.request.key != table_key_ || step_ == step::finished) {
     return {};
   }
   table_call_pending_ = false;
@@ -55,7 +55,7 @@
 }
 
 keyed_effects keyed_call::on(time_point now, wall_time wall, const table_read_result& result) {
-  if (!table_call_pending_ || result.request.key != row_ || step_ == step::finished) {
+  if (!table_call_pending_ || result.request.key != table_key_ || step_ == step::finished) {
     return {};
   }
   table_call_pending_ = false;
@@ -74,7 +74,8 @@
       step_ = step::finished;
       return {};
     }
-    wrote_ = false;  // prevents a write: the damaged row is kept for operators to inspect
+    may_have_written_ =
+        false;  // prevents a write: the damaged row is kept for operators to inspect
     return abort_unsent(now, wall, "the record of this key is damaged");
   }
   const auto& stored_record = std::get<keyed_record>(found);
@@ -164,7 +165,7 @@
   }
   record_.status = answer.status;
   record_.content_type = answer.content_type;
-  record_.body_dropped = answer.body.size() > settings_.max_body;
+  record_.body_dropped = answer.body.size() > settings_.max_recorded_body_bytes;
   record_.body = record_.body_dropped ? content_hash(answer.body) : answer.body;
   keyed_effects out = reply({.what = keyed_reply::kind::done,
                              .status = answer.status,
@@ -182,24 +183,25 @@
 
 keyed_effects keyed_call::write(time_point now, wall_time wall, record_phase phase) {
   record_.phase = phase;
-  record_.changed = wall;
-  record_.answer_by = wall + std::max(facts_.deadline - now, duration{0});
-  record_.expires = record_.answer_by + settings_.send_window + settings_.retention;
+  record_.written_at = wall;
+  record_.owner_call_end_deadline = wall + std::max(facts_.deadline - now, duration{0});
+  record_.expires =
+      record_.owner_call_end_deadline + settings_.max_reservation_to_send + settings_.retention;
   if (phase == record_phase::sending) {
     // The time limit for sending starts before the write to the table, which may take long.
-    send_until_ = now + settings_.send_window;
+    send_until_ = now + settings_.max_reservation_to_send;
   }
   written_value_ = encode(record_);
-  wrote_ = true;
+  may_have_written_ = true;
   table_call_pending_ = true;
   retry_at_ = time_point::max();
-  return {table_write{row_, written_value_, row_version_}};
+  return {table_write{table_key_, written_value_, row_version_}};
 }
 
 keyed_effects keyed_call::read() {
   table_call_pending_ = true;
   retry_at_ = time_point::max();
-  return {table_read{row_}};
+  return {table_read{table_key_}};
 }
 
 void keyed_call::retry_later(time_point now) {
@@ -249,8 +251,9 @@
   }
   if (step_ == step::reserving) {
     const bool same_body = other.body_hash == facts_.body_hash;
-    const bool has_lost_owner = other.phase == record_phase::reserved && same_body &&
-                                between(other.changed, wall) >= settings_.takeover_after;
+    const bool has_lost_owner =
+        other.phase == record_phase::reserved && same_body &&
+        between(other.written_at, wall) >= settings_.reservation_takeover_age;
     const bool never_ran = other.phase == record_phase::not_run && same_body;
     if (other.expires <= wall || has_lost_owner || never_ran) {
       return write(now, wall, record_phase::reserved);
@@ -275,13 +278,13 @@
                   .replayed = true,
                   .body_dropped = other.body_dropped});
   }
-  const bool is_over = other.phase == record_phase::sending && wall > other.answer_by;
+  const bool is_over = other.phase == record_phase::sending && wall > other.owner_call_end_deadline;
   if (is_over) {
     return reply({.what = keyed_reply::kind::unknown,
                   .reason = "an equal call was sent and its outcome was not recorded",
                   .replayed = true});
   }
-  const duration open = between(wall, other.answer_by);
+  const duration open = between(wall, other.owner_call_end_deadline);
   return reply({.what = keyed_reply::kind::in_progress,
                 .reason = "an equal call is running",
                 .retry_after = std::clamp(open, settings_.first_backoff, settings_.max_backoff)});
@@ -293,7 +296,7 @@
   keyed_effects out = reply({.what = keyed_reply::kind::not_run,
                              .reason = std::move(reason),
                              .retry_after = settings_.table_retry_after});
-  if (!wrote_) {
+  if (!may_have_written_) {
     step_ = step::finished;
     return out;
   }
@@ -304,7 +307,7 @@
 
 keyed_effects keyed_call::record_outcome(time_point now, wall_time wall, record_phase phase) {
   step_ = step::recording;
-  record_deadline_ = now + settings_.record_timeout;
+  record_deadline_ = now + settings_.outcome_write_timeout;
   record_.phase = phase;
   if (table_call_pending_) {
     written_value_.clear();  // the write in progress is outdated; its result triggers another write
--- a/src/request/keyed.h
+++ b/src/request/keyed.h
@@ -46,9 +46,9 @@
   record_owner owner;
   std::string body_hash;  // content_hash of method, path and body
   record_phase phase = record_phase::reserved;
-  wall_time changed;    // when the record was last written
-  wall_time answer_by;  // the owner's call has ended by this time, with any outcome
-  wall_time expires;    // after this time another record may replace this one
+  wall_time written_at;               // when the record was last written
+  wall_time owner_call_end_deadline;  // the owner's call has ended by this time, with any outcome
+  wall_time expires;                  // after this time another record may replace this one
   // The response, if the call is done. Of a body that is too large, only the hash is kept.
   std::uint32_t status{};
   std::string content_type;
@@ -65,16 +65,17 @@
 
 struct keyed_settings {
   // Maximum time from issuing the write of phase `sending` until the call is sent.
-  duration send_window = 2s;
+  duration max_reservation_to_send = 2s;
   // The owner of a record that has been in phase `reserved` for longer is assumed to have failed.
-  duration takeover_after = 5s;
+  duration reservation_takeover_age = 5s;
   duration retention = 24h;         // how long a repeated call is recognised
   duration table_timeout = 2s;      // for writing the record; after it the call ends as not run
   duration table_retry_after = 2s;  // retry time sent to callers while the table is unavailable
-  duration record_timeout = 10min;  // how long writing the call's outcome is retried
-  duration first_backoff = 50ms;    // first pause between attempts to reach the table
+  duration outcome_write_timeout = 10min;  // how long writing the call's outcome is retried
+  duration first_backoff = 50ms;           // first pause between attempts to reach the table
   duration max_backoff = 1s;
-  std::size_t max_body = 16'384;  // bytes; of a larger response only the hash is recorded
+  std::size_t max_recorded_body_bytes =
+      16'384;  // bytes; of a larger response only the hash is recorded
 };
 
 // ---- effects to be executed by the caller of keyed_call ----
@@ -173,13 +174,13 @@
 
   keyed_call_facts facts_;
   keyed_settings settings_;
-  std::string row_;
+  std::string table_key_;
   step step_ = step::idle;
   keyed_record record_;              // the record that the table should hold
   std::string written_value_;        // record_ encoded as last written
   std::uint64_t row_version_ = 0;    // the row's version that the next write expects
   bool table_call_pending_ = false;  // a table call is in progress; there is never a second one
-  bool wrote_ = false;               // a write of this call may have taken effect
+  bool may_have_written_ = false;    // a write of this call may have taken effect
   bool may_have_sent_ = false;       // never reset
   bool replied_ = false;
   std::optional<time_point> send_until_;
--- a/src/request/keyed_record.cpp
+++ b/src/request/keyed_record.cpp
@@ -21,8 +21,8 @@
                        r.owner.request.str(),
                        r.body_hash,
                        static_cast<int>(r.phase),
-                       r.changed.milliseconds,
-                       r.answer_by.milliseconds,
+                       r.written_at.milliseconds,
+                       r.owner_call_end_deadline.milliseconds,
                        r.expires.milliseconds,
                        r.status,
                        r.content_type,
@@ -49,8 +49,8 @@
       return refused{"unknown phase"};
     }
     r.phase = static_cast<record_phase>(phase);
-    r.changed.milliseconds = fields[6].get<std::int64_t>();
-    r.answer_by.milliseconds = fields[7].get<std::int64_t>();
+    r.written_at.milliseconds = fields[6].get<std::int64_t>();
+    r.owner_call_end_deadline.milliseconds = fields[7].get<std::int64_t>();
     r.expires.milliseconds = fields[8].get<std::int64_t>();
     r.status = fields[9].get<std::uint32_t>();
     r.content_type = fields[10].get<std::string>();
--- a/src/request/limits.cpp
+++ b/src/request/limits.cpp
@@ -59,7 +59,7 @@
   }
   bucket& b = found->second;
   refill(now, b);
-  b.requested += amount;
+  b.requests_since_update += amount;
   if (b.tokens >= amount) {
     b.tokens -= amount;
     return limit_pass{};
@@ -93,7 +93,7 @@
     }
     refill(now, b);
     peer_usage& p = b.peers[peer];
-    const double lent = message.echo ? p.planned : 0;
+    const double lent = message.echo ? p.planned_loan_rate : 0;
     if (lent > 0) {
       p.lent.push_back({lent, now + settings_.lease});
     }
@@ -156,8 +156,8 @@
     return;
   }
   const double weight = 1.0 - std::exp(-seconds / to_seconds(settings_.demand_window));
-  b.demand += weight * (b.requested / seconds - b.demand);
-  b.requested = 0;
+  b.demand += weight * (b.requests_since_update / seconds - b.demand);
+  b.requests_since_update = 0;
   b.demand_updated_at = now;
 }
 
@@ -166,11 +166,11 @@
 // whose share is above its target lends the difference to nodes below their targets.
 void rate_limits::plan_lending(time_point now, bucket& b) const {
   const double own = equal_share(b);
-  const double floor = settings_.floor_fraction * own;
+  const double floor = settings_.never_lent_fraction * own;
   double demand = b.demand;
   double members = 1;
   for (const node_id& peer : others_) {
-    b.peers[peer].planned = 0;
+    b.peers[peer].planned_loan_rate = 0;
     if (is_peer_current(now, peer)) {
       demand += b.peers[peer].demand;
       members += 1;
@@ -202,7 +202,7 @@
     const double held = largest(now, b.peers[peer].lent);
     const double more = std::clamp(desired - held, 0.0, available);
     available -= more;
-    b.peers[peer].planned = std::min(desired, held + more);
+    b.peers[peer].planned_loan_rate = std::min(desired, held + more);
   }
 }
 
--- a/src/request/limits.h
+++ b/src/request/limits.h
@@ -43,10 +43,10 @@
 };
 
 struct limit_settings {
-  duration message_interval = 1s;  // how often messages are exchanged
-  duration lease = 4s;             // how long lent rate may be used; the same on all nodes
-  double floor_fraction = 0.2;     // fraction of a node's own share that is never lent
-  duration demand_window = 5s;     // time constant of the demand's moving average
+  duration message_interval = 1s;    // how often messages are exchanged
+  duration lease = 4s;               // how long lent rate may be used; the same on all nodes
+  double never_lent_fraction = 0.2;  // fraction of a node's own share that is never lent
+  duration demand_window = 5s;       // time constant of the demand's moving average
 };
 
 struct limit_pass {};
@@ -81,17 +81,17 @@
     time_point until;
   };
   struct peer_usage {
-    double demand{};          // requests per second, as the peer last reported
-    double planned{};         // requests per second to lend with the next message
-    std::vector<lease> lent;  // leases to the peer that have not expired; it uses one of them
-    lease borrowed;           // the lease from the peer that this node uses
+    double demand{};             // requests per second, as the peer last reported
+    double planned_loan_rate{};  // requests per second to lend with the next message
+    std::vector<lease> lent;     // leases to the peer that have not expired; it uses one of them
+    lease borrowed;              // the lease from the peer that this node uses
   };
   struct bucket {
     rate_limit limit;
     double tokens{};  // requests that may be admitted now
     time_point refilled_at;
-    double demand{};     // requests per second, moving average
-    double requested{};  // requests since `demand` was last updated
+    double demand{};                 // requests per second, moving average
+    double requests_since_update{};  // requests since `demand` was last updated
     time_point demand_updated_at;
     std::map<node_id, peer_usage> peers;
   };
--- a/src/request/policy_bench.cpp
+++ b/src/request/policy_bench.cpp
@@ -15,7 +15,7 @@
 
 admission_load overload(double times, bool first_come_first_served) {
   admission_load load;
-  const double capacity = load.slots / to_seconds(load.mean_service);
+  const double capacity = load.slots / to_seconds(load.mean_service_time_per_cost);
   load.workspaces = {{"only", 1.0, capacity * times}};
   load.first_come_first_served = first_come_first_served;
   return load;
@@ -38,7 +38,7 @@
 
 std::uint64_t print_fairness(std::ostream& out, std::uint64_t seed) {
   admission_load load;
-  const double capacity = load.slots / to_seconds(load.mean_service);
+  const double capacity = load.slots / to_seconds(load.mean_service_time_per_cost);
   // Four small workspaces use 0.6 of their share; the large one demands five times its share.
   for (const char* name : {"a", "b", "c", "d"}) {
     load.workspaces.push_back({name, 1.0, 0.6 * capacity / 8});
@@ -53,8 +53,8 @@
       << together.workspaces[0].p99_answer << " s  ratio "
       << together.workspaces[0].p99_answer / alone.workspaces[0].p99_answer << "  refused "
       << together.workspaces[0].refused << " of " << together.workspaces[0].submitted
-      << "  slots busy " << together.busy << "  | first come: " << base.workspaces[0].p99_answer
-      << " s\n";
+      << "  slots busy " << together.busy_slot_fraction
+      << "  | first come: " << base.workspaces[0].p99_answer << " s\n";
   return together.signature;
 }
 
@@ -63,7 +63,7 @@
   std::uint64_t signature = 0;
   for (const duration lag : {duration(0ms), duration(500ms), duration(2s)}) {
     routing_load load;
-    load.lag = lag;
+    load.load_report_lag = lag;
     for (const policy_kind kind :
          {policy_kind::expected_completion, policy_kind::least_reported_load,
           policy_kind::two_choices, policy_kind::round_robin, policy_kind::random_choice}) {
@@ -87,7 +87,8 @@
       out << "  failing " << std::setprecision(1) << part << std::setprecision(3)
           << (with_budget ? "  budget    " : "  unbounded ") << " mean "
           << static_cast<double>(f.attempts) / static_cast<double>(f.requests) << "  worst second "
-          << f.worst_ratio << "  answered " << f.answered << " of " << f.requests << "\n";
+          << f.max_attempts_per_request_in_second << "  answered " << f.answered << " of "
+          << f.requests << "\n";
       signature = mix(signature, f.signature);
     }
   }
--- a/src/request/policy_bench.h
+++ b/src/request/policy_bench.h
@@ -27,7 +27,8 @@
 struct admission_load {
   std::vector<workspace_load> workspaces;
   std::uint32_t slots = 40;
-  duration mean_service = 2s;  // service time per unit of cost; costs are uniform in [0.5, 1.5)
+  duration mean_service_time_per_cost =
+      2s;  // service time per unit of cost; costs are uniform in [0.5, 1.5)
   duration deadline = 6s;
   duration length = 600s;
   bool first_come_first_served =
@@ -49,7 +50,7 @@
 struct admission_figures {
   std::vector<workspace_figures> workspaces;  // one per entry of admission_load::workspaces
   double goodput{};                           // fraction of slot time spent on useful requests
-  double busy{};                              // fraction of slot time in use
+  double busy_slot_fraction{};                // fraction of slot time in use
   std::uint64_t useful{};
   std::uint64_t signature{};  // hash of the decisions made
 };
@@ -77,14 +78,15 @@
   // with empty caches.
   double utilisation = 0.7;
   duration report_interval = 250ms;
-  duration lag = 500ms;  // from the sampling of a load report until nodes receive it
-  duration decode = 1s;  // decoding time per unit of cost; costs are exponential with mean 1
-  duration block_prefill = 5ms;       // prefill time of a prefix block that is not in the cache
-  std::uint32_t blocks = 40;          // prefix blocks per prompt
-  std::uint32_t prefixes = 200;       // distinct prefixes, with Zipf-distributed popularity
-  std::uint32_t cache_blocks = 1600;  // cache size of a replica: a fifth of all prefixes
-  duration event_lag = 500ms;         // from a change of a cache until nodes receive the event
-  double lost_events = 0.05;          // fraction of the batches of cache events that are lost
+  duration load_report_lag = 500ms;  // from the sampling of a load report until nodes receive it
+  duration decode_time_per_cost =
+      1s;  // decoding time per unit of cost; costs are exponential with mean 1
+  duration prefill_time_per_block = 5ms;  // prefill time of a prefix block that is not in the cache
+  std::uint32_t blocks = 40;              // prefix blocks per prompt
+  std::uint32_t prefixes = 200;           // distinct prefixes, with Zipf-distributed popularity
+  std::uint32_t cache_blocks = 1600;      // cache size of a replica: a fifth of all prefixes
+  duration cache_event_lag = 500ms;       // from a change of a cache until nodes receive the event
+  double lost_event_batch_fraction = 0.05;  // fraction of the batches of cache events that are lost
   duration length = 300s;
 };
 
@@ -106,8 +108,9 @@
   std::uint64_t requests{};
   std::uint64_t attempts{};  // attempts that reached the target
   std::uint64_t answered{};
-  double worst_ratio{};       // highest ratio of attempts to requests in one second
-  std::uint64_t signature{};  // hash of the decisions made
+  double
+      max_attempts_per_request_in_second{};  // highest ratio of attempts to requests in one second
+  std::uint64_t signature{};                 // hash of the decisions made
 };
 
 // With `with_budget` false, each hop retries independently, up to max_attempts. `failing_fraction`
--- a/src/request/policy_bench_admission.cpp
+++ b/src/request/policy_bench_admission.cpp
@@ -48,7 +48,8 @@
 
   admission_figures run() {
     // The queue is empty, so no request starts; the call only sets the capacity.
-    start(time_point{}, admission_.on_capacity(time_point{}, {load_.slots, load_.slots, 0us}));
+    start(time_point{},
+          admission_.update_capacity_and_start_next(time_point{}, {load_.slots, load_.slots, 0us}));
     baseline_free_slots_ = load_.slots;
     for (std::size_t i = 0; i < load_.workspaces.size(); ++i) {
       schedule_arrival(time_point{}, i);
@@ -77,7 +78,8 @@
     const double cost = 0.5 + random_.unit();
     const double cost_ratio = 0.5 + random_.unit();  // ratio of the actual to the estimated cost
     const request_id id(std::to_string(++last_id_));
-    const duration service = from_seconds(to_seconds(load_.mean_service) * cost * cost_ratio);
+    const duration service =
+        from_seconds(to_seconds(load_.mean_service_time_per_cost) * cost * cost_ratio);
     requests_[id] = {workspace, now, now + load_.deadline, service};
     ++figures_.workspaces[workspace].submitted;
     if (load_.first_come_first_served) {
@@ -91,7 +93,7 @@
     facts.arrival = now;
     facts.deadline = now + load_.deadline;
     facts.cost = cost;
-    const submission result = admission_.submit(now, facts);
+    const submit_result result = admission_.submit(now, facts);
     if (result.displaced) {
       refuse(now, result.displaced->id);
     }
@@ -134,7 +136,7 @@
       ++baseline_free_slots_;
       start_in_arrival_order(now);
     } else {
-      start(now, admission_.finished(now, id));
+      start(now, admission_.finish_and_start_next(now, id));
     }
   }
 
@@ -157,7 +159,7 @@
   admission_figures summary() {
     const double slot_time = to_seconds(load_.length) * load_.slots;
     figures_.goodput = useful_time_ / slot_time;
-    figures_.busy = busy_time_ / slot_time;
+    figures_.busy_slot_fraction = busy_time_ / slot_time;
     for (std::size_t i = 0; i < samples_.size(); ++i) {
       figures_.workspaces[i].p50_wait = quantile(samples_[i].waits, 0.5);
       figures_.workspaces[i].p99_wait = quantile(samples_[i].waits, 0.99);
--- a/src/request/policy_bench_budgets.cpp
+++ b/src/request/policy_bench_budgets.cpp
@@ -184,7 +184,8 @@
     figures.requests += requests_per_second;
     figures.attempts += attempts;
     const double ratio = static_cast<double>(attempts) / requests_per_second;
-    figures.worst_ratio = std::max(figures.worst_ratio, ratio);
+    figures.max_attempts_per_request_in_second =
+        std::max(figures.max_attempts_per_request_in_second, ratio);
   }
   figures.signature = stable_hash(std::to_string(figures.attempts), figures.answered);
   return figures;
--- a/src/request/policy_bench_routing.cpp
+++ b/src/request/policy_bench_routing.cpp
@@ -154,12 +154,12 @@
     for (const simulated_replica& r : replicas_) {
       loads.emplace_back(r.running, static_cast<std::uint32_t>(r.queue.size()));
     }
-    events_.at(now + load_.lag, [this, loads, now](time_point) {
+    events_.at(now + load_.load_report_lag, [this, loads, now](time_point) {
       for (node_state& node : nodes_) {
         for (std::size_t i = 0; i < loads.size(); ++i) {
           node.routes.replicas[i].running = loads[i].first;
           node.routes.replicas[i].queued = loads[i].second;
-          node.routes.replicas[i].load_at = now;
+          node.routes.replicas[i].load_reported_at = now;
         }
       }
     });
@@ -180,8 +180,8 @@
       j.choice = *choice;
       send(now, std::move(j));
     }
-    const double service =
-        to_seconds(load_.decode) + load_.blocks * to_seconds(load_.block_prefill);
+    const double service = to_seconds(load_.decode_time_per_cost) +
+                           load_.blocks * to_seconds(load_.prefill_time_per_block);
     const double rate = load_.utilisation * load_.replicas * load_.slots / service;
     events_.at(now + from_seconds(-std::log(1.0 - random_.unit()) / rate),
                [this](time_point at) { arrive(at); });
@@ -206,9 +206,11 @@
       ++r.running;
       const std::uint32_t cached = use_cache(now, r, j.facts.prefix);
       const double uncached = load_.blocks - cached;
-      j.first_token = now + from_seconds(r.slowdown_factor *
-                                         (0.01 + uncached * to_seconds(load_.block_prefill)));
-      const double decode = r.slowdown_factor * j.facts.cost * to_seconds(load_.decode);
+      j.first_token =
+          now + from_seconds(r.slowdown_factor *
+                             (0.01 + uncached * to_seconds(load_.prefill_time_per_block)));
+      const double decode =
+          r.slowdown_factor * j.facts.cost * to_seconds(load_.decode_time_per_cost);
       events_.at(j.first_token + from_seconds(decode),
                  [this, &r, j](time_point at) { end(at, r, j); });
     }
@@ -219,10 +221,10 @@
     const std::uint32_t cached = r.cache.use(blocks, batch.stored, batch.evicted);
     hits_ += cached;
     blocks_ += blocks.size();
-    const bool lost = random_.unit() < load_.lost_events;
+    const bool lost = random_.unit() < load_.lost_event_batch_fraction;
     if constexpr (requires(Policy p) { p.prefixes(); }) {
       if (!lost) {
-        events_.at(now + load_.event_lag, [this, batch](time_point at) {
+        events_.at(now + load_.cache_event_lag, [this, batch](time_point at) {
           for (node_state& node : nodes_) {
             node.policy.prefixes().on_cache_events(at, batch);
           }
@@ -285,7 +287,7 @@
     case policy_kind::expected_completion: {
       expected_completion_settings settings;
       settings.nodes = load.nodes;
-      settings.block_prefill = load.block_prefill;
+      settings.prefill_time_per_block = load.prefill_time_per_block;
       const auto make = [&](std::uint64_t s) { return expected_completion(s, settings); };
       return routing_run<expected_completion>(load, seed, make).run();
     }
--- a/src/request/prefix_index.cpp
+++ b/src/request/prefix_index.cpp
@@ -10,9 +10,9 @@
 void prefix_index::sent(time_point now, const replica_id& replica, const prefix_blocks& blocks) {
   const replica_state& state = state_of(replica);
   for (const std::uint64_t block : blocks) {
-    touch(now, state, block);
+    confirm_entry(now, state, block);
   }
-  shrink(now);
+  evict_oldest_entries(now);
 }
 
 void prefix_index::on_cache_events(time_point now, const cache_events& events) {
@@ -34,12 +34,12 @@
   state.incarnation = events.incarnation;
   state.sequence = events.sequence;
   for (const std::uint64_t block : events.evicted) {
-    erase({block, state.number});
+    erase({block, state.replica_number});
   }
   for (const std::uint64_t block : events.stored) {
-    touch(now, state, block);
+    confirm_entry(now, state, block);
   }
-  shrink(now);
+  evict_oldest_entries(now);
 }
 
 void prefix_index::forget(const replica_id& replica) {
@@ -47,9 +47,9 @@
   if (found == replicas_.end()) {
     return;
   }
-  const std::uint32_t number = found->second.number;
+  const std::uint32_t replica_number = found->second.replica_number;
   for (auto it = entries_.begin(); it != entries_.end();) {
-    if (it->key.replica == number) {
+    if (it->key.replica == replica_number) {
       by_key_.erase(it->key);
       it = entries_.erase(it);
     } else {
@@ -68,9 +68,9 @@
   const replica_state& state = found->second;
   double expected = 0;
   for (const std::uint64_t block : blocks) {
-    const auto it = by_key_.find({block, state.number});
+    const auto it = by_key_.find({block, state.replica_number});
     // A cache can use only a contiguous prefix.
-    if (it == by_key_.end() || now - it->second->seen > settings_.max_age) {
+    if (it == by_key_.end() || now - it->second->confirmed_at > settings_.max_unconfirmed_age) {
       break;
     }
     expected += it->second->epoch == state.epoch ? 1.0 : settings_.trust_after_gap;
@@ -81,20 +81,20 @@
 prefix_index::replica_state& prefix_index::state_of(const replica_id& replica) {
   const auto [it, is_new] = replicas_.try_emplace(replica);
   if (is_new) {
-    it->second.number = next_number_++;
+    it->second.replica_number = next_number_++;
   }
   return it->second;
 }
 
-void prefix_index::touch(time_point now, const replica_state& state, std::uint64_t block) {
-  const entry_key key{block, state.number};
+void prefix_index::confirm_entry(time_point now, const replica_state& state, std::uint64_t block) {
+  const entry_key key{block, state.replica_number};
   const auto found = by_key_.find(key);
   if (found == by_key_.end()) {
     entries_.push_back({key, now, state.epoch});
     by_key_.emplace(key, std::prev(entries_.end()));
     return;
   }
-  found->second->seen = now;
+  found->second->confirmed_at = now;
   found->second->epoch = state.epoch;
   entries_.splice(entries_.end(), entries_, found->second);
 }
@@ -108,9 +108,10 @@
   by_key_.erase(found);
 }
 
-void prefix_index::shrink(time_point now) {
-  while (!entries_.empty() && (entries_.size() > settings_.max_entries ||
-                               now - entries_.front().seen > settings_.max_age)) {
+void prefix_index::evict_oldest_entries(time_point now) {
+  while (!entries_.empty() &&
+         (entries_.size() > settings_.max_entries ||
+          now - entries_.front().confirmed_at > settings_.max_unconfirmed_age)) {
     by_key_.erase(entries_.front().key);
     entries_.pop_front();
   }
--- a/src/request/prefix_index.h
+++ b/src/request/prefix_index.h
@@ -24,8 +24,8 @@
 };
 
 struct prefix_index_settings {
-  std::size_t max_entries = 100'000;  // (replica, block) pairs; about 100 bytes each
-  duration max_age = 10min;           // entries not used for longer are assumed evicted
+  std::size_t max_entries = 100'000;     // (replica, block) pairs; about 100 bytes each
+  duration max_unconfirmed_age = 10min;  // entries not used for longer are assumed evicted
   // Weight of a block that was last confirmed before a batch of cache events was lost: the lost
   // batch may have reported the block's eviction.
   double trust_after_gap = 0.25;
@@ -60,12 +60,12 @@
   };
   struct entry {
     entry_key key;
-    time_point seen;        // when the entry was last confirmed
-    std::uint32_t epoch{};  // replica_state::epoch when the entry was last confirmed
+    time_point confirmed_at;  // when the entry was last confirmed
+    std::uint32_t epoch{};    // replica_state::epoch when the entry was last confirmed
   };
   struct replica_state {
-    std::uint32_t number{};  // identifies the replica in entry_key; never reused
-    std::uint32_t epoch{};   // number of gaps in the replica's cache events so far
+    std::uint32_t replica_number{};  // identifies the replica in entry_key; never reused
+    std::uint32_t epoch{};           // number of gaps in the replica's cache events so far
     std::uint64_t incarnation{};
     std::uint64_t sequence{};
     bool has_events = false;
@@ -73,9 +73,9 @@
   using recency = std::list<entry>;  // oldest first
 
   replica_state& state_of(const replica_id& replica);
-  void touch(time_point now, const replica_state& state, std::uint64_t block);
+  void confirm_entry(time_point now, const replica_state& state, std::uint64_t block);
   void erase(const entry_key& key);
-  void shrink(time_point now);
+  void evict_oldest_entries(time_point now);
 
   prefix_index_settings settings_;
   // Invariant: entries_ and by_key_ hold the same (replica, block) pairs, at most max_entries.
--- a/src/request/replica_choice.cpp
+++ b/src/request/replica_choice.cpp
@@ -58,7 +58,7 @@
 // Little's law, as many requests arrive during one generation as are running.
 duration unreported_load_delay(const engine_parameters& engine, const model_spec& model,
                                std::span<const serving_replica> candidates, const load_table& loads,
-                               duration load_age) {
+                               duration peer_load_age) {
   double all = 0;
   double of_others = 0;
   for (const serving_replica& replica : candidates) {
@@ -70,7 +70,8 @@
   const double generation_ms =
       engine.mean_answer_tokens * estimate_step_ms(engine, all / count) * model.slowdown_factor;
   const double arrivals =
-      of_others / count * std::min(1.0, to_milliseconds(load_age) / std::max(generation_ms, 1.0));
+      of_others / count *
+      std::min(1.0, to_milliseconds(peer_load_age) / std::max(generation_ms, 1.0));
   const double prefill_ms = engine.mean_prompt_tokens * 1000.0 /
                             std::max(engine.prefill_tokens_per_s, 1.0) * model.slowdown_factor;
   return from_seconds(arrivals * prefill_ms / 1000);
@@ -81,7 +82,8 @@
 // deadline.
 bool misses_deadline(const engine_parameters& engine, const replica_estimate& expected,
                      const choice_request& request) {
-  const double events = request.size.answer_tokens / std::max<double>(engine.stride, 1);
+  const double events =
+      request.size.answer_tokens / std::max<double>(engine.decode_steps_per_pass, 1);
   const duration response_time =
       expected.to_first_event + from_seconds(events * to_seconds(expected.between_events));
   return response_time > request.time_left;
@@ -119,18 +121,18 @@
 }  // namespace
 
 void load_table::sent(const target_id& head, const generation_size& size) {
-  replica_load& load = own_[head];
+  replica_load& load = own_loads_[head];
   load.active += 1;
   load.pending_prefill_tokens += size.prompt_tokens;
 }
 
 void load_table::first_event(const target_id& head, const generation_size& size) {
-  subtract(own_[head].pending_prefill_tokens, size.prompt_tokens);
+  subtract(own_loads_[head].pending_prefill_tokens, size.prompt_tokens);
 }
 
 void load_table::ended(const target_id& head, const generation_size& size, bool had_first_event) {
-  const auto found = own_.find(head);
-  if (found == own_.end()) {
+  const auto found = own_loads_.find(head);
+  if (found == own_loads_.end()) {
     return;
   }
   subtract(found->second.active, 1);
@@ -138,7 +140,7 @@
     subtract(found->second.pending_prefill_tokens, size.prompt_tokens);
   }
   if (found->second.active < 0.5) {
-    own_.erase(found);
+    own_loads_.erase(found);
   }
 }
 
@@ -148,7 +150,7 @@
 }
 
 std::map<target_id, replica_load> load_table::all() const {
-  std::map<target_id, replica_load> sum = own_;
+  std::map<target_id, replica_load> sum = own_loads_;
   for (const auto& [id, reported] : peers_) {
     add_loads(sum, reported.loads);
   }
@@ -176,7 +178,7 @@
 }
 
 std::map<target_id, replica_load> load_table::all_of(const data_centre_id& data_centre) const {
-  std::map<target_id, replica_load> sum = own_;
+  std::map<target_id, replica_load> sum = own_loads_;
   for (const auto& [id, reported] : peers_) {
     if (reported.data_centre == data_centre) {
       add_loads(sum, reported.loads);
@@ -193,7 +195,7 @@
 
 replica_load load_table::total(const target_id& head) const {
   replica_load sum;
-  if (const auto found = own_.find(head); found != own_.end()) {
+  if (const auto found = own_loads_.find(head); found != own_loads_.end()) {
     sum = found->second;
   }
   for (const auto& [peer, reported] : peers_) {
@@ -206,17 +208,17 @@
 }
 
 double load_table::own_active(const target_id& head) const {
-  const auto found = own_.find(head);
-  return found == own_.end() ? 0 : found->second.active;
+  const auto found = own_loads_.find(head);
+  return found == own_loads_.end() ? 0 : found->second.active;
 }
 
 replica_estimate estimate(const engine_parameters& engine, const model_spec& model,
                           const replica_load& load, const generation_size& size,
                           double slowdown_factor, bool crosses_domains) {
   const double factor = model.slowdown_factor * std::max(slowdown_factor, 1.0) *
-                        (crosses_domains ? engine.cross_domain_factor : 1.0);
+                        (crosses_domains ? engine.cross_domain_slowdown_factor : 1.0);
   const double step_ms = estimate_step_ms(engine, load.active);
-  const double pass_ms = step_ms * engine.stride;
+  const double pass_ms = step_ms * engine.decode_steps_per_pass;
   const double prefill_ms_per_token = 1000.0 / std::max(engine.prefill_tokens_per_s, 1.0);
   const double pairs_ms =
       size.prompt_tokens * size.prompt_tokens / 2e6 * engine.attention_ms_per_million_pairs;
@@ -249,7 +251,8 @@
                                                replica.slowdown_factor, replica.crosses_domains);
     any_known = true;
     soonest = std::min(soonest, expected.to_first_event);
-    const bool full = load.active >= static_cast<double>(engine.slots) + settings.max_engine_queue;
+    const bool full =
+        load.active >= static_cast<double>(engine.slots) + settings.max_requests_beyond_slots;
     if (full || expected.to_first_event > request.time_left) {
       continue;
     }
@@ -267,7 +270,7 @@
   }
   if (!usable.empty()) {
     const duration spread =
-        unreported_load_delay(engine, model, candidates, loads, settings.load_age);
+        unreported_load_delay(engine, model, candidates, loads, settings.peer_load_age);
     const candidate& chosen = sample_candidate(usable, to_seconds(spread), request.random_sample);
     return chosen_replica{chosen.index, chosen.expected};
   }
--- a/src/request/replica_choice.h
+++ b/src/request/replica_choice.h
@@ -1,11 +1,11 @@
 // Chooses the replica for a request of a model, or refuses the request.
 //
 // A replica batches its requests and advances all of them in passes. Prefill of a prompt takes
-// additional time in a pass, and a pass with generating requests runs `stride` decode steps. The
-// time to the first event of a new request is therefore the rest of the running pass, the pending
-// prefills at the replica, the request's own prefill and one pass, plus a wait for a slot that
-// grows with the load. The operators configure the engine's parameters; the load is that of this
-// node's requests plus what its peers reported.
+// additional time in a pass, and a pass with generating requests runs `decode_steps_per_pass`
+// decode steps. The time to the first event of a new request is therefore the rest of the running
+// pass, the pending prefills at the replica, the request's own prefill and one pass, plus a wait
+// for a slot that grows with the load. The operators configure the engine's parameters; the load is
+// that of this node's requests plus what its peers reported.
 //
 // Load beyond the replicas' slots would only delay other requests. Such a request is refused with
 // the time until a slot is expected to be free.
@@ -62,7 +62,7 @@
   [[nodiscard]] std::map<target_id, replica_load> all_of(const data_centre_id& data_centre) const;
 
   // The load of this node alone, to report to peers.
-  [[nodiscard]] const std::map<target_id, replica_load>& own() const { return own_; }
+  [[nodiscard]] const std::map<target_id, replica_load>& own() const { return own_loads_; }
   [[nodiscard]] replica_load total(const target_id& head) const;
   [[nodiscard]] double own_active(const target_id& head) const;
 
@@ -77,7 +77,7 @@
     data_centre_id data_centre;
     std::map<target_id, replica_load> loads;
   };
-  std::map<target_id, replica_load> own_;
+  std::map<target_id, replica_load> own_loads_;
   std::map<node_id, peer_loads> peers_;
 };
 
@@ -89,13 +89,13 @@
   duration default_remote_delay = 2ms;
   // Age of the known load of other nodes: a heartbeat to the hub and one from it, at intervals of
   // 200 ms, half of that each on average, and another 100 ms between hubs.
-  duration load_age = 300ms;
+  duration peer_load_age = 300ms;
   // Added to the cost of a replica where the response would miss its deadline: more than any wait
   // for a slot elsewhere, less than the cost of an unresponsive replica.
   duration deadline_miss_penalty = 2s;
   // Requests beyond a replica's slots wait in the engine for an unknown time, so only this many are
   // sent beyond the slots.
-  double max_engine_queue = 2;
+  double max_requests_beyond_slots = 2;
 };
 
 struct replica_estimate {
--- a/src/request/retry.cpp
+++ b/src/request/retry.cpp
@@ -29,11 +29,11 @@
 }
 
 retry_budget::retry_budget(const retry_settings& settings)
-    : settings_(settings), tokens_(settings.reserve) {}
+    : settings_(settings), tokens_(settings.max_budget) {}
 
 void retry_budget::first_attempt(time_point now) {
   refill(now);
-  tokens_ = std::min(settings_.reserve, tokens_ + settings_.ratio);
+  tokens_ = std::min(settings_.max_budget, tokens_ + settings_.retries_per_first_attempt);
 }
 
 bool retry_budget::take(time_point now) {
@@ -47,7 +47,8 @@
 
 void retry_budget::refill(time_point now) {
   const duration passed = now - refilled_at_.value_or(now);
-  tokens_ = std::min(settings_.reserve, tokens_ + settings_.floor_per_second * to_seconds(passed));
+  tokens_ = std::min(settings_.max_budget,
+                     tokens_ + settings_.min_retries_per_second * to_seconds(passed));
   refilled_at_ = now;
 }
 
@@ -97,7 +98,7 @@
 hedging::hedging(const hedge_settings& settings) : settings_(settings) {}
 
 void hedging::observe(std::string_view request_class, duration latency) {
-  tokens_ = std::min(settings_.reserve, tokens_ + settings_.max_ratio);
+  tokens_ = std::min(settings_.max_budget, tokens_ + settings_.max_hedge_ratio);
   class_latency& seen = classes_[std::string(request_class)];
   const double value = std::max(to_seconds(latency), 1e-6);
   ++seen.samples;
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -31,10 +31,10 @@
                                                bool spilled = false);
 
 struct retry_settings {
-  double ratio = 0.1;   // retries per first attempt
-  double reserve = 10;  // maximum of the budget in retries, and its initial value
+  double retries_per_first_attempt = 0.1;  // retries per first attempt
+  double max_budget = 10;  // maximum of the budget in retries, and its initial value
   // Retries added to the budget per second, so that a model with few requests can retry.
-  double floor_per_second = 0.5;
+  double min_retries_per_second = 0.5;
   std::uint32_t max_attempts = 3;
   duration first_backoff = 20ms;
   duration max_backoff = 1s;
@@ -53,7 +53,7 @@
   void refill(time_point now);
 
   retry_settings settings_;
-  double tokens_;  // 0..reserve
+  double tokens_;  // 0..max_budget
   std::optional<time_point> refilled_at_;
 };
 
@@ -86,8 +86,8 @@
 struct hedge_settings {
   // A request is hedged when it has waited longer than this quantile of its class's latency.
   double quantile = 0.95;
-  double max_ratio = 0.05;         // hedges per request
-  double reserve = 5;              // maximum of the budget, in hedges
+  double max_hedge_ratio = 0.05;   // hedges per request
+  double max_budget = 5;           // maximum of the budget, in hedges
   std::uint32_t min_samples = 50;  // latencies of a class before its requests are hedged
   duration min_delay = 10ms;       // minimum time from the first send to a hedge
 };
@@ -113,7 +113,7 @@
   };
 
   hedge_settings settings_;
-  double tokens_ = 0;  // 0..reserve
+  double tokens_ = 0;  // 0..max_budget
   std::unordered_map<std::string, class_latency> classes_;
 };
 
--- a/src/request/retry_window.h
+++ b/src/request/retry_window.h
@@ -1,8 +1,9 @@
 // The budget of retries that all nodes share without communicating.
 //
-// In any window, all nodes together send at most `ratio` x requests + `burst` retries. Requests are
-// spread unevenly, so each node may send `ratio` retries per request of its own plus an equal share
-// of the burst. The sum over the nodes then stays within the bound under any partition.
+// In any window, all nodes together send at most `retries_per_request` x requests + `burst`
+// retries. Requests are spread unevenly, so each node may send `retries_per_request` retries per
+// request of its own plus an equal share of the burst. The sum over the nodes then stays within the
+// bound under any partition.
 #pragma once
 
 #include <array>
@@ -14,13 +15,13 @@
 namespace arbutus {
 
 struct retry_window_settings {
-  double ratio = 0.2;     // retries per request, configured by operators
-  double burst = 100;     // additional retries in a window, of all nodes together
-  duration window = 10s;  // length of the interval for which the bound on retries holds
-  std::size_t nodes = 6;  // nodes that may send; a number that is too large is safe
+  double retries_per_request = 0.2;  // retries per request, configured by operators
+  double burst = 100;                // additional retries in a window, of all nodes together
+  duration window = 10s;             // length of the interval for which the bound on retries holds
+  std::size_t nodes = 6;             // nodes that may send; a number that is too large is safe
   // Fraction of the bound on retries that this node uses. The rest is a margin, since a request may
   // arrive later than it was counted, and nodes may be added before this one is informed.
-  double usable_fraction = 0.7;
+  double usable_budget_fraction = 0.7;
 };
 
 class retry_window {
@@ -29,12 +30,12 @@
 
   void set_nodes(std::size_t nodes) { settings_.nodes = nodes; }
 
-  void first_send(time_point now) { slot(now).requests += 1; }
+  void count_first_send(time_point now) { bucket_at(now).requests += 1; }
 
   // Takes one retry from the budget, if available.
   [[nodiscard]] bool take(time_point now) {
-    bucket& current = slot(now);
-    if (left() < 1) {
+    bucket& current = bucket_at(now);
+    if (retries_left() < 1) {
       return false;
     }
     current.retries += 1;
@@ -42,7 +43,7 @@
   }
 
   // Retries that may be sent now.
-  [[nodiscard]] double left() const {
+  [[nodiscard]] double retries_left() const {
     double requests = 0;
     double retries = 0;
     for (const bucket& b : buckets_) {
@@ -50,8 +51,8 @@
       retries += b.retries;
     }
     const auto nodes = static_cast<double>(settings_.nodes == 0 ? 1 : settings_.nodes);
-    const double bound = settings_.ratio * requests + settings_.burst / nodes;
-    return settings_.usable_fraction * bound - retries;
+    const double bound = settings_.retries_per_request * requests + settings_.burst / nodes;
+    return settings_.usable_budget_fraction * bound - retries;
   }
 
  private:
@@ -63,7 +64,7 @@
   static constexpr std::size_t bucket_count = 20;
 
   // The bucket of `now`; clears buckets older than the window.
-  bucket& slot(time_point now) {
+  bucket& bucket_at(time_point now) {
     const duration width = settings_.window / bucket_count;
     const std::int64_t tick = now.time_since_epoch() / width;
     for (bucket& b : buckets_) {
--- a/src/request/route_policy.cpp
+++ b/src/request/route_policy.cpp
@@ -18,7 +18,7 @@
   indices already_tried;
   for (std::size_t i = 0; i < routes.replicas.size(); ++i) {
     const replica_route& route = routes.replicas[i];
-    if (route.model != model || !may_use(now, route)) {
+    if (route.model != model || !may_use_route(now, route)) {
       continue;
     }
     const bool was_tried = std::find(tried.begin(), tried.end(), route.id) != tried.end();
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-bool may_use(time_point now, const replica_route& route) {
+bool may_use_route(time_point now, const replica_route& route) {
   return !route.draining && now < route.valid_until;
 }
 
--- a/src/request/route_policy.h
+++ b/src/request/route_policy.h
@@ -2,7 +2,7 @@
 // with.
 //
 // A policy chooses a replica for a request and observes the results of attempts. Every policy must
-// use a route only while it is permitted (`may_use`).
+// use a route only while it is permitted (`may_use_route`).
 //
 // Not thread-safe: protected by its shard's lock.
 #pragma once
@@ -23,7 +23,7 @@
 
 // Whether new requests may be sent to this route now. To be checked again directly before a request
 // is sent: the process may have been paused since the route was chosen.
-[[nodiscard]] bool may_use(time_point now, const replica_route& route);
+[[nodiscard]] bool may_use_route(time_point now, const replica_route& route);
 
 struct route_choice {
   replica_id replica;
--- a/src/request/spill.cpp
+++ b/src/request/spill.cpp
@@ -11,8 +11,8 @@
 
 std::int64_t free_slots_of(const replica_route& route, const in_flight& flights) {
   const std::int64_t busy = std::int64_t{route.running} + route.queued +
-                            flights.sent_since(route.id, route.load_at) -
-                            flights.ended_since(route.id, route.load_at);
+                            flights.sent_since(route.id, route.load_reported_at) -
+                            flights.ended_since(route.id, route.load_reported_at);
   return std::max<std::int64_t>(0, route.slots - std::max<std::int64_t>(0, busy));
 }
 
@@ -28,7 +28,7 @@
                                     std::span<const data_centre_distance> distances,
                                     const spill_settings& settings) {
   const std::optional<duration> distance = distance_to(distances, remote.data_centre);
-  if (!distance || remote.entry.empty() || now - remote.at > settings.max_summary_age) {
+  if (!distance || remote.caller_endpoints.empty() || now - remote.at > settings.max_summary_age) {
     return std::nullopt;
   }
   if (remote.free_slots == 0 && remote.queueing_delay <= 0us) {
@@ -44,7 +44,7 @@
   std::int64_t free = 0;
   std::uint32_t slots = 0;
   for (const replica_route& route : routes.replicas) {
-    if (route.model == model && may_use(now, route)) {
+    if (route.model == model && may_use_route(now, route)) {
       free += free_slots_of(route, flights);
       slots += route.slots;
     }
@@ -76,7 +76,8 @@
   if (best == nullptr) {
     return std::nullopt;
   }
-  const double needed = to_seconds(best_wait) * settings.margin + to_seconds(settings.min_gain);
+  const double needed =
+      to_seconds(best_wait) * settings.remote_wait_factor + to_seconds(settings.min_wait_gain);
   if (local_wait && to_seconds(*local_wait) <= needed) {
     return std::nullopt;
   }
--- a/src/request/spill.h
+++ b/src/request/spill.h
@@ -28,9 +28,9 @@
   duration max_summary_age = 10s;  // older summaries of other data centres are ignored
   // The remote wait is multiplied by this factor in comparisons, since it is less certain than the
   // local wait.
-  double margin = 1.5;
+  double remote_wait_factor = 1.5;
   // A request is forwarded only if the local wait exceeds the multiplied remote wait by this time.
-  duration min_gain = 100ms;
+  duration min_wait_gain = 100ms;
 };
 
 // Round-trip time to another data centre, measured by this node's links.
--- a/src/standin/batch_standin.cpp
+++ b/src/standin/batch_standin.cpp
@@ -93,15 +93,15 @@
 }
 
 void batch_standin::advance(time_point now, double speed) {
-  while (at_ < now && speed > 0 && !running_.empty()) {
+  while (advanced_until_ < now && speed > 0 && !running_.empty()) {
     const duration next = round_down(seconds_to_next_finish(speed));
-    const duration step = std::min(next, duration{now - at_});
+    const duration step = std::min(next, duration{now - advanced_until_});
     progress_by(to_seconds(step), speed);
-    at_ += step;
+    advanced_until_ += step;
     remove_finished();
     fill_slots();
   }
-  at_ = std::max(at_, now);
+  advanced_until_ = std::max(advanced_until_, now);
 }
 
 batch_handle batch_standin::add(const batch_job& job) {
--- a/src/standin/batch_standin.h
+++ b/src/standin/batch_standin.h
@@ -79,7 +79,7 @@
   [[nodiscard]] double seconds_to_next_finish(double speed) const;
 
   batch_settings settings_;
-  time_point at_;
+  time_point advanced_until_;
   batch_handle last_handle_{};
   // Invariant: an unfinished job is either in `running_` or in `queue_`; a finished one is in
   // neither and stays in `jobs_` until it is removed.
--- a/src/standin/cache_standin.cpp
+++ b/src/standin/cache_standin.cpp
@@ -21,47 +21,48 @@
 cache_standin::cache_standin(const cache_settings& settings, std::uint64_t seed)
     : settings_(settings), random_(seed) {}
 
-std::size_t cache_standin::cached(const std::vector<std::uint64_t>& chain) {
+std::size_t cache_standin::count_cached_blocks(const std::vector<std::uint64_t>& chain) {
   std::size_t count = 0;
   for (const std::uint64_t block : chain) {
     const auto found = entries_.find(block);
     if (found == entries_.end()) {
       break;
     }
-    lru_.splice(lru_.begin(), lru_, found->second.use);
+    lru_.splice(lru_.begin(), lru_, found->second.lru_position);
     ++count;
   }
   return count;
 }
 
 void cache_standin::store(time_point now, const std::vector<std::uint64_t>& chain) {
-  std::uint64_t previous = 0;
-  const std::size_t fitting = std::min(chain.size(), settings_.blocks);
+  std::uint64_t previous_block = 0;
+  const std::size_t fitting = std::min(chain.size(), settings_.capacity_blocks);
   for (std::size_t i = 0; i < fitting; ++i) {
-    put(now, chain[i], previous);
-    previous = chain[i];
+    insert_block(now, chain[i], previous_block);
+    previous_block = chain[i];
   }
 }
 
-void cache_standin::put(time_point now, std::uint64_t block, std::uint64_t previous) {
+void cache_standin::insert_block(time_point now, std::uint64_t block,
+                                 std::uint64_t previous_block) {
   const auto found = entries_.find(block);
   if (found != entries_.end()) {
-    lru_.splice(lru_.begin(), lru_, found->second.use);
+    lru_.splice(lru_.begin(), lru_, found->second.lru_position);
     return;
   }
-  if (entries_.size() >= settings_.blocks) {
-    publish(now, cache_change::removed, lru_.back());
+  if (entries_.size() >= settings_.capacity_blocks) {
+    publish_event(now, cache_change::removed, lru_.back());
     entries_.erase(lru_.back());
     lru_.pop_back();
   }
   lru_.push_front(block);
-  entries_[block] = {previous, lru_.begin()};
-  publish(now, cache_change::stored, block);
+  entries_[block] = {previous_block, lru_.begin()};
+  publish_event(now, cache_change::stored, block);
 }
 
-void cache_standin::publish(time_point now, cache_change change, std::uint64_t block) {
+void cache_standin::publish_event(time_point now, cache_change change, std::uint64_t block) {
   ++last_sequence_;
-  if (random_.unit() < settings_.event_loss) {
+  if (random_.unit() < settings_.event_loss_fraction) {
     return;
   }
   events_.push_back({last_sequence_, change, block, now});
@@ -78,7 +79,7 @@
       return {};
     }
     chain.push_back(next);
-    next = found->second.previous;
+    next = found->second.previous_block;
   }
   std::string blob(blob_magic);
   for (auto i = chain.rbegin(); i != chain.rend(); ++i) {
@@ -120,9 +121,9 @@
   return published;
 }
 
-double cache_standin::used() const {
+double cache_standin::used_fraction() const {
   return static_cast<double>(entries_.size()) /
-         static_cast<double>(std::max<std::size_t>(1, settings_.blocks));
+         static_cast<double>(std::max<std::size_t>(1, settings_.capacity_blocks));
 }
 
 void cache_standin::clear() {
--- a/src/standin/cache_standin.h
+++ b/src/standin/cache_standin.h
@@ -26,9 +26,9 @@
 };
 
 struct cache_settings {
-  std::size_t blocks = 4096;
+  std::size_t capacity_blocks = 4096;
   duration event_lag{};
-  double event_loss = 0;  // fraction of events that are never published
+  double event_loss_fraction = 0;  // fraction of events that are never published
 };
 
 class cache_standin {
@@ -37,7 +37,7 @@
 
   // Number of blocks at the start of a prompt's chain of blocks that are cached. Marks them as
   // recently used.
-  [[nodiscard]] std::size_t cached(const std::vector<std::uint64_t>& chain);
+  [[nodiscard]] std::size_t count_cached_blocks(const std::vector<std::uint64_t>& chain);
 
   // Caches a prompt's chain of blocks from its start, up to the capacity of the cache.
   void store(time_point now, const std::vector<std::uint64_t>& chain);
@@ -54,17 +54,17 @@
   [[nodiscard]] std::vector<cache_event> events(time_point now, std::uint64_t since) const;
 
   // Fraction of the cache's capacity that is occupied.
-  [[nodiscard]] double used() const;
+  [[nodiscard]] double used_fraction() const;
   void clear();
 
  private:
   struct entry {
-    std::uint64_t previous{};  // block before this one in its chain; 0: none
-    std::list<std::uint64_t>::iterator use;
+    std::uint64_t previous_block{};  // block before this one in its chain; 0: none
+    std::list<std::uint64_t>::iterator lru_position;
   };
 
-  void put(time_point now, std::uint64_t block, std::uint64_t previous);
-  void publish(time_point now, cache_change change, std::uint64_t block);
+  void insert_block(time_point now, std::uint64_t block, std::uint64_t previous_block);
+  void publish_event(time_point now, cache_change change, std::uint64_t block);
 
   cache_settings settings_;
   // Invariant: `lru_` holds exactly the keys of `entries_`, the most recently used first.
--- a/src/standin/completion_wire.cpp
+++ b/src/standin/completion_wire.cpp
@@ -20,7 +20,7 @@
   if (kind == completion_kind::text) {
     return body.at("prompt").get<std::string>();
   }
-  std::vector<standin_message> messages;
+  std::vector<chat_message> messages;
   for (const json& m : body.at("messages")) {
     messages.push_back({m.at("role").get<std::string>(), m.at("content").get<std::string>()});
   }
@@ -31,7 +31,7 @@
   generation_request r;
   r.id = request_id{header_text(request, "x-request-id")};
   r.replica = replica_id{header_text(request, "x-replica")};
-  r.gen = header_text(request, "x-generation");
+  r.fencing_generation = header_text(request, "x-generation");
   r.priority = static_cast<std::uint32_t>(header_number(request, "x-priority", 0));
   r.resume_offset = static_cast<std::uint32_t>(header_number(request, "x-resume-offset", 0));
   if (const std::uint64_t left = header_number(request, "x-deadline-ms", 0); left != 0) {
--- a/src/standin/engine_completions.cpp
+++ b/src/standin/engine_completions.cpp
@@ -36,8 +36,8 @@
   if (!call.request.replica.empty()) {
     headers.add("x-replica", call.request.replica.str());
   }
-  if (!call.request.gen.empty()) {
-    headers.add("x-generation", call.request.gen);
+  if (!call.request.fencing_generation.empty()) {
+    headers.add("x-generation", call.request.fencing_generation);
   }
   return headers;
 }
--- a/src/standin/engine_fabric.cpp
+++ b/src/standin/engine_fabric.cpp
@@ -39,7 +39,7 @@
 template <class Visit>
 void engine_fabric::for_each_engine_with_member(const vm_id& vm, Visit&& visit) {
   for (const auto& [id, engine] : engines_) {
-    const std::vector<vm_id>& members = engine->group().members;
+    const std::vector<vm_id>& members = engine->current_composition().members;
     if (std::find(members.begin(), members.end(), vm) != members.end()) {
       visit(*engine);
     }
--- a/src/standin/engine_requests.cpp
+++ b/src/standin/engine_requests.cpp
@@ -28,12 +28,13 @@
 }  // namespace
 
 void engine_standin::advance(time_point now) {
-  batch_.advance(now, fabric_.speed(group_));
+  batch_.advance(now, fabric_.speed(composition_));
 }
 
 std::optional<not_run> engine_standin::refusal(time_point now, const generation_request& r) const {
-  const bool other_replica = !r.replica.empty() && r.replica != group_.replica;
-  const bool other_generation = !r.gen.empty() && r.gen != to_string(group_.gen);
+  const bool other_replica = !r.replica.empty() && r.replica != composition_.replica;
+  const bool other_generation = !r.fencing_generation.empty() &&
+                                r.fencing_generation != to_string(composition_.fencing_generation);
   if (other_replica || other_generation) {
     return not_run{conflict_status, "this VM holds another replica or generation"};
   }
@@ -47,16 +48,16 @@
     case engine_state::failed:
       return not_run{unavailable_status, "not ready"};
   }
-  if (group_.members.front() != vm_) {
+  if (composition_.members.front() != vm_) {
     return not_run{conflict_status, "not the head of its replica"};
   }
   if (r.replica.empty() && r.model != model_) {
     return not_run{conflict_status, "another model"};
   }
-  if (!fabric_.is_complete(now, group_)) {
+  if (!fabric_.is_complete(now, composition_)) {
     return not_run{unavailable_status, "a member is missing"};
   }
-  if (batch_.queued() >= settings_.queue_limit) {
+  if (batch_.queued() >= settings_.max_queued_requests) {
     return not_run{unavailable_status, "queue full"};
   }
   return std::nullopt;
@@ -70,7 +71,7 @@
     return *std::move(refused);
   }
   ++counters_.accepted;
-  if (settings_.records_runs) {
+  if (settings_.counts_runs_by_request) {
     ++runs_[request.id];
   }
   open_stream stream{request.id, standin_answer(request, next_faults(now)),
@@ -78,13 +79,13 @@
   if (request.expiry) {
     stream.expires_at = now + *request.expiry;
   }
-  const std::uint64_t cached = cache_.cached(stream.prefix) * tokens_per_block;
+  const std::uint64_t cached = cache_.count_cached_blocks(stream.prefix) * tokens_per_block;
   const std::uint64_t prompt = count_tokens(request.prompt);
   batch_job job;
   job.priority = request.priority;
   job.prefill_tokens = static_cast<std::uint32_t>(prompt - std::min(prompt, cached)) +
                        std::min(request.resume_offset, request.max_tokens);
-  job.tokens = stream.answer.total();
+  job.tokens = stream.answer.tokens_to_generate();
   const batch_handle handle = batch_.add(job);
   streams_.emplace(handle, std::move(stream));
   swap_with_other_answer(now, handle);
@@ -126,8 +127,8 @@
   }
   open_stream& stream = found->second;
   standin_answer& answer = stream.answer;
-  const double speed = fabric_.speed(group_);
-  const batch_progress made = batch_.progress(handle, answer.total(), speed);
+  const double speed = fabric_.speed(composition_);
+  const batch_progress made = batch_.progress(handle, answer.tokens_to_generate(), speed);
   if (!made.started && stream.expires_at && now >= *stream.expires_at) {
     return expire(stream, handle);
   }
@@ -144,7 +145,7 @@
     ++counters_.completed;
     stream.finished = true;
   }
-  const std::uint32_t desired = complete_only ? answer.total() : made.produced + 1;
+  const std::uint32_t desired = complete_only ? answer.tokens_to_generate() : made.produced + 1;
   if (const auto left = batch_.progress(handle, desired, speed).remaining) {
     step.next_at = std::max(now + *left, answer.not_before());
   }
@@ -156,7 +157,7 @@
 stream_step engine_standin::expire(open_stream& stream, batch_handle handle) {
   ++counters_.not_run;
   --counters_.accepted;
-  if (settings_.records_runs) {
+  if (settings_.counts_runs_by_request) {
     --runs_[stream.id];
   }
   stream.finished = true;
--- a/src/standin/engine_standin.cpp
+++ b/src/standin/engine_standin.cpp
@@ -21,17 +21,17 @@
 }
 
 engine_state engine_standin::state(time_point now) const {
-  if (group_.replica.empty()) {
+  if (composition_.replica.empty()) {
     return engine_state::idle;
   }
-  if (now < ready_at_) {
+  if (now < composition_ready_at_) {
     return engine_state::loading;
   }
   return draining_ ? engine_state::draining : engine_state::ready;
 }
 
 bool engine_standin::serves_in(time_point now, const composition& group) const {
-  return up_ && group_ == group && now >= ready_at_;
+  return up_ && composition_ == group && now >= composition_ready_at_;
 }
 
 const model_profile& engine_standin::profile(const model_id& model) const {
@@ -59,10 +59,10 @@
   if (o.expected_incarnation != 0 && o.expected_incarnation != incarnation_) {
     return "for another incarnation";
   }
-  if (settings_.checks_tokens && o.target.gen < highest_generation_) {
+  if (settings_.checks_fencing_tokens && o.target.fencing_generation < highest_fencing_token_) {
     return "old fencing token";
   }
-  const bool holds = group_.replica == o.target.replica;
+  const bool holds = composition_.replica == o.target.replica;
   if (o.kind == order_kind::drain && !holds) {
     return "not in this replica";
   }
@@ -73,8 +73,9 @@
   if (o.target.replica.empty() || std::find(members.begin(), members.end(), vm_) == members.end()) {
     return "not a member of this composition";
   }
-  const bool same_token = !group_.replica.empty() && o.target.gen == group_.gen;
-  if (settings_.checks_tokens && same_token && o.target != group_) {
+  const bool same_token = !composition_.replica.empty() &&
+                          o.target.fencing_generation == composition_.fencing_generation;
+  if (settings_.checks_fencing_tokens && same_token && o.target != composition_) {
     return "fencing token used for another composition";
   }
   return {};
@@ -88,7 +89,7 @@
     return {false, report(now), reason};
   }
   ++counters_.orders_done;
-  highest_generation_ = std::max(highest_generation_, o.target.gen);
+  highest_fencing_token_ = std::max(highest_fencing_token_, o.target.fencing_generation);
   switch (o.kind) {
     case order_kind::form:
       form(now, o);
@@ -97,7 +98,7 @@
       draining_ = true;
       break;
     case order_kind::release:
-      if (group_.replica == o.target.replica) {
+      if (composition_.replica == o.target.replica) {
         leave_group_by_order(now);
         loaded_shard_.clear();
       }
@@ -108,7 +109,7 @@
 
 void engine_standin::form(time_point now, const order& o) {
   const bool repeated =
-      group_ == o.target && model_ == o.model && model_version_ == o.model_version;
+      composition_ == o.target && model_ == o.model && model_version_ == o.model_version;
   if (repeated) {
     return;
   }
@@ -117,10 +118,10 @@
   const std::string shard = shard_name(o);
   if (loaded_shard_ != shard) {
     loaded_shard_ = shard;
-    loaded_at_ = now + fabric_.weights().load_time(now, desired.weight_bytes);
+    shard_loaded_at_ = now + fabric_.weights().load_time(now, desired.weight_bytes);
   }
-  ready_at_ = std::max(now, loaded_at_) + settings_.form_time;
-  group_ = o.target;
+  composition_ready_at_ = std::max(now, shard_loaded_at_) + settings_.group_join_time;
+  composition_ = o.target;
   model_ = o.model;
   model_version_ = o.model_version;
   batch_.reset(desired.batch);
@@ -137,7 +138,7 @@
 void engine_standin::leave_group(time_point now) {
   interrupt_requests(now);
   fabric_.on_member_left(now, vm_);
-  group_ = {};
+  composition_ = {};
   model_ = {};
   model_version_.clear();
   draining_ = false;
@@ -150,21 +151,21 @@
   engine_report r;
   r.vm = vm_;
   r.incarnation = incarnation_;
-  r.replica = group_.replica;
-  r.gen = group_.gen;
+  r.replica = composition_.replica;
+  r.fencing_generation = composition_.fencing_generation;
   r.model_version = model_version_;
   r.state = state(now);
   r.leaving = leaving_;
   r.running = load.running;
   r.queued = load.queued;
   r.slots = batch_.settings().slots;
-  r.tokens_per_second = batch_.tokens_per_second(fabric_.speed(group_));
+  r.tokens_per_second = batch_.tokens_per_second(fabric_.speed(composition_));
   r.kv_used = load.kv_used;
   return r;
 }
 
 void engine_standin::record_load(time_point now) {
-  const load_sample s{now, batch_.running(), batch_.queued(), cache_.used()};
+  const load_sample s{now, batch_.running(), batch_.queued(), cache_.used_fraction()};
   const bool unchanged = !load_samples_.empty() && load_samples_.back().running == s.running &&
                          load_samples_.back().queued == s.queued &&
                          load_samples_.back().kv_used == s.kv_used;
@@ -186,7 +187,7 @@
   up_ = false;
   paused_at_.reset();
   loaded_shard_.clear();
-  highest_generation_ = {};
+  highest_fencing_token_ = {};
   cache_.clear();
   load_samples_.clear();
 }
@@ -194,7 +195,7 @@
 void engine_standin::restart(time_point now) {
   kill(now);
   up_ = true;
-  ready_at_ = now;
+  composition_ready_at_ = now;
   ++incarnation_;
 }
 
@@ -211,7 +212,7 @@
     return;
   }
   fabric_.advance_replicas_of(now, vm_);
-  for (time_point* const end : {&ready_at_, &loaded_at_}) {
+  for (time_point* const end : {&composition_ready_at_, &shard_loaded_at_}) {
     if (*end > *paused_at_) {
       *end += now - *paused_at_;
     }
--- a/src/standin/engine_standin.h
+++ b/src/standin/engine_standin.h
@@ -29,9 +29,9 @@
 
 struct engine_settings {
   // Whether the engine refuses an order with an older fencing token than it has seen.
-  bool checks_tokens = true;
-  duration form_time = 100ms;  // time to join a replica once the weights are loaded
-  std::uint32_t queue_limit = 64;
+  bool checks_fencing_tokens = true;
+  duration group_join_time = 100ms;  // time to join a replica once the weights are loaded
+  std::uint32_t max_queued_requests = 64;
   duration report_lag{};  // age of the load in a report; identity and state are always current
   cache_settings cache;
   model_profile default_profile;
@@ -40,7 +40,7 @@
   std::uint64_t first_incarnation = 1;
   std::uint64_t seed = 1;
   // Whether to count the runs of every request id; the counts grow without bound.
-  bool records_runs = false;
+  bool counts_runs_by_request = false;
 };
 
 // For each fault, the number of upcoming answers that get it; counted down with each answer.
@@ -132,19 +132,19 @@
   void set_unresponsive(bool on) {
     unresponsive_ = on;
   }  // while on, the engine executes requests without answering
-  void set_checks_tokens(bool checks) { settings_.checks_tokens = checks; }
+  void set_checks_tokens(bool checks) { settings_.checks_fencing_tokens = checks; }
   [[nodiscard]] pending_answer_faults& faults() noexcept { return faults_; }
 
   [[nodiscard]] bool up() const noexcept { return up_; }
   [[nodiscard]] bool paused() const noexcept { return paused_at_.has_value(); }
   [[nodiscard]] bool unresponsive() const noexcept { return unresponsive_; }
   [[nodiscard]] const engine_counters& counters() const noexcept { return counters_; }
-  // How often the engine accepted the request with this id; needs records_runs.
+  // How often the engine accepted the request with this id; needs counts_runs_by_request.
   [[nodiscard]] std::uint32_t runs(const request_id& id) const;
 
   // ---- for the fabric ----
 
-  [[nodiscard]] const composition& group() const noexcept { return group_; }
+  [[nodiscard]] const composition& current_composition() const noexcept { return composition_; }
   [[nodiscard]] bool serves_in(time_point now, const composition& group) const;
   [[nodiscard]] double speed() const { return up_ && !paused() ? speed_ : 0.0; }
   void advance(time_point now);
@@ -195,14 +195,14 @@
   std::optional<time_point> paused_at_;
 
   // Composition of the replica that the engine is in; an empty replica id: none.
-  composition group_;
+  composition composition_;
   model_id model_;
   std::string model_version_;
   bool draining_ = false;
-  time_point ready_at_;
-  std::string loaded_shard_;  // shard whose weights are in memory from `loaded_at_` on
-  time_point loaded_at_;
-  generation highest_generation_;  // highest fencing token seen; lost when the process dies
+  time_point composition_ready_at_;
+  std::string loaded_shard_;  // shard whose weights are in memory from `shard_loaded_at_` on
+  time_point shard_loaded_at_;
+  generation highest_fencing_token_;  // highest fencing token seen; lost when the process dies
 
   batch_standin batch_;
   cache_standin cache_;
--- a/src/standin/expected_answer.cpp
+++ b/src/standin/expected_answer.cpp
@@ -18,9 +18,9 @@
 
 }  // namespace
 
-std::string chat_prompt(const std::vector<standin_message>& messages) {
+std::string chat_prompt(const std::vector<chat_message>& messages) {
   std::string prompt;
-  for (const standin_message& m : messages) {
+  for (const chat_message& m : messages) {
     prompt += m.role + ": " + m.content + "\n";
   }
   return prompt;
--- a/src/standin/expected_answer.h
+++ b/src/standin/expected_answer.h
@@ -19,13 +19,13 @@
 inline constexpr std::size_t tokens_per_block = prefix_block_bytes / bytes_per_token;
 
 // One message of a chat request.
-struct standin_message {
+struct chat_message {
   std::string role;
   std::string content;
 };
 
 // Converts a chat to a prompt: one line "role: content" for each message.
-[[nodiscard]] std::string chat_prompt(const std::vector<standin_message>& messages);
+[[nodiscard]] std::string chat_prompt(const std::vector<chat_message>& messages);
 
 // Seed from which all tokens of the answer to a prompt are generated.
 [[nodiscard]] std::uint64_t answer_seed(const model_id& model, std::string_view prompt);
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -37,7 +37,7 @@
 }
 
 engine_settings settings_of(const vm_record& vm, engine_settings settings) {
-  settings.checks_tokens = vm.checks_tokens;
+  settings.checks_fencing_tokens = vm.checks_fencing_tokens;
   settings.seed ^= stable_hash(vm.id.str());
   return settings;
 }
--- a/src/standin/fleet.h
+++ b/src/standin/fleet.h
@@ -25,7 +25,7 @@
   // case.
   bool engines = true;
   bool services = true;
-  // Settings of all engines; checks_tokens comes from the inventory instead.
+  // Settings of all engines; checks_fencing_tokens comes from the inventory instead.
   engine_settings engine;
   // Rate of the weight store, shared by all engines that load weights; 0: no limit.
   double weight_bytes_per_second = 0;
@@ -86,7 +86,7 @@
   [[nodiscard]] engine_report report(const vm_id& vm);
   [[nodiscard]] engine_counters counters(const vm_id& vm);
   // How often engines accepted the request with this id, summed over all VMs; needs
-  // engine.records_runs.
+  // engine.counts_runs_by_request.
   [[nodiscard]] std::uint32_t runs(const request_id& id);
   [[nodiscard]] store_counters table_counters();
   [[nodiscard]] service_counters counters(const service_id& service);
--- a/src/standin/hosted_control.cpp
+++ b/src/standin/hosted_control.cpp
@@ -19,10 +19,10 @@
   const std::string value = request.target.substr(request.target.rfind('=') + 1);
   nlohmann::json answer = nlohmann::json::object();
   if (path == "/counts") {
-    answer = {{"runs", platform_.runs()},
-              {"ends", platform_.crashes()},
+    answer = {{"runs", platform_.runs_by_request()},
+              {"ends", platform_.crashes_by_path()},
               {"leaked", platform_.header_violations()},
-              {"serving", platform_.serving()}};
+              {"serving", platform_.count_serving_replicas()}};
   } else if (path == "/arrivals") {
     const time_point now = monotonic_now();
     for (const auto& [target, arrivals] : platform_.arrivals()) {
@@ -44,8 +44,9 @@
     }
     answer["restarted"] = id;
   } else if (path == "/foreign") {
-    platform_.write_entry("not-an-engine", R"({"service":"llm","state":"asleep","slots":"many"})");
-    platform_.write_entry("\x01 odd", "{");
+    platform_.write_target_record("not-an-engine",
+                                  R"({"service":"llm","state":"asleep","slots":"many"})");
+    platform_.write_target_record("\x01 odd", "{");
   } else if (path == "/store") {
     platform_.set_store_down(set);
   } else if (path == "/rate") {
@@ -53,9 +54,9 @@
   } else if (path == "/limit") {
     platform_.set_send_limit(value);
   } else if (path == "/grow") {
-    platform_.configure(true, std::stoul("0" + value));
+    platform_.write_next_configuration(true, std::stoul("0" + value));
   } else if (path == "/configure") {
-    platform_.configure(set);
+    platform_.write_next_configuration(set);
   } else {
     send_json(writer, 404, "{}");
     return;
--- a/src/standin/hosted_engine.cpp
+++ b/src/standin/hosted_engine.cpp
@@ -23,7 +23,7 @@
         return order_outcome::conflict;
       }
       if (record_.member_of->state == member_state::ready) {
-        open_at_ = now + settings_.open_time;
+        opening_done_at_ = now + settings_.open_time;
         ++orders_;
         result = order_outcome::accepted;
       }
@@ -34,13 +34,13 @@
         ++orders_;
         result = order_outcome::accepted;
       }
-      open_at_.reset();
+      opening_done_at_.reset();
       break;
     case order_action::leave:
       if (is_in(order.replica)) {
         record_.member_of.reset();
-        ready_at_.reset();
-        open_at_.reset();
+        join_done_at_.reset();
+        opening_done_at_.reset();
         ++orders_;
       }
       break;
@@ -71,37 +71,37 @@
   record_.staged = {order.model};
   last_model_ = order.model;
   members_ = order.members;
-  ready_at_ = now + needed;
-  open_at_.reset();
+  join_done_at_ = now + needed;
+  opening_done_at_.reset();
   ++orders_;
   return order_outcome::accepted;
 }
 
 void hosted_engine::advance(time_point now) {
-  if (ready_at_ && now >= *ready_at_ && record_.member_of) {
+  if (join_done_at_ && now >= *join_done_at_ && record_.member_of) {
     record_.member_of->state = member_state::ready;
     record_.loaded = last_model_;
     ready_replicas_.push_back(record_.member_of->replica);
-    const time_point at = *ready_at_;
-    ready_at_.reset();
+    const time_point at = *join_done_at_;
+    join_done_at_.reset();
     record_snapshot(at);
   }
-  if (open_at_ && now >= *open_at_ && record_.member_of) {
+  if (opening_done_at_ && now >= *opening_done_at_ && record_.member_of) {
     record_.member_of->state = member_state::open;
-    const time_point at = *open_at_;
-    open_at_.reset();
+    const time_point at = *opening_done_at_;
+    opening_done_at_.reset();
     record_snapshot(at);
   }
 }
 
 void hosted_engine::record_snapshot(time_point now) {
-  history_.push_back({now, record_.member_of, record_.loaded, orders_});
+  past_states_.push_back({now, record_.member_of, record_.loaded, orders_});
 }
 
 target_report hosted_engine::report(time_point now) const {
   target_report result;
   result.incarnation = record_.id;
-  for (const snapshot& s : history_) {
+  for (const past_state& s : past_states_) {
     if (s.at > now - settings_.report_lag) {
       break;
     }
--- a/src/standin/hosted_engine.h
+++ b/src/standin/hosted_engine.h
@@ -59,7 +59,7 @@
   void restart_as(const target_id& incarnation);
 
  private:
-  struct snapshot {
+  struct past_state {
     time_point at;
     std::optional<membership> member_of;
     model_id loaded;
@@ -78,10 +78,10 @@
   std::uint64_t orders_ = 0;
   std::uint64_t highest_epoch_ = 0;
   model_id last_model_;  // model of the engine's last replica
-  std::optional<time_point> ready_at_;
-  std::optional<time_point> open_at_;
+  std::optional<time_point> join_done_at_;
+  std::optional<time_point> opening_done_at_;
   std::vector<replica_key> ready_replicas_;
-  std::deque<snapshot> history_;
+  std::deque<past_state> past_states_;
 };
 
 }  // namespace arbutus::standin
--- a/src/standin/hosted_platform.cpp
+++ b/src/standin/hosted_platform.cpp
@@ -343,7 +343,7 @@
     headers.add("Content-Type", "text/event-stream");
     writer.start(200, headers);
     const int from = static_cast<int>(header_number(request, "Last-Event-Id", 0));
-    for (int i = from + 1; i <= settings.events; ++i) {
+    for (int i = from + 1; i <= settings.events_per_answer; ++i) {
       if (incarnation_of_process(e) != incarnation) {
         return;  // the engine has restarted, and its connections are closed
       }
@@ -507,16 +507,22 @@
 
   std::string configuration(bool keys, std::size_t extra_routes) {
     ++config_version;
-    json route = {
-        {"name", "summary"},         {"hostname", hosted_host}, {"prefix", "/llm/"},
-        {"route-type", "streaming"}, {"timeout-ms", 8000},      {"target-latency-ms", 300},
-        {"service", "llm"},          {"max-attempts", 3},       {"public", false},
-        {"stream-resume", true},     {"gap-target-ms", 300}};
-    json once = {{"name", "card"},         {"hostname", hosted_host}, {"prefix", "/card/"},
-                 {"route-type", "unsafe"}, {"timeout-ms", 1500},      {"service", "api"},
-                 {"max-attempts", 1},      {"public", false}};
-    json model = {{"name", hosted_model}, {"size", 3},     {"share", 1.0},
-                  {"pace", 1.0},          {"load-s", 0.3}, {"warm-s", 0.2}};
+    json route = {{"name", "summary"},   {"hostname", hosted_host_name},
+                  {"prefix", "/llm/"},   {"route-type", "streaming"},
+                  {"timeout-ms", 8000},  {"target-latency-ms", 300},
+                  {"service", "llm"},    {"max-attempts", 3},
+                  {"public", false},     {"stream-resume", true},
+                  {"gap-target-ms", 300}};
+    json once = {{"name", "card"},     {"hostname", hosted_host_name},
+                 {"prefix", "/card/"}, {"route-type", "unsafe"},
+                 {"timeout-ms", 1500}, {"service", "api"},
+                 {"max-attempts", 1},  {"public", false}};
+    json model = {{"name", hosted_model_name},
+                  {"size", 3},
+                  {"share", 1.0},
+                  {"pace", 1.0},
+                  {"load-s", 0.3},
+                  {"warm-s", 0.2}};
     json engine = {{"slots", 16},
                    {"stride", 1},
                    {"step_ms", 1.0},
@@ -539,7 +545,7 @@
         {"limits", json::object()},
         {"tenants",
          json::array({{{"name", "desk"},
-                       {"api-keys", keys ? json::array({hosted_key}) : json::array()}}})}};
+                       {"api-keys", keys ? json::array({hosted_caller_key}) : json::array()}}})}};
     return document.dump();
   }
 
@@ -594,7 +600,7 @@
     }
   }
   s.list_plain_service(first_start_stamp);
-  configure();
+  write_next_configuration();
   s.refresher = std::make_unique<periodic>(runtime, 0, refresh_interval, [&s] {
     s.restart_crashed_processes();
     s.refresh();
@@ -614,7 +620,7 @@
   return state_->store->port();
 }
 
-void hosted_platform::configure(bool keys, std::size_t extra_routes) {
+void hosted_platform::write_next_configuration(bool keys, std::size_t extra_routes) {
   const std::lock_guard guard(state_->mutex);
   state_->put("op", "config", state_->configuration(keys, extra_routes));
 }
@@ -659,12 +665,12 @@
   engine.restart_as(incarnation_of(id, ++state_->last_start_stamp));
 }
 
-void hosted_platform::write_entry(const std::string& key, const std::string& value) {
+void hosted_platform::write_target_record(const std::string& key, const std::string& value) {
   const std::lock_guard guard(state_->mutex);
   state_->put("servers", key, value);
 }
 
-std::size_t hosted_platform::serving() const {
+std::size_t hosted_platform::count_serving_replicas() const {
   const std::lock_guard guard(state_->mutex);
   std::size_t count = 0;
   for (const auto& [id, e] : state_->engines) {
@@ -673,7 +679,7 @@
   return count;
 }
 
-std::map<std::string, int> hosted_platform::runs() const {
+std::map<std::string, int> hosted_platform::runs_by_request() const {
   const std::lock_guard guard(state_->mutex);
   return state_->runs;
 }
@@ -695,7 +701,7 @@
                     [](const auto& row) { return !row.second.removed; }));
 }
 
-std::map<std::string, int> hosted_platform::crashes() const {
+std::map<std::string, int> hosted_platform::crashes_by_path() const {
   const std::lock_guard guard(state_->mutex);
   return state_->crashes;
 }
--- a/src/standin/hosted_platform.h
+++ b/src/standin/hosted_platform.h
@@ -25,7 +25,7 @@
   std::size_t engines_per_data_centre = 9;  // the engines of one data centre form one fabric domain
   std::string ip = "127.0.0.1";
   std::uint16_t store_port = 0;  // port of the store; 0: any free port
-  int events = 10;               // number of events in each streamed answer
+  int events_per_answer = 10;    // number of events in each streamed answer
   duration event_gap = 20ms;
   duration crash_delay = 15ms;     // time from the start of a poison request to the crash
   duration restart_delay = 600ms;  // time from a crash to the restart
@@ -36,9 +36,9 @@
                                    .report_lag = 20ms};
 };
 
-inline constexpr const char* hosted_host = "desk.example";
-inline constexpr const char* hosted_key = "key-of-the-desk";
-inline constexpr const char* hosted_model = "large";
+inline constexpr const char* hosted_host_name = "desk.example";
+inline constexpr const char* hosted_caller_key = "key-of-the-desk";
+inline constexpr const char* hosted_model_name = "large";
 // A request whose path contains this text crashes the engine or service instance that starts to run
 // it.
 inline constexpr const char* poison_path_marker = "poison";
@@ -56,7 +56,7 @@
 
   // Writes the next version of the operators' configuration. Without `keys` its workspace has no
   // API key. It has `extra_routes` additional routes; the path of each is extra_route(index).
-  void configure(bool keys = true, std::size_t extra_routes = 0);
+  void write_next_configuration(bool keys = true, std::size_t extra_routes = 0);
   [[nodiscard]] static std::string extra_route(std::size_t index);
   // Limits the rate at which the store sends each response; 0: no limit.
   void set_store_rate(std::size_t bytes_per_s);
@@ -69,7 +69,7 @@
   // Restarts the engine under its id at its address; its running requests are lost.
   void restart_engine(const std::string& id);
   // Writes a record that does not come from an engine into the list of targets.
-  void write_entry(const std::string& key, const std::string& value);
+  void write_target_record(const std::string& key, const std::string& value);
 
   // All engines and the service that is not a model announce this send limit in their responses;
   // empty: none.
@@ -84,12 +84,12 @@
   [[nodiscard]] std::size_t rows_of_table(const std::string& table) const;
 
   // Number of complete serving replicas.
-  [[nodiscard]] std::size_t serving() const;
+  [[nodiscard]] std::size_t count_serving_replicas() const;
   // How often each request has started to run, by request id.
-  [[nodiscard]] std::map<std::string, int> runs() const;
+  [[nodiscard]] std::map<std::string, int> runs_by_request() const;
   // How often requests with a poison path crashed an engine or the service that is not a model, by
   // path.
-  [[nodiscard]] std::map<std::string, int> crashes() const;
+  [[nodiscard]] std::map<std::string, int> crashes_by_path() const;
   // Number of requests that reached targets with a caller's API key or without the workspace in
   // their headers.
   [[nodiscard]] int header_violations() const;
--- a/src/standin/standin_answer.cpp
+++ b/src/standin/standin_answer.cpp
@@ -12,13 +12,13 @@
     : response_id_(request.id),
       seed_(answer_seed(request.model, request.prompt)),
       faults_(faults),
-      first_(std::min(request.resume_offset, request.max_tokens)),
-      next_(first_),
-      last_(request.max_tokens),
-      end_(request.max_tokens),
-      duplicate_at_(first_ + (end_ - first_) / 2) {
+      first_offset_(std::min(request.resume_offset, request.max_tokens)),
+      next_offset_(first_offset_),
+      send_end_(request.max_tokens),
+      answer_end_(request.max_tokens),
+      duplicate_at_(first_offset_ + (answer_end_ - first_offset_) / 2) {
   if (faults_.truncate) {
-    last_ = duplicate_at_;
+    send_end_ = duplicate_at_;
   }
 }
 
@@ -27,10 +27,11 @@
   if (now < faults_.not_before) {
     return tokens;
   }
-  const std::uint32_t limit = std::min(last_, first_ + std::min(produced, total()));
-  for (; next_ < limit; ++next_) {
-    tokens.push_back({next_, answer_token(seed_, next_)});
-    if (faults_.duplicate && next_ == duplicate_at_) {
+  const std::uint32_t limit =
+      std::min(send_end_, first_offset_ + std::min(produced, tokens_to_generate()));
+  for (; next_offset_ < limit; ++next_offset_) {
+    tokens.push_back({next_offset_, answer_token(seed_, next_offset_)});
+    if (faults_.duplicate && next_offset_ == duplicate_at_) {
       tokens.push_back(tokens.back());
     }
   }
--- a/src/standin/standin_answer.h
+++ b/src/standin/standin_answer.h
@@ -21,8 +21,8 @@
   std::uint32_t priority{};        // lower numbers start first, 0 before all others
   std::optional<duration> expiry;  // time from arrival after which a queued request is dropped
   replica_id replica;  // replica that the caller expects this engine to be in; empty: not specified
-  std::string gen;     // fencing generation that the caller expects of the replica, as text; empty:
-                       // not specified
+  std::string fencing_generation;  // fencing generation that the caller expects of the replica, as
+                                   // text; empty: not specified
 };
 
 struct standin_token {
@@ -42,14 +42,20 @@
   standin_answer(const generation_request& request, const answer_faults& faults);
 
   // Number of tokens to generate for this answer.
-  [[nodiscard]] std::uint32_t total() const noexcept { return end_ - first_; }
+  [[nodiscard]] std::uint32_t tokens_to_generate() const noexcept {
+    return answer_end_ - first_offset_;
+  }
 
-  // Returns and removes the next tokens to send, when `produced` of total() tokens are generated.
-  // Empty before not_before().
+  // Returns and removes the next tokens to send, when `produced` of tokens_to_generate() tokens are
+  // generated. Empty before not_before().
   [[nodiscard]] std::vector<standin_token> take(time_point now, std::uint32_t produced);
 
-  [[nodiscard]] bool complete() const noexcept { return next_ >= end_ && !faults_.truncate; }
-  [[nodiscard]] bool truncated() const noexcept { return faults_.truncate && next_ >= last_; }
+  [[nodiscard]] bool complete() const noexcept {
+    return next_offset_ >= answer_end_ && !faults_.truncate;
+  }
+  [[nodiscard]] bool truncated() const noexcept {
+    return faults_.truncate && next_offset_ >= send_end_;
+  }
   // Whether tokens of this answer may have reached the caller.
   [[nodiscard]] bool has_sent_tokens() const noexcept { return has_sent_tokens_; }
   [[nodiscard]] const request_id& response_id() const noexcept { return response_id_; }
@@ -64,12 +70,12 @@
   std::uint64_t seed_;
   answer_faults faults_;
   // Offsets of tokens: the first of this answer, the next to send, the end of what is sent, the end
-  // of the complete answer. Invariant: first_ <= next_ <= last_ <= end_; last_ < end_ only if
-  // truncated.
-  std::uint32_t first_;
-  std::uint32_t next_;
-  std::uint32_t last_;
-  std::uint32_t end_;
+  // of the complete answer. Invariant: first_offset_ <= next_offset_ <= send_end_ <= answer_end_;
+  // send_end_ < answer_end_ only if truncated.
+  std::uint32_t first_offset_;
+  std::uint32_t next_offset_;
+  std::uint32_t send_end_;
+  std::uint32_t answer_end_;
   std::uint32_t duplicate_at_;
   bool has_sent_tokens_ = false;
 };
--- a/src/version/activation.cpp
+++ b/src/version/activation.cpp
@@ -29,7 +29,8 @@
   if (c.members.size() != r.members.size()) {
     return false;
   }
-  if (c.gen.row == row_version && activate(r, row_version, c.gen.lost) != c) {
+  if (c.fencing_generation.row == row_version &&
+      activate(r, row_version, c.fencing_generation.lost) != c) {
     return false;
   }
   const std::set<vm_id> distinct(c.members.begin(), c.members.end());
@@ -50,7 +51,7 @@
   std::erase_if(row.withdrawals, [&](const withdrawal& w) { return contains(c.members, w.vm); });
   std::erase_if(r.standbys, [&](const vm_id& vm) { return contains(c.members, vm); });
   r.members = c.members;
-  r.gen = c.gen;
+  r.fencing_generation = c.fencing_generation;
   row.changed = true;
 }
 
@@ -62,13 +63,13 @@
   std::unordered_map<replica_id, const composition*> newest;
   for (const composition& c : in_force) {
     const composition*& known = newest[c.replica];
-    if (known == nullptr || known->gen < c.gen) {
+    if (known == nullptr || known->fencing_generation < c.fencing_generation) {
       known = &c;
     }
   }
   for (replica_plan& r : row.replicas) {
     const auto found = newest.find(r.id);
-    if (found == newest.end() || found->second->gen <= r.gen) {
+    if (found == newest.end() || found->second->fencing_generation <= r.fencing_generation) {
       continue;
     }
     if (is_derived_from_row(*found->second, r, row, current.version)) {
--- a/src/version/assignment.cpp
+++ b/src/version/assignment.cpp
@@ -28,13 +28,13 @@
   return value;
 }
 
-lost_mask bit_at(std::size_t position) {
-  return lost_mask{1} << position;
+lost_vm_mask bit_at(std::size_t position) {
+  return lost_vm_mask{1} << position;
 }
 
 // The mask of all VMs of a replica that has `count` members and standbys.
-lost_mask mask_of(std::size_t count) {
-  return count >= max_positions ? ~lost_mask{0} : bit_at(count) - 1;
+lost_vm_mask mask_of(std::size_t count) {
+  return count >= max_positions ? ~lost_vm_mask{0} : bit_at(count) - 1;
 }
 
 finding violation(std::string message) {
@@ -72,10 +72,11 @@
   if (replica.members.size() + replica.standbys.size() > max_positions) {
     found.push_back(violation(name + " has more VMs than a lost mask has bits"));
   }
-  if (replica.gen.row > version) {
+  if (replica.fencing_generation.row > version) {
     found.push_back(violation(name + " has a generation of a later row"));
   }
-  if (replica.gen.step != static_cast<std::uint32_t>(std::popcount(replica.gen.lost))) {
+  if (replica.fencing_generation.step !=
+      static_cast<std::uint32_t>(std::popcount(replica.fencing_generation.lost))) {
     found.push_back(violation(name + " has a generation whose step is not its number of losses"));
   }
 }
@@ -95,7 +96,7 @@
   if (!step) {
     return std::nullopt;
   }
-  const auto lost = parse_number<lost_mask>(text, true);
+  const auto lost = parse_number<lost_vm_mask>(text, true);
   if (!lost) {
     return std::nullopt;
   }
@@ -132,24 +133,24 @@
   return found;
 }
 
-composition planned(const replica_plan& replica) {
-  return {replica.id, replica.gen, replica.members};
+composition planned_composition(const replica_plan& replica) {
+  return {replica.id, replica.fencing_generation, replica.members};
 }
 
 // Nodes that know of the same losses compute the same composition without communicating. Nodes that
 // know of different losses use different masks, so their orders never share a fencing token.
 std::optional<composition> activate(const replica_plan& replica, std::uint64_t row_version,
-                                    lost_mask lost) {
+                                    lost_vm_mask lost) {
   const std::size_t positions = replica.members.size() + replica.standbys.size();
   const bool invalid = positions > max_positions || (lost & ~mask_of(positions)) != 0;
-  if (invalid || row_version < replica.gen.row) {
+  if (invalid || row_version < replica.fencing_generation.row) {
     return std::nullopt;
   }
   if (lost == 0) {
-    return planned(replica);
+    return planned_composition(replica);
   }
   composition result{replica.id, {row_version, 0, lost}, replica.members};
-  result.gen.step = static_cast<std::uint32_t>(std::popcount(lost));
+  result.fencing_generation.step = static_cast<std::uint32_t>(std::popcount(lost));
   std::size_t next = replica.members.size();
   for (std::size_t i = 0; i < replica.members.size(); ++i) {
     if ((lost & bit_at(i)) == 0) {
--- a/src/version/assignment.h
+++ b/src/version/assignment.h
@@ -16,7 +16,7 @@
 namespace arbutus {
 
 // A set of VMs of a replica. Bit i is the VM at position i of the members followed by the standbys.
-using lost_mask = std::uint32_t;
+using lost_vm_mask = std::uint32_t;
 inline constexpr std::size_t max_positions = 32;
 
 // Fencing token of a replica's composition, compared field by field. `row` is the assignment
@@ -25,7 +25,7 @@
 struct generation {
   std::uint64_t row{};
   std::uint32_t step{};  // number of members and standbys lost since: popcount(lost)
-  lost_mask lost{};
+  lost_vm_mask lost{};
   auto operator<=>(const generation&) const = default;
 };
 
@@ -46,7 +46,7 @@
   bool crosses_fabric_domains = false;
   std::vector<vm_id> members;   // by rank; the first is the head
   std::vector<vm_id> standbys;  // reserved for this replica alone, in order of use
-  generation gen;
+  generation fencing_generation;
   auto operator<=>(const replica_plan&) const = default;
 };
 
@@ -83,14 +83,14 @@
 // enough standbys.
 struct composition {
   replica_id replica;
-  generation gen;
+  generation fencing_generation;
   std::vector<vm_id> members;
   auto operator<=>(const composition&) const = default;
 };
 [[nodiscard]] std::optional<composition> activate(const replica_plan& replica,
-                                                  std::uint64_t row_version, lost_mask lost);
+                                                  std::uint64_t row_version, lost_vm_mask lost);
 // The composition of a replica as stored in the assignment row, without local repairs.
-[[nodiscard]] composition planned(const replica_plan& replica);
+[[nodiscard]] composition planned_composition(const replica_plan& replica);
 
 // Row codec (MessagePack). decode(encode(a)) == a; damaged bytes are refused with a reason.
 [[nodiscard]] std::string encode(const assignment& a);
--- a/src/version/assignment_codec.cpp
+++ b/src/version/assignment_codec.cpp
@@ -25,8 +25,9 @@
 
 json pack(const replica_plan& r) {
   return json::array({r.id.str(), r.model.str(), r.model_version, static_cast<unsigned>(r.phase),
-                      r.crosses_fabric_domains, pack(r.members), pack(r.standbys), r.gen.row,
-                      r.gen.step, r.gen.lost});
+                      r.crosses_fabric_domains, pack(r.members), pack(r.standbys),
+                      r.fencing_generation.row, r.fencing_generation.step,
+                      r.fencing_generation.lost});
 }
 
 json pack(const withdrawal& w) {
@@ -96,8 +97,9 @@
   r.crosses_fabric_domains = j[4].get<bool>();
   r.members = unpack_vms(j[5]);
   r.standbys = unpack_vms(j[6]);
-  r.gen = {unsigned_number<std::uint64_t>(j[7]), unsigned_number<std::uint32_t>(j[8]),
-           unsigned_number<lost_mask>(j[9])};
+  r.fencing_generation = {unsigned_number<std::uint64_t>(j[7]),
+                          unsigned_number<std::uint32_t>(j[8]),
+                          unsigned_number<lost_vm_mask>(j[9])};
   return r;
 }
 
--- a/src/version/config_changes.cpp
+++ b/src/version/config_changes.cpp
@@ -116,7 +116,7 @@
 }  // namespace
 
 std::vector<std::string> changes_between(std::string_view before, std::string_view after,
-                                         std::size_t most) {
+                                         std::size_t max_lines) {
   const json old_content = json::parse(before, nullptr, false);
   const json new_content = json::parse(after, nullptr, false);
   if (old_content.is_discarded() || new_content.is_discarded()) {
@@ -125,9 +125,9 @@
   comparison walk;
   walk.compare("", old_content, new_content);
   std::vector<std::string> lines = walk.take();
-  if (lines.size() > most) {
-    const std::size_t rest = lines.size() - most;
-    lines.resize(most);
+  if (lines.size() > max_lines) {
+    const std::size_t rest = lines.size() - max_lines;
+    lines.resize(max_lines);
     lines.push_back("and " + std::to_string(rest) + " more");
   }
   return lines;
--- a/src/version/config_changes.h
+++ b/src/version/config_changes.h
@@ -9,11 +9,11 @@
 namespace arbutus {
 
 // Both texts are results of encode_content. Returns one line for each field that differs, such as
-// "rules classes interactive deadline_us: 20000000 -> 30000000"; after `most` lines, one line with
-// the number of further ones. Records are matched by name, regardless of order. Empty if nothing
-// differs or a text cannot be parsed.
+// "rules classes interactive deadline_us: 20000000 -> 30000000"; after `max_lines` lines, one line
+// with the number of further ones. Records are matched by name, regardless of order. Empty if
+// nothing differs or a text cannot be parsed.
 [[nodiscard]] std::vector<std::string> changes_between(std::string_view before,
                                                        std::string_view after,
-                                                       std::size_t most = 40);
+                                                       std::size_t max_lines = 40);
 
 }  // namespace arbutus
--- a/src/version/configuration.cpp
+++ b/src/version/configuration.cpp
@@ -41,7 +41,7 @@
   v("data_centre", r.data_centre);
   v("fabric_domain", r.fabric_domain);
   v("accelerators", r.accelerators);
-  v("checks_tokens", r.checks_tokens);
+  v("checks_tokens", r.checks_fencing_tokens);
 }
 
 template <class V, record_of<node_record> R>
--- a/src/version/cross_check.cpp
+++ b/src/version/cross_check.cpp
@@ -65,8 +65,8 @@
     const auto [first, is_new] = names.emplace(name, path);
     if (!is_new && !name.empty()) {
       error(path + "/id",
-            "the name " + in_quotes(name) + " of this " + std::string(what) + " is taken at " +
-                format_location(first->second),
+            "the name " + quoted_for_message(name) + " of this " + std::string(what) +
+                " is taken at " + format_location(first->second),
             "names that differ");
     }
   }
@@ -114,13 +114,13 @@
       const std::string earlier = format_location(record_path("vms", before->second));
       if (other.fabric_domain != vm.fabric_domain) {
         error(record_path("vms", i) + "/fabric_domain",
-              "VM " + in_quotes(vm.id.str()) + " is in two fabric domains, " +
-                  in_quotes(vm.fabric_domain.str()) + " here and " +
-                  in_quotes(other.fabric_domain.str()) + " at " + earlier,
+              "VM " + quoted_for_message(vm.id.str()) + " is in two fabric domains, " +
+                  quoted_for_message(vm.fabric_domain.str()) + " here and " +
+                  quoted_for_message(other.fabric_domain.str()) + " at " + earlier,
               "one row for each VM");
       } else {
         error(record_path("vms", i) + "/id",
-              "VM " + in_quotes(vm.id.str()) + " is listed already at " + earlier,
+              "VM " + quoted_for_message(vm.id.str()) + " is listed already at " + earlier,
               "one row for each VM");
       }
     }
@@ -134,8 +134,9 @@
       const data_centre_id& other = assets_.vms[before].data_centre;
       if (!vm.fabric_domain.empty() && other != vm.data_centre) {
         error(record_path("vms", i) + "/fabric_domain",
-              "fabric domain " + in_quotes(vm.fabric_domain.str()) + " is in data centre " +
-                  in_quotes(other.str()) + " at " + format_location(record_path("vms", before)),
+              "fabric domain " + quoted_for_message(vm.fabric_domain.str()) +
+                  " is in data centre " + quoted_for_message(other.str()) + " at " +
+                  format_location(record_path("vms", before)),
               "a fabric domain within one data centre");
       }
     }
@@ -219,9 +220,10 @@
     }
     for (std::size_t i = 0; i < assets_.data_centres.size(); ++i) {
       if (!with_node.contains(assets_.data_centres[i].id)) {
-        warning(record_path("data_centres", i),
-                "data centre " + in_quotes(assets_.data_centres[i].id.str()) + " has no node",
-                "a node in each data centre");
+        warning(
+            record_path("data_centres", i),
+            "data centre " + quoted_for_message(assets_.data_centres[i].id.str()) + " has no node",
+            "a node in each data centre");
       }
     }
   }
@@ -242,7 +244,8 @@
                      const std::set<std::string, std::less<>>& workspaces) {
     const auto of_this = [&](const service_target& t) { return t.service == service.id; };
     if (std::none_of(assets_.services.begin(), assets_.services.end(), of_this)) {
-      warning(path, "service " + in_quotes(service.id.str()) + " has no target in the inventory");
+      warning(path, "service " + quoted_for_message(service.id.str()) +
+                        " has no target in the inventory");
     }
     for (std::size_t i = 0; i < service.workspaces.size(); ++i) {
       check_reference(record_path(path + "/workspaces", i), "workspace",
@@ -252,7 +255,7 @@
       const std::string& call = service.idempotent_calls[i].path_prefix;
       if (!is_below(call, service.path_prefix)) {
         error(record_path(path + "/idempotent_calls", i),
-              "path " + in_quotes(call) + " is not below the service's path",
+              "path " + quoted_for_message(call) + " is not below the service's path",
               "a path below " + service.path_prefix);
       }
     }
@@ -272,8 +275,8 @@
         const std::size_t owner = owners.emplace(workspace.key_hashes[i], w).first->second;
         if (owner != w) {
           error(record_path(path + "/key_hashes", i),
-                "the key belongs to workspace " + in_quotes(rules_.workspaces[owner].id.str()) +
-                    " already",
+                "the key belongs to workspace " +
+                    quoted_for_message(rules_.workspaces[owner].id.str()) + " already",
                 "a key of its own for each workspace");
         }
       }
@@ -288,7 +291,7 @@
       const auto [first, is_new] = names.emplace(entry.name, path);
       if (!is_new && !entry.name.empty()) {
         error(path + "/name",
-              "class " + in_quotes(entry.name) + " is listed already at " +
+              "class " + quoted_for_message(entry.name) + " is listed already at " +
                   format_location(first->second),
               "each class once");
       }
@@ -313,13 +316,15 @@
       const std::string& prefix = rules_.services[s].path_prefix;
       const std::string path = record_path("services", s) + "/path_prefix";
       if (is_below(prefix, model_api_prefix)) {
-        error(path, "path " + in_quotes(prefix) + " belongs to the models' own interface",
+        error(path, "path " + quoted_for_message(prefix) + " belongs to the models' own interface",
               "a path outside of /v1");
       }
       const auto [first, is_new] = prefixes.emplace(prefix, path);
       if (!is_new && !prefix.empty()) {
-        error(path, "path " + in_quotes(prefix) + " is taken at " + format_location(first->second),
-              "paths that differ");
+        error(
+            path,
+            "path " + quoted_for_message(prefix) + " is taken at " + format_location(first->second),
+            "paths that differ");
       }
     }
     for (const auto& [prefix, path] : prefixes) {
@@ -333,8 +338,8 @@
       const auto parent = all.find(prefix.substr(0, slash));
       if (parent != all.end()) {
         error(path,
-              "path " + in_quotes(prefix) + " is below " + in_quotes(parent->first) + " at " +
-                  format_location(parent->second),
+              "path " + quoted_for_message(prefix) + " is below " +
+                  quoted_for_message(parent->first) + " at " + format_location(parent->second),
               "paths that do not overlap");
       }
     }
--- a/src/version/cross_check_capacity.cpp
+++ b/src/version/cross_check_capacity.cpp
@@ -55,7 +55,7 @@
       const model_rule& model = rules_.models[m];
       const std::string path = record_path("models", m);
       if (model.placements.empty()) {
-        warning(path, "model " + in_quotes(model.id.str()) + " is placed nowhere",
+        warning(path, "model " + quoted_for_message(model.id.str()) + " is placed nowhere",
                 "replicas = { DATA_CENTRE = COUNT }");
       }
       if (model.vms_per_replica + rules_.standbys_per_replica > max_positions) {
@@ -82,8 +82,8 @@
       largest = std::max(largest, count);
       in_domains += count / model.vms_per_replica;
     }
-    const std::string what =
-        "model " + in_quotes(model.id.str()) + " in " + in_quotes(desired.data_centre.str());
+    const std::string what = "model " + quoted_for_message(model.id.str()) + " in " +
+                             quoted_for_message(desired.data_centre.str());
     const std::string need = std::to_string(model.vms_per_replica) + " VMs with " +
                              std::to_string(model.accelerators_per_vm) + " accelerators each";
     if (vms < model.vms_per_replica) {
@@ -127,7 +127,7 @@
       const std::uint64_t vms = present[dc];
       if (desired[dc] > vms && !over_capacity_.contains(dc)) {
         warning(record_path("data_centres", i), "the models want " + std::to_string(desired[dc]) +
-                                                    " VMs in " + in_quotes(dc.str()) +
+                                                    " VMs in " + quoted_for_message(dc.str()) +
                                                     ", which has " + std::to_string(vms));
       }
     }
--- a/src/version/desired_replicas.cpp
+++ b/src/version/desired_replicas.cpp
@@ -98,13 +98,13 @@
 // The domain in which a replica of an overloaded model (`rule`) fits once replica `r` of another
 // model is removed.
 std::optional<domain_index> domain_with_room(const plan_draft& draft, const model_rule& rule,
-                                             const draft_replica& r, std::size_t keep_free) {
+                                             const draft_replica& r, std::size_t min_free_vms) {
   const std::uint32_t accelerators = rule.accelerators_per_vm;
   const auto after = [&](domain_index d) {
     return draft.pool.free_count(d, accelerators) + draft.pool.pending_count(d, accelerators) +
-           draft.usable_in(r, d, accelerators);
+           draft.usable_vms_in(r, d, accelerators);
   };
-  if (after(any_domain) < rule.vms_per_replica + keep_free) {
+  if (after(any_domain) < rule.vms_per_replica + min_free_vms) {
     return std::nullopt;
   }
   for (domain_index d = 0; d < draft.pool.domain_count(); ++d) {
@@ -118,7 +118,7 @@
 // Drains a replica of a model with little load to make room for one of the overloaded model `rule`
 // (the borrower). Also reserves the VMs that are already free. Otherwise a later pass would take
 // them, the borrower would not fit after the drain, and the next plan would drain another replica.
-void borrow(plan_draft& draft, const model_rule& rule, std::size_t keep_free) {
+void borrow(plan_draft& draft, const model_rule& rule, std::size_t min_free_vms) {
   draft_replica* lender = nullptr;
   domain_index domain = any_domain;
   for (draft_replica& r : draft.replicas) {
@@ -126,7 +126,7 @@
         (lender != nullptr && !precedes_in_repair(*lender, r))) {
       continue;
     }
-    if (const auto room = domain_with_room(draft, rule, r, keep_free)) {
+    if (const auto room = domain_with_room(draft, rule, r, min_free_vms)) {
       lender = &r;
       domain = *room;
     }
@@ -153,18 +153,19 @@
 }
 
 bool reclaim_for_demand(plan_draft& draft, const model_rule& rule, std::size_t standbys_kept,
-                        std::size_t keep_free) {
+                        std::size_t min_free_vms) {
   const std::uint32_t accelerators = rule.accelerators_per_vm;
   const std::size_t soon = draft.pool.free_count(any_domain, accelerators) +
                            draft.pool.pending_count(any_domain, accelerators);
   for (domain_index d = 0; d < draft.pool.domain_count(); ++d) {
     const std::size_t free =
         std::min<std::size_t>(draft.pool.free_count(d, accelerators), rule.vms_per_replica);
-    const std::size_t lacking = rule.vms_per_replica - free;
-    const bool spares_remain = soon >= rule.vms_per_replica + keep_free;
-    const shortage need{&rule, d, free, lacking, nullptr, standbys_kept};
-    const bool pending = spares_remain && draft.pool.pending_count(d, accelerators) >= lacking;
-    if ((pending || keep_free == 0) && reclaim_vms(draft, need, reclaim_scope::standbys)) {
+    const std::size_t missing_vm_count = rule.vms_per_replica - free;
+    const bool spares_remain = soon >= rule.vms_per_replica + min_free_vms;
+    const shortage need{&rule, d, free, missing_vm_count, nullptr, standbys_kept};
+    const bool pending =
+        spares_remain && draft.pool.pending_count(d, accelerators) >= missing_vm_count;
+    if ((pending || min_free_vms == 0) && reclaim_vms(draft, need, reclaim_scope::standbys)) {
       return true;
     }
   }
@@ -173,10 +174,10 @@
 
 // Uses remaining free VMs to create replicas again that models gave up to overloaded models. VMs
 // that an overloaded model waits for are already reserved.
-void restore_lent_replicas(plan_draft& draft, std::size_t keep_free) {
+void restore_lent_replicas(plan_draft& draft, std::size_t min_free_vms) {
   for (const model_rule* rule : draft.models()) {
     while (draft.count_active(rule->id) < draft.configured_replicas(*rule) &&
-           create_replica(draft, *rule, keep_free)) {
+           create_replica(draft, *rule, min_free_vms)) {
     }
   }
 }
@@ -212,15 +213,16 @@
 void adjust_to_demand(plan_draft& draft, const std::vector<std::uint32_t>& desired,
                       std::size_t standbys_kept) {
   const bool may_borrow = !placements_unmet(draft, desired);
-  const std::size_t keep_free = draft.desired().spare_vms_per_data_centre;
+  const std::size_t min_free_vms = draft.desired().spare_vms_per_data_centre;
   for (const model_rule* rule : draft.models()) {
-    const bool settled = !is_overloaded(draft, *rule) || create_replica(draft, *rule, keep_free) ||
-                         reclaim_for_demand(draft, *rule, standbys_kept, keep_free);
+    const bool settled = !is_overloaded(draft, *rule) ||
+                         create_replica(draft, *rule, min_free_vms) ||
+                         reclaim_for_demand(draft, *rule, standbys_kept, min_free_vms);
     if (!settled && may_borrow) {
-      borrow(draft, *rule, keep_free);
+      borrow(draft, *rule, min_free_vms);
     }
   }
-  restore_lent_replicas(draft, keep_free);
+  restore_lent_replicas(draft, min_free_vms);
 }
 
 }  // namespace arbutus
--- a/src/version/field_text.cpp
+++ b/src/version/field_text.cpp
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-bool is_name(std::string_view text) {
+bool is_valid_name(std::string_view text) {
   return !text.empty() && text.size() <= max_name_length && is_alphanumeric(text.front()) &&
          std::all_of(text.begin(), text.end(), is_name_character);
 }
@@ -124,7 +124,7 @@
   return invalid ? 0 : length;
 }
 
-std::string in_quotes(std::string_view text) {
+std::string quoted_for_message(std::string_view text) {
   constexpr std::string_view digits = "0123456789abcdef";
   std::string result = "\"";
   std::size_t at = 0;
@@ -167,10 +167,10 @@
                              std::span<const std::string_view> candidates) {
   finding result;
   result.where = std::move(where);
-  result.message = std::string(what) + ' ' + in_quotes(word) + " is not known";
+  result.message = std::string(what) + ' ' + quoted_for_message(word) + " is not known";
   const std::string_view close = closest_match(word, candidates);
   if (!close.empty()) {
-    result.message += "; did you mean " + in_quotes(close) + '?';
+    result.message += "; did you mean " + quoted_for_message(close) + '?';
   }
   if (candidates.size() <= max_listed_candidates && !candidates.empty()) {
     result.expected =
--- a/src/version/field_text.h
+++ b/src/version/field_text.h
@@ -22,7 +22,7 @@
 inline constexpr std::size_t max_name_length = 64;
 inline constexpr std::string_view name_expected =
     "a name of at most 64 letters, digits, '.', '_', '-', first a letter or digit";
-[[nodiscard]] bool is_name(std::string_view text);
+[[nodiscard]] bool is_valid_name(std::string_view text);
 
 // Parses "10.0.0.1:8000" or "[fd00::1]:8000". Host names are rejected, since nodes do not use DNS.
 // The host of the result has no brackets.
@@ -35,7 +35,7 @@
 
 // Quotes `text` for a message. Control characters and invalid UTF-8 are escaped and long text is
 // truncated, so that no input can corrupt a terminal or a log.
-[[nodiscard]] std::string in_quotes(std::string_view text);
+[[nodiscard]] std::string quoted_for_message(std::string_view text);
 
 // The candidate with the smallest edit distance to `word` (swapping two neighbouring characters
 // counts as one edit) if `word` is likely to be a misspelling of it; otherwise empty.
--- a/src/version/import_csv.cpp
+++ b/src/version/import_csv.cpp
@@ -158,7 +158,8 @@
       take(rest);
     }
     if (!rest.empty()) {
-      report(where, "text " + in_quotes(rest) + " after the closing quote", "a comma or line end");
+      report(where, "text " + quoted_for_message(rest) + " after the closing quote",
+             "a comma or line end");
     }
   }
 
--- a/src/version/import_inventory.cpp
+++ b/src/version/import_inventory.cpp
@@ -63,7 +63,8 @@
     const csv_field& source = field(column);
     auto value = parse(source.text);
     if (!value) {
-      const std::string is = source.text.empty() ? "is missing" : "is " + in_quotes(source.text);
+      const std::string is =
+          source.text.empty() ? "is missing" : "is " + quoted_for_message(source.text);
       report(source.at, std::string(column) + ' ' + is, std::string(expected));
     }
     return value;
@@ -71,7 +72,7 @@
 
   std::string name(std::string_view column) {
     const auto parse = [](const std::string& text) {
-      return is_name(text) ? std::optional(text) : std::nullopt;
+      return is_valid_name(text) ? std::optional(text) : std::nullopt;
     };
     return parsed(column, name_expected, parse).value_or("");
   }
@@ -91,7 +92,7 @@
 
   // There is no default: treating a VM that ignores fencing tokens as one that checks them would be
   // unsafe.
-  bool checks_tokens() {
+  bool checks_fencing_tokens() {
     const auto parse = [](const std::string& text) -> std::optional<bool> {
       if (text == "yes" || text == "no") {
         return text == "yes";
@@ -126,7 +127,7 @@
   record.data_centre = data_centre_id{row.name("data_centre")};
   record.fabric_domain = fabric_domain_id{row.name("fabric_domain")};
   record.accelerators = row.accelerators();
-  record.checks_tokens = row.checks_tokens();
+  record.checks_fencing_tokens = row.checks_fencing_tokens();
   assets.vms.push_back(std::move(record));
 }
 
@@ -159,7 +160,7 @@
     if (known && !expected && !row[i].text.empty()) {
       reader.report(row[i].at,
                     "a " + std::string(kind) + " has no " + std::string(header[i]) + ", found " +
-                        in_quotes(row[i].text),
+                        quoted_for_message(row[i].text),
                     "an empty field");
     }
   }
@@ -198,7 +199,8 @@
   const auto begin = row.begin();
   if (std::any_of(begin, begin + static_cast<std::ptrdiff_t>(index), same)) {
     problems.push_back({severity::error, column.at,
-                        "column " + in_quotes(column.text) + " stands twice", "each column once"});
+                        "column " + quoted_for_message(column.text) + " stands twice",
+                        "each column once"});
     return;
   }
   const bool known = std::find(columns.begin(), columns.end(), column.text) != columns.end();
@@ -216,7 +218,7 @@
   for (const std::string_view needed : {columns[0], columns[1]}) {
     if (std::find(header.begin(), header.end(), needed) == header.end()) {
       problems.push_back({severity::error, row.front().at,
-                          "column " + in_quotes(needed) + " is missing",
+                          "column " + quoted_for_message(needed) + " is missing",
                           "column names in the first row"});
     }
   }
--- a/src/version/import_rules.cpp
+++ b/src/version/import_rules.cpp
@@ -28,10 +28,11 @@
 void read_ids(table_reader& table, std::string_view key, const std::string& path,
               std::vector<Id>& ids, rules_import& result) {
   for (located_value<std::string>& text : table.read_strings(key)) {
-    if (!is_name(text.value)) {
-      result.problems.push_back({severity::error, text.at,
-                                 std::string(key) + ": " + in_quotes(text.value) + " is no name",
-                                 std::string(name_expected)});
+    if (!is_valid_name(text.value)) {
+      result.problems.push_back(
+          {severity::error, text.at,
+           std::string(key) + ": " + quoted_for_message(text.value) + " is no name",
+           std::string(name_expected)});
       continue;
     }
     result.places.add_place(record_path(path + '/' + std::string(key), ids.size()), text.at);
@@ -103,9 +104,10 @@
   for (const located_value<std::string>& text : table.read_strings("idempotent_calls")) {
     auto call = parse_call(text.value);
     if (!call) {
-      result.problems.push_back({severity::error, text.at,
-                                 "idempotent_calls: " + in_quotes(text.value) + " is no call",
-                                 "method and path, as \"GET /crew/cards\""});
+      result.problems.push_back(
+          {severity::error, text.at,
+           "idempotent_calls: " + quoted_for_message(text.value) + " is no call",
+           "method and path, as \"GET /crew/cards\""});
       continue;
     }
     result.places.add_place(
@@ -122,7 +124,7 @@
   table.read("path_prefix", service.path_prefix, presence::required);
   const bool given = !service.path_prefix.empty();
   if (given && !is_path(service.path_prefix)) {
-    table.problem("path_prefix", in_quotes(service.path_prefix) + " is no path",
+    table.problem("path_prefix", quoted_for_message(service.path_prefix) + " is no path",
                   std::string(path_expected));
   }
   read_calls(table, path, service, result);
@@ -135,10 +137,11 @@
                      rules_import& result) {
   auto hashes = table.read_strings("key_hashes");
   if (hashes.empty()) {
-    result.problems.push_back({severity::warning, table.place_of("key_hashes"),
-                               "[[workspace]] key_hashes: " + in_quotes(workspace.id.str()) +
-                                   " has no key, nobody can use it",
-                               ""});
+    result.problems.push_back(
+        {severity::warning, table.place_of("key_hashes"),
+         "[[workspace]] key_hashes: " + quoted_for_message(workspace.id.str()) +
+             " has no key, nobody can use it",
+         ""});
   }
   for (located_value<std::string>& text : hashes) {
     if (!is_key_hash(text.value)) {
--- a/src/version/inventory.h
+++ b/src/version/inventory.h
@@ -27,7 +27,7 @@
   data_centre_id data_centre;
   fabric_domain_id fabric_domain;
   std::uint32_t accelerators{};
-  bool checks_tokens = true;  // the engine refuses orders that carry an old fencing token
+  bool checks_fencing_tokens = true;  // the engine refuses orders that carry an old fencing token
   auto operator<=>(const vm_record&) const = default;
 };
 
--- a/src/version/placement.cpp
+++ b/src/version/placement.cpp
@@ -85,7 +85,7 @@
   std::optional<domain_index> best;
   std::size_t best_kept = 0;
   for (domain_index d = 0; d < draft.pool.domain_count(); ++d) {
-    const std::size_t kept = draft.usable_in(r, d, accelerators);
+    const std::size_t kept = draft.usable_vms_in(r, d, accelerators);
     const bool fits = kept + draft.pool.free_count(d, accelerators) >= r.rule->vms_per_replica;
     if (fits && (!best || kept > best_kept)) {
       best = d;
@@ -257,9 +257,9 @@
 
 }  // namespace
 
-bool create_replica(plan_draft& draft, const model_rule& rule, std::size_t keep_free) {
+bool create_replica(plan_draft& draft, const model_rule& rule, std::size_t min_free_vms) {
   const std::size_t free = draft.pool.free_count(any_domain, rule.accelerators_per_vm);
-  if (rule.vms_per_replica == 0 || free < rule.vms_per_replica + keep_free) {
+  if (rule.vms_per_replica == 0 || free < rule.vms_per_replica + min_free_vms) {
     return false;
   }
   const auto before = predecessor(draft, rule);
--- a/src/version/placement.h
+++ b/src/version/placement.h
@@ -15,9 +15,9 @@
 // `draft.models()[i]`.
 void repair_and_fill(plan_draft& draft, const std::vector<std::uint32_t>& desired);
 
-// Creates one more replica on free VMs of one domain, if at least `keep_free` free VMs remain in
+// Creates one more replica on free VMs of one domain, if at least `min_free_vms` free VMs remain in
 // the data centre. False if none fits.
-bool create_replica(plan_draft& draft, const model_rule& rule, std::size_t keep_free);
+bool create_replica(plan_draft& draft, const model_rule& rule, std::size_t min_free_vms);
 
 // Like create_replica(), but if no domain has enough free VMs, frees VMs from the sources that
 // repair_and_fill() uses. True if the replica was created or its VMs are becoming free.
--- a/src/version/plan_draft.cpp
+++ b/src/version/plan_draft.cpp
@@ -32,31 +32,31 @@
 
 plan_draft::plan_draft(const planner_input& in)
     : pool(*in.config, in.data_centre, in.health),
-      in_(in),
+      input_(in),
       next_version_(in.current->version + 1),
       models_(by_rank(in.config->desired.models)),
-      serving_(in.serving.begin(), in.serving.end()) {
+      reported_serving_(in.serving.begin(), in.serving.end()) {
   read_replicas();
   drop_acknowledged();
   begin_round();
 }
 
 void plan_draft::read_replicas() {
-  activation_merge merge_result = merge_activations(*in_.current, in_.in_force);
+  activation_merge merge_result = merge_activations(*input_.current, input_.in_force);
   withdrawals_ = std::move(merge_result.withdrawals);
   for (replica_plan& plan : merge_result.replicas) {
     draft_replica r;
     r.plan = std::move(plan);
     r.rule = desired().find_model(r.plan.model);
-    const replica_plan* before = in_.current->find(r.plan.id);
+    const replica_plan* before = input_.current->find(r.plan.id);
     if (r.plan.members != before->members) {
-      r.plan.crosses_fabric_domains = crosses(r.plan.members);
+      r.plan.crosses_fabric_domains = crosses_domains(r.plan.members);
     }
-    if (r.plan.gen != before->gen) {
-      add_reason(r.plan.id, "activation " + to_string(r.plan.gen) + " entered");
+    if (r.plan.fencing_generation != before->fencing_generation) {
+      add_reason(r.plan.id, "activation " + to_string(r.plan.fencing_generation) + " entered");
     }
     if (std::ranges::find(merge_result.superseded, r.plan.id) != merge_result.superseded.end()) {
-      r.plan.gen = {next_version_, 0, 0};
+      r.plan.fencing_generation = {next_version_, 0, 0};
       add_reason(r.plan.id, "new token, since one that the row does not know is in force");
     }
     refresh(r);
@@ -68,7 +68,7 @@
 }
 
 void plan_draft::drop_acknowledged() {
-  std::erase_if(withdrawals_, [&](const withdrawal& w) { return w.since <= in_.acknowledged; });
+  std::erase_if(withdrawals_, [&](const withdrawal& w) { return w.since <= input_.acknowledged; });
 }
 
 void plan_draft::begin_round() {
@@ -108,20 +108,20 @@
   }
   r.missing = lost > 0 ? lost + leaving : 0;
   r.has_leaving = lost == 0 && leaving > 0;
-  r.serving = lost == 0 && serving_.contains(r.plan.id);
+  r.serving = lost == 0 && reported_serving_.contains(r.plan.id);
 }
 
 std::uint32_t plan_draft::configured_replicas(const model_rule& rule) const {
   std::uint32_t sum = 0;
   for (const model_placement& p : rule.placements) {
-    sum += p.data_centre == in_.data_centre ? p.replicas : 0;
+    sum += p.data_centre == input_.data_centre ? p.replicas : 0;
   }
   return sum;
 }
 
 double plan_draft::load_in_replicas(const model_id& model) const {
-  const auto found = std::ranges::find(in_.demand, model, &replica_demand::model);
-  return found == in_.demand.end() ? 0.0 : found->load_in_replicas;
+  const auto found = std::ranges::find(input_.demand, model, &replica_demand::model);
+  return found == input_.demand.end() ? 0.0 : found->load_in_replicas;
 }
 
 bool plan_draft::outdated(const draft_replica& r) const {
@@ -171,8 +171,8 @@
   return best;
 }
 
-std::size_t plan_draft::usable_in(const draft_replica& r, domain_index d,
-                                  std::uint32_t accelerators) const {
+std::size_t plan_draft::usable_vms_in(const draft_replica& r, domain_index d,
+                                      std::uint32_t accelerators) const {
   const auto fits = [&](const vm_id& vm) {
     return pool.usable(vm, accelerators) && (d == any_domain || pool.domain_of(vm) == d);
   };
@@ -180,7 +180,7 @@
                                   std::ranges::count_if(r.plan.standbys, fits));
 }
 
-bool plan_draft::crosses(const std::vector<vm_id>& members) const {
+bool plan_draft::crosses_domains(const std::vector<vm_id>& members) const {
   return std::ranges::any_of(members, [&](const vm_id& vm) {
     return pool.domain_of(vm) != pool.domain_of(members.front());
   });
@@ -214,8 +214,8 @@
     }
   }
   r.plan.model_version = r.rule->version;
-  r.plan.crosses_fabric_domains = crosses(members);
-  r.plan.gen = {next_version_, 0, 0};
+  r.plan.crosses_fabric_domains = crosses_domains(members);
+  r.plan.fencing_generation = {next_version_, 0, 0};
   r.waiting = false;
   refresh(r);
   r.serving = false;
@@ -261,13 +261,14 @@
 draft_replica& plan_draft::add(const model_rule& rule, const std::vector<vm_id>& members) {
   draft_replica r;
   // The id is unique, since the row version only increases.
-  r.plan.id = replica_id{rule.id.str() + "." + in_.data_centre.str() + "." +
-                         std::to_string(next_version_) + "." + std::to_string(added_++)};
+  r.plan.id =
+      replica_id{rule.id.str() + "." + input_.data_centre.str() + "." +
+                 std::to_string(next_version_) + "." + std::to_string(added_replica_count_++)};
   r.plan.model = rule.id;
   r.plan.model_version = rule.version;
   r.plan.members = members;
-  r.plan.crosses_fabric_domains = crosses(members);
-  r.plan.gen = {next_version_, 0, 0};
+  r.plan.crosses_fabric_domains = crosses_domains(members);
+  r.plan.fencing_generation = {next_version_, 0, 0};
   r.rule = &rule;
   add_reason(r.plan.id, "laid down");
   replicas.push_back(std::move(r));
@@ -282,7 +283,7 @@
 // not justify a write of its own.
 plan plan_draft::finish() const {
   plan result;
-  result.next = *in_.current;
+  result.next = *input_.current;
   std::vector<replica_plan> next;
   for (const draft_replica& r : replicas) {
     if (!r.removed) {
@@ -290,15 +291,15 @@
     }
   }
   std::ranges::sort(next, {}, &replica_plan::id);
-  std::vector<replica_plan> before = in_.current->replicas;
+  std::vector<replica_plan> before = input_.current->replicas;
   std::ranges::sort(before, {}, &replica_plan::id);
   result.changed = withdrawals_changed_ || next != before;
   if (!result.changed) {
     return result;
   }
-  result.next.data_centre = in_.data_centre;
+  result.next.data_centre = input_.data_centre;
   result.next.version = next_version_;
-  result.next.config_version = in_.config->version;
+  result.next.config_version = input_.config->version;
   result.next.proposal = {};
   result.next.replicas = std::move(next);
   result.next.withdrawals = withdrawals_;
--- a/src/version/plan_draft.h
+++ b/src/version/plan_draft.h
@@ -30,8 +30,8 @@
  public:
   explicit plan_draft(const planner_input& in);
 
-  [[nodiscard]] const planner_input& input() const { return in_; }
-  [[nodiscard]] const rules& desired() const { return in_.config->desired; }
+  [[nodiscard]] const planner_input& input() const { return input_; }
+  [[nodiscard]] const rules& desired() const { return input_.config->desired; }
   // Models of the rules in order of repair.
   [[nodiscard]] const std::vector<const model_rule*>& models() const { return models_; }
   // Replicas that the placements of the rule give this data centre.
@@ -46,13 +46,13 @@
   // The fabric domain that holds the most usable members of the replica.
   [[nodiscard]] domain_index main_domain(const draft_replica& r) const;
   // Number of usable members and standbys in domain `d` with at least `accelerators`.
-  [[nodiscard]] std::size_t usable_in(const draft_replica& r, domain_index d,
-                                      std::uint32_t accelerators) const;
+  [[nodiscard]] std::size_t usable_vms_in(const draft_replica& r, domain_index d,
+                                          std::uint32_t accelerators) const;
 
   // Starts a round of planning passes: recounts the free and pending VMs and drops the reservations
   // of VMs for waiting replicas, which bind only the later passes of the same round.
   void begin_round();
-  [[nodiscard]] std::size_t moves() const { return reasons_.size(); }
+  [[nodiscard]] std::size_t action_count() const { return reasons_.size(); }
 
   // ---- actions ----
 
@@ -84,15 +84,15 @@
   void read_replicas();
   void drop_acknowledged();
   void refresh(draft_replica& r) const;
-  [[nodiscard]] bool crosses(const std::vector<vm_id>& members) const;
+  [[nodiscard]] bool crosses_domains(const std::vector<vm_id>& members) const;
 
-  const planner_input& in_;
+  const planner_input& input_;
   std::uint64_t next_version_;
   std::vector<const model_rule*> models_;
-  std::unordered_set<replica_id> serving_;
+  std::unordered_set<replica_id> reported_serving_;
   std::vector<withdrawal> withdrawals_;  // the next row's list of withdrawn VMs
   bool withdrawals_changed_ = false;     // the next row has withdrawals that the current one lacks
-  std::uint32_t added_ = 0;
+  std::uint32_t added_replica_count_ = 0;
   std::vector<std::string> reasons_;
 };
 
--- a/src/version/planner.cpp
+++ b/src/version/planner.cpp
@@ -24,7 +24,9 @@
 // A plan from outdated inputs would revert newer changes. The conditional write rejects it if the
 // row has changed, but not if only the configuration is newer.
 bool has_older_inputs_than_row(const planner_input& in) {
-  const auto later = [&](const composition& c) { return c.gen.row > in.current->version; };
+  const auto later = [&](const composition& c) {
+    return c.fencing_generation.row > in.current->version;
+  };
   return in.config->version < in.current->config_version || std::ranges::any_of(in.in_force, later);
 }
 
@@ -58,7 +60,7 @@
   const std::uint32_t accelerators = r.rule->accelerators_per_vm;
   for (domain_index d = 0; d < draft.pool.domain_count(); ++d) {
     const std::size_t there =
-        draft.usable_in(r, d, accelerators) + draft.pool.free_count(d, accelerators);
+        draft.usable_vms_in(r, d, accelerators) + draft.pool.free_count(d, accelerators);
     if (there >= r.rule->vms_per_replica) {
       return true;
     }
@@ -125,9 +127,9 @@
   plan_draft draft(in);
   end_drains(draft);
   for (int round = 0; round < max_rounds; ++round) {
-    const std::size_t before = draft.moves();
+    const std::size_t before = draft.action_count();
     run_passes(draft);
-    if (draft.moves() == before) {
+    if (draft.action_count() == before) {
       break;
     }
   }
--- a/src/version/service_map.cpp
+++ b/src/version/service_map.cpp
@@ -34,23 +34,23 @@
       workspaces_(std::move(workspaces)),
       limits_(limits) {
   for (std::size_t i = 0; i < routes_.size(); ++i) {
-    by_host_[lower_host(routes_[i].host)].push_back(i);
+    routes_by_host_[lower_host(routes_[i].host)].push_back(i);
   }
-  for (auto& [host, positions] : by_host_) {
+  for (auto& [host, positions] : routes_by_host_) {
     std::stable_sort(positions.begin(), positions.end(), [this](std::size_t a, std::size_t b) {
       return routes_[a].prefix.size() > routes_[b].prefix.size();
     });
   }
   for (std::size_t i = 0; i < workspaces_.size(); ++i) {
     for (const std::string& key : workspaces_[i].keys) {
-      by_key_.emplace(key, i);
+      workspace_by_key_.emplace(key, i);
     }
   }
 }
 
 const route* service_map::find_route(std::string_view host, std::string_view path) const {
-  const auto found = by_host_.find(lower_host(host));
-  if (found == by_host_.end()) {
+  const auto found = routes_by_host_.find(lower_host(host));
+  if (found == routes_by_host_.end()) {
     return nullptr;
   }
   for (const std::size_t position : found->second) {
@@ -62,8 +62,8 @@
 }
 
 const workspace_spec* service_map::find_workspace(std::string_view key) const {
-  const auto found = by_key_.find(std::string(key));
-  return found == by_key_.end() ? nullptr : &workspaces_[found->second];
+  const auto found = workspace_by_key_.find(std::string(key));
+  return found == workspace_by_key_.end() ? nullptr : &workspaces_[found->second];
 }
 
 const service_spec* service_map::find_service(const service_id& id) const {
--- a/src/version/service_map.h
+++ b/src/version/service_map.h
@@ -37,12 +37,12 @@
   std::string host;    // lower case, without port
   std::string prefix;  // begins and ends with '/'
   route_kind kind = route_kind::once;
-  bool resumable = false;       // another target can continue a stream after its last event
-  bool needs_workspace = true;  // false: callers need no API key
-  duration timeout{};           // the caller gets an answer within this time
-  duration target_latency{};    // objective until the answer; for streams until the first event
-  duration gap_target{};        // objective for the longest pause between events
-  std::uint32_t priority{};     // 0 is the most urgent
+  bool resumable = false;          // another target can continue a stream after its last event
+  bool needs_workspace = true;     // false: callers need no API key
+  duration timeout{};              // the caller gets an answer within this time
+  duration latency_objective{};    // objective until the answer; for streams until the first event
+  duration event_gap_objective{};  // objective for the longest pause between events
+  std::uint32_t priority{};        // 0 is the most urgent
   std::uint32_t max_attempts = 1;
   std::vector<route_share> shares;
 
@@ -54,19 +54,20 @@
 // A model that is served by replicas, each of several engines.
 struct model_spec {
   model_id id;
-  std::uint32_t size = 1;          // engines per replica
-  double expected_time_share = 1;  // of the engines' time, as operators expect it at the start
-  double slowdown_factor = 1;      // factor on all times of a replica
-  duration load_time{};            // to load the weights from the shared weight store
-  duration warm_load_time{};       // to load the weights if they are on the host already
+  std::uint32_t size = 1;  // engines per replica
+  double expected_engine_time_fraction =
+      1;                       // of the engines' time, as operators expect it at the start
+  double slowdown_factor = 1;  // factor on all times of a replica
+  duration load_time{};        // to load the weights from the shared weight store
+  duration warm_load_time{};   // to load the weights if they are on the host already
 };
 
 // Batching parameters of a service's engines. All times are those of a replica with
 // slowdown_factor 1.
 struct engine_parameters {
-  std::uint32_t slots = 1;            // requests that a replica runs simultaneously
-  std::uint64_t kv_capacity{};        // tokens
-  std::uint32_t stride = 1;           // steps per pass while any request generates tokens
+  std::uint32_t slots = 1;                   // requests that a replica runs simultaneously
+  std::uint64_t kv_cache_capacity_tokens{};  // tokens
+  std::uint32_t decode_steps_per_pass = 1;   // steps per pass while any request generates tokens
   duration step{};                    // time of a step, which gives each generating request a token
   double step_per_sequence_ms{};      // added to a step for each request that generates
   double context_ms_per_1k_tokens{};  // added to a step for each 1,000 tokens of context
@@ -74,11 +75,11 @@
   double attention_ms_per_million_pairs{};  // for each million pairs of a token and an earlier one
   std::uint32_t chunk = 1;                  // maximum of prompt tokens read in a step
   duration report_lag{};                    // age of a report's figures
-  double loads_per_s{};                     // loads that may start per second at the weight store
+  double max_weight_loads_per_s{};          // loads that may start per second at the weight store
   std::uint32_t concurrent_loads = 1;       // more simultaneous loads slow each other down
   double mean_prompt_tokens{};              // mean length of a prompt, in tokens
   double mean_answer_tokens{};              // mean length of an answer, in tokens
-  double cross_domain_factor = 1;           // slowdown of a replica that spans fabric domains
+  double cross_domain_slowdown_factor = 1;  // slowdown of a replica that spans fabric domains
   duration open_time{};                     // from the order to open until the head serves
   std::vector<model_spec> models;
 
@@ -131,8 +132,9 @@
   std::vector<workspace_spec> workspaces_;
   caller_limits limits_;
   // Indices of the host's routes in routes_, longest path prefix first.
-  std::unordered_map<std::string, std::vector<std::size_t>> by_host_;
-  std::unordered_map<std::string, std::size_t> by_key_;  // API key to index in workspaces_
+  std::unordered_map<std::string, std::vector<std::size_t>> routes_by_host_;
+  std::unordered_map<std::string, std::size_t>
+      workspace_by_key_;  // API key to index in workspaces_
 };
 
 // Chooses the service for a request by the weights of the route; equal `subject`s get the same one.
--- a/src/version/shortage.cpp
+++ b/src/version/shortage.cpp
@@ -81,12 +81,13 @@
 // The serving replica that is last in the order of repair and has enough VMs by itself. At most one
 // replica of a model drains at a time.
 draft_replica* serving_replica_to_drain(plan_draft& draft, const shortage& need,
-                                        std::size_t lacking) {
+                                        std::size_t missing_vm_count) {
   draft_replica* best = nullptr;
   for (draft_replica& r : draft.replicas) {
     const bool candidate =
         r.active() && !r.broken() && r.rule != nullptr && can_give_up_replica(draft, need, r);
-    if (!candidate || draft.usable_in(r, need.domain, need.rule->accelerators_per_vm) < lacking) {
+    if (!candidate ||
+        draft.usable_vms_in(r, need.domain, need.rule->accelerators_per_vm) < missing_vm_count) {
       continue;
     }
     const bool draining = std::ranges::any_of(draft.replicas, [&](const draft_replica& other) {
@@ -111,34 +112,34 @@
 bool reclaim_vms(plan_draft& draft, const shortage& need, reclaim_scope allowed) {
   const std::uint32_t accelerators = need.rule->accelerators_per_vm;
   const std::size_t pending =
-      std::min(need.lacking, draft.pool.pending_count(need.domain, accelerators));
-  std::size_t lacking = need.lacking - pending;
+      std::min(need.missing_vm_count, draft.pool.pending_count(need.domain, accelerators));
+  std::size_t missing_vm_count = need.missing_vm_count - pending;
   std::vector<standby_ref> standbys;
-  if (lacking > 0) {
+  if (missing_vm_count > 0) {
     standbys = reclaimable_standbys(draft, need);
-    standbys.resize(std::min(standbys.size(), lacking), standby_ref{nullptr, {}});
-    lacking -= standbys.size();
+    standbys.resize(std::min(standbys.size(), missing_vm_count), standby_ref{nullptr, {}});
+    missing_vm_count -= standbys.size();
   }
   std::vector<draft_replica*> dissolved;
   draft_replica* drained = nullptr;
-  if (lacking > 0 && allowed == reclaim_scope::all) {
+  if (missing_vm_count > 0 && allowed == reclaim_scope::all) {
     for (draft_replica* donor : broken_replicas_to_dissolve(draft, need)) {
       const std::size_t gives = usable_members(draft, need, *donor);
       dissolved.push_back(donor);
-      lacking -= std::min(lacking, gives);
-      if (lacking == 0) {
+      missing_vm_count -= std::min(missing_vm_count, gives);
+      if (missing_vm_count == 0) {
         break;
       }
     }
-    if (lacking > 0) {
+    if (missing_vm_count > 0) {
       dissolved.clear();
       standbys.clear();
-      lacking = need.lacking - pending;
-      drained = serving_replica_to_drain(draft, need, lacking);
-      lacking = drained == nullptr ? lacking : 0;
+      missing_vm_count = need.missing_vm_count - pending;
+      drained = serving_replica_to_drain(draft, need, missing_vm_count);
+      missing_vm_count = drained == nullptr ? missing_vm_count : 0;
     }
   }
-  if (lacking > 0) {
+  if (missing_vm_count > 0) {
     return false;
   }
   const std::string& name = need.rule->id.str();
@@ -154,7 +155,7 @@
   if (drained != nullptr) {
     draft.drain(*drained, "drained in favour of " + name);
   }
-  draft.pool.reserve_vms(need.domain, accelerators, need.free, need.lacking);
+  draft.pool.reserve_vms(need.domain, accelerators, need.free, need.missing_vm_count);
   return true;
 }
 
--- a/src/version/shortage.h
+++ b/src/version/shortage.h
@@ -12,7 +12,7 @@
   const model_rule* rule = nullptr;
   domain_index domain = any_domain;
   std::size_t free = 0;  // free VMs of the domain to reserve while the replica waits
-  std::size_t lacking = 0;
+  std::size_t missing_vm_count = 0;
   const draft_replica* self = nullptr;  // the replica that lacks VMs; null: not created yet
   std::size_t standbys_kept = 0;        // number of standbys that each other replica keeps
 };
@@ -24,8 +24,8 @@
   all,
 };
 
-// Arranges for `lacking` VMs to become free. If there are not enough, changes nothing and returns
-// false.
+// Arranges for `missing_vm_count` VMs to become free. If there are not enough, changes nothing and
+// returns false.
 [[nodiscard]] bool reclaim_vms(plan_draft& draft, const shortage& need, reclaim_scope allowed);
 
 // Whether `a` is repaired before `b`: by rank of the model, then fewest missing members, then id.
--- a/src/version/standby.cpp
+++ b/src/version/standby.cpp
@@ -115,9 +115,9 @@
 namespace {
 
 struct reservation {
-  std::size_t replica;    // index in the draft
-  std::size_t desired;    // desired number of standbys
-  std::size_t keep_free;  // number of shared spare VMs that must remain free
+  std::size_t replica;       // index in the draft
+  std::size_t desired;       // desired number of standbys
+  std::size_t min_free_vms;  // number of shared spare VMs that must remain free
 };
 
 bool is_present(const plan_draft& draft, const vm_id& vm) {
@@ -169,7 +169,7 @@
   const bool enough = level > entry.desired || count_present_standbys(draft, r) >= level;
   const domain_index main_domain = draft.main_domain(r);
   if (enough || main_domain == any_domain ||
-      draft.pool.free_count(any_domain, accelerators) <= entry.keep_free) {
+      draft.pool.free_count(any_domain, accelerators) <= entry.min_free_vms) {
     return;
   }
   if (const auto vm = draft.pool.take_free(main_domain, accelerators)) {
--- a/src/version/toml_reader.cpp
+++ b/src/version/toml_reader.cpp
@@ -74,7 +74,7 @@
 }
 
 const toml_field* table_reader::lookup_field(std::string_view key, presence need) {
-  known_.emplace(key);
+  read_keys_.emplace(key);
   const toml_field* field = find(key);
   if (field == nullptr && need == presence::required) {
     problem(key, "is missing");
@@ -154,7 +154,7 @@
   }
   const auto parsed = parse_endpoint(*found);
   if (!parsed) {
-    problem(key, in_quotes(*found) + " is no endpoint", std::string(endpoint_expected));
+    problem(key, quoted_for_message(*found) + " is no endpoint", std::string(endpoint_expected));
     return;
   }
   value = *parsed;
@@ -176,8 +176,8 @@
   if (found == nullptr) {
     return;
   }
-  if (!is_name(*found)) {
-    problem(key, in_quotes(*found) + " is no name", std::string(name_expected));
+  if (!is_valid_name(*found)) {
+    problem(key, quoted_for_message(*found) + " is no name", std::string(name_expected));
     return;
   }
   value = *found;
@@ -264,9 +264,9 @@
 }
 
 void table_reader::finish() {
-  const std::vector<std::string_view> candidates(known_.begin(), known_.end());
+  const std::vector<std::string_view> candidates(read_keys_.begin(), read_keys_.end());
   for (const toml_field& field : table_->fields) {
-    if (!known_.contains(field.key) && problems_->size() < max_findings) {
+    if (!read_keys_.contains(field.key) && problems_->size() < max_findings) {
       const std::string what = name_.empty() ? "key" : name_ + " key";
       problems_->push_back(unknown_name_finding(field.at, what, field.key, candidates));
     }
--- a/src/version/toml_reader.h
+++ b/src/version/toml_reader.h
@@ -90,7 +90,7 @@
   void read(std::string_view key, endpoint& value, presence need = presence::optional);
   // For keys that end in _ms; the value is an integer in milliseconds.
   void read_ms(std::string_view key, duration& value, presence need, integer_range range);
-  // The value must satisfy is_name().
+  // The value must satisfy is_valid_name().
   void read_name(std::string_view key, std::string& value, presence need);
   template <class Tag>
   void read(std::string_view key, name_id<Tag>& id, presence need = presence::required) {
@@ -131,7 +131,7 @@
   const toml_table* table_;
   std::string name_;
   findings* problems_;
-  std::set<std::string, std::less<>> known_;  // every key that was read
+  std::set<std::string, std::less<>> read_keys_;  // every key that was read
 };
 
 }  // namespace arbutus
--- a/tests/core/activation_test.cpp
+++ b/tests/core/activation_test.cpp
@@ -24,7 +24,7 @@
   p.id = r;
   p.members = {vm_id{"a"}, vm_id{"b"}};
   p.standbys = {vm_id{"s"}, vm_id{"t"}};
-  p.gen = {.row = 3, .step = 0, .lost = 0};
+  p.fencing_generation = {.row = 3, .step = 0, .lost = 0};
   a.replicas = {p};
   return a;
 }
@@ -44,16 +44,16 @@
   }
   activation_context context(bool allowed = true) {
     return {.row = row_,
-            .live = nodes,
-            .lost = [this](const vm_id& vm) { return lost_.contains(vm); },
+            .live_nodes = nodes,
+            .is_lost = [this](const vm_id& vm) { return lost_.contains(vm); },
             .superseding_mask = [this](const replica_plan&) { return superseding_mask_; },
-            .allowed = allowed};
+            .activation_allowed = allowed};
   }
   [[nodiscard]] const replica_plan& plan() const { return row_.replicas.front(); }
 
   assignment row_ = make_row();
   std::set<vm_id> lost_;
-  std::optional<lost_mask> superseding_mask_;
+  std::optional<lost_vm_mask> superseding_mask_;
   activation first_{ranked(0)};
   time_point now_{1s};
 };
@@ -62,22 +62,22 @@
   EXPECT_THAT(first_.tick(now_, context()), IsEmpty());
   lost_ = {vm_id{"b"}};
   EXPECT_THAT(first_.tick(now_, context()), ElementsAre(r));
-  const composition c = first_.in_force(plan());
-  EXPECT_EQ(c.gen, (generation{7, 1, 0b0010}));
+  const composition c = first_.composition_in_force(plan());
+  EXPECT_EQ(c.fencing_generation, (generation{7, 1, 0b0010}));
   EXPECT_THAT(c.members, ElementsAre(vm_id{"a"}, vm_id{"s"}));
 }
 
 TEST_F(standby_activation, skips_standbys_that_are_lost_too) {
   lost_ = {vm_id{"b"}, vm_id{"s"}};
   EXPECT_THAT(first_.tick(now_, context()), ElementsAre(r));
-  EXPECT_EQ(first_.in_force(plan()).gen, (generation{7, 2, 0b0110}));
-  EXPECT_THAT(first_.in_force(plan()).members, ElementsAre(vm_id{"a"}, vm_id{"t"}));
+  EXPECT_EQ(first_.composition_in_force(plan()).fencing_generation, (generation{7, 2, 0b0110}));
+  EXPECT_THAT(first_.composition_in_force(plan()).members, ElementsAre(vm_id{"a"}, vm_id{"t"}));
 }
 
 TEST_F(standby_activation, does_nothing_when_standbys_do_not_suffice) {
   lost_ = {vm_id{"a"}, vm_id{"b"}, vm_id{"t"}};
   EXPECT_THAT(first_.tick(now_, context()), IsEmpty());
-  EXPECT_EQ(first_.in_force(plan()), planned(plan()));
+  EXPECT_EQ(first_.composition_in_force(plan()), planned_composition(plan()));
 }
 
 TEST_F(standby_activation, does_nothing_while_the_table_can_be_written) {
@@ -103,14 +103,14 @@
   EXPECT_FALSE(first_.adopt(row_, r, {6, 2, 0b0011})) << "of an older row";
   EXPECT_FALSE(first_.adopt(row_, r, {7, 2, 0b0111})) << "step and mask differ";
   EXPECT_TRUE(first_.adopt(row_, r, {7, 2, 0b0011}));
-  EXPECT_THAT(first_.in_force(plan()).members, ElementsAre(vm_id{"s"}, vm_id{"t"}));
+  EXPECT_THAT(first_.composition_in_force(plan()).members, ElementsAre(vm_id{"s"}, vm_id{"t"}));
 }
 
 TEST_F(standby_activation, adds_own_losses_to_what_it_follows) {
   EXPECT_TRUE(first_.adopt(row_, r, {7, 1, 0b0001}));
   lost_ = {vm_id{"b"}};  // VM "a" has returned meanwhile
   EXPECT_THAT(first_.tick(now_, context()), ElementsAre(r));
-  EXPECT_EQ(first_.in_force(plan()).gen, (generation{7, 2, 0b0011}));
+  EXPECT_EQ(first_.composition_in_force(plan()).fencing_generation, (generation{7, 2, 0b0011}));
 }
 
 TEST_F(standby_activation, a_new_row_discards_activations) {
@@ -118,7 +118,7 @@
   EXPECT_THAT(first_.tick(now_, context()), ElementsAre(r));
   row_.version = 8;
   first_.rebase(row_);
-  EXPECT_EQ(first_.in_force(plan()), planned(plan()));
+  EXPECT_EQ(first_.composition_in_force(plan()), planned_composition(plan()));
   EXPECT_FALSE(first_.adopt(row_, r, {7, 1, 0b0010}));
 }
 
@@ -127,7 +127,7 @@
 TEST_F(standby_activation, supersedes_an_activation_of_an_older_row) {
   superseding_mask_ = 0b0010;
   EXPECT_THAT(first_.tick(now_, context()), ElementsAre(r));
-  EXPECT_EQ(first_.in_force(plan()).gen, (generation{7, 1, 0b0010}));
+  EXPECT_EQ(first_.composition_in_force(plan()).fencing_generation, (generation{7, 1, 0b0010}));
 }
 
 TEST_F(standby_activation, leaves_draining_replicas_alone) {
--- a/tests/core/assignment_test.cpp
+++ b/tests/core/assignment_test.cpp
@@ -23,7 +23,7 @@
   for (std::size_t i = 0; i < standbys; ++i) {
     r.standbys.emplace_back(name + "-s" + std::to_string(i));
   }
-  r.gen = {3, 0, 0};
+  r.fencing_generation = {3, 0, 0};
   return r;
 }
 
@@ -36,7 +36,7 @@
   a.replicas = {make_replica("r1", 3, 2), make_replica("r2", 16, 0)};
   a.replicas[0].phase = replica_phase::draining;
   a.replicas[0].crosses_fabric_domains = true;
-  a.replicas[1].gen = {6, 2, 0x80000001U};
+  a.replicas[1].fencing_generation = {6, 2, 0x80000001U};
   a.withdrawals = {{vm_id{"w1"}, replica_id{"r2"}, 7}};
   return a;
 }
@@ -66,13 +66,13 @@
   const replica_plan r = make_replica("r", 3, 2);
   const auto c = activate(r, 5, 0b01010);  // member 1 and standby 0 are lost
   ASSERT_TRUE(c);
-  EXPECT_EQ(c->gen, (generation{5, 2, 0b01010}));
+  EXPECT_EQ(c->fencing_generation, (generation{5, 2, 0b01010}));
   EXPECT_EQ(c->members, (std::vector{r.members[0], r.standbys[1], r.members[2]}));
 }
 
 TEST(activate, nothing_lost_is_the_planned_composition) {
   const replica_plan r = make_replica("r", 3, 2);
-  EXPECT_EQ(activate(r, 5, 0), planned(r));
+  EXPECT_EQ(activate(r, 5, 0), planned_composition(r));
 }
 
 TEST(activate, refuses_what_it_cannot_do) {
@@ -92,14 +92,14 @@
   for (const std::size_t standbys : {0U, 1U, 3U}) {
     const replica_plan r = make_replica("r", 4, standbys);
     std::map<generation, std::vector<vm_id>> seen;
-    for (lost_mask lost = 0; lost < (1U << (4 + standbys)); ++lost) {
+    for (lost_vm_mask lost = 0; lost < (1U << (4 + standbys)); ++lost) {
       const auto c = activate(r, 9, lost);
       if (!c) {
         continue;
       }
       EXPECT_EQ(c, activate(r, 9, lost));
-      EXPECT_TRUE(seen.emplace(c->gen, c->members).second) << "token used twice";
-      EXPECT_EQ(c->gen.step, static_cast<std::uint32_t>(std::popcount(lost)));
+      EXPECT_TRUE(seen.emplace(c->fencing_generation, c->members).second) << "token used twice";
+      EXPECT_EQ(c->fencing_generation.step, static_cast<std::uint32_t>(std::popcount(lost)));
       for (std::size_t i = 0; i < 4; ++i) {
         const bool kept = (lost >> i & 1U) == 0;
         EXPECT_EQ(kept, c->members[i] == r.members[i]);
@@ -142,8 +142,8 @@
   };
   EXPECT_TRUE(broken([](assignment& a) { a.replicas[1].id = a.replicas[0].id; }));
   EXPECT_TRUE(broken([](assignment& a) { a.replicas[0].members.clear(); }));
-  EXPECT_TRUE(broken([](assignment& a) { a.replicas[0].gen.row = a.version + 1; }));
-  EXPECT_TRUE(broken([](assignment& a) { a.replicas[1].gen.step = 1; }));
+  EXPECT_TRUE(broken([](assignment& a) { a.replicas[0].fencing_generation.row = a.version + 1; }));
+  EXPECT_TRUE(broken([](assignment& a) { a.replicas[1].fencing_generation.step = 1; }));
   EXPECT_TRUE(broken([](assignment& a) { a.withdrawals[0].since = a.version + 1; }));
   EXPECT_TRUE(broken([](assignment& a) { a.replicas[0] = make_replica("r9", 16, 17); }));
   EXPECT_TRUE(broken([](assignment& a) { a.replicas[0].standbys[0] = vm_id{}; }));
--- a/tests/core/assignment_writer_test.cpp
+++ b/tests/core/assignment_writer_test.cpp
@@ -21,7 +21,7 @@
   replica_plan r;
   r.id = replica_id{"r"};
   r.members = {vm_id{"a"}};
-  r.gen = {.row = 1, .step = 0, .lost = 0};
+  r.fencing_generation = {.row = 1, .step = 0, .lost = 0};
   a.replicas = {r};
   return a;
 }
@@ -63,14 +63,14 @@
 TEST_F(assignment_writing, first_row_must_not_exist_yet) {
   tick();
   answer_read(0, std::nullopt);
-  ASSERT_TRUE(writer_.missing());
+  ASSERT_TRUE(writer_.row_missing_in_table());
   propose(row_of(1));
   const auto write = take_write();
   ASSERT_TRUE(write);
   EXPECT_EQ(write->expected, 0U);
   (void)writer_.on(now_, table_write_result{*write, table_written{1}});
   EXPECT_EQ(writer_.row().version, 1U);
-  EXPECT_EQ(writer_.counters().won, 1U);
+  EXPECT_EQ(writer_.counters().writes_won, 1U);
 }
 
 // Guards against adopting an outdated row: the node reads version 7, then the table is restored and
@@ -89,7 +89,7 @@
   ASSERT_TRUE(write);
   EXPECT_EQ(write->expected, 4U);
   const auto rewritten = std::get<assignment>(decode_assignment(write->value));
-  EXPECT_EQ(rewritten.version, 7U + row_restore_gap);
+  EXPECT_EQ(rewritten.version, 7U + row_restore_version_gap);
   EXPECT_EQ(rewritten.replicas, row_of(7).replicas);
 }
 
@@ -126,8 +126,8 @@
   EXPECT_TRUE(std::holds_alternative<table_read>(next.front()));
   EXPECT_TRUE(writer_.unwritable(now_));
   answer_read(4, std::get<assignment>(decode_assignment(write->value)));
-  EXPECT_EQ(writer_.counters().won, 1U);
-  EXPECT_EQ(writer_.counters().lost, 0U);
+  EXPECT_EQ(writer_.counters().writes_won, 1U);
+  EXPECT_EQ(writer_.counters().writes_lost, 0U);
   EXPECT_FALSE(writer_.unwritable(now_));
 }
 
@@ -139,10 +139,10 @@
   ASSERT_TRUE(write);
   (void)writer_.on(now_, table_write_result{*write, refused{"version"}});
   answer_read(4, row_of(4, "theirs"));
-  EXPECT_EQ(writer_.counters().lost, 1U);
+  EXPECT_EQ(writer_.counters().writes_lost, 1U);
   EXPECT_EQ(writer_.row().proposal, proposal_id{"theirs"});
   EXPECT_FALSE(writer_.may_propose(now_));
-  EXPECT_TRUE(writer_.may_propose(now_ + row_backoff_first));
+  EXPECT_TRUE(writer_.may_propose(now_ + row_write_backoff_first));
 }
 
 // Guards against a newly started node that plans from an outdated row: it reads version 4 while a
@@ -151,7 +151,7 @@
   tick();
   answer_read(4, row_of(4));
   writer_.note_peer_version(now_, 9);
-  EXPECT_TRUE(writer_.behind());
+  EXPECT_TRUE(writer_.newer_version_known());
   EXPECT_FALSE(writer_.may_propose(now_ + 1min));
 }
 
@@ -166,8 +166,8 @@
     answer_read(4, row_of(4));
     if (const auto write = take_write()) {
       const auto row = std::get<assignment>(decode_assignment(write->value));
-      EXPECT_EQ(row.version, 9U + row_restore_gap);
-      EXPECT_EQ(row.replicas.front().gen.row, row.version);
+      EXPECT_EQ(row.version, 9U + row_restore_version_gap);
+      EXPECT_EQ(row.replicas.front().fencing_generation.row, row.version);
       EXPECT_GE(now_, time_point{1s} + lost_content_timeout);
       return;
     }
--- a/tests/core/config_lease_test.cpp
+++ b/tests/core/config_lease_test.cpp
@@ -17,7 +17,7 @@
   // Guards against a request that runs with a key revoked more than 5 s ago. It happens if a node
   // is partitioned just after the platform confirmed its version as the newest, and the proof
   // counts from the answer or does not expire.
-  config_lease lease({.bound = 5s});
+  config_lease lease({.revocation_bound = 5s});
   lease.renew(start);
   EXPECT_TRUE(lease.valid(start + 3s));
   // The watch for configuration changes may have missed changes in the second before the query.
