--- a/tests/core/config_replica_test.cpp
+++ b/tests/core/config_replica_test.cpp
@@ -178,7 +178,7 @@
     ++head_writes;
     if (table_up) {
       r = refused{"version"};
-      if (row.row_version == w.expected_row) {
+      if (row.row_version == w.expected_row_version) {
         row = {w.head, row.row_version + 1};
         r = row.row_version;
       }
@@ -251,7 +251,7 @@
   fleet.run_for(15s);
   fleet.peer_bytes = fleet.object_bytes = 0;
   config_content patch = make_patch(content_of(1), content_of(2));
-  fleet.objects[patch_name(patch.head.hash, patch.base)] = encode_patch(patch);
+  fleet.objects[patch_object_name(patch.head.hash, patch.base_hash)] = encode_patch(patch);
   fleet.accept(2, content_of(2));
   fleet.run_for(5s);
   ASSERT_TRUE(fleet.all_have(2, content_of(2)));
@@ -275,7 +275,7 @@
   config_replica fresh(node_id{"fresh"}, 2);
   const time_point now{100s};
   const auto deliver = [&](config_replica& r, std::uint64_t version, int i) {
-    config_content c = whole_content(content_of(i));
+    config_content c = patch_without_base(content_of(i));
     c.head = head_of(version, content_of(i));
     (void)r.peer_reported(node_id{"x"}, version, c.head.hash, now);
     (void)r.peer_sent(node_id{"x"}, c, now);
@@ -300,7 +300,7 @@
   for (std::uint64_t v = 1000; v < 1020; ++v) {
     (void)r.peer_reported(liar, v, "no such content", fleet.now);
   }
-  config_content wrong = whole_content(content_of(9));
+  config_content wrong = patch_without_base(content_of(9));
   wrong.head = head_of(1019, "other");
   (void)r.peer_sent(liar, wrong, fleet.now);
   EXPECT_EQ(r.in_force().version, 1U);
@@ -387,7 +387,7 @@
   for (const bool swap : {false, true}) {
     config_replica r(node_id{"n"}, 1);
     for (const std::string& content : {swap ? two : one, swap ? one : two}) {
-      config_content c = whole_content(content);
+      config_content c = patch_without_base(content);
       c.head = head_of(6, content);
       (void)r.peer_sent(node_id{"x"}, c, time_point{100s});
     }
@@ -414,7 +414,7 @@
       EXPECT_FALSE(apply_patch(content, patch));
     }
     config_content damaged = patch;
-    damaged.prefix += 1'000'000;
+    damaged.prefix_bytes += 1'000'000;
     EXPECT_FALSE(apply_patch(base, damaged));
   }
   EXPECT_FALSE(is_ok(decode_patch("nonsense")));
@@ -429,10 +429,10 @@
   rng random{1};
   double lost = 0.0;
   std::map<std::string, int> accepted;  // how often each proposal was accepted, by proposal id
-  std::deque<write_head> late;
+  std::deque<write_config_head> late;
 
-  bool write(const write_head& w) {
-    if (row.row_version != w.expected_row) {
+  bool write(const write_config_head& w) {
+    if (row.row_version != w.expected_row_version) {
       return false;
     }
     row = {w.head, row.row_version + 1};
@@ -440,7 +440,7 @@
     return true;
   }
 
-  outcome<std::uint64_t> answer(const write_head& w) {
+  outcome<std::uint64_t> answer(const write_config_head& w) {
     const double sample = random.unit();
     if (sample < lost / 3) {
       return unknown{"lost before"};
@@ -463,9 +463,9 @@
 
 proposal_step carry(config_proposer& p, fake_table& table, const proposal_step& step) {
   return match(
-      step, [&](const put_content&) { return p.put_result(std::monostate{}); },
-      [&](const write_head& w) { return p.write_result(table.answer(w)); },
-      [&](const read_head&) { return p.read_result(table.read()); },
+      step, [&](const put_config_content&) { return p.put_result(std::monostate{}); },
+      [&](const write_config_head& w) { return p.write_result(table.answer(w)); },
+      [&](const read_config_head&) { return p.read_result(table.read()); },
       [&](const proposal_unresolved&) { return p.read_back(); },
       [&](const auto& done) { return proposal_step{done}; });
 }
@@ -507,7 +507,7 @@
   proposal_step step = mine.start();
   step = mine.read_result(table.row);
   step = mine.put_result(std::monostate{});
-  ASSERT_TRUE(table.write(std::get<write_head>(step)));
+  ASSERT_TRUE(table.write(std::get<write_config_head>(step)));
   step = mine.write_result(unknown{"reply lost"});
   config_proposer other(proposal_id{"other"}, "two", 1, 1);
   ASSERT_TRUE(std::holds_alternative<proposal_accepted>(run(other, table)));
@@ -523,8 +523,8 @@
   config_proposer q(proposal_id{"q"}, "one", 0, 0);
   (void)q.start();
   (void)q.read_result(head_row{});
-  EXPECT_TRUE(std::holds_alternative<write_head>(q.put_result(std::monostate{})));
-  EXPECT_TRUE(std::holds_alternative<read_head>(q.write_result(unknown{"down"})));
+  EXPECT_TRUE(std::holds_alternative<write_config_head>(q.put_result(std::monostate{})));
+  EXPECT_TRUE(std::holds_alternative<read_config_head>(q.write_result(unknown{"down"})));
   EXPECT_TRUE(std::holds_alternative<proposal_unresolved>(q.read_result(unknown{"down"})));
 }
 
--- a/tests/core/config_transfer_test.cpp
+++ b/tests/core/config_transfer_test.cpp
@@ -86,7 +86,7 @@
   ASSERT_TRUE(old);
   EXPECT_FALSE(receiver.receive(*old, node));
   node.add(5, text_with(1, 10));
-  EXPECT_EQ(node.newest(), 9U);
+  EXPECT_EQ(node.newest_version(), 9U);
 }
 
 // Simulates the nodes of one data centre and their hub in rounds of heartbeats, some of which are
@@ -151,9 +151,9 @@
         continue;
       }
       const auto next = distributor_.next_part_for(
-          hub_, {n.held.newest(), n.receiver.progress(), setup_.refused_by_store},
+          hub_, {n.held.newest_version(), n.receiver.progress(), setup_.refused_by_store},
           nodes_.size() + 1);
-      n.lag.row_reported(now_, hub_.newest());
+      n.lag.row_reported(now_, hub_.newest_version());
       if (next.part) {
         bytes += next.part->bytes.size();
         if (auto whole = n.receiver.receive(*next.part, n.held)) {
@@ -172,7 +172,7 @@
   }
 
   [[nodiscard]] bool all_have() const {
-    return std::ranges::all_of(nodes_, [](const node& n) { return n.held.newest() == 2; });
+    return std::ranges::all_of(nodes_, [](const node& n) { return n.held.newest_version() == 2; });
   }
 
   setup setup_;
--- a/tests/core/coordination_fixture.h
+++ b/tests/core/coordination_fixture.h
@@ -46,7 +46,7 @@
     return time_until([&] { return !cluster_->routed_anywhere(id); });
   }
   // Waits until a route is lost and then until all replicas serve again.
-  [[nodiscard]] bool recovers(duration d = test_timeout) {
+  [[nodiscard]] bool loses_route_and_recovers(duration d = test_timeout) {
     return cluster_->run_until([&] { return !all_serve(); }, 5s) && serve_within(d);
   }
   [[nodiscard]] std::uint64_t activations() {
--- a/tests/core/coordinator_drains_test.cpp
+++ b/tests/core/coordinator_drains_test.cpp
@@ -69,13 +69,13 @@
 TEST_F(coordination, drain_waits_for_every_node) {
   bring_up();
   for (const replica_plan& r : row_.replicas) {
-    cluster_->node(2).report_in_flight(r.id, r.gen, 1);
+    cluster_->node(2).report_in_flight(r.id, r.fencing_generation, 1);
   }
   cluster_->apply_rules([](rules& r) { r.models.front().placements.front().replicas = 1; });
   cluster_->run_for(20s);
   EXPECT_EQ(cluster_->row_in_table().replicas.size(), 2U);
   for (const replica_plan& r : row_.replicas) {
-    cluster_->node(2).report_in_flight(r.id, r.gen, 0);
+    cluster_->node(2).report_in_flight(r.id, r.fencing_generation, 0);
   }
   EXPECT_TRUE(cluster_->run_until([&] { return cluster_->row_in_table().replicas.size() == 1; },
                                   test_timeout));
--- a/tests/core/coordinator_members_test.cpp
+++ b/tests/core/coordinator_members_test.cpp
@@ -77,7 +77,7 @@
   for (std::size_t i = 0; i < cluster_->node_count(); ++i) {
     cluster_->cut_target(i, replaced);
   }
-  EXPECT_TRUE(recovers());
+  EXPECT_TRUE(loses_route_and_recovers());
   for (std::size_t i = 0; i < cluster_->node_count(); ++i) {
     cluster_->cut_target(i, replaced, false);
   }
@@ -141,7 +141,7 @@
   for (std::size_t i = 0; i < 4; ++i) {
     cluster_->kill(cluster_->vms()[i]);
   }
-  EXPECT_TRUE(recovers());
+  EXPECT_TRUE(loses_route_and_recovers());
 }
 
 // Guards against a repair that waits for a slow table. Each call to the table takes three seconds,
@@ -151,7 +151,7 @@
   cluster_->table.latency = 3s;
   cluster_->run_for(5s);
   cluster_->kill(row_.replicas.front().members.back());
-  EXPECT_TRUE(recovers());
+  EXPECT_TRUE(loses_route_and_recovers());
   cluster_->table.latency = 4ms;
   cluster_->run_for(10s);
   EXPECT_TRUE(all_serve());
--- a/tests/core/coordinator_nodes_test.cpp
+++ b/tests/core/coordinator_nodes_test.cpp
@@ -53,7 +53,7 @@
   cluster_->kill_node(2);
   cluster_->run_for(1s);
   cluster_->kill(row_.replicas.front().members.back());
-  EXPECT_TRUE(recovers(60s));
+  EXPECT_TRUE(loses_route_and_recovers(60s));
 }
 
 // Guards against reverting an accepted configuration. A node is cut off while new rules are
@@ -90,7 +90,7 @@
   }
   EXPECT_TRUE(serve_within(test_timeout));
   cluster_->kill(row_.replicas.front().members.back());
-  EXPECT_TRUE(recovers(90s));
+  EXPECT_TRUE(loses_route_and_recovers(90s));
 }
 
 // Guards against ordering a replaced member to form again. A node is cut off from peers and table
@@ -142,7 +142,7 @@
   }
   EXPECT_TRUE(
       cluster_->run_until([&] { return cluster_->row_in_table().version > newest; }, test_timeout));
-  EXPECT_TRUE(recovers());
+  EXPECT_TRUE(loses_route_and_recovers());
 }
 
 // Guards against outdated orders from a node that was paused right after a member died and resumes
@@ -150,7 +150,7 @@
 TEST_F(coordination, deciding_node_is_paused) {
   for (std::size_t paused = 0; paused < 3; ++paused) {
     SCOPED_TRACE(paused);
-    bring_up({.checks_tokens = false});
+    bring_up({.checks_fencing_tokens = false});
     cluster_->kill(row_.replicas.front().members.back());
     cluster_->run_for(1700ms);  // until about the time at which nodes detect the loss
     cluster_->pause_node(paused, 15s);
@@ -166,8 +166,8 @@
 class paused_order : public coordination, public ::testing::WithParamInterface<duration> {};
 
 TEST_P(paused_order, is_withheld) {
-  bring_up({.checks_tokens = false});
-  cluster_->connect_time = 50ms;
+  bring_up({.checks_fencing_tokens = false});
+  cluster_->order_connect_time = 50ms;
   const auto counters = [&](std::size_t i) {
     return cluster_->node(i).status(cluster_->now()).counters;
   };
@@ -199,7 +199,7 @@
 // old copy while all nodes are replaced; new nodes must wait for the targets' reports before they
 // act on the table.
 TEST_F(coordination, new_nodes_wait_for_reports_before_ordering) {
-  bring_up({.checks_tokens = false});
+  bring_up({.checks_fencing_tokens = false});
   const auto old_copy = cluster_->table.rows;
   cluster_->kill(row_.replicas.front().members.back());
   cluster_->run_for(15s);
--- a/tests/core/coordinator_pairs_test.cpp
+++ b/tests/core/coordinator_pairs_test.cpp
@@ -14,7 +14,7 @@
   cluster_->kill(r.members.front());
   cluster_->run_for(4s);
   cluster_->kill(r.members.back());
-  EXPECT_TRUE(recovers());
+  EXPECT_TRUE(loses_route_and_recovers());
 }
 
 // Fault: the table is down, a member dies, and the standby that replaces it dies while it loads.
@@ -27,7 +27,7 @@
   ASSERT_TRUE(cluster_->run_until(
       [&] { return !cluster_->engine(r.standbys.front()).report.replica.empty(); }, test_timeout));
   cluster_->kill(r.standbys.front());
-  EXPECT_TRUE(recovers());
+  EXPECT_TRUE(loses_route_and_recovers());
 }
 
 // Fault: a fabric domain fails while replies to writes of the table are lost and a node is paused.
@@ -62,7 +62,7 @@
 // Fault: targets ignore fencing tokens; a member dies, then each node in turn is cut off from its
 // peers.
 TEST_F(coordination, targets_without_token_check_and_partitions) {
-  bring_up({.checks_tokens = false});
+  bring_up({.checks_fencing_tokens = false});
   cluster_->kill(row_.replicas.front().members.back());
   for (std::size_t i = 0; i < cluster_->node_count(); ++i) {
     cluster_->isolate(i);
@@ -76,11 +76,11 @@
 // Fault: messages between nodes are lost throughout, and one link works in one direction only.
 TEST_F(coordination, lossy_and_one_way_links) {
   bring_up();
-  cluster_->drop = 0.05;
+  cluster_->drop_probability = 0.05;
   cluster_->cut(0, 1);
   cluster_->run_for(30s);
   cluster_->kill(row_.replicas.front().members.back());
-  EXPECT_TRUE(recovers());
+  EXPECT_TRUE(loses_route_and_recovers());
 }
 
 }  // namespace
--- a/tests/core/coordinator_random_test.cpp
+++ b/tests/core/coordinator_random_test.cpp
@@ -53,7 +53,7 @@
         }
         return;
       default:
-        w.drop = r.below(2) == 0 ? 0.0 : 0.2;
+        w.drop_probability = r.below(2) == 0 ? 0.0 : 0.2;
         return;
     }
   }
@@ -62,7 +62,7 @@
     w.table.up = true;
     w.table.latency = 4ms;
     w.table.lose_write_replies = 0;
-    w.drop = 0;
+    w.drop_probability = 0;
     for (std::size_t i = 0; i < w.node_count(); ++i) {
       w.isolate(i, false);
       w.cut_table(i, false);
@@ -86,7 +86,7 @@
   o.vms = 8;
   o.fabric_domains = 1 + r.below(2);
   o.standbys_per_replica = static_cast<std::uint32_t>(r.below(3));
-  o.checks_tokens = r.below(3) != 0;
+  o.checks_fencing_tokens = r.below(3) != 0;
   o.seed = seed;
   fake_cluster w(o);
   ASSERT_TRUE(w.run_until([&] { return w.all_serve(2); }, 30s));
--- a/tests/core/coordinator_table_test.cpp
+++ b/tests/core/coordinator_table_test.cpp
@@ -39,7 +39,7 @@
   const std::uint64_t before = cluster_->table.writes_won;
   cluster_->table.lose_write_replies = 1;
   cluster_->kill(row_.replicas.front().members.back());
-  EXPECT_TRUE(recovers());
+  EXPECT_TRUE(loses_route_and_recovers());
   cluster_->run_for(5s);
   // One write of the row is for the repair; others may follow to reserve a new standby or return a
   // withdrawn VM.
--- a/tests/core/drain_tracker_test.cpp
+++ b/tests/core/drain_tracker_test.cpp
@@ -38,13 +38,13 @@
   bool empty() {
     const drain_context context{
         .row = row_,
-        .acknowledged = acknowledged_,
+        .min_acknowledged_version = acknowledged_,
         .nodes = {peer},
-        .acknowledged_version = [this](const node_id&) { return acknowledged_; },
-        .has_requests = [this](const node_id&, const replica_id&) { return busy_; },
-        .in_force = planned,
-        .latest_observation = [this](const vm_id&) { return &seen_; },
-        .lost = [this](const vm_id&) { return lost_; },
+        .acknowledged_version_of = [this](const node_id&) { return acknowledged_; },
+        .node_has_requests = [this](const node_id&, const replica_id&) { return busy_; },
+        .composition_in_force = planned,
+        .latest_observation_of = [this](const vm_id&) { return &seen_; },
+        .is_lost = [this](const vm_id&) { return lost_; },
     };
     return tracker_.removable_replicas(now_, context).contains(r);
   }
@@ -102,13 +102,13 @@
   acknowledged_ = 5;
   const drain_context context{
       .row = row_,
-      .acknowledged = 5,
+      .min_acknowledged_version = 5,
       .nodes = {peer},
-      .acknowledged_version = [](const node_id&) { return 5U; },
-      .has_requests = [](const node_id&, const replica_id&) { return false; },
-      .in_force = planned,
-      .latest_observation = [this](const vm_id&) { return &seen_; },
-      .lost = [](const vm_id&) { return false; }};
+      .acknowledged_version_of = [](const node_id&) { return 5U; },
+      .node_has_requests = [](const node_id&, const replica_id&) { return false; },
+      .composition_in_force = planned,
+      .latest_observation_of = [this](const vm_id&) { return &seen_; },
+      .is_lost = [](const vm_id&) { return false; }};
   const auto status = tracker_.status(context);
   ASSERT_EQ(status.size(), 1U);
   EXPECT_THAT(status.front().waiting_for, ::testing::ElementsAre(peer));
--- a/tests/core/engine_wire_test.cpp
+++ b/tests/core/engine_wire_test.cpp
@@ -13,7 +13,7 @@
   r.vm = vm_id{"a"};
   r.incarnation = 18446744073709551615ULL;
   r.replica = replica_id{"r"};
-  r.gen = {3, 1, 2};
+  r.fencing_generation = {3, 1, 2};
   r.model_version = "1";
   r.state = engine_state::ready;
   r.leaving = true;
--- a/tests/core/failure_simulation_test.cpp
+++ b/tests/core/failure_simulation_test.cpp
@@ -23,7 +23,7 @@
   const failure_simulation_result b = run_failure_simulation({}, 3);
   EXPECT_EQ(a.group_downtime, b.group_downtime);
   EXPECT_EQ(a.stranded_accelerators, b.stranded_accelerators);
-  EXPECT_EQ(a.seconds_to_write, b.seconds_to_write);
+  EXPECT_EQ(a.row_write_delays_s, b.row_write_delays_s);
   EXPECT_NE(a.group_downtime, run_failure_simulation({}, 4).group_downtime);
 }
 
@@ -53,7 +53,7 @@
 TEST(failure_simulation, reserved_standbys_repair_without_the_table) {
   failure_simulation_settings s;
   s.domain_outages = 0;
-  s.table_outage = 12h;
+  s.table_outage_duration = 12h;
   s.policy = standby_policy::shared;
   const failure_simulation_result shared = sum_of_runs(s);
   s.policy = standby_policy::reserved;
--- a/tests/core/fake_cluster.cpp
+++ b/tests/core/fake_cluster.cpp
@@ -30,7 +30,7 @@
                             hall,
                             fabric_domain_id{domain},
                             1,
-                            o.checks_tokens});
+                            o.checks_fencing_tokens});
   }
   model_rule rule;
   rule.id = llm;
@@ -81,7 +81,7 @@
 // ---- time ----
 
 void fake_cluster::at(time_point t, std::function<void()> run) {
-  events_.push({std::max(t, now_), next_order_++, std::move(run)});
+  events_.push({std::max(t, now_), next_event_number_++, std::move(run)});
 }
 
 bool fake_cluster::step(time_point limit) {
@@ -120,7 +120,7 @@
   ++n.incarnation;
   n.up = true;
   n.paused = false;
-  n.waiting.clear();
+  n.held_during_pause.clear();
   n.wake_at = time_point::max();
   n.last_row_version = n.last_config_version = 0;
   n.published = {};
@@ -151,7 +151,7 @@
     // Until the resumed node processes the inputs that arrived during its pause, it still sends
     // requests by its old routes.
     check();
-    for (auto& run : std::exchange(n.waiting, {})) {
+    for (auto& run : std::exchange(n.held_during_pause, {})) {
       run();
     }
     wake(i);
@@ -163,11 +163,11 @@
   auto guarded = [this, i, incarnation, run = std::move(run)] {
     fake_node& n = nodes_[i];
     if (n.up && n.incarnation == incarnation) {
-      after_call(i, run());
+      carry_out_effects(i, run());
     }
   };
   if (nodes_[i].paused) {
-    nodes_[i].waiting.push_back(guarded);
+    nodes_[i].held_during_pause.push_back(guarded);
   } else {
     guarded();
   }
@@ -195,7 +195,7 @@
   });
 }
 
-void fake_cluster::after_call(std::size_t i, const effects& out) {
+void fake_cluster::carry_out_effects(std::size_t i, const effects& out) {
   for (const effect& e : out) {
     carry_out(i, e);
   }
--- a/tests/core/fake_cluster.h
+++ b/tests/core/fake_cluster.h
@@ -28,7 +28,7 @@
   std::uint32_t replicas = 2;
   std::uint32_t standbys_per_replica = 1;
   std::uint32_t spare_vms = 0;
-  bool checks_tokens = true;
+  bool checks_fencing_tokens = true;
   duration load_time = 3s;
   std::uint64_t seed = 1;
 };
@@ -38,10 +38,11 @@
   engine_report report;
   bool up = true;  // false: the VM is powered off, and calls to it time out
   bool paused = false;
-  time_point ready_at{};                       // when a loading engine becomes ready
-  time_point changed_at{};                     // last change of the replica that the engine serves
-  std::vector<std::function<void()>> waiting;  // calls that arrived while the engine was paused
-  std::vector<vm_id> members;                  // members of the replica, as named in the last order
+  time_point ready_at{};            // when a loading engine becomes ready
+  time_point serving_changed_at{};  // last change of the replica that the engine serves
+  std::vector<std::function<void()>>
+      held_during_pause;       // calls that arrived while the engine was paused
+  std::vector<vm_id> members;  // members of the replica, as named in the last order
 };
 
 struct fake_table {
@@ -84,7 +85,7 @@
   void restart(const vm_id& vm);  // replaces the VM's engine process immediately
   void pause(const vm_id& vm, duration d);
   // A connection over which node `i` sends requests to the VM breaks.
-  void connection_error(std::size_t i, const vm_id& vm) { feed(i, target_error{vm}); }
+  void connection_error(std::size_t i, const vm_id& vm) { feed(i, target_connection_error{vm}); }
   void set_leaving(const vm_id& vm) { engine(vm).report.leaving = true; }
   void kill_node(std::size_t i);
   void start_node(std::size_t i);  // starts the node as a new process without state
@@ -98,9 +99,9 @@
   void cut_targets(std::size_t i, bool on = true);
   void apply_rules(const std::function<void(rules&)>& change);
   fake_table table;
-  double drop = 0;  // share of node-to-node messages that are lost
+  double drop_probability = 0;  // share of node-to-node messages that are lost
   // Time to connect to a target before the bytes of an order can be sent.
-  duration connect_time = 2ms;
+  duration order_connect_time = 2ms;
   std::uint64_t stale_orders_obeyed = 0;  // older orders obeyed by targets that ignore tokens
   std::vector<vm_list_entry> vm_list;
   std::vector<std::string> violations;
@@ -112,7 +113,8 @@
     std::uint64_t incarnation = 1;
     bool up = true;
     bool paused = false;
-    std::vector<std::function<void()>> waiting;  // inputs that arrived during a pause of the node
+    std::vector<std::function<void()>>
+        held_during_pause;  // inputs that arrived during a pause of the node
     time_point wake_at = time_point::max();
     routing_snapshot published;
     std::uint64_t last_row_version{};
@@ -132,7 +134,7 @@
   // replaced meanwhile.
   void deliver(std::size_t i, std::function<effects()> run);
   void feed(std::size_t i, input in);
-  void after_call(std::size_t i, const effects& out);
+  void carry_out_effects(std::size_t i, const effects& out);
   void wake(std::size_t i);
   void carry_out(std::size_t i, const effect& e);
   // Simulates a call of node `i` to the table. `work` runs at the table and returns the answer. If
@@ -159,14 +161,14 @@
   cluster_options options_;
   rng random_;
   time_point now_{1s};
-  std::uint64_t next_order_{};
+  std::uint64_t next_event_number_{};
   std::priority_queue<event, std::vector<event>, std::greater<>> events_;
   configuration config_;
   std::vector<fake_node> nodes_;
   std::map<vm_id, fake_engine> engines_;
-  std::set<std::pair<std::size_t, std::size_t>> cuts_;
-  std::set<std::size_t> table_cuts_;
-  std::set<std::pair<std::size_t, vm_id>> target_cuts_;
+  std::set<std::pair<std::size_t, std::size_t>> cut_node_links_;
+  std::set<std::size_t> nodes_cut_from_table_;
+  std::set<std::pair<std::size_t, vm_id>> cut_target_links_;
   std::vector<std::string> notices_;
 };
 
--- a/tests/core/fake_cluster_checks.cpp
+++ b/tests/core/fake_cluster_checks.cpp
@@ -26,7 +26,7 @@
 
 void fake_cluster::kill(const vm_id& vm) {
   engine(vm).up = false;
-  engine(vm).changed_at = now_;
+  engine(vm).serving_changed_at = now_;
 }
 
 void fake_cluster::restart(const vm_id& vm) {
@@ -37,9 +37,9 @@
   e.report.incarnation = incarnation;
   e.report.slots = 8;
   e.members.clear();
-  e.waiting.clear();
+  e.held_during_pause.clear();
   e.paused = false;
-  e.changed_at = now_;
+  e.serving_changed_at = now_;
 }
 
 void fake_cluster::start(const vm_id& vm) {
@@ -49,7 +49,7 @@
 
 void fake_cluster::pause(const vm_id& vm, duration d) {
   engine(vm).paused = true;
-  engine(vm).changed_at = now_;
+  engine(vm).serving_changed_at = now_;
   const auto incarnation = engine(vm).report.incarnation;
   at(now_ + d, [this, vm, incarnation] {
     fake_engine& e = engine(vm);
@@ -57,7 +57,7 @@
       return;
     }
     e.paused = false;
-    for (auto& work : std::exchange(e.waiting, {})) {
+    for (auto& work : std::exchange(e.held_during_pause, {})) {
       work();
     }
   });
@@ -67,9 +67,9 @@
 
 void fake_cluster::cut(std::size_t a, std::size_t b, bool on) {
   if (on) {
-    cuts_.insert({a, b});
+    cut_node_links_.insert({a, b});
   } else {
-    cuts_.erase({a, b});
+    cut_node_links_.erase({a, b});
   }
 }
 
@@ -82,17 +82,17 @@
 
 void fake_cluster::cut_table(std::size_t i, bool on) {
   if (on) {
-    table_cuts_.insert(i);
+    nodes_cut_from_table_.insert(i);
   } else {
-    table_cuts_.erase(i);
+    nodes_cut_from_table_.erase(i);
   }
 }
 
 void fake_cluster::cut_target(std::size_t i, const vm_id& vm, bool on) {
   if (on) {
-    target_cuts_.insert({i, vm});
+    cut_target_links_.insert({i, vm});
   } else {
-    target_cuts_.erase({i, vm});
+    cut_target_links_.erase({i, vm});
   }
 }
 
@@ -180,8 +180,9 @@
   for (const replica_route& r : usable_routes(i)) {
     for (const vm_id& vm : r.members) {
       const fake_engine& e = engines_.at(vm);
-      const bool matches = e.up && !e.paused && e.report.replica == r.id && e.report.gen == r.gen;
-      if (!matches && now_ > e.changed_at + permission_validity + route_expiry_slack) {
+      const bool matches = e.up && !e.paused && e.report.replica == r.id &&
+                           e.report.fencing_generation == r.fencing_generation;
+      if (!matches && now_ > e.serving_changed_at + permission_validity + route_expiry_slack) {
         record_violation("node " + text(nodes_[i].id) + " routes to " + text(r.id) + " without " +
                          text(vm));
       }
--- a/tests/core/fake_cluster_io.cpp
+++ b/tests/core/fake_cluster_io.cpp
@@ -59,7 +59,7 @@
   const auto give_up = [this, i, deadline, timeout_result] {
     at(deadline, [=, this] { feed(i, timeout_result); });
   };
-  if (!table.up || table_cuts_.contains(i)) {
+  if (!table.up || nodes_cut_from_table_.contains(i)) {
     give_up();
     return;
   }
@@ -116,7 +116,7 @@
 
 void fake_cluster::do_send(std::size_t i, const peer_send& s) {
   for (std::size_t to = 0; to < nodes_.size(); ++to) {
-    const bool lost = cuts_.contains({i, to}) || random_.unit() < drop;
+    const bool lost = cut_node_links_.contains({i, to}) || random_.unit() < drop_probability;
     if (nodes_[to].id == s.to && !lost) {
       const peer_message m{nodes_[i].id, s.bytes};
       at(now_ + network_delay, [this, to, m] { feed(to, m); });
@@ -154,10 +154,11 @@
         },
         order_result{o, unknown{"timeout"}});
   };
-  at(now_ + connect_time, [=, this] {
+  at(now_ + order_connect_time, [=, this] {
     fake_node& n = nodes_[i];
     if (n.paused && n.incarnation == incarnation) {
-      n.waiting.insert(n.waiting.begin(), send);  // the paused node continues with this send
+      n.held_during_pause.insert(n.held_during_pause.begin(),
+                                 send);  // the paused node continues with this send
     } else {
       send();
     }
@@ -171,7 +172,7 @@
   const auto give_up = [this, i, deadline, timeout_result] {
     at(deadline, [=, this] { feed(i, timeout_result); });
   };
-  if (!e.up || target_cuts_.contains({i, vm})) {
+  if (!e.up || cut_target_links_.contains({i, vm})) {
     give_up();
     return;
   }
@@ -194,7 +195,7 @@
   at(now_ + network_delay, [=, this] {
     fake_engine& target = engines_.at(vm);
     if (target.paused) {
-      target.waiting.push_back(arrive);  // waits in the target's socket buffer
+      target.held_during_pause.push_back(arrive);  // waits in the target's socket buffer
     } else {
       arrive();
     }
@@ -214,13 +215,16 @@
   if (o.expected_incarnation != 0 && o.expected_incarnation != r.incarnation) {
     return refused{"another process"};
   }
-  const bool same = r.replica == o.target.replica && r.gen == o.target.gen;
+  const bool same =
+      r.replica == o.target.replica && r.fencing_generation == o.target.fencing_generation;
   const bool other_members = same && !e.members.empty() && e.members != o.target.members;
-  const bool stale = o.target.gen < r.gen || (o.target.gen == r.gen && !same && !r.replica.empty());
-  if (e.record.checks_tokens && (stale || (o.kind == order_kind::form && other_members))) {
+  const bool stale =
+      o.target.fencing_generation < r.fencing_generation ||
+      (o.target.fencing_generation == r.fencing_generation && !same && !r.replica.empty());
+  if (e.record.checks_fencing_tokens && (stale || (o.kind == order_kind::form && other_members))) {
     return refused{"old token"};
   }
-  stale_orders_obeyed += o.target.gen < r.gen ? 1 : 0;
+  stale_orders_obeyed += o.target.fencing_generation < r.fencing_generation ? 1 : 0;
   const bool loaded = r.state == engine_state::loading || r.state == engine_state::ready;
   if (o.kind == order_kind::drain) {
     r.state = same && loaded ? engine_state::draining : r.state;
@@ -232,8 +236,8 @@
   if (r.running > 0 && r.state == engine_state::draining) {
     record_violation("VM " + text(r.vm) + " is stopped while it runs requests");
   }
-  r.gen = o.target.gen;
-  e.changed_at = now_;
+  r.fencing_generation = o.target.fencing_generation;
+  e.serving_changed_at = now_;
   const bool form = o.kind == order_kind::form;
   r.replica = form ? o.target.replica : replica_id{};
   r.state = form ? engine_state::loading : engine_state::idle;
--- a/tests/core/fake_data_centre.h
+++ b/tests/core/fake_data_centre.h
@@ -26,7 +26,7 @@
 struct fake_node {
   node_id id;
   std::unique_ptr<membership> peers;
-  std::unique_ptr<observation_table> seen;
+  std::unique_ptr<observation_table> observations;
   bool up = true;
   bool paused = false;
   std::uint64_t row = 0;  // assignment version that the node knows
@@ -66,8 +66,8 @@
     n.peers = std::make_unique<membership>(id, ++incarnations_ * 7919, random_(), now, timing);
     n.peers->set_nodes(ids_, now);
     n.peers->set_targets(vms_);
-    n.seen = std::make_unique<observation_table>(id, timing);
-    n.seen->set_targets(vms_);
+    n.observations = std::make_unique<observation_table>(id, timing);
+    n.observations->set_targets(vms_);
   }
 
   fake_node& node(std::size_t i) { return nodes_.at(ids_.at(i)); }
@@ -78,18 +78,18 @@
 
   void record_report(const vm_id& id) { target(id).history.emplace_back(now, target(id).report); }
 
-  void cut(const node_id& from, const node_id& to) { cut_.insert({from, to}); }
+  void cut(const node_id& from, const node_id& to) { cut_links_.insert({from, to}); }
   void cut_both(const node_id& a, const node_id& b) {
     cut(a, b);
     cut(b, a);
   }
-  void restore_links() { cut_.clear(); }
+  void restore_links() { cut_links_.clear(); }
   void restore_links(const node_id& a, const node_id& b) {
-    cut_.erase({a, b});
-    cut_.erase({b, a});
+    cut_links_.erase({a, b});
+    cut_links_.erase({b, a});
   }
-  void cut_target(const node_id& from, const vm_id& vm) { cut_targets_.insert({from, vm}); }
-  void restore_target_links() { cut_targets_.clear(); }
+  void cut_target(const node_id& from, const vm_id& vm) { cut_probe_links_.insert({from, vm}); }
+  void restore_target_links() { cut_probe_links_.clear(); }
 
   void run_for(duration d) {
     const time_point end = now + d;
@@ -114,8 +114,8 @@
   duration step = 20ms;
   duration delay = 1ms;
   duration jitter{};  // maximum random addition to `delay`; reorders messages
-  double drop = 0.0;
-  double repeat = 0.0;
+  double drop_probability = 0.0;
+  double repeat_probability = 0.0;
   duration probe_timeout = 500ms;
   std::size_t bytes = 0;  // total size of all messages sent between nodes
   std::size_t messages = 0;
@@ -144,22 +144,22 @@
 
   void act(fake_node& n) {
     if (n.peers->tick(now) > duration::zero()) {
-      n.seen->on_resumed(now);
+      n.observations->on_resumed(now);
     }
     read_row(n);
-    n.seen->set_own_targets(n.peers->own_targets(now), now);
-    for (const vm_id& vm : n.seen->next_probes(now)) {
+    n.observations->set_own_targets(n.peers->own_targets(now), now);
+    for (const vm_id& vm : n.observations->next_probes(now)) {
       ++n.probes;
       probe(n.id, vm);
     }
-    for (const node_id& peer : n.peers->due(now)) {
-      heartbeat heartbeat_message = n.peers->prepare(peer, now);
+    for (const node_id& peer : n.peers->due_peers(now)) {
+      heartbeat heartbeat_message = n.peers->prepare_heartbeat(peer, now);
       heartbeat_message.assignment_version = n.row;
       heartbeat_message.table_reachable = n.can_read_table;
-      n.seen->append_deltas(heartbeat_message, peer, n.peers->echoed(peer), now);
+      n.observations->append_deltas(heartbeat_message, peer, n.peers->echoed(peer), now);
       send(n.id, peer, heartbeat_message);
     }
-    for (const condition_change& change : n.seen->take_changes(now)) {
+    for (const condition_change& change : n.observations->take_changes(now)) {
       n.changes.push_back(change);
     }
   }
@@ -169,7 +169,7 @@
   void read_row(fake_node& n) {
     if (n.can_read_table) {
       n.row = table_row;
-      n.peers->row_read();
+      n.peers->on_row_read();
     }
     for (const node_id& peer : n.peers->live_peers(now)) {
       const peer_status* last_status = n.peers->last_status(peer);
@@ -181,11 +181,13 @@
   }
 
   void probe(const node_id& from, const vm_id& vm) {
-    const bool reached = targets_.at(vm).up && !cut_targets_.contains({from, vm});
+    const bool reached = targets_.at(vm).up && !cut_probe_links_.contains({from, vm});
     if (reached) {
-      responses_.push_back({now + 2 * delay, from, {vm, now, targets_.at(vm).report}});
+      probe_responses_in_transit_.push_back(
+          {now + 2 * delay, from, {vm, now, targets_.at(vm).report}});
     } else {
-      responses_.push_back({now + probe_timeout, from, {vm, now, unknown{"timeout"}}});
+      probe_responses_in_transit_.push_back(
+          {now + probe_timeout, from, {vm, now, unknown{"timeout"}}});
     }
   }
 
@@ -193,28 +195,28 @@
     const std::string encoded = encode(m);
     bytes += encoded.size();
     ++messages;
-    if (cut_.contains({from, to}) || random_.unit() < drop) {
+    if (cut_links_.contains({from, to}) || random_.unit() < drop_probability) {
       return;
     }
-    const std::size_t copies = random_.unit() < repeat ? 2 : 1;
+    const std::size_t copies = random_.unit() < repeat_probability ? 2 : 1;
     for (std::size_t i = 0; i < copies; ++i) {
-      in_transit_.push_back({now + delay + random_.jitter(jitter), from, to, encoded});
+      messages_in_transit_.push_back({now + delay + random_.jitter(jitter), from, to, encoded});
     }
   }
 
   // Messages and probe results for a paused node stay in its buffers.
   void deliver() {
     std::deque<message> in_transit;
-    in_transit.swap(in_transit_);
+    in_transit.swap(messages_in_transit_);
     for (message& m : in_transit) {
       if (m.at <= now && !nodes_.at(m.to).paused) {
         receive(m);
       } else {
-        in_transit_.push_back(std::move(m));
+        messages_in_transit_.push_back(std::move(m));
       }
     }
     std::deque<probe_response> responses;
-    responses.swap(responses_);
+    responses.swap(probe_responses_in_transit_);
     for (probe_response& a : responses) {
       if (a.at <= now && !nodes_.at(a.to).paused) {
         on_probe_response(a);
@@ -222,17 +224,17 @@
         if (nodes_.at(a.to).paused) {
           a.result.result = unknown{"timed out when it continues"};
         }
-        responses_.push_back(std::move(a));
+        probe_responses_in_transit_.push_back(std::move(a));
       }
     }
   }
 
   void on_probe_response(const probe_response& a) {
     fake_node& n = nodes_.at(a.to);
-    if (!n.up || !n.seen->on_probe_result(a.result, now)) {
+    if (!n.up || !n.observations->on_probe_result(a.result, now)) {
       return;
     }
-    const auto failure = n.seen->failure_of(a.result.vm, now);
+    const auto failure = n.observations->failure_of(a.result.vm, now);
     if (!failure) {
       return;
     }
@@ -250,11 +252,11 @@
     const auto* content = std::get_if<gossip_message>(&decoded);
     if (const auto* heartbeat_message = std::get_if<heartbeat>(content)) {
       if (const auto h = n.peers->receive(*heartbeat_message, n.row, now)) {
-        n.seen->merge(*heartbeat_message, *h, now);
+        n.observations->merge(*heartbeat_message, *h, now);
       }
     } else if (const auto* notice = std::get_if<lost_notice>(content)) {
       if (const auto h = n.peers->receive(m.from, notice->stamp, now)) {
-        n.seen->merge(m.from, *notice, *h, now);
+        n.observations->merge(m.from, *notice, *h, now);
       }
     }
   }
@@ -265,10 +267,10 @@
   std::vector<vm_id> vms_;
   std::map<node_id, fake_node> nodes_;
   std::map<vm_id, fake_target> targets_;
-  std::set<std::pair<node_id, node_id>> cut_;
-  std::set<std::pair<node_id, vm_id>> cut_targets_;
-  std::deque<message> in_transit_;
-  std::deque<probe_response> responses_;
+  std::set<std::pair<node_id, node_id>> cut_links_;
+  std::set<std::pair<node_id, vm_id>> cut_probe_links_;
+  std::deque<message> messages_in_transit_;
+  std::deque<probe_response> probe_responses_in_transit_;
 };
 
 }  // namespace arbutus::test
--- a/tests/core/gossip_test.cpp
+++ b/tests/core/gossip_test.cpp
@@ -14,7 +14,7 @@
   r.vm = vm_id{"vm" + std::to_string(i)};
   r.incarnation = 0x12345678U + static_cast<unsigned>(i);
   r.replica = replica_id{"dispatch-llm-3"};
-  r.gen = {41, 2, 5};
+  r.fencing_generation = {41, 2, 5};
   r.model_version = "2026-03";
   r.state = engine_state::ready;
   r.slots = 16;
@@ -45,7 +45,7 @@
   h.failures.push_back({vm_id{"vm9"}, 400ms, 77, 2});
   h.activations.push_back({replica_id{"r"}, {9, 1, 1}, {vm_id{"a"}, vm_id{"b"}}});
   h.usage.push_back({workspace_id{"odtok"}, 12.25});
-  h.in_use.push_back(replica_id{"dispatch-llm/1"});
+  h.draining_replicas_in_use.push_back(replica_id{"dispatch-llm/1"});
   return h;
 }
 
@@ -79,11 +79,11 @@
 
 TEST(Gossip, RoundingNeverMakesAnythingFresher) {
   heartbeat h = idle_heartbeat();
-  h.stamp.echo_held = 411'999us;
+  h.stamp.echo_hold_time = 411'999us;
   h.observations.push_back({1, 801'001us, std::nullopt, std::nullopt});
   h.observations.push_back({2, -5s, std::nullopt, std::nullopt});
   const auto back = std::get<heartbeat>(decoded(encode(h)));
-  EXPECT_LE(back.stamp.echo_held, h.stamp.echo_held);
+  EXPECT_LE(back.stamp.echo_hold_time, h.stamp.echo_hold_time);
   EXPECT_GE(back.observations.at(0).age, h.observations.at(0).age);
   EXPECT_LE(back.observations.at(0).age, 810ms);
   EXPECT_EQ(back.observations.at(1).age, duration::zero());
@@ -95,11 +95,11 @@
   r.kv_used = 0.456;
   r.tokens_per_second = 33.0;
   engine_report shown = report(1);
-  apply(quantise(r), shown);
+  apply(quantise_load(r), shown);
   EXPECT_EQ(shown.running, 255U);
   EXPECT_NEAR(shown.kv_used, 0.456, 0.005);
   EXPECT_NEAR(shown.tokens_per_second, 33.0, 33.0 * 0.045);
-  EXPECT_EQ(quantise(shown), quantise(r));
+  EXPECT_EQ(quantise_load(shown), quantise_load(r));
 }
 
 // Guards against heartbeats that exceed the limit on control traffic, of which they are nearly all.
--- a/tests/core/hosted_values_test.cpp
+++ b/tests/core/hosted_values_test.cpp
@@ -32,9 +32,9 @@
   // the head still accepts requests but sends nothing. The engine's own report is not enough.
   stall_monitor monitor;
   const target_id head{"h"};
-  monitor.sent(start, head, streams_model, 100ms);
-  monitor.first_event(head, 100ms, 100ms);
-  monitor.event(start + 100ms, head, 50ms);
+  monitor.on_stream_sent(start, head, streams_model, 100ms);
+  monitor.on_first_event(head, 100ms, 100ms);
+  monitor.on_event(start + 100ms, head, 50ms);
   EXPECT_TRUE(monitor.stalled(start + 250ms).empty());
   EXPECT_EQ(monitor.stalled(start + 300ms), std::vector<target_id>{head});
 }
@@ -42,21 +42,21 @@
 TEST(StallMonitor, ExpectedLongGapIsNoStall) {
   stall_monitor monitor;
   const target_id head{"h"};
-  monitor.sent(start, head, streams_model, 100ms);
-  monitor.first_event(head, 100ms, 100ms);
-  monitor.event(start + 100ms, head, 350ms);
+  monitor.on_stream_sent(start, head, streams_model, 100ms);
+  monitor.on_first_event(head, 100ms, 100ms);
+  monitor.on_event(start + 100ms, head, 350ms);
   EXPECT_TRUE(monitor.stalled(start + 500ms).empty());
 }
 
 TEST(StallMonitor, HealthyReplicaIsNotRecheckedImmediately) {
   stall_monitor monitor;
   const target_id head{"h"};
-  monitor.sent(start, head, streams_model, 10ms);
+  monitor.on_stream_sent(start, head, streams_model, 10ms);
   EXPECT_EQ(monitor.stalled(start + 1s).size(), 1U);
   monitor.found_healthy(start + 1s, head);
   EXPECT_TRUE(monitor.stalled(start + 1200ms).empty());
   EXPECT_EQ(monitor.stalled(start + 2s).size(), 1U);
-  monitor.ended(start + 2s, head, false);
+  monitor.on_stream_ended(start + 2s, head, false);
   EXPECT_TRUE(monitor.stalled(start + 3s).empty());
 }
 
@@ -66,12 +66,12 @@
   // not enough.
   stall_monitor monitor;
   const target_id head{"h"};
-  monitor.sent(start, head, streams_model, 100ms);
-  monitor.first_event(head, 100ms, 100ms);
+  monitor.on_stream_sent(start, head, streams_model, 100ms);
+  monitor.on_first_event(head, 100ms, 100ms);
   int alarms = 0;
   time_point now = start;
   for (int event = 0; event < 100; ++event) {
-    monitor.event(now, head, 60ms);
+    monitor.on_event(now, head, 60ms);
     for (int tick = 0; tick < 12; ++tick) {
       now += 20ms;
       if (!monitor.stalled(now).empty()) {
@@ -96,15 +96,15 @@
   for (int i = 0; i < 20; ++i) {
     const target_id head{"h" + std::to_string(i % 5)};
     const time_point sent = start + i * 1s;
-    monitor.sent(sent, head, streams_model, 100ms);
+    monitor.on_stream_sent(sent, head, streams_model, 100ms);
     for (duration waited = 0ms; waited < 550ms; waited += 20ms) {
       if (!monitor.stalled(sent + waited).empty()) {
         ++alarms;
         monitor.found_healthy(sent + waited, head);
       }
     }
-    monitor.first_event(head, 550ms, 100ms);
-    monitor.ended(sent + 600ms, head, true);
+    monitor.on_first_event(head, 550ms, 100ms);
+    monitor.on_stream_ended(sent + 600ms, head, true);
   }
   EXPECT_LE(alarms, 1);
 }
@@ -112,7 +112,7 @@
 TEST(StallMonitor, RechecksBackOffExponentially) {
   stall_monitor monitor;
   const target_id head{"h"};
-  monitor.sent(start, head, streams_model, 50ms);
+  monitor.on_stream_sent(start, head, streams_model, 50ms);
   int alarms = 0;
   for (time_point now = start; now < start + 4s; now += 20ms) {
     if (!monitor.stalled(now).empty()) {
@@ -140,7 +140,7 @@
   suspected.store_report(start + 200ms, hub, true, {});
   EXPECT_FALSE(suspected.contains(start + 200ms, target_id{"y"}));
   // A report of lost targets that is not repeated expires, as when the reporting peer has ended.
-  EXPECT_FALSE(suspected.contains(start + lost_target_reports::retention, target_id{"x"}));
+  EXPECT_FALSE(suspected.contains(start + lost_target_reports::report_retention, target_id{"x"}));
 }
 
 // ---- limits on the volume of the log ----
@@ -208,7 +208,7 @@
   const std::vector<service_instance> two = {instance("bad"), instance("good")};
   for (int i = 0; i < 3; ++i) {
     table.sent(two[0].id);
-    table.ended(start, two[0].id, call_end::failed);
+    table.ended(start, two[0].id, instance_call_outcome::failed);
   }
   for (int i = 0; i < 8; ++i) {
     EXPECT_EQ(table.choose(start, two, data_centre_id{"a"}, {}), std::size_t{1});
@@ -252,8 +252,8 @@
   double large = 0;
   double small = 0;
   for (const auto& domain : layout) {
-    large += replicas_after_losses(domain[0], 37, 16, layout_settings{}.losses);
-    small += replicas_after_losses(domain[1], 37, 4, layout_settings{}.losses);
+    large += replicas_after_losses(domain[0], 37, 16, layout_settings{}.tolerated_losses);
+    small += replicas_after_losses(domain[1], 37, 4, layout_settings{}.tolerated_losses);
   }
   EXPECT_GE(large, 6);
   EXPECT_GE(small, 22);
@@ -280,7 +280,7 @@
   // one replica and leave three idle.
   const std::vector<layout_domain> domains(6, {{0, 0}, 7});
   const std::vector<layout_model> models = {{4, 0.67 / 4}, {2, 0.33 / 2}};
-  const fleet_layout layout = plan_layout(domains, models, {.losses = 1});
+  const fleet_layout layout = plan_layout(domains, models, {.tolerated_losses = 1});
   double large = 0;
   double small = 0;
   for (const auto& domain : layout) {
@@ -329,8 +329,8 @@
   message.targets = feed_update{{{"x", "{}", 7, false}}, true, 9, 4, 20ms, true};
   message.follows_records = false;
   message.incarnation = "0a1b2c3d";
-  message.serving = {"4e5f6a7b", 17};
-  message.served = feed_update{{{"h", "row", 18, false}}, false, 18, 17, 30ms, false};
+  message.serving_position = {"4e5f6a7b", 17};
+  message.serving_rows = feed_update{{{"h", "row", 18, false}}, false, 18, 17, 30ms, false};
   message.configuration_row = 7;
   message.configuration_progress = {8, 7, 900};
   message.configuration_part = config_part{8, 7, 1200, 900, std::string("\xff\0\x80", 3)};
@@ -344,14 +344,14 @@
   EXPECT_EQ(back->targets->rows, message.targets->rows);
   EXPECT_FALSE(back->follows_records);
   EXPECT_EQ(back->incarnation, message.incarnation);
-  EXPECT_EQ(back->serving, message.serving);
-  EXPECT_EQ(back->served->rows, message.served->rows);
+  EXPECT_EQ(back->serving_position, message.serving_position);
+  EXPECT_EQ(back->serving_rows->rows, message.serving_rows->rows);
   EXPECT_EQ(back->configuration_row, message.configuration_row);
   EXPECT_EQ(back->configuration_progress, message.configuration_progress);
   EXPECT_EQ(back->configuration_part, message.configuration_part);
   EXPECT_EQ(back->limits, message.limits);
   EXPECT_EQ(back->grants, message.grants);
-  EXPECT_EQ(back->served->after, 17U);
+  EXPECT_EQ(back->serving_rows->after, 17U);
   EXPECT_TRUE(back->targets->complete);
   EXPECT_EQ(back->targets->after, 4U);
   EXPECT_EQ(back->targets->age, 20ms);
@@ -493,13 +493,13 @@
   table.set_records(
       {{node_id{"a2"}, data_centre_id{"a"}, {}, {}}, {node_id{"b1"}, data_centre_id{"b"}, {}, {}}});
   table.received(start, node_id{"b1"}, {.stamp_us = 1});
-  EXPECT_FALSE(table.any_served_here(start));
+  EXPECT_FALSE(table.has_served_peer_here(start));
   table.received(start, node_id{"a2"}, {.refused_by_store = true, .stamp_us = 1});
-  EXPECT_FALSE(table.any_served_here(start));
+  EXPECT_FALSE(table.has_served_peer_here(start));
   EXPECT_TRUE(table.is_refused_by_store(node_id{"a2"}));
   table.received(start, node_id{"a2"}, {.stamp_us = 2});
-  EXPECT_TRUE(table.any_served_here(start));
-  EXPECT_FALSE(table.any_served_here(start + peer_table::alive_timeout));
+  EXPECT_TRUE(table.has_served_peer_here(start));
+  EXPECT_FALSE(table.has_served_peer_here(start + peer_table::alive_timeout));
 }
 
 TEST(PeerTable, StoreRecoveryDoesNotCreateSeveralHubs) {
@@ -668,7 +668,7 @@
   EXPECT_TRUE(read.problems.empty());
   EXPECT_TRUE(read.settings.cold_start);
   EXPECT_EQ(read.settings.data_centres.size(), 2U);
-  EXPECT_EQ(read.settings.bounds.key_withdrawal, 5s);
+  EXPECT_EQ(read.settings.bounds.key_withdrawal_limit, 5s);
   const auto bad =
       load_hosted_settings("[node]\nid = 5\n[listen]\ncallers = \"x\"\nextra = 1\n", "n");
   EXPECT_GE(bad.problems.size(), 4U);
--- a/tests/core/hub_order_test.cpp
+++ b/tests/core/hub_order_test.cpp
@@ -95,7 +95,7 @@
   ASSERT_GE(sent_to.size(), 2U);
   EXPECT_EQ(sent_to[0], node_id{"n100"});
   EXPECT_EQ(sent_to[1], node_id{"n101"});
-  EXPECT_LE(sent_to.size(), 2 * peer_table::candidates);
+  EXPECT_LE(sent_to.size(), 2 * peer_table::hub_candidate_count);
 }
 
 TEST(HubOrder, OnlyAFewNodesOfAnUnreachableDataCentreAreSentHeartbeats) {
@@ -110,7 +110,7 @@
     hub.note_sent(start, n.id);
   }
   EXPECT_LE(hub.recipients(start + 1h).size(),
-            peer_table::max_unresponsive + peer_table::candidates);
+            peer_table::max_unresponsive_recipients + peer_table::hub_candidate_count);
 }
 
 TEST(HubOrder, TheHubAndTheNextInLineAreHubOrNext) {
--- a/tests/core/import_test.cpp
+++ b/tests/core/import_test.cpp
@@ -97,7 +97,7 @@
   EXPECT_EQ(vm.data_centre, data_centre_id{"hall-a"});
   EXPECT_EQ(vm.fabric_domain, fabric_domain_id{"hall-a-fabric-1"});
   EXPECT_EQ(vm.accelerators, 2U);
-  EXPECT_TRUE(vm.checks_tokens);
+  EXPECT_TRUE(vm.checks_fencing_tokens);
   ASSERT_EQ(result.assets.nodes.size(), 6U);
   EXPECT_EQ(result.assets.nodes[5].caller, (endpoint{"127.0.0.1", 21405}));
   EXPECT_EQ(result.assets.data_centres[1].region, "sk-west");
--- a/tests/core/membership_test.cpp
+++ b/tests/core/membership_test.cpp
@@ -29,8 +29,8 @@
 TEST(Freshness, AMessageDelayed30SecondsRenewsNoPermission) {
   membership here = make(a, 1);
   membership there = make(b, 2);
-  ASSERT_TRUE(there.receive(here.prepare(b, start), 0, start + 1ms));
-  const heartbeat delayed = there.prepare(a, start + 500ms);
+  ASSERT_TRUE(there.receive(here.prepare_heartbeat(b, start), 0, start + 1ms));
+  const heartbeat delayed = there.prepare_heartbeat(a, start + 500ms);
   const time_point late = start + 30s;
   here.tick(late);
   const auto h = here.receive(delayed, 0, late);
@@ -46,10 +46,10 @@
 TEST(Freshness, AResponseToThePreviousProcessGivesNoBound) {
   membership before = make(a, 1);
   membership there = make(b, 2);
-  ASSERT_TRUE(there.receive(before.prepare(b, start), 0, start + 1ms));
-  const heartbeat answer = there.prepare(a, start + 2ms);
+  ASSERT_TRUE(there.receive(before.prepare_heartbeat(b, start), 0, start + 1ms));
+  const heartbeat answer = there.prepare_heartbeat(a, start + 2ms);
   membership after = make(a, 3, start + 20s);
-  (void)after.prepare(b, start + 20s);
+  (void)after.prepare_heartbeat(b, start + 20s);
   const auto h = after.receive(answer, 0, start + 21s);
   ASSERT_TRUE(h);
   EXPECT_FALSE(h->composed);
@@ -70,24 +70,24 @@
 TEST(Membership, RepeatedReorderedAndOldProcessMessagesAreIgnored) {
   membership here = make(a, 1);
   membership there = make(b, 2);
-  const heartbeat first = there.prepare(a, start);
-  const heartbeat second = there.prepare(a, start + 1s);
+  const heartbeat first = there.prepare_heartbeat(a, start);
+  const heartbeat second = there.prepare_heartbeat(a, start + 1s);
   EXPECT_TRUE(here.receive(second, 0, start + 1s));
   EXPECT_FALSE(here.receive(second, 0, start + 1s));
   EXPECT_FALSE(here.receive(first, 0, start + 1s));
   membership again = make(b, 4);
-  const auto restarted = here.receive(again.prepare(a, start + 2s), 0, start + 2s);
+  const auto restarted = here.receive(again.prepare_heartbeat(a, start + 2s), 0, start + 2s);
   ASSERT_TRUE(restarted);
   EXPECT_TRUE(restarted->restarted);
-  EXPECT_FALSE(here.receive(there.prepare(a, start + 2s), 0, start + 3s));
+  EXPECT_FALSE(here.receive(there.prepare_heartbeat(a, start + 2s), 0, start + 3s));
   membership unknown_peer(node_id{"c"}, 9, 1, start);
-  EXPECT_FALSE(here.receive(unknown_peer.prepare(a, start), 0, start + 3s));
+  EXPECT_FALSE(here.receive(unknown_peer.prepare_heartbeat(a, start), 0, start + 3s));
 }
 
 TEST(Membership, AnUnresponsivePeerIsSuspectThenDeadAndARestartIsSeen) {
   fake_data_centre dc(4, 0, 1);
   dc.run_for(3s);
-  EXPECT_EQ(dc.node(0).peers->live(dc.now).size(), 4U);
+  EXPECT_EQ(dc.node(0).peers->live_nodes(dc.now).size(), 4U);
   dc.node(3).up = false;
   dc.run_for(3s);
   EXPECT_EQ(dc.node(0).peers->state(dc.ids()[3], dc.now), peer_state::suspect);
@@ -105,13 +105,13 @@
   dc.run_for(3s);
   dc.node(0).paused = true;
   dc.run_for(20s);
-  EXPECT_EQ(dc.node(0).peers->live(dc.now).size(), 4U) << "before the first tick";
+  EXPECT_EQ(dc.node(0).peers->live_nodes(dc.now).size(), 4U) << "before the first tick";
   EXPECT_GE(dc.node(0).peers->tick(dc.now), 19s);
-  EXPECT_EQ(dc.node(0).peers->live(dc.now).size(), 4U);
-  EXPECT_EQ(dc.node(1).peers->live(dc.now).size(), 3U);
+  EXPECT_EQ(dc.node(0).peers->live_nodes(dc.now).size(), 4U);
+  EXPECT_EQ(dc.node(1).peers->live_nodes(dc.now).size(), 3U);
   dc.node(0).paused = false;
   dc.run_for(2s);
-  EXPECT_EQ(dc.node(1).peers->live(dc.now).size(), 4U);
+  EXPECT_EQ(dc.node(1).peers->live_nodes(dc.now).size(), 4U);
 }
 
 // Guards against a dead node that gets ranks and targets again when its last messages arrive late:
@@ -119,9 +119,9 @@
 TEST(Membership, ADelayedMessageDoesNotMakeAPeerAlive) {
   membership here = make(a, 1);
   membership there = make(b, 2);
-  ASSERT_TRUE(there.receive(here.prepare(b, start), 0, start));
-  ASSERT_TRUE(here.receive(there.prepare(a, start + 1s), 0, start + 1s));
-  const heartbeat delayed = there.prepare(a, start + 2s);
+  ASSERT_TRUE(there.receive(here.prepare_heartbeat(b, start), 0, start));
+  ASSERT_TRUE(here.receive(there.prepare_heartbeat(a, start + 1s), 0, start + 1s));
+  const heartbeat delayed = there.prepare_heartbeat(a, start + 2s);
   time_point now = start + 1s;
   for (; now < start + 20s; now += 500ms) {
     here.tick(now);
@@ -153,13 +153,13 @@
 TEST(Membership, AOneWayLinkIsNoticed) {
   fake_data_centre dc(3, 0, 4);
   dc.run_for(3s);
-  EXPECT_FALSE(dc.node(0).peers->one_way(dc.ids()[1], dc.now));
+  EXPECT_FALSE(dc.node(0).peers->is_one_way_link(dc.ids()[1], dc.now));
   dc.cut(dc.ids()[0], dc.ids()[1]);
   dc.run_for(8s);
-  EXPECT_TRUE(dc.node(0).peers->one_way(dc.ids()[1], dc.now));
+  EXPECT_TRUE(dc.node(0).peers->is_one_way_link(dc.ids()[1], dc.now));
   EXPECT_EQ(dc.node(0).peers->state(dc.ids()[1], dc.now), peer_state::alive);
   EXPECT_EQ(dc.node(1).peers->state(dc.ids()[0], dc.now), peer_state::dead);
-  EXPECT_FALSE(dc.node(0).peers->one_way(dc.ids()[2], dc.now));
+  EXPECT_FALSE(dc.node(0).peers->is_one_way_link(dc.ids()[2], dc.now));
 }
 
 TEST(Membership, HeartbeatsAreSentOncePerIntervalOrExpedited) {
@@ -168,24 +168,24 @@
   EXPECT_GE(dc.messages, 20U);
   EXPECT_LE(dc.messages, 24U);
   membership here = make(a, 1);
-  EXPECT_EQ(here.due(start).size(), 1U);
-  EXPECT_TRUE(here.due(start + 10ms).empty());
+  EXPECT_EQ(here.due_peers(start).size(), 1U);
+  EXPECT_TRUE(here.due_peers(start + 10ms).empty());
   here.expedite_heartbeats(start + 10ms);
-  EXPECT_TRUE(here.due(start + 20ms).empty()) << "rate limit of urgent heartbeats";
-  EXPECT_EQ(here.due(start + 50ms).size(), 1U);
+  EXPECT_TRUE(here.due_peers(start + 20ms).empty()) << "rate limit of urgent heartbeats";
+  EXPECT_EQ(here.due_peers(start + 50ms).size(), 1U);
 }
 
 TEST(Membership, AHashIsRepeatedUntilThePeerHasIt) {
   membership here = make(a, 1);
   membership there = make(b, 2);
   for (int i = 0; i < 3; ++i) {
-    heartbeat message = here.prepare(b, start + i * 1s);
+    heartbeat message = here.prepare_heartbeat(b, start + i * 1s);
     here.announce_config(message, b, 7, "beef");
     EXPECT_EQ(message.config_hash, "beef");
     ASSERT_TRUE(there.receive(message, 0, start + i * 1s));
   }
-  ASSERT_TRUE(here.receive(there.prepare(a, start + 3s), 0, start + 3s));
-  heartbeat message = here.prepare(b, start + 4s);
+  ASSERT_TRUE(here.receive(there.prepare_heartbeat(a, start + 3s), 0, start + 3s));
+  heartbeat message = here.prepare_heartbeat(b, start + 4s);
   here.announce_config(message, b, 7, "beef");
   EXPECT_TRUE(message.config_hash.empty());
   ASSERT_TRUE(there.receive(message, 0, start + 4s));
@@ -419,8 +419,8 @@
     rng random(seed);
     fake_data_centre dc(2 + random.below(4), 0, seed);
     dc.step = 50ms;
-    dc.drop = 0.1 * random.unit();
-    dc.repeat = 0.1;
+    dc.drop_probability = 0.1 * random.unit();
+    dc.repeat_probability = 0.1;
     dc.jitter = from_seconds(3.0 * random.unit() * random.unit());
     vote_counts counts;
     for (int i = 0; i < 1000; ++i) {
--- a/tests/core/observations_test.cpp
+++ b/tests/core/observations_test.cpp
@@ -278,7 +278,7 @@
     EXPECT_TRUE(c.to == target_condition::unknown || c.to == working) << c.vm;
   }
   for (const vm_id& id : dc.vms()) {
-    EXPECT_EQ(n.seen->condition(id, dc.now), working);
+    EXPECT_EQ(n.observations->condition(id, dc.now), working);
   }
 }
 
@@ -336,13 +336,13 @@
     dc.target(dead).up = false;
     const auto known_to_all = [&] {
       return std::ranges::all_of(dc.ids(), [&, i = std::size_t{0}](const node_id&) mutable {
-        return dc.node(i++).seen->condition(dead, dc.now) != working;
+        return dc.node(i++).observations->condition(dead, dc.now) != working;
       });
     };
     worst = std::max(worst, dc.run_until(known_to_all, 10s));
     dc.run_for(2s);
     for (std::size_t i = 0; i < 21; ++i) {
-      EXPECT_EQ(dc.node(i).seen->condition(dead, dc.now), lost) << "seed " << seed;
+      EXPECT_EQ(dc.node(i).observations->condition(dead, dc.now), lost) << "seed " << seed;
     }
   }
   EXPECT_LT(worst, 2s);
@@ -362,12 +362,12 @@
   dc.run_for(10s);
   EXPECT_EQ(dc.node(1).changes.size(), 0U);
   for (const vm_id& id : dc.vms()) {
-    EXPECT_EQ(dc.node(1).seen->condition(id, dc.now), working);
+    EXPECT_EQ(dc.node(1).observations->condition(id, dc.now), working);
   }
   dc.restore_target_links();
   dc.run_for(3s);
   for (const vm_id& id : dc.vms()) {
-    EXPECT_EQ(dc.node(0).seen->condition(id, dc.now), working);
+    EXPECT_EQ(dc.node(0).observations->condition(id, dc.now), working);
   }
 }
 
@@ -410,7 +410,7 @@
       dc.run_for(100ms);
       for (std::size_t i = 0; i < static_cast<std::size_t>(nodes); ++i) {
         for (const vm_id& id : dc.vms()) {
-          const observation* seen = dc.node(i).seen->latest(id);
+          const observation* seen = dc.node(i).observations->latest(id);
           ASSERT_NE(seen, nullptr);
           oldest = std::max(oldest, dc.now - seen->at);
         }
@@ -431,7 +431,7 @@
       r.replica = replica_id{"r" + std::to_string(random.below(3))};
       break;
     case 2:
-      ++r.gen.row;
+      ++r.fencing_generation.row;
       break;
     default:
       r.running = static_cast<std::uint32_t>(random.below(8));
@@ -464,8 +464,8 @@
     SCOPED_TRACE("seed " + std::to_string(seed));
     rng random(seed);
     fake_data_centre dc(3, 4, seed);
-    dc.drop = 0.3 * random.unit();
-    dc.repeat = 0.2;
+    dc.drop_probability = 0.3 * random.unit();
+    dc.repeat_probability = 0.2;
     dc.jitter = from_seconds(5.0 * random.unit() * random.unit());
     for (int i = 0; i < 120; ++i) {
       dc.run_for(random.jitter(800ms));
@@ -478,7 +478,7 @@
       }
       for (std::size_t k = 0; k < 3; ++k) {
         for (const vm_id& id : dc.vms()) {
-          const observation* seen = dc.node(k).seen->latest(id);
+          const observation* seen = dc.node(k).observations->latest(id);
           if (seen != nullptr) {
             ++checked;
             ASSERT_TRUE(was_reported(dc.target(id), *seen, dc.now)) << id << " at node " << k;
--- a/tests/core/orders_test.cpp
+++ b/tests/core/orders_test.cpp
@@ -22,17 +22,18 @@
   p.model = model_id{"m"};
   p.members = {a};
   p.standbys = {b};
-  p.gen = {.row = 8, .step = 0, .lost = 0};
+  p.fencing_generation = {.row = 8, .step = 0, .lost = 0};
   row.replicas = {p};
   return row;
 }
 
-engine_report report_of(const vm_id& vm, const char* replica, generation gen, engine_state state) {
+engine_report report_of(const vm_id& vm, const char* replica, generation fencing_generation,
+                        engine_state state) {
   engine_report r;
   r.vm = vm;
   r.incarnation = 5;
   r.replica = replica_id{replica};
-  r.gen = gen;
+  r.fencing_generation = fencing_generation;
   r.state = state;
   return r;
 }
@@ -40,7 +41,7 @@
 class order_dispatching : public ::testing::Test {
  protected:
   [[nodiscard]] std::map<vm_id, desired_state> desired() const {
-    return desired_states(row_, planned, reports_);
+    return desired_states(row_, planned_composition, reports_);
   }
   std::vector<order> tick(time_point now) {
     const auto states = desired();
@@ -70,7 +71,7 @@
   const auto states = desired();
   ASSERT_THAT(states, SizeIs(1));
   EXPECT_EQ(states.at(a).kind, order_kind::form);
-  EXPECT_EQ(states.at(a).target, planned(row_.replicas.front()));
+  EXPECT_EQ(states.at(a).target, planned_composition(row_.replicas.front()));
 }
 
 TEST_F(order_dispatching, sends_no_order_to_targets_that_comply) {
@@ -85,7 +86,7 @@
   const auto states = desired();
   ASSERT_THAT(states, SizeIs(1));
   EXPECT_EQ(states.begin()->second.kind, order_kind::release);
-  EXPECT_EQ(states.begin()->second.target.gen.row, row_.version);
+  EXPECT_EQ(states.begin()->second.target.fencing_generation.row, row_.version);
 }
 
 TEST_F(order_dispatching, releases_a_member_that_was_replaced) {
@@ -129,7 +130,7 @@
   for (duration d{}; d < 60s; d += 10ms) {
     if (const auto sent = tick(now_ + d); !sent.empty()) {
       times.push_back(now_ + d);
-      (void)dispatcher_.on(now_ + d, order_result{sent.front(), refused{"old token"}});
+      (void)dispatcher_.on_result(now_ + d, order_result{sent.front(), refused{"old token"}});
     }
   }
   ASSERT_GT(times.size(), 5U);
--- a/tests/core/permission_test.cpp
+++ b/tests/core/permission_test.cpp
@@ -17,7 +17,7 @@
       o.report.vm = vm_id{name};
       o.report.incarnation = 5;
       o.report.replica = target_.replica;
-      o.report.gen = target_.gen;
+      o.report.fencing_generation = target_.fencing_generation;
       o.report.state = engine_state::ready;
       o.at = time_point{10s};
       seen_[o.report.vm] = o;
@@ -65,7 +65,7 @@
 
 TEST_F(permission_rules, each_member_must_report_exactly_this_generation) {
   for (const generation g : {generation{3, 0, 0}, generation{4, 1, 1}, generation{5, 0, 0}}) {
-    b().gen = g;
+    b().fencing_generation = g;
     EXPECT_FALSE(granted()) << to_string(g);
   }
 }
@@ -105,17 +105,17 @@
   checks_tokens_ = false;
   EXPECT_FALSE(granted());
   for (auto& [vm, o] : seen_) {
-    o.at += settle_time;
+    o.at += token_settle_time;
   }
   observe();
-  EXPECT_TRUE(evaluate(now_ + settle_time).granted);
-  b().gen = {5, 0, 0};
+  EXPECT_TRUE(evaluate(now_ + token_settle_time).granted);
+  b().fencing_generation = {5, 0, 0};
   seen_.at(vm_id{"b"}).at += 1s;
   observe();
-  b().gen = target_.gen;
+  b().fencing_generation = target_.fencing_generation;
   seen_.at(vm_id{"b"}).at += 1s;
   observe();
-  EXPECT_FALSE(evaluate(now_ + settle_time + 2s).granted)
+  EXPECT_FALSE(evaluate(now_ + token_settle_time + 2s).granted)
       << "a differing report restarts the settle time";
 }
 
--- a/tests/core/planner_cost_test.cpp
+++ b/tests/core/planner_cost_test.cpp
@@ -45,13 +45,13 @@
   w.add_model("llm", vms_per_replica, replicas);
   w.config.desired.vm_failures_per_day = 2;
   w.settle();
-  EXPECT_EQ(w.serving(), replicas);
+  EXPECT_EQ(w.count_serving_replicas(), replicas);
   cost c{};
   c.steady_ms = median_ms(w.input());
-  w.set(w.row.replicas[0].members[0], vm_condition::lost);
+  w.set_condition(w.row.replicas[0].members[0], vm_condition::lost);
   c.one_lost_ms = median_ms(w.input());
   for (std::size_t i = 0; i < 34; ++i) {
-    w.set(vm_id{planner_simulation::vm_name(0, i)}, vm_condition::lost);
+    w.set_condition(vm_id{planner_simulation::vm_name(0, i)}, vm_condition::lost);
   }
   c.domain_lost_ms = median_ms(w.input());
   return c;
--- a/tests/core/planner_optimum_test.cpp
+++ b/tests/core/planner_optimum_test.cpp
@@ -65,7 +65,7 @@
     }
     fits = m.may_cross_fabric_domains ? working / m.vms_per_replica : fits;
     fits = std::min<std::size_t>(fits, m.placements[0].replicas);
-    ASSERT_EQ(w.serving(), fits) << "case " << i << '\n' << w.text();
+    ASSERT_EQ(w.count_serving_replicas(), fits) << "case " << i << '\n' << w.text();
   }
 }
 
@@ -93,9 +93,9 @@
       domains.push_back(count);
     }
     const std::size_t most = max_replicas(domains, models);
-    ASSERT_LE(w.serving(), most);
-    ASSERT_GE(w.serving() + 1, most) << "case " << i << '\n' << w.text();
-    short_of += w.serving() < most ? 1 : 0;
+    ASSERT_LE(w.count_serving_replicas(), most);
+    ASSERT_GE(w.count_serving_replicas() + 1, most) << "case " << i << '\n' << w.text();
+    short_of += w.count_serving_replicas() < most ? 1 : 0;
   }
   RecordProperty("short_of_optimum", short_of);
   EXPECT_LT(short_of, 75);  // 5% of the cases may be below the optimum
--- a/tests/core/planner_property_test.cpp
+++ b/tests/core/planner_property_test.cpp
@@ -33,18 +33,18 @@
 
 // Activates standbys of broken replicas, as nodes do while the table is unreachable.
 void activate_broken_replicas(planner_simulation& w) {
-  w.in_force.clear();
+  w.activated_compositions.clear();
   for (const replica_plan& r : w.row.replicas) {
-    lost_mask lost = 0;
+    lost_vm_mask lost = 0;
     std::size_t i = 0;
     for (const auto* list : {&r.members, &r.standbys}) {
       for (const vm_id& vm : *list) {
-        lost |= w.conditions.at(vm) == vm_condition::lost ? lost_mask{1} << i : 0;
+        lost |= w.conditions.at(vm) == vm_condition::lost ? lost_vm_mask{1} << i : 0;
         ++i;
       }
     }
     if (const auto c = activate(r, w.row.version, lost); c && lost != 0) {
-      w.in_force.push_back(*c);
+      w.activated_compositions.push_back(*c);
     }
   }
 }
@@ -74,10 +74,10 @@
       ++w.config.version;
       break;
     case 7:
-      w.acknowledge = !w.acknowledge;
+      w.nodes_acknowledge = !w.nodes_acknowledge;
       break;
     default:
-      w.finish_drains = !w.finish_drains;
+      w.drains_finish = !w.drains_finish;
       break;
   }
 }
@@ -116,9 +116,10 @@
 void expect_serving_unchanged(const planner_simulation& w, const assignment& next) {
   for (const replica_plan& r : w.row.replicas) {
     const replica_plan* after = next.find(r.id);
-    const auto activated = std::ranges::find(w.in_force, r.id, &composition::replica);
-    if (after != nullptr && activated != w.in_force.end() && w.is_complete(*after)) {
-      const bool kept = after->gen == activated->gen && after->members == activated->members;
+    const auto activated = std::ranges::find(w.activated_compositions, r.id, &composition::replica);
+    if (after != nullptr && activated != w.activated_compositions.end() && w.is_complete(*after)) {
+      const bool kept = after->fencing_generation == activated->fencing_generation &&
+                        after->members == activated->members;
       EXPECT_TRUE(kept) << r.id << " was activated, serves, and is taken down and rebuilt";
       continue;
     }
@@ -126,12 +127,12 @@
       continue;
     }
     if (r.phase == replica_phase::draining) {
-      const bool drained_replicas = w.finish_drains;
+      const bool drained_replicas = w.drains_finish;
       EXPECT_TRUE(after != nullptr || drained_replicas) << r.id << " removed before it was empty";
     } else {
       ASSERT_NE(after, nullptr) << r.id << " removed while it served";
       EXPECT_EQ(after->members, r.members) << r.id;
-      EXPECT_EQ(after->gen, r.gen) << r.id;
+      EXPECT_EQ(after->fencing_generation, r.fencing_generation) << r.id;
     }
   }
 }
@@ -176,7 +177,7 @@
             << w.text() << why;
       }
       ASSERT_FALSE(HasFailure()) << w.text();
-      w.in_force.clear();
+      w.activated_compositions.clear();
     }
   }
 }
@@ -190,8 +191,8 @@
       apply_random_change(w, random);
       w.step();
     }
-    w.acknowledge = true;
-    w.finish_drains = true;
+    w.nodes_acknowledge = true;
+    w.drains_finish = true;
     EXPECT_LT(w.settle(60), 60) << w.text();
   }
 }
--- a/tests/core/planner_repair_test.cpp
+++ b/tests/core/planner_repair_test.cpp
@@ -33,13 +33,13 @@
 
 TEST(planner_repair, creates_the_placed_replicas) {
   const planner_simulation w = small_simulation();
-  EXPECT_EQ(w.serving(), 2U);
+  EXPECT_EQ(w.count_serving_replicas(), 2U);
   EXPECT_FALSE(make_plan(w.input()).changed);
 }
 
 TEST(planner_repair, suspect_member_changes_nothing) {
   planner_simulation w = small_simulation();
-  w.set(w.row.replicas[0].members[1], vm_condition::suspect);
+  w.set_condition(w.row.replicas[0].members[1], vm_condition::suspect);
   EXPECT_FALSE(w.step()) << w.text();
 }
 
@@ -48,12 +48,12 @@
   planner_simulation w = small_simulation();
   const assignment before = w.row;
   const vm_id lost = before.replicas[0].members[1];
-  w.set(lost, vm_condition::lost);
+  w.set_condition(lost, vm_condition::lost);
   ASSERT_TRUE(w.step());
-  EXPECT_EQ(w.serving(), 2U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas(), 2U) << w.text();
   EXPECT_EQ(count_new_members(before, w.row), 1U);
   EXPECT_EQ(w.row.replicas[0].members[0], before.replicas[0].members[0]);
-  EXPECT_EQ(w.row.replicas[0].gen, (generation{w.row.version, 0, 0}));
+  EXPECT_EQ(w.row.replicas[0].fencing_generation, (generation{w.row.version, 0, 0}));
   EXPECT_EQ(w.row.replicas[1], before.replicas[1]);
 }
 
@@ -62,10 +62,10 @@
 TEST(planner_repair, returned_vm_stays_free) {
   planner_simulation w = small_simulation();
   const vm_id lost = w.row.replicas[0].members[1];
-  w.set(lost, vm_condition::lost);
+  w.set_condition(lost, vm_condition::lost);
   w.settle();
   const auto members = w.row.replicas[0].members;
-  w.set(lost, vm_condition::working);
+  w.set_condition(lost, vm_condition::working);
   w.settle();
   EXPECT_EQ(w.row.replicas[0].members, members);
 }
@@ -76,7 +76,7 @@
   w.settle();
   const replica_plan before = w.row.replicas[0];
   ASSERT_EQ(before.standbys.size(), 1U) << w.text();
-  w.set(before.members[2], vm_condition::lost);
+  w.set_condition(before.members[2], vm_condition::lost);
   ASSERT_TRUE(w.step());
   EXPECT_EQ(w.row.replicas[0].members[2], before.standbys[0]);
 }
@@ -89,12 +89,12 @@
   w.config.desired.standbys_per_replica = 1;
   w.settle();
   const replica_plan before = w.row.replicas[1];
-  w.set(before.members[0], vm_condition::lost);
+  w.set_condition(before.members[0], vm_condition::lost);
   const auto c = activate(before, w.row.version, 1);
   ASSERT_TRUE(c);
-  w.in_force = {*c};
+  w.activated_compositions = {*c};
   ASSERT_TRUE(w.step());
-  EXPECT_EQ(planned(w.row.replicas[1]), *c) << w.text();
+  EXPECT_EQ(planned_composition(w.row.replicas[1]), *c) << w.text();
   EXPECT_FALSE(w.step()) << w.text();
 }
 
@@ -104,14 +104,14 @@
 TEST(planner_repair, late_activation_is_fenced) {
   planner_simulation w = small_simulation();
   const replica_plan before = w.row.replicas[0];
-  composition late = planned(before);
+  composition late = planned_composition(before);
   late.members[1] = w.row.replicas[1].members[0];
-  late.gen = {w.row.version - 1, 1, 2};
-  w.row.replicas[0].gen = {1, 0, 0};
-  w.in_force = {late};
+  late.fencing_generation = {w.row.version - 1, 1, 2};
+  w.row.replicas[0].fencing_generation = {1, 0, 0};
+  w.activated_compositions = {late};
   ASSERT_TRUE(w.step());
   EXPECT_EQ(w.row.replicas[0].members, before.members);
-  EXPECT_GT(w.row.replicas[0].gen, late.gen);
+  EXPECT_GT(w.row.replicas[0].fencing_generation, late.fencing_generation);
   EXPECT_FALSE(w.step()) << w.text();
 }
 
@@ -125,17 +125,17 @@
   w.config.desired.standbys_per_replica = 1;
   w.settle();
   const vm_id desired = w.row.replicas[1].standbys[0];
-  w.set(w.row.replicas[0].members[0], vm_condition::lost);
-  w.set(w.row.replicas[0].standbys[0], vm_condition::lost);
-  w.acknowledge = false;
+  w.set_condition(w.row.replicas[0].members[0], vm_condition::lost);
+  w.set_condition(w.row.replicas[0].standbys[0], vm_condition::lost);
+  w.nodes_acknowledge = false;
   w.settle();
   ASSERT_EQ(w.row.withdrawals.size(), 1U) << w.text();
   EXPECT_EQ(w.row.withdrawals[0].vm, desired);
   EXPECT_EQ(w.row.withdrawals[0].since, w.row.version);
-  EXPECT_EQ(w.serving(), 1U);
-  w.acknowledge = true;
+  EXPECT_EQ(w.count_serving_replicas(), 1U);
+  w.nodes_acknowledge = true;
   w.settle();
-  EXPECT_EQ(w.serving(), 2U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas(), 2U) << w.text();
   EXPECT_EQ(w.row.replicas[0].members[0], desired);
 }
 
@@ -144,10 +144,10 @@
   w.add_domain(6);
   w.add_model("llm", 3, 2);
   w.settle();
-  w.set(w.row.replicas[0].members[0], vm_condition::lost);
-  w.set(w.row.replicas[1].members[0], vm_condition::lost);
+  w.set_condition(w.row.replicas[0].members[0], vm_condition::lost);
+  w.set_condition(w.row.replicas[1].members[0], vm_condition::lost);
   w.settle();
-  EXPECT_EQ(w.serving(), 1U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas(), 1U) << w.text();
 }
 
 TEST(planner_repair, higher_rank_drains_a_replica_of_lower_rank) {
@@ -158,15 +158,15 @@
   w.settle();
   const auto dispatch = std::ranges::find(w.row.replicas, "dispatch",
                                           [](const replica_plan& r) { return r.model.str(); });
-  w.set(dispatch->members[0], vm_condition::lost);
-  w.finish_drains = false;
+  w.set_condition(dispatch->members[0], vm_condition::lost);
+  w.drains_finish = false;
   w.settle();
-  EXPECT_EQ(w.serving("dispatch"), 0U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas("dispatch"), 0U) << w.text();
   EXPECT_EQ(std::ranges::count(w.row.replicas, replica_phase::draining, &replica_plan::phase), 1);
-  w.finish_drains = true;
+  w.drains_finish = true;
   w.settle();
-  EXPECT_EQ(w.serving("dispatch"), 1U) << w.text();
-  EXPECT_EQ(w.serving("batch"), 0U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas("dispatch"), 1U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas("batch"), 0U) << w.text();
 }
 
 TEST(planner_repair, crosses_domains_only_if_allowed_and_returns) {
@@ -177,30 +177,30 @@
   w.settle();
   const vm_id lost{planner_simulation::vm_name(0, 1)};
   w.add_domain(1);
-  w.set(lost, vm_condition::lost);
+  w.set_condition(lost, vm_condition::lost);
   w.settle();
-  EXPECT_EQ(w.serving(), 2U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas(), 2U) << w.text();
   w.config.desired.models[0].may_cross_fabric_domains = true;
   w.settle();
-  EXPECT_EQ(w.serving(), 3U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas(), 3U) << w.text();
   EXPECT_EQ(std::ranges::count(w.row.replicas, true, &replica_plan::crosses_fabric_domains), 1);
-  w.set(lost, vm_condition::working);
+  w.set_condition(lost, vm_condition::working);
   w.settle();
-  EXPECT_EQ(w.serving(), 3U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas(), 3U) << w.text();
   EXPECT_EQ(std::ranges::count(w.row.replicas, true, &replica_plan::crosses_fabric_domains), 0);
 }
 
 TEST(planner_repair, leaving_member_is_drained_then_replaced) {
   planner_simulation w = small_simulation();
   const vm_id leaving = w.row.replicas[0].members[1];
-  w.set(leaving, vm_condition::leaving);
-  w.finish_drains = false;
+  w.set_condition(leaving, vm_condition::leaving);
+  w.drains_finish = false;
   w.settle();
   EXPECT_EQ(w.row.replicas[0].phase, replica_phase::draining) << w.text();
   EXPECT_EQ(w.row.replicas[0].members[1], leaving);
-  w.finish_drains = true;
+  w.drains_finish = true;
   w.settle();
-  EXPECT_EQ(w.serving(), 2U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas(), 2U) << w.text();
   for (const replica_plan& r : w.row.replicas) {
     EXPECT_EQ(std::ranges::count(r.members, leaving), 0);
   }
@@ -216,7 +216,7 @@
   w.config.desired.models[0].version = "v2";
   std::size_t fewest = 3;
   while (w.step()) {
-    fewest = std::min(fewest, w.serving());
+    fewest = std::min(fewest, w.count_serving_replicas());
     EXPECT_LE(std::ranges::count(w.row.replicas, replica_phase::draining, &replica_plan::phase), 1);
   }
   EXPECT_EQ(fewest, 2U);
@@ -235,7 +235,7 @@
   w.settle();
   w.config.desired.models[0].version = "v2";
   while (w.step()) {
-    EXPECT_GE(w.serving(), 1U);
+    EXPECT_GE(w.count_serving_replicas(), 1U);
   }
   ASSERT_EQ(w.row.replicas.size(), 1U);
   EXPECT_EQ(w.row.replicas[0].model_version, "v2");
@@ -264,11 +264,11 @@
 TEST(planner_rolling_update, surplus_replica_drains_and_is_removed_when_empty) {
   planner_simulation w = small_simulation();
   w.config.desired.models[0].placements[0].replicas = 1;
-  w.finish_drains = false;
+  w.drains_finish = false;
   w.settle();
   EXPECT_EQ(w.row.replicas.size(), 2U);
-  EXPECT_EQ(w.serving(), 1U);
-  w.finish_drains = true;
+  EXPECT_EQ(w.count_serving_replicas(), 1U);
+  w.drains_finish = true;
   w.settle();
   EXPECT_EQ(w.row.replicas.size(), 1U);
 }
@@ -281,30 +281,31 @@
   w.settle();
   w.demand = {{model_id{"a"}, 2.5}, {model_id{"b"}, 0.4}};
   w.settle();
-  EXPECT_EQ(w.serving("a"), 3U) << w.text();
-  EXPECT_EQ(w.serving("b"), 1U);
+  EXPECT_EQ(w.count_serving_replicas("a"), 3U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas("b"), 1U);
   w.demand = {{model_id{"a"}, 1.7}, {model_id{"b"}, 0.7}};
   EXPECT_FALSE(w.step()) << w.text();
   w.demand = {{model_id{"a"}, 1.0}, {model_id{"b"}, 0.9}};
   w.settle();
-  EXPECT_EQ(w.serving("a"), 2U) << w.text();
-  EXPECT_EQ(w.serving("b"), 2U);
+  EXPECT_EQ(w.count_serving_replicas("a"), 2U) << w.text();
+  EXPECT_EQ(w.count_serving_replicas("b"), 2U);
 }
 
 TEST(planner_guard, older_configuration_or_row_plans_nothing) {
   planner_simulation w = small_simulation();
-  w.set(w.row.replicas[0].members[0], vm_condition::lost);
+  w.set_condition(w.row.replicas[0].members[0], vm_condition::lost);
   w.row.config_version = 2;
   EXPECT_FALSE(make_plan(w.input()).changed);
   w.config.version = 2;
   EXPECT_TRUE(make_plan(w.input()).changed);
-  w.in_force = {{w.row.replicas[0].id, {w.row.version + 1, 0, 0}, w.row.replicas[0].members}};
+  w.activated_compositions = {
+      {w.row.replicas[0].id, {w.row.version + 1, 0, 0}, w.row.replicas[0].members}};
   EXPECT_FALSE(make_plan(w.input()).changed);
 }
 
 TEST(planner_guard, order_of_inputs_does_not_matter) {
   planner_simulation w = small_simulation();
-  w.set(w.row.replicas[0].members[0], vm_condition::lost);
+  w.set_condition(w.row.replicas[0].members[0], vm_condition::lost);
   planner_input a = w.input();
   planner_input b = a;
   std::ranges::reverse(b.health);
--- a/tests/core/planner_simulation.h
+++ b/tests/core/planner_simulation.h
@@ -16,10 +16,10 @@
   configuration config;
   assignment row;
   std::map<vm_id, vm_condition> conditions;
-  std::vector<composition> in_force;
+  std::vector<composition> activated_compositions;
   std::vector<replica_demand> demand;
-  bool acknowledge = true;  // whether every live node acknowledges each new row
-  bool finish_drains = true;
+  bool nodes_acknowledge = true;  // whether every live node acknowledges each new row
+  bool drains_finish = true;
   std::vector<std::string> reasons;  // reasons of the last plan for its changes
 
   planner_simulation() {
@@ -58,7 +58,7 @@
     return config.desired.models.back();
   }
 
-  void set(const vm_id& vm, vm_condition c) { conditions[vm] = c; }
+  void set_condition(const vm_id& vm, vm_condition c) { conditions[vm] = c; }
 
   [[nodiscard]] bool is_complete(const replica_plan& r) const {
     return std::ranges::all_of(r.members, [&](const vm_id& vm) {
@@ -67,7 +67,7 @@
     });
   }
 
-  [[nodiscard]] std::size_t serving(const std::string& model = "") const {
+  [[nodiscard]] std::size_t count_serving_replicas(const std::string& model = "") const {
     return static_cast<std::size_t>(std::ranges::count_if(row.replicas, [&](const auto& r) {
       return r.phase == replica_phase::active && is_complete(r) &&
              (model.empty() || r.model.str() == model);
@@ -82,11 +82,11 @@
     for (const auto& [vm, condition] : conditions) {
       in.health.push_back({vm, condition});
     }
-    in.in_force = in_force;
+    in.in_force = activated_compositions;
     in.demand = demand;
-    in.acknowledged = acknowledge ? row.version : 0;
+    in.acknowledged = nodes_acknowledge ? row.version : 0;
     for (const replica_plan& r : row.replicas) {
-      if (r.phase == replica_phase::draining && finish_drains) {
+      if (r.phase == replica_phase::draining && drains_finish) {
         in.drained_replicas.push_back(r.id);
       }
       if (r.phase == replica_phase::active && is_complete(r)) {
@@ -126,7 +126,7 @@
       for (const vm_id& vm : r.standbys) {
         s += vm.str() + " ";
       }
-      s += "] " + to_string(r.gen) + "\n";
+      s += "] " + to_string(r.fencing_generation) + "\n";
     }
     for (const withdrawal& w : row.withdrawals) {
       s += "withdrawn " + w.vm.str() + " since " + std::to_string(w.since) + "\n";
--- a/tests/core/planner_standby_test.cpp
+++ b/tests/core/planner_standby_test.cpp
@@ -95,12 +95,12 @@
   w.config.desired.standbys_per_replica = 1;
   w.settle();
   const vm_id lost = w.row.replicas[0].standbys[0];
-  const generation gen = w.row.replicas[0].gen;
-  w.set(lost, vm_condition::lost);
+  const generation fencing_generation = w.row.replicas[0].fencing_generation;
+  w.set_condition(lost, vm_condition::lost);
   w.settle();
   ASSERT_EQ(w.row.replicas[0].standbys.size(), 1U) << w.text();
   EXPECT_NE(w.row.replicas[0].standbys[0], lost);
-  EXPECT_EQ(w.row.replicas[0].gen, gen);
+  EXPECT_EQ(w.row.replicas[0].fencing_generation, fencing_generation);
 }
 
 TEST(standbys, members_and_standbys_fit_the_mask) {
--- a/tests/core/poison_simulation.h
+++ b/tests/core/poison_simulation.h
@@ -63,7 +63,7 @@
     if (now_ < h.up_at) {
       return;
     }
-    ++ended_heads;
+    ++ended_head_count;
     const target_id target = head_incarnation(i);
     ++h.incarnation;
     h.up_at = now_ + settings_.head_downtime;
@@ -88,8 +88,8 @@
     r.poison = poison;
     send(std::move(r));
   }
-  std::size_t any_node() { return static_cast<std::size_t>(random_.below(nodes_.size())); }
-  std::size_t any_head() { return static_cast<std::size_t>(random_.below(heads_.size())); }
+  std::size_t random_node() { return static_cast<std::size_t>(random_.below(nodes_.size())); }
+  std::size_t random_head() { return static_cast<std::size_t>(random_.below(heads_.size())); }
   [[nodiscard]] bool is_up(std::size_t i) const { return now_ >= heads_[i].up_at; }
   // Index of the head that runs the request with this hash; heads() if there is none.
   [[nodiscard]] std::size_t head_of(std::uint64_t hash) const {
@@ -111,16 +111,17 @@
 
   std::size_t submitted = 0;
   std::size_t served = 0;
-  std::size_t ended_heads = 0;
-  std::size_t refused_harmless = 0;  // number of harmless requests refused because of a quarantine
-  std::size_t held_harmless = 0;
+  std::size_t ended_head_count = 0;
+  std::size_t refused_harmless_requests =
+      0;  // number of harmless requests refused because of a quarantine
+  std::size_t held_harmless_requests = 0;
   std::set<std::uint64_t> quarantined_harmless;
   // Number of heads that each poison request ended, by its hash.
   std::map<std::uint64_t, std::size_t> heads_ended_by;
   std::map<std::uint64_t, time_point> quarantined_at;
   // Submissions of a poison request that reached a head later than `detection_delay` after the
   // third head that it ended.
-  std::map<std::uint64_t, std::size_t> late_visits;
+  std::map<std::uint64_t, std::size_t> late_poison_submissions;
 
   static constexpr duration step = 10ms;
   static constexpr duration detection_delay = 3s;
@@ -169,7 +170,7 @@
     count += random_.unit() < expected - static_cast<double>(count) ? 1 : 0;
     for (std::size_t i = 0; i < count; ++i) {
       const bool popular = random_.unit() < settings_.popular_share;
-      submit(any_node(), popular ? 1000 + random_.below(20) : 1'000'000 + next_hash_++);
+      submit(random_node(), popular ? 1000 + random_.below(20) : 1'000'000 + next_hash_++);
     }
     std::vector<scheduled_attempt> due;
     std::erase_if(scheduled_, [&](const scheduled_attempt& v) {
@@ -189,11 +190,11 @@
       ++submitted;
     }
     if (tracker.is_quarantined(r.fingerprint)) {
-      refused_harmless += r.poison ? 0 : 1;
+      refused_harmless_requests += r.poison ? 0 : 1;
       return;
     }
     if (const auto until = tracker.held_until(now_, r.fingerprint)) {
-      held_harmless += r.poison ? 0 : 1;
+      held_harmless_requests += r.poison ? 0 : 1;
       scheduled_.push_back({*until + 100ms, std::move(r)});
       return;
     }
@@ -209,7 +210,7 @@
     const auto third = third_crash_at_.find(r.fingerprint.hash);
     if (r.poison && r.sends == 0 && third != third_crash_at_.end() &&
         now_ - third->second > detection_delay) {
-      ++late_visits[r.fingerprint.hash];
+      ++late_poison_submissions[r.fingerprint.hash];
     }
     r.at_head = usable[random_.below(usable.size())];
     ++r.sends;
@@ -262,7 +263,7 @@
     } else if (r.tries < max_tries) {
       ++r.tries;
       r.sends = 0;
-      r.at_node = any_node();
+      r.at_node = random_node();
       scheduled_.push_back({now_ + 200ms, r});
     }
   }
--- a/tests/core/poison_tracker_test.cpp
+++ b/tests/core/poison_tracker_test.cpp
@@ -238,7 +238,7 @@
 
 void end_random_heads(poison_simulation& w, double heads_per_s) {
   if (w.random().unit() < heads_per_s * to_seconds(poison_simulation::step)) {
-    w.end_head(w.any_head());
+    w.end_head(w.random_head());
   }
 }
 
@@ -266,7 +266,7 @@
 void end_under_one_caller(poison_simulation& w) {
   constexpr std::uint64_t hash = 7;
   if (is_multiple_of(w, 1s)) {
-    w.submit(w.any_node(), hash);
+    w.submit(w.random_node(), hash);
   }
   if (is_multiple_of(w, 500ms) && w.random().unit() < 0.5 && w.head_of(hash) < w.heads()) {
     w.end_head(w.head_of(hash));
@@ -287,9 +287,9 @@
     SCOPED_TRACE(s.name);
     poison_simulation w({});
     w.run(40s, s.fault);
-    EXPECT_GT(w.ended_heads, 10U);
+    EXPECT_GT(w.ended_head_count, 10U);
     EXPECT_TRUE(w.quarantined_harmless.empty());
-    EXPECT_EQ(w.refused_harmless, 0U);
+    EXPECT_EQ(w.refused_harmless_requests, 0U);
   }
 }
 
@@ -300,12 +300,12 @@
   w.run(40s, [](poison_simulation& simulation) {
     for (const std::uint64_t hash : simulation.poison_hashes) {
       if (is_multiple_of(simulation, 3s)) {
-        simulation.submit(simulation.any_node(), hash, true);
+        simulation.submit(simulation.random_node(), hash, true);
       }
     }
   });
   EXPECT_EQ(w.quarantined_at.size(), 2U);
-  EXPECT_EQ(w.refused_harmless, 0U);
+  EXPECT_EQ(w.refused_harmless_requests, 0U);
   for (const auto& [hash, heads] : w.heads_ended_by) {
     EXPECT_LE(heads, 8U);
   }
@@ -324,11 +324,11 @@
     w.run(70s, [](poison_simulation& simulation) {
       for (const std::uint64_t hash : simulation.poison_hashes) {
         if (is_multiple_of(simulation, 3s)) {
-          simulation.submit(simulation.any_node(), hash, true);
+          simulation.submit(simulation.random_node(), hash, true);
         }
       }
     });
-    for (const auto& [hash, visits] : w.late_visits) {
+    for (const auto& [hash, visits] : w.late_poison_submissions) {
       EXPECT_LE(visits, max_late_visits);
     }
   }
@@ -358,7 +358,7 @@
   w.cut_off = {0};
   const auto submit_repeatedly = [](poison_simulation& simulation) {
     if (is_multiple_of(simulation, 2s)) {
-      simulation.submit(simulation.any_node(), 42, true);
+      simulation.submit(simulation.random_node(), 42, true);
     }
   };
   w.run(40s, submit_repeatedly);
@@ -376,7 +376,7 @@
   w.poison_hashes = {42};
   w.run(12s, [](poison_simulation& simulation) {
     if (is_multiple_of(simulation, 2s)) {
-      simulation.submit(simulation.any_node(), 42, true);
+      simulation.submit(simulation.random_node(), 42, true);
     }
   });
   const request_fingerprint fingerprint{workspace_id{"w2"}, 42};
--- a/tests/core/replica_choice_test.cpp
+++ b/tests/core/replica_choice_test.cpp
@@ -14,7 +14,7 @@
 engine_parameters engine() {
   engine_parameters e;
   e.slots = 26;
-  e.stride = 7;
+  e.decode_steps_per_pass = 7;
   e.step = 5950us;
   e.step_per_sequence_ms = 0.0445;
   e.context_ms_per_1k_tokens = 0.00813;
@@ -22,7 +22,7 @@
   e.attention_ms_per_million_pairs = 0.368;
   e.mean_prompt_tokens = 1115;
   e.mean_answer_tokens = 178;
-  e.cross_domain_factor = 2.5;
+  e.cross_domain_slowdown_factor = 2.5;
   e.models = {model};
   return e;
 }
--- a/tests/core/request_admission_test.cpp
+++ b/tests/core/request_admission_test.cpp
@@ -24,23 +24,23 @@
 // Admission with one slot, taken by a request called "running".
 admission with_one_busy_slot(const admission_settings& settings = {}) {
   admission a(settings);
-  EXPECT_TRUE(a.on_capacity(start, {1, 1, 0us}).empty());
+  EXPECT_TRUE(a.update_capacity_and_start_next(start, {1, 1, 0us}).empty());
   EXPECT_TRUE(std::holds_alternative<admitted>(a.submit(start, request("running")).decision));
   return a;
 }
 
-bool is_queued(const submission& s) {
+bool is_queued(const submit_result& s) {
   return std::holds_alternative<queued>(s.decision);
 }
 
-const rejected* refusal(const submission& s) {
+const rejected* refusal(const submit_result& s) {
   return std::get_if<rejected>(&s.decision);
 }
 
 std::string start_order(admission& a, int count) {
   std::string order;
   for (int i = 0; i < count; ++i) {
-    for (const request_id& id : a.on_capacity(start, {1, 1, 0us})) {
+    for (const request_id& id : a.update_capacity_and_start_next(start, {1, 1, 0us})) {
       order += id.str() + " ";
     }
   }
@@ -89,16 +89,17 @@
   for (int i = 0; i < 10; ++i) {
     ASSERT_TRUE(is_queued(a.submit(start, request(std::to_string(i)))));
   }
-  EXPECT_EQ(a.on_capacity(start, {3, 4, 0us}).size(), 3U);
-  EXPECT_TRUE(a.on_capacity(start, {0, 4, 0us}).empty());
+  EXPECT_EQ(a.update_capacity_and_start_next(start, {3, 4, 0us}).size(), 3U);
+  EXPECT_TRUE(a.update_capacity_and_start_next(start, {0, 4, 0us}).empty());
   EXPECT_EQ(a.waiting(), 7U);
-  EXPECT_EQ(a.finished(start + 1s, request_id("0")).size(), 1U);
-  EXPECT_TRUE(a.finished(start + 1s, request_id("0")).empty()) << "a slot is freed once";
+  EXPECT_EQ(a.finish_and_start_next(start + 1s, request_id("0")).size(), 1U);
+  EXPECT_TRUE(a.finish_and_start_next(start + 1s, request_id("0")).empty())
+      << "a slot is freed once";
 }
 
 TEST(Admission, RefusesImmediatelyWhatWouldMissItsDeadline) {
   admission a = with_one_busy_slot();
-  const submission s = a.submit(start, request("late", "w", 0, 3s));
+  const submit_result s = a.submit(start, request("late", "w", 0, 3s));
   ASSERT_NE(refusal(s), nullptr);
   EXPECT_EQ(refusal(s)->reason, reject_reason::too_late);
   EXPECT_GT(refusal(s)->retry_after, 0us);
@@ -111,7 +112,7 @@
   EXPECT_EQ(refusal(a.submit(start, request("r")))->reason, reject_reason::no_capacity);
   // A repair that restores capacity is expected to complete before the deadline, so the request
   // waits for it.
-  EXPECT_TRUE(a.on_capacity(start, {0, 0, 3s}).empty());
+  EXPECT_TRUE(a.update_capacity_and_start_next(start, {0, 0, 3s}).empty());
   EXPECT_TRUE(is_queued(a.submit(start, request("patient", "w", 0, 30s))));
   EXPECT_NE(refusal(a.submit(start, request("hasty", "w", 0, 4s))), nullptr);
 }
@@ -122,10 +123,10 @@
   admission a = with_one_busy_slot(settings);
   ASSERT_TRUE(is_queued(a.submit(start, request("low1", "w", 1))));
   ASSERT_TRUE(is_queued(a.submit(start, request("low2", "w", 1))));
-  const submission same = a.submit(start, request("low3", "w", 1));
+  const submit_result same = a.submit(start, request("low3", "w", 1));
   ASSERT_NE(refusal(same), nullptr);
   EXPECT_EQ(refusal(same)->reason, reject_reason::queue_full);
-  const submission high = a.submit(start, request("high", "w", 0));
+  const submit_result high = a.submit(start, request("high", "w", 0));
   EXPECT_TRUE(is_queued(high));
   ASSERT_TRUE(high.displaced);
   EXPECT_EQ(high.displaced->id, request_id("low2"));
@@ -139,14 +140,15 @@
 // be evaluated again.
 TEST(Admission, LostCapacityStartsNothingAndRefusesLateRequests) {
   admission a;
-  EXPECT_TRUE(a.on_capacity(start, {10, 10, 0us}).empty());
+  EXPECT_TRUE(a.update_capacity_and_start_next(start, {10, 10, 0us}).empty());
   for (int i = 0; i < 40; ++i) {
     ASSERT_EQ(refusal(a.submit(start, request(std::to_string(i), "w", 0, 12s))), nullptr);
   }
   EXPECT_TRUE(a.tick(start + 10ms).empty());
-  EXPECT_TRUE(a.on_capacity(start + 20ms, {0, 1, 0us}).empty());
+  EXPECT_TRUE(a.update_capacity_and_start_next(start + 20ms, {0, 1, 0us}).empty());
   for (int i = 1; i < 10; ++i) {
-    EXPECT_TRUE(a.finished(start + 20ms, request_id(std::to_string(i)), false).empty());
+    EXPECT_TRUE(
+        a.finish_and_start_next(start + 20ms, request_id(std::to_string(i)), false).empty());
   }
   const std::vector<rejection> given_up = a.tick(start + 40ms);
   // Requests have a deadline of ten seconds to start and take two seconds each: five can start in
@@ -154,26 +156,26 @@
   EXPECT_GE(a.waiting(), 5U);
   EXPECT_LE(a.waiting(), 10U);
   EXPECT_EQ(given_up.size() + a.waiting(), 30U);
-  EXPECT_EQ(a.finished(start + 2s, request_id("0")).size(), 1U);
+  EXPECT_EQ(a.finish_and_start_next(start + 2s, request_id("0")).size(), 1U);
 }
 
 TEST(Admission, AbandonedRequestsReleaseTheirSlots) {
   admission a = with_one_busy_slot();
   ASSERT_TRUE(is_queued(a.submit(start, request("w1"))));
   ASSERT_TRUE(is_queued(a.submit(start, request("w2"))));
-  EXPECT_TRUE(a.abandon(start, request_id("w1")).empty());
+  EXPECT_TRUE(a.abandon_and_start_next(start, request_id("w1")).empty());
   EXPECT_EQ(a.waiting(), 1U);
-  const std::vector<request_id> next = a.abandon(start, request_id("running"));
+  const std::vector<request_id> next = a.abandon_and_start_next(start, request_id("running"));
   ASSERT_EQ(next.size(), 1U);
   EXPECT_EQ(next[0], request_id("w2"));
-  EXPECT_TRUE(a.abandon(start, request_id("w2")).empty());
+  EXPECT_TRUE(a.abandon_and_start_next(start, request_id("w2")).empty());
   EXPECT_EQ(a.running() + a.waiting(), 0U);
 }
 
 TEST(Admission, DoesNotStartWhatIsTooLateByThen) {
   admission a = with_one_busy_slot();
   ASSERT_TRUE(is_queued(a.submit(start, request("r", "w", 0, 6s))));
-  EXPECT_TRUE(a.on_capacity(start + 5s, {1, 1, 0us}).empty());
+  EXPECT_TRUE(a.update_capacity_and_start_next(start + 5s, {1, 1, 0us}).empty());
   EXPECT_LE(a.next_tick(), start + 5s);
   const std::vector<rejection> given_up = a.tick(start + 5s);
   ASSERT_EQ(given_up.size(), 1U);
@@ -190,10 +192,10 @@
   const auto ask = [&](int i, duration takes) {
     request_facts facts = request(std::to_string(i));
     facts.deadline = now + 10s;
-    EXPECT_TRUE(a.on_capacity(now, {4, 4, 0us}).empty());
+    EXPECT_TRUE(a.update_capacity_and_start_next(now, {4, 4, 0us}).empty());
     if (std::holds_alternative<admitted>(a.submit(now, facts).decision)) {
       now += takes;
-      EXPECT_TRUE(a.finished(now, facts.id).empty());
+      EXPECT_TRUE(a.finish_and_start_next(now, facts.id).empty());
       ++served;
     }
     now += 100ms;
@@ -216,13 +218,13 @@
   admission a;
   time_point now = start;
   for (int i = 0; i < 40; ++i) {
-    EXPECT_TRUE(a.on_capacity(now, {2, 2, 0us}).empty());
+    EXPECT_TRUE(a.update_capacity_and_start_next(now, {2, 2, 0us}).empty());
     const request_id id(std::to_string(i));
     request_facts facts = request(id.str());
     facts.deadline = now + 5s;
     (void)a.submit(now, facts);
     now += 5s;
-    (void)a.finished(now, id, false);
+    (void)a.finish_and_start_next(now, id, false);
   }
   EXPECT_GT(a.service_time(1), 4s);
 }
@@ -231,9 +233,9 @@
   admission a = with_one_busy_slot();
   a.first_token(start + 500ms, request_id("running"));
   request_facts facts = request("r");
-  facts.first_token_by = start + 1s;
+  facts.first_token_deadline = start + 1s;
   EXPECT_NE(refusal(a.submit(start, facts)), nullptr);
-  facts.first_token_by = start + 10s;
+  facts.first_token_deadline = start + 10s;
   EXPECT_TRUE(is_queued(a.submit(start, facts)));
 }
 
@@ -241,7 +243,8 @@
 
 admission_load overload(double times) {
   admission_load load;
-  load.workspaces = {{"only", 1.0, load.slots / to_seconds(load.mean_service) * times}};
+  load.workspaces = {
+      {"only", 1.0, load.slots / to_seconds(load.mean_service_time_per_cost) * times}};
   return load;
 }
 
@@ -275,7 +278,7 @@
     EXPECT_LT(together.workspaces[i].p99_answer, 1.25 * alone.workspaces[i].p99_answer);
     EXPECT_LT(together.workspaces[i].refused * 100, together.workspaces[i].submitted);
   }
-  EXPECT_GT(together.busy, 0.97) << "work conserving";
+  EXPECT_GT(together.busy_slot_fraction, 0.97) << "work conserving";
   load.first_come_first_served = true;
   EXPECT_GT(run_admission(load, 3).workspaces[0].p99_answer, 3 * alone.workspaces[0].p99_answer);
 }
--- a/tests/core/request_retry_test.cpp
+++ b/tests/core/request_retry_test.cpp
@@ -93,9 +93,9 @@
 TEST(Retry, StormIsBoundedOverTwoHops) {
   const retry_figures with = run_retries(true, 1.0, 1);
   const retry_figures without = run_retries(false, 1.0, 1);
-  EXPECT_LE(with.worst_ratio, 1.25);
+  EXPECT_LE(with.max_attempts_per_request_in_second, 1.25);
   EXPECT_LT(static_cast<double>(with.attempts), 1.12 * static_cast<double>(with.requests));
-  EXPECT_GT(without.worst_ratio, 8.9);
+  EXPECT_GT(without.max_attempts_per_request_in_second, 8.9);
 }
 
 TEST(Hedging, HedgesNearTheQuantileOfTheClass) {
--- a/tests/core/request_router_test.cpp
+++ b/tests/core/request_router_test.cpp
@@ -27,7 +27,7 @@
   r.valid_until = now + 1s;
   r.slots = 4;
   r.running = running;
-  r.load_at = now - 100ms;
+  r.load_reported_at = now - 100ms;
   r.serving_since = now - 30min;
   return r;
 }
@@ -270,7 +270,7 @@
   routes.remote_capacities[1].at = now - 1min;
   EXPECT_EQ(spill(2s), "here");
   EXPECT_EQ(spill(5s), "near");
-  routes.remote_capacities[0].entry.clear();
+  routes.remote_capacities[0].caller_endpoints.clear();
   EXPECT_EQ(spill(std::nullopt), "here");
 }
 
@@ -282,7 +282,7 @@
 TEST(RouterLoad, FirstTokenTailIsHalfOfTheBaselines) {
   for (const duration lag : {duration(0ms), duration(500ms), duration(2s)}) {
     routing_load load;
-    load.lag = lag;
+    load.load_report_lag = lag;
     load.length = 120s;
     const double ours = run_routing(policy_kind::expected_completion, load, 11).p99_first_token;
     const double random = run_routing(policy_kind::random_choice, load, 11).p99_first_token;
--- a/tests/core/retry_window_test.cpp
+++ b/tests/core/retry_window_test.cpp
@@ -15,15 +15,15 @@
   constexpr std::size_t nodes = 6;
   constexpr double ratio = 0.2;
   constexpr double burst = 130;
-  std::vector<retry_window> windows(nodes,
-                                    retry_window({.ratio = ratio, .burst = burst, .nodes = nodes}));
+  std::vector<retry_window> windows(
+      nodes, retry_window({.retries_per_request = ratio, .burst = burst, .nodes = nodes}));
   rng random(1);
   std::vector<std::pair<time_point, bool>> sends;  // time of each send, and whether it was a retry
   time_point now{1000s};
   for (int i = 0; i < 20000; ++i) {
     now += 3ms;
     const std::size_t node = std::min<std::size_t>(random.below(nodes), random.below(nodes));
-    windows[node].first_send(now);
+    windows[node].count_first_send(now);
     sends.emplace_back(now, false);
     while (windows[node].take(now)) {
       sends.emplace_back(now, true);
@@ -44,7 +44,8 @@
 }
 
 TEST(RetryWindow, IsFullAgainAfterAWindow) {
-  retry_window window({.ratio = 0, .burst = 6, .nodes = 1, .usable_fraction = 1});
+  retry_window window(
+      {.retries_per_request = 0, .burst = 6, .nodes = 1, .usable_budget_fraction = 1});
   const time_point now{50s};
   int taken = 0;
   while (window.take(now)) {
--- a/tests/core/send_limits_test.cpp
+++ b/tests/core/send_limits_test.cpp
@@ -245,7 +245,7 @@
       issued.emplace(target, limit->per_second.value_or(0));
     }
     n.grants.set_demand(now_, name_of(i), n.incarnation, false, n.limits.demand(now_));
-    n.grants.round(now_, random_, issued);
+    n.grants.distribute_round(now_, random_, issued);
     for (const auto& [id, count] :
          n.receiver.receive(now_, now_, name_of(i), n.incarnation, n.incarnation,
                             n.grants.update_for(now_, name_of(i)))) {
--- a/tests/core/serving_feed_test.cpp
+++ b/tests/core/serving_feed_test.cpp
@@ -275,7 +275,7 @@
   // records.
   subscription.update(start + 200ms, false, false);
   subscription.update(start + 300ms, false, true);
-  subscription.update(start + 300ms + record_subscription::subscribe_after, false, true);
+  subscription.update(start + 300ms + record_subscription::subscribe_delay, false, true);
   EXPECT_TRUE(subscription.follows_records());
 }
 
@@ -286,7 +286,7 @@
   EXPECT_TRUE(subscription.follows_records());
   subscription.update(start + 2s, false, false);
   EXPECT_TRUE(subscription.follows_records());
-  subscription.update(start + 2s + record_subscription::unsubscribe_after, false, false);
+  subscription.update(start + 2s + record_subscription::unsubscribe_delay, false, false);
   EXPECT_FALSE(subscription.follows_records());
 }
 
--- a/tests/core/settings_test.cpp
+++ b/tests/core/settings_test.cpp
@@ -38,10 +38,10 @@
   EXPECT_EQ(problems_of(minimal_settings), "");
   EXPECT_EQ(result.settings.id, node_id{"n1"});
   EXPECT_EQ(result.settings.data_centre, data_centre_id{"hall-a"});
-  EXPECT_EQ(result.settings.listen.links, (endpoint{"127.0.0.1", 21300}));
+  EXPECT_EQ(result.settings.listen.link_endpoint, (endpoint{"127.0.0.1", 21300}));
   EXPECT_EQ(result.settings.limits.header_bytes, 16U * 1024);
   EXPECT_EQ(result.settings.log.level, log_level::info);
-  EXPECT_FALSE(result.settings.timing.balancer_lag.has_value());
+  EXPECT_FALSE(result.settings.timing.load_balancer_lag.has_value());
 }
 
 TEST(settings, every_key_is_read) {
@@ -86,8 +86,8 @@
   EXPECT_EQ(s.log.level, log_level::debug);
   EXPECT_EQ(s.log.format, log_format::json);
   EXPECT_EQ(s.workers, 3U);
-  EXPECT_EQ(s.timing.balancer_lag, 70ms);
-  EXPECT_EQ(s.timing.stop_limit, 80ms);
+  EXPECT_EQ(s.timing.load_balancer_lag, 70ms);
+  EXPECT_EQ(s.timing.planned_stop_timeout, 80ms);
 }
 
 TEST(settings, mistakes_are_reported_together) {
--- a/tests/core/summaries_test.cpp
+++ b/tests/core/summaries_test.cpp
@@ -33,7 +33,7 @@
   summary_board board(assets.nodes[0].id, data_centre(0));
   std::map<node_id, int> sent;
   for (time_point now = start; now < start + 60s; now += 100ms) {
-    for (const node_id& to : board.due(now, assets)) {
+    for (const node_id& to : board.due_recipients(now, assets)) {
       ++sent[to];
     }
   }
--- a/tests/core/target_incarnation_test.cpp
+++ b/tests/core/target_incarnation_test.cpp
@@ -195,7 +195,7 @@
   const target_id head{"i-1"};
   tracker.note(time_point{10s}, head);
   EXPECT_EQ(tracker.heads(time_point{10s} + 500ms), std::vector<target_id>{head});
-  EXPECT_TRUE(tracker.heads(time_point{10s} + misdirected_heads::retention).empty());
+  EXPECT_TRUE(tracker.heads(time_point{10s} + misdirected_heads::rejection_retention).empty());
 }
 
 TEST(TargetAddress, NewestRowDecidesWhoOwnsTheAddress) {
--- a/tests/shell/cli_options_test.cpp
+++ b/tests/shell/cli_options_test.cpp
@@ -56,7 +56,7 @@
   EXPECT_EQ(apply.directory, "d");
   EXPECT_EQ(apply.nodes, (std::vector<endpoint>{{"10.0.0.1", 1}, {"::1", 2}}));
   EXPECT_EQ(apply.key, "k");
-  EXPECT_EQ(apply.base, 7U);
+  EXPECT_EQ(apply.base_version, 7U);
   EXPECT_EQ(apply.proposal, "p");
   EXPECT_TRUE(apply.dry_run);
   EXPECT_EQ(apply.timeout, 1500ms);
@@ -66,7 +66,7 @@
   EXPECT_EQ(bench.seed, 9U);
   EXPECT_EQ(bench.filter, "planner");
   EXPECT_TRUE(bench.full);
-  EXPECT_EQ(bench.length, 500ms);
+  EXPECT_EQ(bench.measurement_length, 500ms);
   EXPECT_FALSE(parsed_as<bench_options>({"bench"}).full);
   const auto load = parsed_as<load_options>(
       {"load", "e.toml", "--variant", "a", "--variant", "b", "--out", "d", "--seed", "7"});
@@ -76,8 +76,8 @@
   EXPECT_EQ(load.seed, 7U);
   EXPECT_FALSE(load.json);
   EXPECT_TRUE(parsed_as<load_options>({"load", "e.toml", "--json"}).json);
-  EXPECT_FALSE(parsed_as<trial_options>({"trial"}).keep_up);
-  EXPECT_TRUE(parsed_as<trial_options>({"trial", "--keep-up"}).keep_up);
+  EXPECT_FALSE(parsed_as<trial_options>({"trial"}).keep_nodes_running);
+  EXPECT_TRUE(parsed_as<trial_options>({"trial", "--keep-up"}).keep_nodes_running);
   const auto standin =
       parsed_as<standin_options>({"standin", "d", "--settings", "s", "--only", "engines"});
   EXPECT_TRUE(standin.engines);
--- a/tests/shell/connection_bad_http_test.cpp
+++ b/tests/shell/connection_bad_http_test.cpp
@@ -14,9 +14,9 @@
 class connection_bad_http : public connection_fixture {
  protected:
   connection_bad_http() {
-    limits.header_bytes = 2048;
-    limits.body_bytes = 1000;
-    limits.connections = 3;
+    limits.max_header_bytes = 2048;
+    limits.max_body_bytes = 1000;
+    limits.max_connections = 3;
   }
 
   void start() {
@@ -134,7 +134,7 @@
 TEST_F(connection_bad_http, a_connection_above_the_limit_gets_a_503) {
   start();
   std::vector<raw_connection> others;
-  for (std::size_t i = 0; i < limits.connections; ++i) {
+  for (std::size_t i = 0; i < limits.max_connections; ++i) {
     others.push_back(raw_connection::to(server->port()));
     others.back().send("GET / HTTP/1.1\r\n\r\n");
     EXPECT_EQ(others.back().read_until("\r\n\r\n").substr(0, 12), "HTTP/1.1 200");
--- a/tests/shell/connection_client_test.cpp
+++ b/tests/shell/connection_client_test.cpp
@@ -366,7 +366,7 @@
 
 TEST_F(connection_client, a_response_over_the_limit_fails_as_too_large) {
   http_client_limits limits;
-  limits.body_bytes = 10;
+  limits.max_body_bytes = 10;
   http_client limited_client(runtime, limits);
   run_target([&] {
     auto caller = target.accept();
@@ -400,7 +400,7 @@
 // client has to read the response that has already arrived.
 TEST_F(connection_client, a_response_before_the_end_of_the_request_counts) {
   http_server_limits limits;
-  limits.body_bytes = 1000;
+  limits.max_body_bytes = 1000;
   http_server server(runtime, any_port, limits, [](const http_request&, response_writer&) {});
   const std::string body(16UL * 1024 * 1024, 'b');
   in_fiber([&] {
--- a/tests/shell/connection_link_test.cpp
+++ b/tests/shell/connection_link_test.cpp
@@ -83,7 +83,7 @@
 }
 
 TEST_F(connection_link, carries_the_longest_frame_and_refuses_a_longer_one) {
-  limits.queue_bytes = 2 * max_frame_bytes;
+  limits.max_queue_bytes = 2 * max_frame_bytes;
   auto server = make_server();
   auto client = make_client(server->port());
   ASSERT_TRUE(client_link_state.wait_for("b+"));
@@ -120,7 +120,7 @@
 // The queue has to be bounded, and to drop old frames rather than new ones.
 TEST_F(connection_link, a_slow_peer_gets_the_newest_state) {
   const raw_listener peer;
-  limits.queue_bytes = 8UL * 1024;
+  limits.max_queue_bytes = 8UL * 1024;
   auto client = make_client(peer.port());
   auto slow = peer.accept();
   slow.send(hello_of_b);
@@ -147,7 +147,7 @@
   auto paused = peer.accept();
   paused.send(hello_of_b);
   ASSERT_TRUE(client_link_state.wait_for("b+"));
-  const bytes large(limits.queue_bytes / 2, 'x');
+  const bytes large(limits.max_queue_bytes / 2, 'x');
   in_fiber([&] {
     EXPECT_TRUE(fiber_wait_until([&] {
       client->send(large, frame_priority::state);
@@ -218,7 +218,7 @@
   EXPECT_EQ(queue.push(frame_of("s2.."), frame_priority::state), 0U);
   EXPECT_EQ(queue.push(frame_of("s3"), frame_priority::state), 1U);
   bytes wire;
-  EXPECT_EQ(queue.take(wire, 1000), 3U);
+  EXPECT_EQ(queue.take_batch(wire, 1000), 3U);
   EXPECT_EQ(std::string(wire.begin(), wire.end()), wire_of("u1") + wire_of("s2..") + wire_of("s3"));
   EXPECT_TRUE(queue.empty());
   EXPECT_EQ(queue.bytes(), 0U);
@@ -231,7 +231,7 @@
     EXPECT_LE(queue.bytes(), 10U);
   }
   bytes wire;
-  EXPECT_EQ(queue.take(wire, 1), 1U);
+  EXPECT_EQ(queue.take_batch(wire, 1), 1U);
   EXPECT_EQ(std::string(wire.begin(), wire.end()), wire_of("u8.."));
 }
 
--- a/tests/shell/controller_simulation.h
+++ b/tests/shell/controller_simulation.h
@@ -131,8 +131,8 @@
     }
   }
 
-  [[nodiscard]] bool run_until(const std::function<bool()>& condition, duration longest) {
-    const time_point until = now_ + longest;
+  [[nodiscard]] bool run_until(const std::function<bool()>& condition, duration max_time) {
+    const time_point until = now_ + max_time;
     while (now_ < until && !::testing::Test::HasFatalFailure()) {
       if (condition()) {
         return true;
@@ -143,7 +143,7 @@
   }
 
   // Number of serving replicas of the model: those with an open head and all members alive.
-  [[nodiscard]] std::size_t serving(const model_id& model) const {
+  [[nodiscard]] std::size_t count_serving_replicas(const model_id& model) const {
     std::size_t count = 0;
     for (const auto& [id, engine] : engines_) {
       count += engine.is_open() &&
@@ -156,7 +156,7 @@
   }
 
   // Heads of the serving replicas of the model.
-  [[nodiscard]] std::vector<target_id> heads(const model_id& model) const {
+  [[nodiscard]] std::vector<target_id> serving_heads(const model_id& model) const {
     std::vector<target_id> result;
     for (const auto& [id, engine] : engines_) {
       if (engine.is_open() && !dead_.contains(id) && is_complete(engine) &&
@@ -167,8 +167,8 @@
     return result;
   }
   // Head of one serving replica of the model; empty if there is none.
-  [[nodiscard]] target_id head(const model_id& model) const {
-    const auto all = heads(model);
+  [[nodiscard]] target_id any_serving_head(const model_id& model) const {
+    const auto all = serving_heads(model);
     return all.empty() ? target_id{} : all.front();
   }
   // Open head of a replica for which a spare with the same model is ready in the fabric domain;
@@ -194,7 +194,7 @@
   [[nodiscard]] const standin::hosted_engine& engine(const target_id& id) const {
     return engines_.at(id);
   }
-  [[nodiscard]] std::vector<target_id> living() const {
+  [[nodiscard]] std::vector<target_id> living_engines() const {
     std::vector<target_id> result;
     for (const auto& [id, engine] : engines_) {
       if (!dead_.contains(id)) {
@@ -206,7 +206,7 @@
   [[nodiscard]] std::size_t orders_sent() const { return orders_sent_; }
   [[nodiscard]] time_point now() const { return now_; }
   rng& random() { return random_; }
-  void start_requests() { requests_seen_ = true; }
+  void start_requests() { requests_started_ = true; }
 
  private:
   struct simulated_controller {
@@ -255,7 +255,7 @@
     }
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
       const replica_controller::responsibilities responsibilities{nodes_[n]->data_centres,
-                                                                  nodes_.size(), requests_seen_};
+                                                                  nodes_.size(), requests_started_};
       for (const controller_effect& e :
            nodes_[n]->controller.tick(now_, nodes_[n]->fleet, service_, responsibilities)) {
         carry_out(n, e);
@@ -368,19 +368,21 @@
     if (late || dead_.contains(order.to) || nodes_[n]->partitioned) {
       schedule(timeout, [this, n, order] {
         nodes_[n]->fleet.probe_failed(now_, order.to);
-        nodes_[n]->controller.on_order(now_, nodes_[n]->fleet, order, order_outcome::no_answer);
+        nodes_[n]->controller.on_order_outcome(now_, nodes_[n]->fleet, order,
+                                               order_outcome::no_answer);
       });
       return;
     }
     schedule(network_delay, [this, n, order, lost] {
       const order_outcome outcome = deliver(order);
       if (!lost) {
-        nodes_[n]->controller.on_order(now_, nodes_[n]->fleet, order, outcome);
+        nodes_[n]->controller.on_order_outcome(now_, nodes_[n]->fleet, order, outcome);
       }
     });
     if (lost) {
       schedule(timeout, [this, n, order] {
-        nodes_[n]->controller.on_order(now_, nodes_[n]->fleet, order, order_outcome::no_answer);
+        nodes_[n]->controller.on_order_outcome(now_, nodes_[n]->fleet, order,
+                                               order_outcome::no_answer);
       });
     }
   }
@@ -452,7 +454,7 @@
   time_point now_{1h};
   rng random_;
   faults faults_;
-  bool requests_seen_ = false;
+  bool requests_started_ = false;
   std::map<target_id, standin::hosted_engine> engines_;
   std::set<target_id> dead_;
   std::map<target_id, time_point> unlist_at_;
--- a/tests/shell/cross_domain_replica_test.cpp
+++ b/tests/shell/cross_domain_replica_test.cpp
@@ -15,7 +15,7 @@
 service_spec model_larger_than_data_centre() {
   service_spec service = two_models();
   service.engine->models = {{large, large_size, 0.5, 1.0, 4s, 1s}, {small, 4, 0.5, 0.6, 4s, 1s}};
-  service.engine->cross_domain_factor = 2.5;
+  service.engine->cross_domain_slowdown_factor = 2.5;
   service.engine->concurrent_loads = 12;
   return service;
 }
@@ -36,32 +36,35 @@
   // Five data centres of 13 engines each and a model of size 16: without replicas across data
   // centres, all requests for the model are refused although 65 engines work.
   five_data_centres sim(1);
-  EXPECT_TRUE(
-      sim.run_until([&] { return sim.serving(large) >= 1 && sim.serving(small) >= 4; }, 40s));
+  EXPECT_TRUE(sim.run_until(
+      [&] {
+        return sim.count_serving_replicas(large) >= 1 && sim.count_serving_replicas(small) >= 4;
+      },
+      40s));
 }
 
 TEST(CrossDomainReplica, IsFormedAgainAfterTheLossOfAMember) {
   five_data_centres sim(2);
-  ASSERT_TRUE(sim.run_until([&] { return sim.serving(large) >= 1; }, 40s));
+  ASSERT_TRUE(sim.run_until([&] { return sim.count_serving_replicas(large) >= 1; }, 40s));
   sim.run(10s);
   sim.start_requests();
-  const std::size_t before = sim.serving(large);
+  const std::size_t before = sim.count_serving_replicas(large);
   ASSERT_GE(before, 1U);
-  sim.kill(sim.engine(sim.head(large)).members().back());
+  sim.kill(sim.engine(sim.any_serving_head(large)).members().back());
   sim.run(100ms);
-  EXPECT_LT(sim.serving(large), before);
+  EXPECT_LT(sim.count_serving_replicas(large), before);
   // After an engine died, it takes 3.6 s until the list of targets drops it and 1 s to dissolve the
   // replica and form it again.
-  EXPECT_TRUE(sim.run_until([&] { return sim.serving(large) >= before; }, 6s));
+  EXPECT_TRUE(sim.run_until([&] { return sim.count_serving_replicas(large) >= before; }, 6s));
 }
 
 TEST(CrossDomainReplica, IsFormedAgainAfterTheLossOfItsHead) {
   five_data_centres sim(3);
-  ASSERT_TRUE(sim.run_until([&] { return sim.serving(large) >= 1; }, 40s));
+  ASSERT_TRUE(sim.run_until([&] { return sim.count_serving_replicas(large) >= 1; }, 40s));
   sim.run(10s);
   sim.start_requests();
-  sim.kill(sim.head(large));
-  EXPECT_TRUE(sim.run_until([&] { return sim.serving(large) >= 1; }, 8s));
+  sim.kill(sim.any_serving_head(large));
+  EXPECT_TRUE(sim.run_until([&] { return sim.count_serving_replicas(large) >= 1; }, 8s));
 }
 
 TEST(CrossDomainReplica, LostAndLateOrdersOfTwoControllersAreHarmless) {
@@ -73,7 +76,7 @@
     sim.start_requests();
     sim.set_faults({.order_lost = 0.1, .order_late = 0.1});
     for (int i = 0; i < 6; ++i) {
-      const auto alive = sim.living();
+      const auto alive = sim.living_engines();
       const target_id& victim = alive[sim.random().below(alive.size())];
       if (i % 2 == 0) {
         sim.kill(victim);
@@ -86,23 +89,23 @@
       }
     }
     sim.set_faults({});
-    EXPECT_TRUE(sim.run_until([&] { return sim.serving(large) >= 1; }, 30s)) << seed;
+    EXPECT_TRUE(sim.run_until([&] { return sim.count_serving_replicas(large) >= 1; }, 30s)) << seed;
   }
 }
 
 TEST(CrossDomainReplica, PartitionedControllerBreaksNoReplicaOfOthers) {
   five_data_centres sim(4);
-  ASSERT_TRUE(sim.run_until([&] { return sim.serving(large) >= 1; }, 40s));
+  ASSERT_TRUE(sim.run_until([&] { return sim.count_serving_replicas(large) >= 1; }, 40s));
   sim.run(10s);
   sim.start_requests();
-  const std::size_t before = sim.serving(large);
+  const std::size_t before = sim.count_serving_replicas(large);
   for (std::size_t node = 0; node < data_centre_count; ++node) {
     sim.set_partitioned(node, true);
     sim.run(3s);
     sim.set_partitioned(node, false);
     sim.run(3s);
   }
-  EXPECT_GE(sim.serving(large), before);
+  EXPECT_GE(sim.count_serving_replicas(large), before);
 }
 
 TEST(CrossDomainReplica, SendsNoOrdersOnceStable) {
--- a/tests/shell/explain_test.cpp
+++ b/tests/shell/explain_test.cpp
@@ -47,12 +47,14 @@
 // answers take 2 s.
 class ExplainLoad : public Explain {
  protected:
-  ExplainLoad() : Explain({.engines_per_data_centre = 3, .events = 40, .event_gap = 50ms}) {}
+  ExplainLoad()
+      : Explain({.engines_per_data_centre = 3, .events_per_answer = 40, .event_gap = 50ms}) {}
 };
 
 TEST_F(ExplainLoad, ARefusalUnderLoad) {
   ASSERT_TRUE(eventually([&] {
-    return platform_.serving() >= 1 && send_request(0, "/llm/x", "warm-0").response.status == 200;
+    return platform_.count_serving_replicas() >= 1 &&
+           send_request(0, "/llm/x", "warm-0").response.status == 200;
   }));
   constexpr std::size_t callers = 30;
   std::vector<std::thread> threads;
@@ -77,12 +79,12 @@
 }
 
 TEST_F(Explain, AStreamWhoseReplicaLostAMember) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   std::vector<std::thread> threads;
   for (std::size_t i = 0; i < 12; ++i) {
     threads.emplace_back([&, i] { (void)send_request(i % 2, "/llm/2f", "m" + std::to_string(i)); });
   }
-  ASSERT_TRUE(eventually([&] { return platform_.runs().count("m5") > 0; }));
+  ASSERT_TRUE(eventually([&] { return platform_.runs_by_request().count("m5") > 0; }));
   const std::string lost = platform_.find_member(false);
   platform_.kill_engine(lost);
   for (std::thread& t : threads) {
@@ -91,7 +93,7 @@
   // The nodes choose which streams run on the killed replica; these are the requests that ran
   // twice.
   std::string moved;
-  for (const auto& [id, count] : platform_.runs()) {
+  for (const auto& [id, count] : platform_.runs_by_request()) {
     moved = count > 1 ? id : moved;
   }
   ASSERT_FALSE(moved.empty()) << "no stream was on the replica";
@@ -103,7 +105,7 @@
 }
 
 TEST_F(Explain, AKeyThatCannotBeChecked) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   platform_.set_store_down(true);
   ASSERT_TRUE(eventually([&] { return send_request(0, "/llm/2f", "d0").response.status == 503; }));
   const auto timeline = explain_request("d0");
--- a/tests/shell/hosted_fixture.h
+++ b/tests/shell/hosted_fixture.h
@@ -48,7 +48,7 @@
                        {"127.0.0.1", next_port()}};
     settings.store = {"127.0.0.1", store_port};
     settings.cold_start = true;
-    settings.bounds.grace = 4s;
+    settings.bounds.shutdown_grace = 4s;
     node = std::make_unique<hosted_node>(settings);
     node->start();
   }
@@ -68,16 +68,16 @@
   ~hosted_fixture() override { nodes_.clear(); }
 
   call_result send_request(std::size_t node, const std::string& target, const std::string& id,
-                           const std::string& key = standin::hosted_key) {
+                           const std::string& key = standin::hosted_caller_key) {
     http_request request;
     request.method = "POST";
     request.target = target;
-    request.headers = {{"Host", standin::hosted_host}, {"X-Request-Id", id},
-                       {"X-Deadline-Ms", "6000"},      {"X-Model", standin::hosted_model},
-                       {"X-Token-Count", "100,20"},    {"Authorization", "Bearer " + key}};
+    request.headers = {{"Host", standin::hosted_host_name}, {"X-Request-Id", id},
+                       {"X-Deadline-Ms", "6000"},           {"X-Model", standin::hosted_model_name},
+                       {"X-Token-Count", "100,20"},         {"Authorization", "Bearer " + key}};
     call_result result;
     runtime.run_on(0, [&] {
-      result = client_.fetch(local(nodes_[node]->settings.listen.callers.port), request,
+      result = client_.fetch(local(nodes_[node]->settings.listen.caller_endpoint.port), request,
                              monotonic_now() + 8s);
     });
     return result;
@@ -90,7 +90,7 @@
     request.target = target;
     call_result result;
     runtime.run_on(0, [&] {
-      result = client_.fetch(local(nodes_[0]->settings.listen.metrics.port), request,
+      result = client_.fetch(local(nodes_[0]->settings.listen.metrics_endpoint.port), request,
                              monotonic_now() + 2s);
     });
     return result;
@@ -107,9 +107,9 @@
     return true;
   }
 
-  bool serves() {
+  bool both_nodes_serve() {
     return eventually([&] {
-      return platform_.serving() >= 2 &&
+      return platform_.count_serving_replicas() >= 2 &&
              send_request(0, "/llm/x", "warm-0").response.status == 200 &&
              send_request(1, "/llm/x", "warm-1").response.status == 200;
     });
--- a/tests/shell/hosted_limit_test.cpp
+++ b/tests/shell/hosted_limit_test.cpp
@@ -63,7 +63,7 @@
 constexpr std::size_t max_arrivals_with_limit_five = 35;
 
 TEST_F(HostedLimit, AllNodesTogetherRespectTheLimitOfATarget) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   const time_point counted = announce_limit("5", "/card/1");
   const std::map<int, int> answers = send_load(8s, "/card/1");
   EXPECT_LE(max_at_a_target(counted), max_arrivals_with_limit_five);
@@ -73,7 +73,7 @@
 }
 
 TEST_F(HostedLimit, AllNodesTogetherRespectTheLimitOfAReplica) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   const time_point counted = announce_limit("5", "/llm/1");
   const std::map<int, int> answers = send_load(8s, "/llm/1");
   EXPECT_LE(max_at_a_target(counted + 1s), max_arrivals_with_limit_five);
@@ -81,7 +81,7 @@
 }
 
 TEST_F(HostedLimit, RemovedLimitIsNoLongerApplied) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   (void)announce_limit("1", "/card/1");
   platform_.set_send_limit("");
   EXPECT_TRUE(eventually([&] {
--- a/tests/shell/hosted_node_test.cpp
+++ b/tests/shell/hosted_node_test.cpp
@@ -9,36 +9,36 @@
 class HostedNode : public hosted_fixture {};
 
 TEST_F(HostedNode, FormsReplicasAndServesStreamsAndCalls) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   const call_result stream = send_request(1, "/llm/2f", "s1");
   EXPECT_EQ(stream.response.status, 200);
   EXPECT_EQ(stream.response.body, expected_stream("s1"));
   EXPECT_EQ(stream.response.headers.find("X-Response-Seal"), "seal.s1");
   const call_result card = send_request(0, "/card/1", "c1");
   EXPECT_EQ(card.response.body, "card c1");
-  EXPECT_EQ(platform_.runs()["c1"], 1);
+  EXPECT_EQ(platform_.runs_by_request()["c1"], 1);
   EXPECT_EQ(platform_.header_violations(), 0);
 }
 
 TEST_F(HostedNode, RefusesUnknownKeysAndPaths) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   EXPECT_EQ(send_request(0, "/llm/2f", "k1", "wrong").response.status, 401);
   EXPECT_EQ(send_request(0, "/nothing/", "k2").response.status, 404);
-  EXPECT_EQ(platform_.runs().count("k1"), 0U);
+  EXPECT_EQ(platform_.runs_by_request().count("k1"), 0U);
 }
 
 TEST_F(HostedNode, StreamsContinueWhenAMemberDies) {
   // Guards against truncated or repeated streams: a member of the replica dies without closing its
   // connections, and the head sends no further events. The node must detect that and resume the
   // streams on another replica after their last event.
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   std::vector<std::thread> callers;
   std::vector<call_result> results(12);
   for (std::size_t i = 0; i < results.size(); ++i) {
     callers.emplace_back(
         [&, i] { results[i] = send_request(i % 2, "/llm/2f", "m" + std::to_string(i)); });
   }
-  ASSERT_TRUE(eventually([&] { return platform_.runs().count("m5") > 0; }));
+  ASSERT_TRUE(eventually([&] { return platform_.runs_by_request().count("m5") > 0; }));
   platform_.kill_engine(platform_.find_member(false));
   for (std::thread& t : callers) {
     t.join();
@@ -50,23 +50,23 @@
     if (results[i].response.status == 200) {
       EXPECT_EQ(results[i].response.body, expected_stream(id));
     }
-    EXPECT_LE(platform_.runs()[id], 3);
+    EXPECT_LE(platform_.runs_by_request()[id], 3);
   }
-  EXPECT_TRUE(eventually([&] { return platform_.serving() >= 2; }));
+  EXPECT_TRUE(eventually([&] { return platform_.count_serving_replicas() >= 2; }));
 }
 
 TEST_F(HostedNode, StreamsContinueWhenAnEngineRestarts) {
   // Guards against streams that stall, and against requests to a replica that no longer exists: a
   // member restarts under its id while streams run. The id is still listed, so the node must not
   // rely on the state of the previous incarnation.
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   std::vector<std::thread> callers;
   std::vector<call_result> results(12);
   for (std::size_t i = 0; i < results.size(); ++i) {
     callers.emplace_back(
         [&, i] { results[i] = send_request(i % 2, "/llm/2f", "a" + std::to_string(i)); });
   }
-  ASSERT_TRUE(eventually([&] { return platform_.runs().count("a5") > 0; }));
+  ASSERT_TRUE(eventually([&] { return platform_.runs_by_request().count("a5") > 0; }));
   platform_.restart_engine(platform_.find_member(false));
   platform_.restart_engine(platform_.find_member(true));
   for (std::thread& t : callers) {
@@ -77,21 +77,21 @@
     if (results[i].response.status == 200) {
       EXPECT_EQ(results[i].response.body, expected_stream(id));
     }
-    EXPECT_LE(platform_.runs()[id], 3);
+    EXPECT_LE(platform_.runs_by_request()[id], 3);
   }
-  EXPECT_TRUE(eventually([&] { return platform_.serving() >= 2; }));
+  EXPECT_TRUE(eventually([&] { return platform_.count_serving_replicas() >= 2; }));
 }
 
 TEST_F(HostedNode, UnreadableTargetRowsAreSkipped) {
   // Guards against a node that loses all targets when another writer puts rows into the list of
   // targets, also rows with invalid bytes, and one unreadable row fails the entire answer.
-  ASSERT_TRUE(serves());
-  platform_.write_entry("x", "{");
-  platform_.write_entry("\x01\x02", R"({"service":"llm"})");
-  platform_.write_entry("i-odd",
-                        R"({"service":"llm","address":"127.0.0.1:1","zone":"lab-a","slots":"9"})");
+  ASSERT_TRUE(both_nodes_serve());
+  platform_.write_target_record("x", "{");
+  platform_.write_target_record("\x01\x02", R"({"service":"llm"})");
+  platform_.write_target_record(
+      "i-odd", R"({"service":"llm","address":"127.0.0.1:1","zone":"lab-a","slots":"9"})");
   platform_.kill_engine(platform_.find_member(false));
-  EXPECT_TRUE(eventually([&] { return platform_.serving() >= 2; }))
+  EXPECT_TRUE(eventually([&] { return platform_.count_serving_replicas() >= 2; }))
       << "what the list contains behind the unreadable rows is not read";
   EXPECT_EQ(send_request(0, "/llm/2f", "beside").response.body, expected_stream("beside"));
 }
@@ -99,8 +99,8 @@
 TEST_F(HostedNode, RevokedKeyIsRefusedWithinTheBound) {
   // Guards against requests that run with an API key that the newest version of the configuration
   // no longer has.
-  ASSERT_TRUE(serves());
-  platform_.configure(false);
+  ASSERT_TRUE(both_nodes_serve());
+  platform_.write_next_configuration(false);
   EXPECT_TRUE(eventually([&] {
     return send_request(0, "/llm/2f", "w0").response.status == 401 &&
            send_request(1, "/llm/2f", "w1").response.status == 401;
@@ -110,10 +110,10 @@
 TEST_F(HostedNode, ConfigurationLargerThanOneReadTimeoutComesIntoForce) {
   // At the rate below, the store's response takes 1.4 s to transfer, three times the read timeout
   // of a node.
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   constexpr std::size_t routes = 1400;
   platform_.set_store_rate(250'000);
-  platform_.configure(true, routes);
+  platform_.write_next_configuration(true, routes);
   const std::string newest = standin::hosted_platform::extra_route(routes - 1);
   EXPECT_TRUE(eventually([&] { return send_request(0, newest, "o0").response.status == 200; }));
   EXPECT_TRUE(eventually([&] { return send_request(1, newest, "o1").response.status == 200; }));
@@ -123,7 +123,7 @@
   // Guards against a partitioned node that accepts a revoked key: while the store is unavailable
   // for longer than the bound, a key may have been revoked, and the node must not rely on its old
   // configuration.
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   platform_.set_store_down(true);
   EXPECT_TRUE(eventually([&] {
     const call_result refused = send_request(0, "/llm/2f", "d0");
@@ -147,7 +147,7 @@
   watch.apply_hub_update(now, now, message);
   EXPECT_EQ(state.target_rows.position(), 0U);
   EXPECT_FALSE(state.fleet_known);
-  EXPECT_EQ(state.fleet_read_at, time_point{});
+  EXPECT_EQ(state.fleet_list_requested_at, time_point{});
 }
 
 TEST_F(HostedNode, UpdateForAnEarlierIncarnationIsIgnored) {
@@ -168,7 +168,7 @@
   watch.apply_hub_update(now, now, message);
   EXPECT_EQ(state.configuration_rows.position(), 0U);
   EXPECT_EQ(state.target_rows.position(), 0U);
-  EXPECT_FALSE(state.lease.age(now));
+  EXPECT_FALSE(state.configuration_lease.age(now));
   // Changes to a table whose full content this node never received are ignored, too.
   message.targets = feed_update{{{"i-1", "{}", 85, true}}, false, 90, 0, 0ms, false};
   watch.apply_hub_update(now, now, message);
@@ -196,12 +196,12 @@
   message.hub = true;
   message.incarnation = "0a1b2c3d";
   message.targets_position = 90;
-  message.served = feed_update{{{"i-7", encode(instance), 1, false}}, true, 1, 0, 0ms, false};
+  message.serving_rows = feed_update{{{"i-7", encode(instance), 1, false}}, true, 1, 0, 0ms, false};
   const time_point now = monotonic_now();
   watch.apply_hub_update(now, now, message);
   EXPECT_TRUE(state.fleet_known);
   EXPECT_NE(state.fleet.find(target_id{"i-7"}), nullptr);
-  EXPECT_EQ(state.followed.at(), (serving_follower::position{"0a1b2c3d", 1}));
+  EXPECT_EQ(state.received_serving.at(), (serving_follower::position{"0a1b2c3d", 1}));
   // The node may not control replicas with rows from its hub alone, and continues to read at the
   // store from the hub's position.
   EXPECT_FALSE(state.fleet_complete);
@@ -209,7 +209,7 @@
   EXPECT_EQ(state.target_rows.position(), 90U);
   // Rows of another incarnation of the hub do not continue from the rows received so far.
   message.incarnation = "4e5f6a7b";
-  message.served = feed_update{{{"i-7", {}, 2, true}}, false, 2, 1, 0ms, false};
+  message.serving_rows = feed_update{{{"i-7", {}, 2, true}}, false, 2, 1, 0ms, false};
   watch.apply_hub_update(now, now, message);
   EXPECT_TRUE(state.fleet.find(target_id{"i-7"})->listed);
   // With the full content of the table the node may control replicas.
@@ -221,10 +221,10 @@
 
 TEST_F(HostedNode, StoppingNodeCompletesRunningStreams) {
   // Guards against a planned stop of a node that cuts off responses in flight.
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   call_result result;
   std::thread caller([&] { result = send_request(0, "/llm/2f", "stop"); });
-  ASSERT_TRUE(eventually([&] { return platform_.runs().count("stop") > 0; }));
+  ASSERT_TRUE(eventually([&] { return platform_.runs_by_request().count("stop") > 0; }));
   EXPECT_TRUE(nodes_[0]->node->stop());
   caller.join();
   EXPECT_EQ(result.response.body, expected_stream("stop"));
--- a/tests/shell/hosted_poison_test.cpp
+++ b/tests/shell/hosted_poison_test.cpp
@@ -37,7 +37,7 @@
  protected:
   HostedPoison() : hosted_fixture({.engines_per_data_centre = 18}) {}
 
-  int crashes(const std::string& path) { return platform_.crashes()[path]; }
+  int crashes(const std::string& path) { return platform_.crashes_by_path()[path]; }
 
   // Sends the poison request once more, as its caller does, to the nodes in turn. Returns whether
   // it reached a target.
@@ -45,7 +45,7 @@
     const std::string id = path + "-" + std::to_string(visits_);
     last_ = send_request(visits_ % nodes_of_fixture, path, id);
     ++visits_;
-    return platform_.runs()[id] > 0;
+    return platform_.runs_by_request()[id] > 0;
   }
 
   void repeat_visits(const std::string& path, const std::function<bool()>& until) {
@@ -105,7 +105,7 @@
   // off, are refused or late. If attempts are linked by the request id only, each seems to be the
   // first one; the hash of workspace, path and body links them. Without a quarantine, 22 engines
   // crashed in this test.
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   repeat_visits(poison_stream, [&] { return crashes(poison_stream) >= crashes_of_bound; });
   const int late = late_visits(poison_stream);
   RecordProperty("late_visits", late);
@@ -119,7 +119,7 @@
 TEST_F(HostedPoison, PoisonCallIsRefused) {
   // Guards against a request that crashes the instances of a service that is not a model: without a
   // quarantine, its only instance crashed eight times.
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   repeat_visits(poison_call, [&] { return crashes(poison_call) >= crashes_of_bound; });
   const int late = late_visits(poison_call);
   RecordProperty("late_visits", late);
@@ -132,7 +132,7 @@
 
 // Guards against a quarantine of harmless requests that ran together with the poison request.
 TEST_F(HostedPoison, ConcurrentRequestsAreServed) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   std::vector<std::thread> callers;
   std::vector<int> last_status(8);
   std::atomic<bool> ending = false;
@@ -151,7 +151,7 @@
     });
   }
   repeat_visits(poison_stream, [&] { return is_refused(poison_stream); });
-  EXPECT_TRUE(eventually([&] { return platform_.serving() >= 4; }));
+  EXPECT_TRUE(eventually([&] { return platform_.count_serving_replicas() >= 4; }));
   std::this_thread::sleep_for(std::chrono::seconds(1));
   ending = true;
   for (std::thread& t : callers) {
@@ -164,12 +164,12 @@
 
 // Guards against a quarantine of a request whose engines were repeatedly killed while running it.
 TEST_F(HostedPoison, RequestOnKilledEnginesIsServed) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   constexpr int kills = 3;
   for (int i = 0; i < kills; ++i) {
     const std::string id = "k" + std::to_string(i);
     std::thread caller([&] { send_request(i % nodes_of_fixture, "/llm/killed", id); });
-    EXPECT_TRUE(eventually([&] { return platform_.runs().count(id) > 0; }));
+    EXPECT_TRUE(eventually([&] { return platform_.runs_by_request().count(id) > 0; }));
     platform_.restart_engine(platform_.engine_of_run(id));
     caller.join();
   }
@@ -181,12 +181,12 @@
 
 // Guards against quarantines that are lost when all nodes lose power simultaneously.
 TEST_F(HostedPoison, QuarantineOutlivesAllNodes) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   repeat_visits(poison_stream, [&] { return is_refused(poison_stream); });
   ASSERT_TRUE(is_refused_everywhere(poison_stream));
   ASSERT_TRUE(eventually([&] { return platform_.rows_of_table("poison") > 0; }));
   restart_all_nodes();
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   ASSERT_TRUE(is_refused_everywhere(poison_stream));
   const int before = crashes(poison_stream);
   EXPECT_TRUE(is_refused(poison_stream));
@@ -195,7 +195,7 @@
 
 // Guards against a quarantine that an operator cannot release, on the nodes and in the store.
 TEST_F(HostedPoison, OperatorReleasesAQuarantine) {
-  ASSERT_TRUE(serves());
+  ASSERT_TRUE(both_nodes_serve());
   repeat_visits(poison_stream, [&] { return is_refused(poison_stream); });
   ASSERT_TRUE(is_refused_everywhere(poison_stream));
   ASSERT_TRUE(eventually([&] { return platform_.rows_of_table("poison") > 0; }));
--- a/tests/shell/load_checker_test.cpp
+++ b/tests/shell/load_checker_test.cpp
@@ -75,7 +75,7 @@
         << text;
   }
   EXPECT_EQ(checker.check_answer(booking("k"), booked("other")), caller_outcome::wrong);
-  EXPECT_EQ(checker.count(guarantee::own_answer), 6U);
+  EXPECT_EQ(checker.count(guarantee::complete_means_correct), 6U);
   EXPECT_EQ(checker.violations(), 6U);
 }
 
@@ -116,12 +116,12 @@
 
 TEST_F(load_checker, a_missing_answer_is_detected_unless_nothing_was_sent) {
   raw_answer none;
-  none.reached = false;
+  none.may_have_been_sent = false;
   EXPECT_EQ(checker.check_answer(model_call("a"), none), caller_outcome::unreached);
   EXPECT_EQ(checker.violations(), 0U);
-  none.reached = true;
+  none.may_have_been_sent = true;
   EXPECT_EQ(checker.check_answer(model_call("a"), none), caller_outcome::no_response);
-  EXPECT_EQ(checker.count(guarantee::answered), 1U);
+  EXPECT_EQ(checker.count(guarantee::every_call_answered), 1U);
 }
 
 }  // namespace
--- a/tests/shell/load_experiment_test.cpp
+++ b/tests/shell/load_experiment_test.cpp
@@ -131,7 +131,7 @@
   e.work.length = 100s;
   e.work.bookings_per_second = 0;
   variant more = e.variants.front();
-  more.workspace = "dispatch";
+  more.scaled_workspace = "dispatch";
   more.workspace_factor = 5;
   std::size_t small_before = 0;
   std::size_t small_after = 0;
@@ -172,7 +172,8 @@
   EXPECT_EQ(node.violations(), 0U);
   EXPECT_GT(node.sum().of(caller_outcome::complete), 10U);
   EXPECT_GT(node.bookings_checked, 0U);
-  EXPECT_GT(report.variants[1].violation_counts[static_cast<std::size_t>(guarantee::own_answer)],
+  EXPECT_GT(report.variants[1]
+                .violation_counts[static_cast<std::size_t>(guarantee::complete_means_correct)],
             0U);
   EXPECT_GT(report.variants[2].violation_counts[static_cast<std::size_t>(guarantee::at_most_once)],
             0U);
--- a/tests/shell/platform_test.cpp
+++ b/tests/shell/platform_test.cpp
@@ -161,7 +161,7 @@
   const request_fields head = read_request_fields(sample_request());
   EXPECT_EQ(head.id, request_id{"b7e2"});
   EXPECT_EQ(head.path, "/a/2f");
-  EXPECT_EQ(head.key, "k1");
+  EXPECT_EQ(head.api_key, "k1");
   EXPECT_EQ(head.time_left, std::optional<duration>{8s});
   EXPECT_EQ(head.size.prompt_tokens, 1460);
   EXPECT_EQ(head.size.answer_tokens, 80);
@@ -211,8 +211,8 @@
             answer_kind::target_response);
   const auto loaded =
       read_response_fields(200, {{"X-Request-Id", "b7e2"}, {"X-Instance-Load", "3,2,8"}}, id);
-  EXPECT_EQ(loaded.running, 3U);
-  EXPECT_EQ(loaded.waiting, 2U);
+  EXPECT_EQ(loaded.running_requests, 3U);
+  EXPECT_EQ(loaded.waiting_requests, 2U);
 }
 
 TEST(PlatformDialect, WritesRetryAfterInFractionsOfASecond) {
--- a/tests/shell/replica_controller_test.cpp
+++ b/tests/shell/replica_controller_test.cpp
@@ -11,8 +11,11 @@
   controller_simulation sim(1);
   sim.add_domain("d0", 9);
   sim.add_domain("d1", 9);
-  EXPECT_TRUE(
-      sim.run_until([&] { return sim.serving(large) >= 2 && sim.serving(small) >= 2; }, 40s));
+  EXPECT_TRUE(sim.run_until(
+      [&] {
+        return sim.count_serving_replicas(large) >= 2 && sim.count_serving_replicas(small) >= 2;
+      },
+      40s));
 }
 
 TEST(ReplicaController, RepairsWithASpareWithinASecond) {
@@ -29,12 +32,12 @@
   const target_id head = sim.head_with_spare();
   ASSERT_FALSE(head.empty()) << "no domain has a spare";
   const model_id model = model_of_name(sim.engine(head).record().member_of->replica.name);
-  const std::size_t before = sim.serving(model);
+  const std::size_t before = sim.count_serving_replicas(model);
   sim.kill(sim.engine(head).members().back());
   sim.run(100ms);
-  EXPECT_LT(sim.serving(model), before);
+  EXPECT_LT(sim.count_serving_replicas(model), before);
   // The list drops the dead engine after 3.6 s; the repair itself takes under 1.2 s.
-  EXPECT_TRUE(sim.run_until([&] { return sim.serving(model) >= before; }, 4800ms));
+  EXPECT_TRUE(sim.run_until([&] { return sim.count_serving_replicas(model) >= before; }, 4800ms));
 }
 
 TEST(ReplicaController, FormsReplicasOnceWhenAnAddressIsReused) {
@@ -49,15 +52,15 @@
   sim.start_requests();
   sim.run(1s);
   for (const model_id& model : {large, small}) {
-    for (const target_id& head : sim.heads(model)) {
+    for (const target_id& head : sim.serving_heads(model)) {
       sim.replace_engine(sim.engine(head).members().back());
     }
   }
   sim.run(12s);
-  const std::size_t serving = sim.serving(large) + sim.serving(small);
+  const std::size_t serving = sim.count_serving_replicas(large) + sim.count_serving_replicas(small);
   const std::size_t orders = sim.orders_sent();
   sim.run(5s);
-  EXPECT_EQ(sim.serving(large) + sim.serving(small), serving);
+  EXPECT_EQ(sim.count_serving_replicas(large) + sim.count_serving_replicas(small), serving);
   EXPECT_EQ(sim.orders_sent(), orders);
 }
 
@@ -71,18 +74,18 @@
   sim.run(40s);
   sim.start_requests();
   sim.run(1s);
-  const std::size_t before = sim.serving(large) + sim.serving(small);
+  const std::size_t before = sim.count_serving_replicas(large) + sim.count_serving_replicas(small);
   ASSERT_GE(before, 4U);
   std::size_t dropped = 0;
   for (const model_id& model : {large, small}) {
-    for (const target_id& head : sim.heads(model)) {
+    for (const target_id& head : sim.serving_heads(model)) {
       sim.unlist_engine(sim.engine(head).members().back());
       ++dropped;
     }
   }
   sim.run(5s);
   // Where a spare is ready, it may replace the member that the list dropped.
-  EXPECT_GE(sim.serving(large) + sim.serving(small), before);
+  EXPECT_GE(sim.count_serving_replicas(large) + sim.count_serving_replicas(small), before);
   EXPECT_GE(dropped, 4U);
 }
 
@@ -96,16 +99,17 @@
   sim.run(40s);
   sim.start_requests();
   sim.run(1s);
-  const std::size_t before = sim.serving(large) + sim.serving(small);
+  const std::size_t before = sim.count_serving_replicas(large) + sim.count_serving_replicas(small);
   ASSERT_FALSE(sim.head_with_spare().empty());
   for (const model_id& model : {large, small}) {
-    for (const target_id& head : sim.heads(model)) {
+    for (const target_id& head : sim.serving_heads(model)) {
       sim.unlist_engine(sim.engine(head).members().back());
     }
   }
   for (int i = 0; i < 50; ++i) {
     sim.run(100ms);
-    ASSERT_GE(sim.serving(large) + sim.serving(small), before) << "after " << i << " x 100 ms";
+    ASSERT_GE(sim.count_serving_replicas(large) + sim.count_serving_replicas(small), before)
+        << "after " << i << " x 100 ms";
   }
 }
 
@@ -115,11 +119,11 @@
   controller_simulation sim(3);
   sim.add_domain("d0", 9);
   sim.add_domain("d1", 9);
-  ASSERT_TRUE(sim.run_until([&] { return sim.serving(small) >= 2; }, 60s));
+  ASSERT_TRUE(sim.run_until([&] { return sim.count_serving_replicas(small) >= 2; }, 60s));
   sim.start_requests();
   sim.run(20s);
-  const std::size_t before = sim.serving(small);
-  const target_id head = sim.head(small);
+  const std::size_t before = sim.count_serving_replicas(small);
+  const target_id head = sim.any_serving_head(small);
   const std::vector<target_id> members = sim.engine(head).members();
   sim.kill(head);
   EXPECT_TRUE(sim.run_until(
@@ -128,7 +132,7 @@
         return member_of && head_of(member_of->replica.name) != head;
       },
       8s));
-  EXPECT_GE(sim.serving(small) + 1, before);
+  EXPECT_GE(sim.count_serving_replicas(small) + 1, before);
 }
 
 TEST(ReplicaController, ClosesAReplicaWithADrainingMember) {
@@ -136,9 +140,12 @@
   // it.
   controller_simulation sim(4);
   sim.add_domain("d0", 9);
-  ASSERT_TRUE(sim.run_until([&] { return sim.serving(large) + sim.serving(small) >= 2; }, 60s));
+  ASSERT_TRUE(sim.run_until(
+      [&] { return sim.count_serving_replicas(large) + sim.count_serving_replicas(small) >= 2; },
+      60s));
   sim.run(5s);
-  const target_id head = sim.serving(large) > 0 ? sim.head(large) : sim.head(small);
+  const target_id head = sim.count_serving_replicas(large) > 0 ? sim.any_serving_head(large)
+                                                               : sim.any_serving_head(small);
   const target_id leaving = sim.engine(head).members().back();
   const replica_key key = sim.engine(head).record().member_of->replica;
   sim.drain(leaving);
@@ -164,14 +171,15 @@
     sim.start_requests();
     sim.block_list_updates(1, true);
     for (int i = 0; i < 4; ++i) {
-      const auto living = sim.living();
-      sim.kill(living[sim.random().below(living.size())]);
+      const auto living_engines = sim.living_engines();
+      sim.kill(living_engines[sim.random().below(living_engines.size())]);
       sim.run(2s);
     }
     sim.block_list_updates(1, false);
     sim.run(10s);
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
-    EXPECT_GE(sim.serving(large) + sim.serving(small), 2U) << "seed " << seed;
+    EXPECT_GE(sim.count_serving_replicas(large) + sim.count_serving_replicas(small), 2U)
+        << "seed " << seed;
   }
 }
 
@@ -188,15 +196,16 @@
     sim.start_requests();
     sim.set_faults({.order_lost = 0.1, .order_late = 0.3});
     for (int i = 0; i < 5; ++i) {
-      const auto living = sim.living();
-      sim.kill(living[sim.random().below(living.size())]);
+      const auto living_engines = sim.living_engines();
+      sim.kill(living_engines[sim.random().below(living_engines.size())]);
       sim.add_engine(sim.random().below(2) == 0 ? "d0" : "d1");
       sim.run(2s);
     }
     sim.set_faults({});
     sim.run(20s);
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
-    EXPECT_GE(sim.serving(large) + sim.serving(small), 2U) << "seed " << seed;
+    EXPECT_GE(sim.count_serving_replicas(large) + sim.count_serving_replicas(small), 2U)
+        << "seed " << seed;
   }
 }
 
@@ -214,10 +223,10 @@
   const target_id head = sim.head_with_spare();
   ASSERT_FALSE(head.empty());
   const model_id model = model_of_name(sim.engine(head).record().member_of->replica.name);
-  const std::size_t before = sim.serving(model);
+  const std::size_t before = sim.count_serving_replicas(model);
   sim.restart(sim.engine(head).members().back());
-  EXPECT_LT(sim.serving(model), before);
-  EXPECT_TRUE(sim.run_until([&] { return sim.serving(model) >= before; }, 1500ms));
+  EXPECT_LT(sim.count_serving_replicas(model), before);
+  EXPECT_TRUE(sim.run_until([&] { return sim.count_serving_replicas(model) >= before; }, 1500ms));
 }
 
 TEST(ReplicaController, RestartedHeadReleasesItsMembers) {
@@ -227,11 +236,14 @@
   sim.run(40s);
   sim.start_requests();
   sim.run(1s);
-  const std::size_t before = sim.serving(large) + sim.serving(small);
-  sim.restart(sim.head(small));
+  const std::size_t before = sim.count_serving_replicas(large) + sim.count_serving_replicas(small);
+  sim.restart(sim.any_serving_head(small));
   sim.run(200ms);
-  EXPECT_TRUE(
-      sim.run_until([&] { return sim.serving(large) + sim.serving(small) >= before; }, 10s));
+  EXPECT_TRUE(sim.run_until(
+      [&] {
+        return sim.count_serving_replicas(large) + sim.count_serving_replicas(small) >= before;
+      },
+      10s));
 }
 
 TEST(ReplicaController, LateOrdersOfAnEarlierIncarnationAreHarmless) {
@@ -247,11 +259,11 @@
     sim.start_requests();
     sim.set_faults({.order_lost = 0.1, .order_late = 0.3, .max_order_delay = 12s});
     for (int i = 0; i < 30; ++i) {
-      const auto living = sim.living();
-      sim.restart(living[sim.random().below(living.size())]);
+      const auto living_engines = sim.living_engines();
+      sim.restart(living_engines[sim.random().below(living_engines.size())]);
       if (i % 3 == 0) {
         // Restarts an engine twice in a row, or one with pending orders.
-        const auto again = sim.living();
+        const auto again = sim.living_engines();
         sim.restart(again[sim.random().below(again.size())]);
       }
       sim.block_list_updates(i % 2, i % 5 == 0);
@@ -261,7 +273,9 @@
     sim.block_list_updates(0, false);
     sim.block_list_updates(1, false);
     sim.set_faults({});
-    EXPECT_TRUE(sim.run_until([&] { return sim.serving(large) + sim.serving(small) >= 2; }, 60s));
+    EXPECT_TRUE(sim.run_until(
+        [&] { return sim.count_serving_replicas(large) + sim.count_serving_replicas(small) >= 2; },
+        60s));
   }
 }
 
@@ -277,17 +291,19 @@
     sim.run(40s);
     sim.start_requests();
     sim.run(1s);
-    const std::size_t before = sim.serving(large) + sim.serving(small);
+    const std::size_t before =
+        sim.count_serving_replicas(large) + sim.count_serving_replicas(small);
     ASSERT_GE(before, 4U);
     sim.set_partitioned(1, true);
-    for (const target_id& id : sim.living()) {
+    for (const target_id& id : sim.living_engines()) {
       sim.mark_lost(1, id);  // as if the engine's streams had stalled and probes had got no answer
     }
     sim.run(6s);
     sim.set_partitioned(1, false);
     for (int i = 0; i < 80; ++i) {
       sim.run(50ms);
-      ASSERT_GE(sim.serving(large) + sim.serving(small), before) << i * 50 << " ms after";
+      ASSERT_GE(sim.count_serving_replicas(large) + sim.count_serving_replicas(small), before)
+          << i * 50 << " ms after";
     }
   }
 }
@@ -303,7 +319,7 @@
   sim.start_requests();
   std::map<target_id, model_id> before;
   std::vector<target_id> dark;
-  for (const target_id& id : sim.living()) {
+  for (const target_id& id : sim.living_engines()) {
     before[id] = sim.engine(id).record().loaded;
     if (sim.engine(id).record().domain == fabric_domain_id{"d0"}) {
       dark.push_back(id);
@@ -313,7 +329,7 @@
     sim.kill(id);
   }
   sim.run(8s);
-  for (const target_id& id : sim.living()) {
+  for (const target_id& id : sim.living_engines()) {
     EXPECT_EQ(model_of_name(sim.engine(id).record().member_of->replica.name), before[id]) << id;
   }
 }
--- a/tests/shell/standin_engine_test.cpp
+++ b/tests/shell/standin_engine_test.cpp
@@ -14,13 +14,13 @@
 
 engine_settings quick_settings() {
   engine_settings s;
-  s.form_time = 1s;
+  s.group_join_time = 1s;
   s.default_profile.weight_bytes = 1000;
   s.default_profile.batch.slots = 2;
   s.default_profile.batch.tokens_per_second = 10;
   s.default_profile.batch.prefill_tokens_per_second = 1e9;
   s.default_profile.batch.slowdown_when_full = 0;
-  s.records_runs = true;
+  s.counts_runs_by_request = true;
   return s;
 }
 
@@ -31,23 +31,23 @@
     return *engines.back();
   }
 
-  order make_order(order_kind kind, const engine_standin& e, generation gen) {
+  order make_order(order_kind kind, const engine_standin& e, generation fencing_generation) {
     order o;
     o.kind = kind;
     o.vm = e.vm();
-    o.target = {r1, gen, members};
+    o.target = {r1, fencing_generation, members};
     o.model = dispatch;
     o.model_version = "1";
     return o;
   }
-  bool apply(engine_standin& e, order_kind kind, generation gen) {
-    return e.apply(now, make_order(kind, e, gen), now).accepted;
+  bool apply(engine_standin& e, order_kind kind, generation fencing_generation) {
+    return e.apply(now, make_order(kind, e, fencing_generation), now).accepted;
   }
 
   // Forms the replica of all engines and waits until it is ready.
-  void form_group(generation gen = {7, 0, 0}) {
+  void form_group(generation fencing_generation = {7, 0, 0}) {
     for (const auto& e : engines) {
-      ASSERT_TRUE(apply(*e, order_kind::form, gen));
+      ASSERT_TRUE(apply(*e, order_kind::form, fencing_generation));
     }
     now += 10s;
   }
@@ -232,10 +232,10 @@
   add_group();
   EXPECT_FALSE(apply(head(), order_kind::form, {6, 9, 3}));
   EXPECT_FALSE(apply(head(), order_kind::release, {6, 0, 0}));
-  EXPECT_EQ(head().report(now).gen, (generation{7, 0, 0}));
+  EXPECT_EQ(head().report(now).fencing_generation, (generation{7, 0, 0}));
   head().set_checks_tokens(false);
   EXPECT_TRUE(apply(head(), order_kind::form, {6, 9, 3}));
-  EXPECT_EQ(head().report(now).gen, (generation{6, 9, 3}));
+  EXPECT_EQ(head().report(now).fencing_generation, (generation{6, 9, 3}));
 }
 
 TEST_F(standin_engine, refuses_a_fencing_token_used_for_another_composition) {
@@ -322,9 +322,9 @@
   r.replica = replica_id{"r2"};
   EXPECT_EQ(refusal_status(head(), r), 409);
   r.replica = r1;
-  r.gen = to_string(generation{6, 0, 0});
+  r.fencing_generation = to_string(generation{6, 0, 0});
   EXPECT_EQ(refusal_status(head(), r), 409);
-  r.gen = to_string(generation{7, 0, 0});
+  r.fencing_generation = to_string(generation{7, 0, 0});
   EXPECT_EQ(refusal_status(*engines[1], r), 409);
   EXPECT_EQ(head().runs(r.id), 0U);
   EXPECT_EQ(refusal_status(head(), r), 0);
@@ -428,10 +428,10 @@
   const time_point now{10s};
   cache.store(now, {1});
   cache.store(now, {2});
-  EXPECT_EQ(cache.cached({1}), 1U);
+  EXPECT_EQ(cache.count_cached_blocks({1}), 1U);
   cache.store(now, {3});
-  EXPECT_EQ(cache.cached({1}), 1U);
-  EXPECT_EQ(cache.cached({2}), 0U);
+  EXPECT_EQ(cache.count_cached_blocks({1}), 1U);
+  EXPECT_EQ(cache.count_cached_blocks({2}), 0U);
   EXPECT_TRUE(cache.events(now + 999ms, 0).empty());
   const auto events = cache.events(now + 1s, 1);
   ASSERT_EQ(events.size(), 3U);
@@ -452,7 +452,7 @@
   from.store(now, {11, 12, 13});
   EXPECT_TRUE(from.export_prefix(14).empty());
   EXPECT_TRUE(to.import_prefix(now, from.export_prefix(12)));
-  EXPECT_EQ(to.cached({11, 12, 13}), 2U);
+  EXPECT_EQ(to.count_cached_blocks({11, 12, 13}), 2U);
   EXPECT_FALSE(to.import_prefix(now, "something else"));
 }
 
--- a/tests/shell/standin_http_test.cpp
+++ b/tests/shell/standin_http_test.cpp
@@ -40,9 +40,9 @@
 
 fleet_settings make_settings() {
   fleet_settings s;
-  s.engine.form_time = 0s;
+  s.engine.group_join_time = 0s;
   s.engine.default_profile.batch.tokens_per_second = 2000;
-  s.engine.records_runs = true;
+  s.engine.counts_runs_by_request = true;
   return s;
 }
 
