--- a/src/process/coordinator_tick.cpp
+++ b/src/process/coordinator_tick.cpp
@@ -99,7 +99,7 @@
   if (!config) {
     return;
   }
-  const auto to = peer_summaries.due(now, config->assets);
+  const auto to = peer_summaries.due_recipients(now, config->assets);
   if (to.empty()) {
     return;
   }
--- a/tests/core/drain_tracker_test.cpp
+++ b/tests/core/drain_tracker_test.cpp
@@ -42,7 +42,7 @@
         .nodes = {peer},
         .acknowledged_version_of = [this](const node_id&) { return acknowledged_; },
         .node_has_requests = [this](const node_id&, const replica_id&) { return busy_; },
-        .composition_in_force = planned,
+        .composition_in_force = planned_composition,
         .latest_observation_of = [this](const vm_id&) { return &seen_; },
         .is_lost = [this](const vm_id&) { return lost_; },
     };
@@ -106,7 +106,7 @@
       .nodes = {peer},
       .acknowledged_version_of = [](const node_id&) { return 5U; },
       .node_has_requests = [](const node_id&, const replica_id&) { return false; },
-      .composition_in_force = planned,
+      .composition_in_force = planned_composition,
       .latest_observation_of = [this](const vm_id&) { return &seen_; },
       .is_lost = [](const vm_id&) { return false; }};
   const auto status = tracker_.status(context);
