--- a/src/node/controller_loop.h
+++ b/src/node/controller_loop.h
@@ -68,6 +68,8 @@
   [[nodiscard]] feed_update configuration_update(time_point now, const feed_positions& at);
   void forward_configuration(time_point now, const node_id& peer, const feed_positions& at,
                              node_heartbeat& message);
+  // Removes the rows of an update that has the complete list, and marks it as withheld, if they
+  // exceed the remaining budget of bytes for sending lists.
   void withhold_beyond_budget(feed_update& update);
   [[nodiscard]] feed_update targets_update(time_point now, std::uint64_t after);
   [[nodiscard]] feed_update serving_update(time_point now, const serving_follower::position& after);
--- a/src/node/controller_losses.cpp
+++ b/src/node/controller_losses.cpp
@@ -26,8 +26,9 @@
 // A lost engine that is alive is restored within this time; a dead one is probed some ten times
 // until the list drops it.
 constexpr duration lost_probe_interval = 400ms;
-// Interval between probes of members that were dropped from the list. Longer than for lost engines,
-// since the end of such an engine usually shows as a stall of its replica.
+// Interval between probes of a replica's member engines that are no longer in the list of targets
+// but may still work. Longer than lost_probe_interval, since the failure of such an engine usually
+// shows first as a stall of its replica.
 constexpr duration unlisted_probe_interval = 800ms;
 
 }  // namespace
--- a/src/node/store_watch.h
+++ b/src/node/store_watch.h
@@ -86,8 +86,10 @@
   std::uint32_t nodes_reads_ = 0;          // number of times that the rows of nodes were read
   bool nodes_known_ = false;               // the rows were read at least once
   bool configuration_positioned_ = false;  // the log has all rows up to its position
-  bool targets_positioned_ = false;        // the log of target rows has all up to its position
-  bool targets_withheld_ = false;          // the hub has a list that it does not send in this round
+  // This node can query the store for changes of targets after the position of its log of target
+  // rows. Otherwise it first needs the whole list from the store or an update from its hub.
+  bool targets_positioned_ = false;
+  bool targets_withheld_ = false;  // the hub has a list that it does not send in this round
   bool list_left_to_hub_ = false;  // the list is longer than a page, so the hub's updates are used
   record_subscription record_subscription_;
   time_point hub_targets_update_at_{};  // the hub's last update of targets or serving replicas
--- a/src/process/config_lease.h
+++ b/src/process/config_lease.h
@@ -61,6 +61,8 @@
 
  private:
   config_lease_settings settings_;
+  // When the query was sent that gave the newest proof that this node's configuration is current;
+  // none: no proof yet.
   std::optional<time_point> proof_query_time_;
 };
 
--- a/src/process/config_transfer.h
+++ b/src/process/config_transfer.h
@@ -60,7 +60,8 @@
   std::optional<config_part> part_for(std::uint64_t held_version, const config_progress& at,
                                       std::size_t max_bytes);
 
-  // More than one row is kept, because nodes receive consecutive versions some heartbeats apart.
+  // Number of configuration rows kept: the newest, and older ones as bases of deltas to it, because
+  // nodes receive consecutive versions some heartbeats apart.
   static constexpr std::size_t max_kept_rows = 3;
 
  private:
--- a/src/process/domain_layout.cpp
+++ b/src/process/domain_layout.cpp
@@ -166,7 +166,8 @@
 double expected_replicas(std::uint32_t model_engines, std::uint32_t domain_engines,
                          std::uint32_t size, std::uint32_t lost) {
   double sum = 0;
-  // Sum over the possible numbers of failed engines of the model: probability x replicas.
+  // Sums, over each possible number of the model's engines among the failed ones, the probability
+  // of that number times the number of replicas that the remaining engines form.
   const std::uint32_t others = domain_engines - model_engines;
   for (std::uint32_t model_engines_lost = lost > others ? lost - others : 0;
        model_engines_lost <= std::min(model_engines, lost); ++model_engines_lost) {
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -153,7 +153,9 @@
     time_point last_heartbeat;
     std::uint64_t first_hash_sequence{};  // first own message with the current config hash
     std::string announced_hash;
-    std::uint64_t echoed{};     // sequence of this node's newest message that the peer echoed
+    // Sequence number of the newest of this node's messages that the peer has confirmed by echoing
+    // its number; 0: none.
+    std::uint64_t echoed{};
     time_point echoed_sent_at;  // when this node sent the message with that sequence
   };
   struct probe_choice {
--- a/src/process/orders.cpp
+++ b/src/process/orders.cpp
@@ -68,7 +68,8 @@
     case order_kind::form:
       return same && (r.state == engine_state::loading || r.state == engine_state::ready);
     case order_kind::drain:
-      // Only a VM that serves this composition has something to drain.
+      // A drain order is satisfied unless the VM is a ready member of the composition to be
+      // drained.
       return !same || r.state != engine_state::ready;
     case order_kind::release:
       return r.replica.empty();
--- a/src/process/status_view.h
+++ b/src/process/status_view.h
@@ -40,7 +40,7 @@
   std::vector<vm_id> members;   // members in force now, with activated standbys
   std::vector<vm_id> standbys;  // standbys that the row reserves for the replica
   bool serving = false;
-  std::string why_not;  // why the replica does not serve; empty when it does
+  std::string why_not;  // reason why the replica does not serve; empty if it serves
 };
 
 // A running VM that belongs to no serving replica.
--- a/src/request/admission.h
+++ b/src/request/admission.h
@@ -37,7 +37,7 @@
 // The request waits; its id is returned later by update_capacity_and_start_next(),
 // finish_and_start_next() or tick().
 struct queued {
-  duration expected_wait{};
+  duration expected_wait{};  // estimated time until the request starts
 };
 // The request is proven not to have run; the caller is notified immediately.
 struct rejected {
@@ -124,7 +124,7 @@
     bool has_first_token = false;
   };
   struct workspace_queue {
-    double share = 1.0;
+    double share = 1.0;  // weight in fair queueing: capacity is divided in proportion to it
     double virtual_finish_tag =
         0;  // virtual time at which the workspace's last started request finishes
     double queued_cost = 0;
--- a/src/request/keyed.h
+++ b/src/request/keyed.h
@@ -68,7 +68,8 @@
   duration max_reservation_to_send = 2s;
   // The owner of a record that has been in phase `reserved` for longer is assumed to have failed.
   duration reservation_takeover_age = 5s;
-  duration retention = 24h;         // how long a repeated call is recognised
+  // How long after a call's latest possible end its record is kept, to recognise repeats of it.
+  duration retention = 24h;
   duration table_timeout = 2s;      // for writing the record; after it the call ends as not run
   duration table_retry_after = 2s;  // retry time sent to callers while the table is unavailable
   duration outcome_write_timeout = 10min;  // how long writing the call's outcome is retried
--- a/src/request/policy_bench.h
+++ b/src/request/policy_bench.h
@@ -21,7 +21,7 @@
 struct workspace_load {
   std::string name;
   double share = 1.0;
-  double per_second{};  // Poisson arrivals
+  double per_second{};  // mean rate of the workspace's requests, which arrive as a Poisson process
 };
 
 struct admission_load {
@@ -121,7 +121,7 @@
 // ---- limits: nodes that share a rate limit, through network partitions and their end ----
 
 struct limit_phase_figures {
-  std::string phase;
+  std::string phase;  // name of the phase of the run
   // As multiples of the limit:
   double demand{};
   double passed{};        // mean rate of requests admitted during the phase
--- a/src/request/prefix_index.h
+++ b/src/request/prefix_index.h
@@ -79,7 +79,7 @@
 
   prefix_index_settings settings_;
   // Invariant: entries_ and by_key_ hold the same (replica, block) pairs, at most max_entries.
-  recency entries_;
+  recency entries_;  // (replica, block) pairs by time of last confirmation, oldest first
   std::unordered_map<entry_key, recency::iterator, entry_key_hash> by_key_;
   std::unordered_map<replica_id, replica_state> replicas_;
   std::uint32_t next_number_ = 1;
--- a/src/request/send_limits.h
+++ b/src/request/send_limits.h
@@ -26,7 +26,7 @@
 
 // The rate limit of a target as last known to this node.
 struct send_limit {
-  std::optional<double> per_second;  // none: the target no longer reports one
+  std::optional<double> per_second;  // requests per second; none: the target reports no limit now
   time_point seen_at{};              // time of the newest report
 };
 
--- a/src/standin/hosted_engine.h
+++ b/src/standin/hosted_engine.h
@@ -67,6 +67,7 @@
   };
 
   order_outcome join(time_point now, const replica_order& order);
+  // Appends the engine's current state to past_states_, from which delayed reports are made.
   void record_snapshot(time_point now);
   [[nodiscard]] bool is_in(const replica_key& key) const {
     return record_.member_of && record_.member_of->replica == key;
--- a/src/version/import.h
+++ b/src/version/import.h
@@ -31,9 +31,9 @@
 class place_index {
  public:
   void add_place(std::string path, place where);
-  // The place of `path` in the file. If unknown, that of its longest known prefix: "vms/3" for
-  // "vms/3/address". If no prefix is known, as for values that were not read from a file, a place
-  // whose file name is `path`.
+  // Returns the place in the imported file of the value with path `path`. If that is unknown, the
+  // place of the longest known prefix: "vms/3" for "vms/3/address". If no prefix is known, as for
+  // values that were not read from a file, a place whose file name is `path`.
   [[nodiscard]] place at(const std::string& path) const;
   void merge(place_index other);
 
--- a/src/version/plan_draft.h
+++ b/src/version/plan_draft.h
@@ -16,7 +16,7 @@
   replica_plan plan;
   const model_rule* rule = nullptr;  // null: the model is not in the rules
   std::uint32_t missing = 0;         // lost members, and leaving ones too if any is lost
-  bool has_leaving = false;          // a member is leaving and none is lost
+  bool has_leaving = false;          // at least one member VM is leaving, and none is lost
   bool serving = false;              // all its members report that they are ready
   bool waiting = false;              // VMs for it become free after an acknowledgement or a drain
   bool removed = false;              // is not in the next row
--- a/src/version/service_map.h
+++ b/src/version/service_map.h
@@ -55,8 +55,8 @@
 struct model_spec {
   model_id id;
   std::uint32_t size = 1;  // engines per replica
-  double expected_engine_time_fraction =
-      1;                       // of the engines' time, as operators expect it at the start
+  // Fraction of all engine time that operators expect this model to use when the service starts.
+  double expected_engine_time_fraction = 1;
   double slowdown_factor = 1;  // factor on all times of a replica
   duration load_time{};        // to load the weights from the shared weight store
   duration warm_load_time{};   // to load the weights if they are on the host already
